--- a/lilacwalk/overload/admission_gate.py
+++ b/lilacwalk/overload/admission_gate.py
@@ -34,21 +34,21 @@
 
     def admit(self, request: Request) -> bool:
         """Returns whether the request is admitted; otherwise it was rejected."""
-        is_drawn = self.admission.draw()  # for every arrival, whatever decides
-        if self._cannot_take(request):
-            self.termination.give_up(request)
+        passes_draw = self.admission.draw()  # for every arrival, whatever decides
+        if self._cannot_serve(request):
+            self.termination.reject_or_fail(request)
             return False
-        must_yield = self.quota.must_yield(request)
-        if must_yield or not is_drawn or not self._is_feasible(request):
-            self.termination.give_up(
+        must_reject = self.quota.must_reject(request)
+        if must_reject or not passes_draw or not self._is_feasible(request):
+            self.termination.reject_or_fail(
                 request,
-                do_not_retry_elsewhere=must_yield or self._retry_elsewhere_is_wasteful(request),
+                do_not_retry_elsewhere=must_reject or self._retry_elsewhere_is_wasteful(request),
             )
             return False
         self.quota.spend(request)
         return True
 
-    def _cannot_take(self, request: Request) -> bool:
+    def _cannot_serve(self, request: Request) -> bool:
         """Whether this server can take no request at all, or there is no time left for this one."""
         if request.deadline - self.context.now <= self.deadline_margin:
             return True
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -7,10 +7,10 @@
 RETURNING_WEIGHT = 0.05  # of the newest request in the running share of returning clients
 ACTIVITY_DECAY = 0.8  # each control period
 MINIMUM_ACTIVITY = 0.05  # below it a client is forgotten
-KNOWN_CLIENT_ACTIVITY = 2  # clients with less are treated as one
+MINIMUM_TRACKED_ACTIVITY = 2  # clients with less are treated as one
 TIMEOUT_BUCKETS = 50  # in which the class's timeout is divided to count clients' timeouts
-MAXIMUM_COUNT = 400  # requests counted before counts are halved
-COMMON_SHARE = 0.25  # of a client's requests; a timeout as frequent is one of its usual ones
+MAXIMUM_TIMEOUT_COUNT = 400  # requests counted before counts are halved
+USUAL_TIMEOUT_SHARE = 0.25  # of a client's requests; a timeout as frequent is one of its usual ones
 
 
 class ClientTracker:
@@ -42,7 +42,7 @@
             key: counts for key, counts in self.timeout_counts.items() if key[0] in known
         }
 
-    def time_already_spent(self, request: Request) -> int:
+    def elapsed_before_arrival(self, request: Request) -> int:
         """How long the client had been trying elsewhere before this request, as an estimate.
 
         The first attempt states one of the client's usual timeouts, the last one what is left of
@@ -52,15 +52,17 @@
         """
         stated = request.deadline - request.arrived_at
         class_timeout = request.request_class.timeout
-        client = request.client if self.activity[request.client] >= KNOWN_CLIENT_ACTIVITY else None
+        client = (
+            request.client if self.activity[request.client] >= MINIMUM_TRACKED_ACTIVITY else None
+        )
         key = (client, request.request_class)
         counts = self.timeout_counts.setdefault(key, {})
         bucket = TIMEOUT_BUCKETS * stated // class_timeout
         counts[bucket] = counts.get(bucket, 0) + 1
         total = sum(counts.values())
-        if total > MAXIMUM_COUNT:
+        if total > MAXIMUM_TIMEOUT_COUNT:
             self.timeout_counts[key] = {each: n / 2 for each, n in counts.items() if n > 1}
         similar = sum(counts.get(each, 0) for each in (bucket - 1, bucket, bucket + 1))
-        if similar >= COMMON_SHARE * total:
+        if similar >= USUAL_TIMEOUT_SHARE * total:
             return 0
         return max(0, class_timeout - stated)
--- a/lilacwalk/overload/connection_policy.py
+++ b/lilacwalk/overload/connection_policy.py
@@ -12,8 +12,8 @@
 HIGH_OVERHEAD_SHARE = 0.5  # of the run queue: reading and connecting outweigh executions
 LOW_OVERHEAD_SHARE = 0.25
 OVERHEAD_WEIGHT = 0.3  # of the newest control period in the running share
-CLOSE_BELOW_RETURNING = 0.4  # share of returning clients below which closing begins
-CLOSE_UNTIL_RETURNING = 0.6  # share of returning clients above which it ends
+CLOSE_BELOW_RETURNING_SHARE = 0.4  # share of returning clients below which closing begins
+CLOSE_UNTIL_RETURNING_SHARE = 0.6  # share of returning clients above which it ends
 
 
 class ConnectionPolicy:
@@ -49,7 +49,7 @@
         self._overhead_share += OVERHEAD_WEIGHT * (newest_share - self._overhead_share)
         self._run_queue_sum = 0.0
         self._overhead_sum = 0.0
-        threshold = CLOSE_UNTIL_RETURNING if self._closes else CLOSE_BELOW_RETURNING
+        threshold = CLOSE_UNTIL_RETURNING_SHARE if self._closes else CLOSE_BELOW_RETURNING_SHARE
         closes = self._clients.returning_share < threshold
         idle_time = self._next_idle_time()
         if closes != self._closes or (closes and idle_time != self._idle_time):
--- a/lilacwalk/overload/controller.py
+++ b/lilacwalk/overload/controller.py
@@ -212,7 +212,7 @@
         objective = (
             request_class.latency_objective
             + int(request_class.objective_stretch * request.expected_work)
-            - self.parts.clients.time_already_spent(request)
+            - self.parts.clients.elapsed_before_arrival(request)
         )
         request.objective_deadline = min(request.deadline, request.arrived_at + objective)
         request.weight_per_work = request_class.weight / (
@@ -271,7 +271,7 @@
         parts.drain.begin(
             grace_ends_at=now + self.server.drain_grace_period, terminate_at=terminate_at
         )
-        parts.context.schedule(terminate_at, parts.termination.give_up_all, True)
+        parts.context.schedule(terminate_at, parts.termination.reject_or_fail_all, True)
         parts.load_reporter.report_health(False)
         parts.context.sink.log("drain started: new requests are steered away")
         parts.load_reporter.report_load()
@@ -285,7 +285,7 @@
         parts.connection_policy.record_gauges()
         parts.concurrency.adapt()
         if parts.stall_detector.detects_new_stall():
-            self._stall_begun()
+            self._stall_started()
         now = parts.context.now
         if now >= self._next_control_at:
             self._next_control_at = max(
@@ -294,7 +294,7 @@
             self._control_period_ended()
         parts.load_reporter.report_periodically()
 
-    def _stall_begun(self) -> None:
+    def _stall_started(self) -> None:
         """Rejects what other servers may still complete, and all new requests until progress."""
         parts = self.parts
         parts.load_reporter.report_health(False)
@@ -302,7 +302,7 @@
             "executions stalled: all requests are rejected until one makes progress"
         )
         parts.load_reporter.report_load()
-        parts.termination.give_up_all(False)
+        parts.termination.reject_or_fail_all(False)
 
     def _control_period_ended(self) -> None:
         parts = self.parts
--- a/lilacwalk/overload/decision_sink.py
+++ b/lilacwalk/overload/decision_sink.py
@@ -36,8 +36,8 @@
     def release_key(self, request: Request, /) -> None:
         """Drops the idempotency key of a request that was never executed."""
 
-    def call_dependency(self, request: Request, give_up_at: int, /) -> None:
-        """Makes the pending dependency call, with a timeout at `give_up_at`."""
+    def call_dependency(self, request: Request, timeout_at: int, /) -> None:
+        """Makes the pending dependency call, with a timeout at `timeout_at`."""
 
     def skip_dependency_call(self, request: Request, /) -> None:
         """Lets the execution continue without its dependency call."""
--- a/lilacwalk/overload/deduplication.py
+++ b/lilacwalk/overload/deduplication.py
@@ -32,9 +32,9 @@
             request.is_registered = True
             self._load.reserve_memory(self._server.deduplication_entry_kb)
             self._context.sink.register_key(request, lifetime)
-            self._context.schedule(now + lifetime, self._forget_key, request)
+            self._context.schedule(now + lifetime, self._unregister_key, request)
 
-    def _forget_key(self, request: Request) -> None:
+    def _unregister_key(self, request: Request) -> None:
         if request.is_registered:
             request.is_registered = False
             self._load.free_memory(self._server.deduplication_entry_kb)
@@ -85,5 +85,5 @@
                 other.duplicate_of = successor
             self.register_key(successor)
         elif request.is_registered:
-            self._forget_key(request)
+            self._unregister_key(request)
             self._context.sink.release_key(request)
--- a/lilacwalk/overload/dependency_limiter.py
+++ b/lilacwalk/overload/dependency_limiter.py
@@ -8,10 +8,12 @@
 CALLS_PER_CORE = 4.0  # the limit where the server was told no share
 CALL_TIME_WEIGHT = 0.1  # of the newest call in the running mean: calls slow down within seconds
 BASELINE_WEIGHT = 0.005  # of the newest call in the baseline
-CROWDED_BASELINE_DIVISOR = 20  # of that weight while calls are crowded
-FIRST_CALLS = 20  # averaged plainly, so that one odd first call does not set the baseline
-OUTLIER_CALL_TIMES = 3  # mean call times that one call counts for at most: a lost reply is no crowd
-CROWDED_MULTIPLE = 2  # of the baseline: beyond the scatter of a mean of ten calls
+CONGESTED_BASELINE_DIVISOR = 20  # of that weight while calls are crowded
+INITIAL_CALLS = 20  # averaged plainly, so that one odd first call does not set the baseline
+OUTLIER_CAP_MULTIPLE = (
+    3  # mean call times that one call counts for at most: a lost reply is no crowd
+)
+CONGESTION_MULTIPLE = 2  # of the baseline: beyond the scatter of a mean of ten calls
 MINIMUM_LIMIT_SHARE = 0.3  # of the full limit, so that a dependency slow by itself is not left idle
 LIMIT_DECREASE = 0.8  # factor for each call while crowded
 LIMIT_INCREASE_STEPS = 16  # calls in which the limit grows by its full value
@@ -36,7 +38,7 @@
         self.baseline_call_time = 0.0
         self.measured_calls = 0
         self.limit = self._full_limit()  # mean number of calls in progress
-        self.is_crowded = False
+        self.is_congested = False
         self.next_call_at = context.now
         self._last_call_at = context.now
 
@@ -89,26 +91,26 @@
     def record_call_time(self, elapsed: int) -> None:
         """Learns from a call that took `elapsed` and adapts the limit."""
         self.measured_calls += 1
-        is_first = self.measured_calls <= FIRST_CALLS
-        counted = elapsed if is_first else min(elapsed, OUTLIER_CALL_TIMES * self.call_time)
+        is_first = self.measured_calls <= INITIAL_CALLS
+        counted = elapsed if is_first else min(elapsed, OUTLIER_CAP_MULTIPLE * self.call_time)
         weight = max(CALL_TIME_WEIGHT, 1 / self.measured_calls)
         self.call_time += weight * (counted - self.call_time)
         self.baseline_call_time += self._baseline_weight() * (counted - self.baseline_call_time)
-        self.is_crowded = self.call_time > CROWDED_MULTIPLE * self.baseline_call_time
+        self.is_congested = self.call_time > CONGESTION_MULTIPLE * self.baseline_call_time
         full_limit = self._full_limit()
-        if self.is_crowded:
+        if self.is_congested:
             self.limit = max(full_limit * MINIMUM_LIMIT_SHARE, self.limit * LIMIT_DECREASE)
         else:
             self.limit = min(full_limit, self.limit + full_limit / LIMIT_INCREASE_STEPS)
 
     def _baseline_weight(self) -> float:
-        if self.measured_calls <= FIRST_CALLS:
+        if self.measured_calls <= INITIAL_CALLS:
             return 1 / self.measured_calls
-        return BASELINE_WEIGHT / (CROWDED_BASELINE_DIVISOR if self.is_crowded else 1)
+        return BASELINE_WEIGHT / (CONGESTED_BASELINE_DIVISOR if self.is_congested else 1)
 
     def restore(self, *, call_time: float, baseline_call_time: float, weight: float) -> None:
         """Takes over call times of an earlier incarnation, unless calls were measured already."""
         if call_time and not self.measured_calls:
             self.call_time = call_time
             self.baseline_call_time = baseline_call_time
-            self.measured_calls = int(weight * FIRST_CALLS)
+            self.measured_calls = int(weight * INITIAL_CALLS)
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lilacwalk.overload.batch_context import BatchContext
-from lilacwalk.overload.dependency_limiter import FIRST_CALLS, DependencyLimiter
+from lilacwalk.overload.dependency_limiter import INITIAL_CALLS, DependencyLimiter
 from lilacwalk.overload.feasibility import REQUIRED_TIME_SHARE, Feasibility
 from lilacwalk.overload.latency_estimator import LatencyEstimator
 from lilacwalk.overload.model import Effect, Request, RequestClass, ServerSettings
@@ -11,7 +11,7 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.termination import Termination
 
-UNRESPONSIVE_CALL_TIMES = 10  # mean call times after which a call is unresponsive
+CALL_TIMEOUT_MULTIPLE = 10  # mean call times after which a call is unresponsive
 RESUMED_CONCURRENCY_SHARE = 0.75  # of the safe concurrency that resumed executions may reach
 
 
@@ -95,7 +95,7 @@
             return False
         if not may_call or (is_late and is_idempotent):
             self._latency.record_response(request, self._context.now)
-            self._termination.give_up(request, do_not_retry_elsewhere=True)
+            self._termination.reject_or_fail(request, do_not_retry_elsewhere=True)
             return False
         return True
 
@@ -116,34 +116,36 @@
     def _must_skip(self, request_class: RequestClass) -> bool:
         """Whether the class is to skip its calls for those that lose more without one."""
         return (
-            self._limiter.is_crowded
+            self._limiter.is_congested
             and self._limiter.is_full()
             and skip_loss(request_class) < self._greatest_skip_loss
         )
 
     def _call(self, request: Request) -> None:
-        give_up_at = max(self._give_up_at(request), self._context.now + 1)
+        timeout_at = max(self._call_timeout_at(request), self._context.now + 1)
         self._limiter.begin_call(request)
-        self._context.sink.call_dependency(request, give_up_at)
+        self._context.sink.call_dependency(request, timeout_at)
 
-    def _give_up_at(self, request: Request) -> int:
+    def _call_timeout_at(self, request: Request) -> int:
         now = self._context.now
         limiter = self._limiter
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
         if is_idempotent:
-            give_up_at = self._feasibility.useful_response_deadline(request)
+            timeout_at = self._feasibility.useful_response_deadline(request)
         else:
-            give_up_at = request.deadline - self._deadline_margin
-        call_times_are_usual = limiter.measured_calls >= FIRST_CALLS and not limiter.is_crowded
-        if is_idempotent and call_times_are_usual and not request.call_may_have_executed:
+            timeout_at = request.deadline - self._deadline_margin
+        call_times_are_reliable = (
+            limiter.measured_calls >= INITIAL_CALLS and not limiter.is_congested
+        )
+        if is_idempotent and call_times_are_reliable and not request.call_may_have_executed:
             # A first call only: the second has all the time that is left.
-            unresponsive_at = now + int(UNRESPONSIVE_CALL_TIMES * limiter.call_time)
-            give_up_at = min(give_up_at, unresponsive_at)
+            first_call_timeout_at = now + int(CALL_TIMEOUT_MULTIPLE * limiter.call_time)
+            timeout_at = min(timeout_at, first_call_timeout_at)
         share = self._server.dependency_call_share
         if 0 < share < 1:
             longest = int(share * self._server.dependency_call_span / 2)
-            give_up_at = min(give_up_at, now + longest)
-        return give_up_at
+            timeout_at = min(timeout_at, now + longest)
+        return timeout_at
 
     def resume(self, request: Request) -> None:
         """Continues the execution of a request whose call succeeded or is skipped."""
--- a/lilacwalk/overload/feasibility.py
+++ b/lilacwalk/overload/feasibility.py
@@ -14,7 +14,7 @@
 from lilacwalk.overload.server_load import ServerLoad
 
 REQUIRED_TIME_SHARE = 0.7  # of the expected work that must fit: execution times scatter widely
-WORTHWHILE_LATE_SHARE = 0.5  # of the weight, from which a late response is worth full cores
+LOADED_LATE_SHARE = 0.5  # of the weight, from which a late response is worth full cores
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
@@ -36,7 +36,7 @@
         """
         late_share = request.request_class.late_weight_share
         last_moment = request.deadline - self.deadline_margin
-        if late_share and (self.load.has_free_cores() or late_share >= WORTHWHILE_LATE_SHARE):
+        if late_share and (self.load.has_free_cores() or late_share >= LOADED_LATE_SHARE):
             return last_moment
         return min(request.objective_deadline, last_moment)
 
--- a/lilacwalk/overload/latency_estimator.py
+++ b/lilacwalk/overload/latency_estimator.py
@@ -12,7 +12,7 @@
 EXECUTION_TIME_WEIGHT = 0.05  # of the newest execution in a running mean
 UNREAD_DELAY_WEIGHT = 0.1  # of the newest request in the running mean
 MAXIMUM_HINT_RATIO = 10.0  # measured to hinted execution time that one execution may count for
-INITIAL_EXECUTION_SHARE = 4  # an execution is taken for this part of the shortest objective
+INITIAL_EXECUTION_DIVISOR = 4  # an execution is taken for this part of the shortest objective
 
 
 class LatencyEstimator:
@@ -27,7 +27,7 @@
         objectives = [request_class.latency_objective for request_class in server.request_classes]
         self.execution_times: dict[RequestClass, float] = {}
         # Until executions are measured: objectives are set some way above execution times.
-        self.mean_execution_time = min(objectives) / INITIAL_EXECUTION_SHARE
+        self.mean_execution_time = min(objectives) / INITIAL_EXECUTION_DIVISOR
         self.mean_latency_objective = sum(objectives) / len(objectives)
         self.mean_unread_delay = 0.0  # from reaching the machine until read
         self._hint_ratio = 1.0  # measured to hinted execution time
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -19,12 +19,12 @@
 MAXIMUM_TOKEN_FACTOR = 10.0  # by which tokens are multiplied at most while cores are free
 TOKEN_FACTOR_GROWTH = 1.1  # each report
 TOKEN_FACTOR_DECAY = 0.8  # each report
-KNOWN_ACTIVITY = 5  # requests of late from which the heaviest client's share is measured
+MINIMUM_MEASURED_ACTIVITY = 5  # requests of late from which the heaviest client's share is measured
 MAXIMUM_UNREAD_SHARE = 0.7  # of the tokens that unread requests take
 TOKEN_PRECISION = 10_000  # fractions of a token, for rounding down during slow start
 RANK_WEIGHT = 0.3  # of the newest report in the running minimum rank
-RANK_FREE_RATIO = 0.15  # ratio T of a lightly loaded server, which takes any rank
-RANK_RATIO_SPAN = 0.5  # above it, until hardly any request would be in time
+RANK_ZERO_RATIO = 0.15  # ratio T of a lightly loaded server, which takes any rank
+RANK_RATIO_RANGE = 0.5  # above it, until hardly any request would be in time
 
 
 class LoadReporter:
@@ -75,17 +75,17 @@
     def report_load(self) -> None:
         """Reports the load, if the value has changed."""
         kind = self._server.load_report_kind
-        is_closed = self._stall_detector.stalled or self._drain.is_active
+        is_unavailable = self._stall_detector.stalled or self._drain.is_active
         match kind:
             case LoadReportKind.NONE:
                 return
             case LoadReportKind.TOKENS:
-                value = 0.0 if is_closed else self._tokens()
+                value = 0.0 if is_unavailable else self._tokens()
             case LoadReportKind.MIN_RANK:
                 rank = self._update_minimum_rank()
-                value = 1.0 if is_closed else rank
+                value = 1.0 if is_unavailable else rank
             case LoadReportKind.BIAS:
-                value = 0.0 if is_closed else self._admission.admission_probability
+                value = 0.0 if is_unavailable else self._admission.admission_probability
         # Tokens of a cold server are rounded down already: rounded up they would add up.
         if kind is not LoadReportKind.TOKENS or not self._slow_start.is_warming_up():
             value = round(value, 2)
@@ -95,7 +95,7 @@
 
     def _update_minimum_rank(self) -> float:
         """Follows the ratio T that a request sent now would meet."""
-        excess_ratio = (self._latency.current_ratio() - RANK_FREE_RATIO) / RANK_RATIO_SPAN
+        excess_ratio = (self._latency.current_ratio() - RANK_ZERO_RATIO) / RANK_RATIO_RANGE
         target = min(1.0, max(0.0, excess_ratio))
         self._minimum_rank += RANK_WEIGHT * (target - self._minimum_rank)
         return self._minimum_rank
@@ -128,7 +128,7 @@
     def _heaviest_client_share(self) -> float:
         activity = self._clients.activity.values()
         total = sum(activity)
-        if total > KNOWN_ACTIVITY:
+        if total > MINIMUM_MEASURED_ACTIVITY:
             return max(activity) / total
         return 1 / self._server.client_count
 
--- a/lilacwalk/overload/scheduler.py
+++ b/lilacwalk/overload/scheduler.py
@@ -38,7 +38,7 @@
 
     def dispatch_queued(self) -> None:
         """Gives up queued requests that are too late and dispatches others up to the limit."""
-        self._give_up_infeasible()
+        self._drop_infeasible()
         if self.stall_detector.stalled:
             return
         load = self.load
@@ -48,24 +48,24 @@
                 return
             self._dispatch(max(candidates, key=_weight_per_work))
 
-    def _give_up_infeasible(self) -> None:
+    def _drop_infeasible(self) -> None:
         can_finish_in_time = self.feasibility.can_finish_in_time
         infeasible = [request for request in self.load.queue if not can_finish_in_time(request, 0)]
         for request in infeasible:
             self.latency.record_response(request, self.context.now)
-            self.termination.give_up(request, do_not_retry_elsewhere=True)
+            self.termination.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def _dispatchable(self) -> list[Request]:
         """Queued requests that need neither a full dependency, nor memory, nor their original."""
         load = self.load
         dependency = self.dependency
         calls = len(dependency.pending) + dependency.in_progress
-        calls_are_full = calls >= CALLS_PER_EXECUTION * self.concurrency.limit
+        calls_at_limit = calls >= CALLS_PER_EXECUTION * self.concurrency.limit
         memory_limit_kb = load.memory_limit_kb()
         return [
             request
             for request in load.queue
-            if not (calls_are_full and request.request_class.calls_dependency)
+            if not (calls_at_limit and request.request_class.calls_dependency)
             and not (request.duplicate_of and request.duplicate_of.state is RequestState.QUEUED)
             and load.memory_kb + load.execution_memory_kb(request) <= memory_limit_kb
         ]
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -7,8 +7,8 @@
 from lilacwalk.overload.server_load import ServerLoad
 from lilacwalk.overload.slow_start import SlowStart
 
-SILENT_GAPS = 9  # expected gaps between ends of executions: e^-9 by chance
-TIMER_PERIODS = 4  # allowed in addition
+STALL_GAP_MULTIPLE = 9  # expected gaps between ends of executions: e^-9 by chance
+STALL_TIMER_PERIODS = 4  # allowed in addition
 
 
 class StallDetector:
@@ -30,12 +30,12 @@
         self._slow_start = slow_start
         self._timer_period = timer_period
         self.stalled = False
-        self._executor_is_up = True
+        self._executor_link_is_up = True
         self._last_timer_at = context.now
 
     def set_executor_link(self, is_up: bool) -> None:
         """Notes whether the executor can be heard; while it cannot, silence is no stall."""
-        self._executor_is_up = is_up
+        self._executor_link_is_up = is_up
         self._load.last_progress_at = self._context.now
 
     def record_timer(self) -> None:
@@ -56,7 +56,7 @@
     def detects_new_stall(self) -> bool:
         """Checks for a stall; returns whether one begins now."""
         load = self._load
-        if self.stalled or not self._executor_is_up or not load.running:
+        if self.stalled or not self._executor_link_is_up or not load.running:
             return False
         # The longest mean, so that a single long execution is not taken for silence.
         longest = max(
@@ -64,6 +64,6 @@
         )
         parallel = min(load.running, load.server.cores)
         expected_gap = longest / parallel / self._slow_start.capacity_share()
-        allowed = SILENT_GAPS * expected_gap + TIMER_PERIODS * self._timer_period
+        allowed = STALL_GAP_MULTIPLE * expected_gap + STALL_TIMER_PERIODS * self._timer_period
         self.stalled = not self._context.now - load.last_progress_at < allowed
         return self.stalled
--- a/lilacwalk/overload/tenant_quota.py
+++ b/lilacwalk/overload/tenant_quota.py
@@ -8,7 +8,7 @@
 
 OVER_QUOTA_SHARE = 1.2  # of its share before a tenant is over it: proxies spread unevenly
 DISPATCH_SHARE = 0.7  # of the dispatched requests that is split by quota at least
-SAVED_CREDIT = 3.0  # seconds of its share, or requests, that a tenant may save up
+CREDIT_CAPACITY = 3.0  # seconds of its share, or requests, that a tenant may save up
 DISPATCH_RATE_WEIGHT = 0.3  # of the newest control period in the running rate
 SHORTAGE_PROBABILITY = 0.98  # admission probability below which capacity is short
 LENIENT_WEIGHT_SHARE = 0.5  # of the weight kept over quota, from which quotas are not enforced
@@ -28,7 +28,7 @@
         self._server = server
         self._load = load
         self._admission = admission
-        self.credit = dict.fromkeys(server.tenants, SAVED_CREDIT)
+        self.credit = dict.fromkeys(server.tenants, CREDIT_CAPACITY)
         self._quota_sum = sum(tenant.quota for tenant in server.tenants) / server.fleet_size
         self._dispatched = 0  # in this control period
         self._dispatch_rate = 0.0  # requests a second
@@ -51,11 +51,11 @@
         for tenant in self.credit:
             rate = scale * tenant.quota / self._server.fleet_size
             self.credit[tenant] = min(
-                SAVED_CREDIT * max(1.0, rate),
+                CREDIT_CAPACITY * max(1.0, rate),
                 self.credit[tenant] + rate * CONTROL_PERIOD / SECOND,
             )
 
-    def must_yield(self, request: Request) -> bool:
+    def must_reject(self, request: Request) -> bool:
         """Whether a request beyond its tenant's share is to be rejected as capacity is short.
 
         A request beyond the share that stays loses most of its weight, so that it is dispatched
--- a/lilacwalk/overload/termination.py
+++ b/lilacwalk/overload/termination.py
@@ -31,9 +31,9 @@
     quota: TenantQuota
     deduplication: Deduplication
 
-    def give_up(self, request: Request, *, do_not_retry_elsewhere: bool = False) -> None:
+    def reject_or_fail(self, request: Request, *, do_not_retry_elsewhere: bool = False) -> None:
         """Answers at once: a rejection, or a failure if the request may have had an effect."""
-        if self._may_have_had_effect(request):
+        if self._may_have_had_side_effect(request):
             self.context.sink.fail(request)
         else:
             self.context.sink.reject(request, self._retry_after(), do_not_retry_elsewhere)
@@ -44,7 +44,7 @@
             self._cancel_execution(request)
 
     @staticmethod
-    def _may_have_had_effect(request: Request) -> bool:
+    def _may_have_had_side_effect(request: Request) -> bool:
         if request.request_class.effect is Effect.IDEMPOTENT:
             return False
         original = request.duplicate_of
@@ -52,8 +52,8 @@
 
     def _retry_after(self) -> int:
         """The retry-after of a rejection: the longer, the fewer requests are admitted."""
-        is_closed = self.stall_detector.stalled or self.drain.is_active
-        share = 1.0 if is_closed else 1 - self.admission.admission_probability
+        is_unavailable = self.stall_detector.stalled or self.drain.is_active
+        share = 1.0 if is_unavailable else 1 - self.admission.admission_probability
         return int(self.server.max_retry_after * share)
 
     def _cancel_execution(self, request: Request) -> None:
@@ -82,7 +82,7 @@
             request.answered = True
             self._cancel_execution(request)
         else:
-            self.give_up(request, do_not_retry_elsewhere=True)
+            self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def objective_missed(self, request: Request) -> None:
         """Gives up a request whose response has become worthless.
@@ -97,17 +97,17 @@
             elapsed = now - request.dispatched_at - request.dependency_wait
             self.latency.record_execution(request, elapsed)
         self.latency.record_response(request, now)
-        self.give_up(request, do_not_retry_elsewhere=True)
+        self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
-    def give_up_all(self, include_effects: bool) -> None:
+    def reject_or_fail_all(self, include_side_effects: bool) -> None:
         """Gives up all open requests; those that may have had an effect only if told to."""
         for request in list(self.load.open_requests):
             if not request.answered and (
-                include_effects
+                include_side_effects
                 or request.request_class.effect is Effect.IDEMPOTENT
                 or not request.was_dispatched
             ):
-                self.give_up(request)
+                self.reject_or_fail(request)
 
     def release(self, request: Request) -> None:
         """Frees all that an ended request holds; a queued duplicate of it takes its place."""
--- a/tests/overload/test_dependency_limiter.py
+++ b/tests/overload/test_dependency_limiter.py
@@ -107,5 +107,5 @@
     host = make_host(request_classes=[make_class(calls_dependency=True)], dependency_call_share=3.0)
     for elapsed in [20] + [500] * 30:
         host.controller.parts.dependency.record_call_time(elapsed)
-    assert not host.controller.parts.dependency.is_crowded
+    assert not host.controller.parts.dependency.is_congested
     assert host.controller.parts.dependency.limit == 3
--- a/tests/overload/test_dependency_scheduler.py
+++ b/tests/overload/test_dependency_scheduler.py
@@ -42,6 +42,6 @@
     assert host.recorded[-1] == ("call_dependency", request, host.now + 5_000)
     host.now += 5_000
     host.process(CallFinished(request, Outcome.TIMED_OUT, 5_000))
-    assert not host.controller.parts.dependency.is_crowded
+    assert not host.controller.parts.dependency.is_congested
     assert host.recorded[-1][:2] == ("call_dependency", request)
     assert host.recorded[-1][2] > host.now + 2_000
