--- a/lilacwalk/overload/admission.py
+++ b/lilacwalk/overload/admission.py
@@ -1,4 +1,4 @@
-"""The admission probability: a PI controller on the response-time ratio, and the random draw."""
+"""Random admission of requests, with a probability set by a PI controller on the latency ratio."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 from lilacwalk.overload.model import SECOND, ServerSettings
 from lilacwalk.overload.server_load import ServerLoad
 
-CONTROL_PERIOD = SECOND // 2  # h of the formula: about one response time of a crowded server
-TARGET_LATENCY_RATIO = 0.55  # T_ref: of the latency objective, leaving slack for latency variance
+CONTROL_PERIOD = SECOND // 2  # h in the formula; about one response time of an overloaded server
+TARGET_LATENCY_RATIO = 0.55  # T_ref; the rest of the latency objective absorbs latency variance
 MINIMUM_ADMISSION_PROBABILITY = 0.05
-PERIODS_TO_RECOVER = 5  # from the minimum to 1 at half the target ratio and full cores
-INTEGRAL_GAIN = (  # Ki, a second
+PERIODS_TO_RECOVER = 5  # from the minimum to 1, at half the target ratio and with full cores
+INTEGRAL_GAIN = (  # Ki, per second
     (1 - MINIMUM_ADMISSION_PROBABILITY)
     / PERIODS_TO_RECOVER
     / (TARGET_LATENCY_RATIO / 2)
     / (CONTROL_PERIOD / SECOND)
 )
-PROPORTIONAL_GAIN = INTEGRAL_GAIN * CONTROL_PERIOD / SECOND  # Kp: as much for a change as for T
+PROPORTIONAL_GAIN = INTEGRAL_GAIN * CONTROL_PERIOD / SECOND  # Kp; a change of T counts as much as T
 
 
 class AdmissionControl:
     """Owns the admission probability p_a, the state of its PI controller and the random source."""
 
     def __init__(self, server: ServerSettings, load: ServerLoad, latency: LatencyEstimator) -> None:
-        """Starts with full admission; the draw is seeded by `server.seed`."""
+        """Starts with an admission probability of 1; `server.seed` seeds the random source."""
         self._server = server
         self._load = load
         self._latency = latency
         self.random_source = random.Random(server.seed)
         self.admission_probability = 1.0
         self.last_error = 0.0
-        self._arrivals = 0  # in this control period
-        self._arrival_rate = 0.0  # λ, requests a second
+        self._arrivals = 0  # requests read in this control period
+        self._arrival_rate = 0.0  # λ, requests per second
 
     def count_arrival(self) -> None:
         """Counts a request that was read."""
         self._arrivals += 1
 
     def draw(self) -> bool:
-        """Draws whether a request is admitted; to be called once for each arrival."""
+        """Returns True with the admission probability; called exactly once for each arrival."""
         return self.random_source.random() < self.admission_probability
 
     def update(self) -> None:
-        """Moves the admission probability, once each control period."""
+        """Updates the admission probability, once each control period."""
         self._arrival_rate = self._arrivals * SECOND / CONTROL_PERIOD
         self._arrivals = 0
         has_free_cores = self._load.has_free_cores()
@@ -61,26 +61,26 @@
         self._latency.end_period()
 
     def _latency_ratio(self, has_free_cores: bool) -> float:
-        """The ratio T that the PI controller acts on."""
+        """The ratio T that is the input of the PI controller."""
         ratio = self._latency.measured_ratio()
         if ratio is None:
             ratio = TARGET_LATENCY_RATIO / 2
         else:
-            # Finished requests tell of the queue as it was when they arrived. Behind a burst they
-            # alone would lower the probability although the queue has gone.
+            # Finished requests reflect the queue at their arrival. After a burst they alone would
+            # lower the probability although the queue has drained.
             current = self._latency.current_ratio()
             ratio = min((ratio + current) / 2, current)
         if has_free_cores:
-            # Near the minimum too little finishes to bring T down again, so that a server with
-            # free cores would go on rejecting; free cores count as half the target.
+            # Near the minimum probability too few requests finish to lower T, and a server with
+            # free cores would keep rejecting. Free cores therefore cap T at half the target.
             ratio = min(ratio, TARGET_LATENCY_RATIO / 2)
         return ratio
 
     def _next_probability(self, error: float) -> float:
-        """p_a + (Kp + Ki·h/2)·e - (Kp - Ki·h/2)·e_last, before it is clamped.
+        """The unclamped next probability, p_a + (Kp + Ki·h/2)·e - (Kp - Ki·h/2)·e_last.
 
-        The plant's gain is λ·A. The base gains are set for arrivals that just fill the cores, and
-        are lowered in proportion for more (A, the mean latency objective, cancels out).
+        The plant gain is λ·A. Kp and Ki apply to an arrival rate that just fills the cores, and are
+        scaled down in proportion for a higher rate. A, the mean latency objective, cancels out.
         """
         capacity = self._server.cores * SECOND / max(1, self._latency.mean_execution_time)
         scale = min(1.0, capacity / max(1.0, self._arrival_rate))
@@ -94,7 +94,7 @@
         )
 
     def restore(self, *, probability: float, last_error: float, weight: float) -> None:
-        """Moves towards the state of an earlier incarnation, by `weight` from 0 to 1."""
+        """Blends in the state of an earlier incarnation with `weight` from 0 to 1."""
         current = self.admission_probability
         restored = current + weight * (probability - current)
         self.admission_probability = max(MINIMUM_ADMISSION_PROBABILITY, restored)
--- a/lilacwalk/overload/admission_gate.py
+++ b/lilacwalk/overload/admission_gate.py
@@ -1,4 +1,4 @@
-"""Decides on each request that was read whether it is admitted."""
+"""Admission decision for each received request."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-SHORTAGE_PROBABILITY = 0.9  # admission probability below which retries elsewhere are unwelcome
+SHORTAGE_PROBABILITY = 0.9  # admission probability below which rejections forbid retries elsewhere
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class AdmissionGate:
-    """Admits a request, or has it rejected at once. It has no state of its own."""
+    """Admits requests or rejects them immediately. Has no state of its own."""
 
     context: BatchContext
     server: ServerSettings
@@ -33,8 +33,8 @@
     deadline_margin: int
 
     def admit(self, request: Request) -> bool:
-        """Returns whether the request is admitted; otherwise it was rejected."""
-        passes_draw = self.admission.draw()  # for every arrival, whatever decides
+        """Returns whether the request is admitted; if not, it has been answered."""
+        passes_draw = self.admission.draw()  # for every arrival, even if another check rejects it
         if self._cannot_serve(request):
             self.termination.reject_or_fail(request)
             return False
@@ -49,7 +49,7 @@
         return True
 
     def _cannot_serve(self, request: Request) -> bool:
-        """Whether this server can take no request at all, or there is no time left for this one."""
+        """Whether the server accepts no requests now, or no time is left for this one."""
         if request.deadline - self.context.now <= self.deadline_margin:
             return True
         if self.drain.is_active and request.arrived_at > self.drain.grace_ends_at:
@@ -65,11 +65,12 @@
         return self.feasibility.can_finish_in_time(request, queue_wait)
 
     def _retry_elsewhere_is_wasteful(self, request: Request) -> bool:
-        """Whether retries on other servers would cost more than they bring.
+        """Whether retries on other servers would cost more than they gain.
 
-        Each server that is tried reads the request, and a large fleet makes the chain long. So for
-        a request that failed elsewhere or is too late anywhere, and while many are rejected, even
-        by a slow server alone. It costs first attempts that a faster server would complete.
+        Every server that is tried has to read the request, and in a large fleet many are tried.
+        Retries elsewhere are wasteful for a request that is itself a retry or that no server can
+        answer in time, and while this server rejects many requests. The last rule also applies if
+        only this server is slow; some first attempts that a faster server would complete are lost.
         """
         return not self.drain.is_active and (
             request.is_retry
--- a/lilacwalk/overload/batch_context.py
+++ b/lilacwalk/overload/batch_context.py
@@ -1,4 +1,4 @@
-"""State that the parts of the controller share while a batch of events is handled."""
+"""State shared by the parts of the controller while it handles a batch of events."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class BatchContext:
-    """The time and the sink of the current batch, and actions scheduled for later batches.
+    """The time and decision sink of the current batch, and actions scheduled for later batches.
 
-    The controller owns it and sets `now` and `sink` before the first event of a batch. Actions
+    Owned by the controller, which sets `now` and `sink` before the first event of a batch. Actions
     that are due at the same time run in the order in which they were scheduled.
     """
 
@@ -21,17 +21,17 @@
     sink: DecisionSink
 
     def __init__(self, now: int) -> None:
-        """Starts at the time `now` with nothing scheduled."""
+        """Starts at the time `now` without scheduled actions."""
         self.now = now
         self._scheduled: list[tuple] = []  # heap of (time, sequence number, action, *arguments)
         self._sequence = count()
 
     def schedule(self, time: int, action: Callable[..., None], *arguments: object) -> None:
-        """Has `action` run in the first batch that is handled at `time` or later."""
+        """Schedules `action` to run in the first batch at or after `time`."""
         heapq.heappush(self._scheduled, (time, next(self._sequence), action, *arguments))
 
     def run_due_actions(self) -> None:
-        """Runs the actions whose time has come."""
+        """Runs all actions that are due."""
         scheduled = self._scheduled
         while scheduled and scheduled[0][0] <= self.now:
             _, _, action, *arguments = heapq.heappop(scheduled)
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -1,26 +1,26 @@
-"""What is known of clients: how active they are, and how patient."""
+"""Tracks how active clients are and which timeouts they use."""
 
 from __future__ import annotations
 
 from lilacwalk.overload.model import Request, RequestClass
 
-RETURNING_WEIGHT = 0.05  # of the newest request in the running share of returning clients
-ACTIVITY_DECAY = 0.8  # each control period
-MINIMUM_ACTIVITY = 0.05  # below it a client is forgotten
-MINIMUM_TRACKED_ACTIVITY = 2  # clients with less are treated as one
-TIMEOUT_BUCKETS = 50  # in which the class's timeout is divided to count clients' timeouts
-MAXIMUM_TIMEOUT_COUNT = 400  # requests counted before counts are halved
-USUAL_TIMEOUT_SHARE = 0.25  # of a client's requests; a timeout as frequent is one of its usual ones
+RETURNING_WEIGHT = 0.05  # weight of the newest request in the moving share of returning clients
+ACTIVITY_DECAY = 0.8  # factor per control period
+MINIMUM_ACTIVITY = 0.05  # activity at or below which a client is removed
+MINIMUM_TRACKED_ACTIVITY = 2  # clients with less share one set of timeout counts
+TIMEOUT_BUCKETS = 50  # histogram buckets from 0 to the timeout of the request class
+MAXIMUM_TIMEOUT_COUNT = 400  # requests in a histogram above which its counts are halved
+USUAL_TIMEOUT_SHARE = 0.25  # share of a client's requests from which a timeout counts as usual
 
 
 class ClientTracker:
-    """Owns the activity of each client and the timeouts that its requests state."""
+    """Owns the recent activity of each client and histograms of the timeouts of its requests."""
 
     def __init__(self) -> None:
-        """Starts without any client, and takes the first ones as returning."""
-        self.activity: dict[int, float] = {}  # requests of late, by client
-        self.returning_share = 1.0  # of the requests, from clients seen within the last seconds
-        # How often each timeout was stated, in buckets; by client (None: all that are seldom seen).
+        """Starts without clients and with a share of returning clients of 1."""
+        self.activity: dict[int, float] = {}  # decaying number of requests by client
+        self.returning_share = 1.0  # share of requests from clients seen in the last seconds
+        # Timeout histograms, bucket to count, by client (None: all with little activity) and class.
         self.timeout_counts: dict[tuple[int | None, RequestClass], dict[int, float]] = {}
 
     def record_request(self, client: int) -> None:
@@ -30,25 +30,25 @@
         self.activity[client] = self.activity.get(client, 0.0) + 1
 
     def decay(self) -> None:
-        """Lets activity fade, once each control period, and forgets clients that are gone."""
+        """Decays activity, once each control period, and removes inactive clients."""
         self.activity = {
             client: activity * ACTIVITY_DECAY
             for client, activity in self.activity.items()
             if activity > MINIMUM_ACTIVITY
         }
-        # Clients come back under other numbers after a restart, so their timeouts go as well.
+        # A restarted client has a new number, so timeouts under the old one are not needed.
         known = {None, *self.activity}
         self.timeout_counts = {
             key: counts for key, counts in self.timeout_counts.items() if key[0] in known
         }
 
     def elapsed_before_arrival(self, request: Request) -> int:
-        """How long the client had been trying elsewhere before this request, as an estimate.
+        """Estimates the time that the client spent on earlier attempts at other servers.
 
-        The first attempt states one of the client's usual timeouts, the last one what is left of
-        the class's timeout. A timeout that is seldom seen therefore tells how old the request is;
-        by its arrival alone it would look fresh. The estimate misleads where a client's timeouts
-        vary without end.
+        A first attempt carries one of the client's usual timeouts, a later one the time that is
+        left of the request class's timeout. An unusual timeout therefore reveals the age of the
+        request, which its arrival time does not show. The estimate is wrong for clients whose
+        timeouts have no usual values.
         """
         stated = request.deadline - request.arrived_at
         class_timeout = request.request_class.timeout
--- a/lilacwalk/overload/concurrency_limit.py
+++ b/lilacwalk/overload/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The number of executions that may be started side by side."""
+"""The limit on concurrent executions."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 
 
 class ConcurrencyLimit:
-    """Owns the limit, which starts at one execution a core and follows the executor's gauges."""
+    """Owns the limit, which starts at one execution per core and follows the executor's gauges."""
 
     def __init__(self, server: ServerSettings, load: ServerLoad, slow_start: SlowStart) -> None:
-        """Starts with one execution a core."""
+        """Starts with one execution per core."""
         self._server = server
         self._load = load
         self._slow_start = slow_start
         self.limit = float(server.cores)
 
     def adapt(self) -> None:
-        """Raises the limit while cores are free and requests wait, and lowers it under a crowd.
+        """Adapts the limit by 1 to the latest gauges.
 
-        It never exceeds half of the collapse point and does not grow during slow start.
+        The limit grows while cores are free and requests are queued, up to half of the collapse
+        point and not during slow start. It shrinks while the run queue is longer than the limit.
         """
         load = self._load
         cores = self._server.cores
--- a/lilacwalk/overload/controller.py
+++ b/lilacwalk/overload/controller.py
@@ -1,7 +1,8 @@
 """The overload controller of one app server: handles batches of events and coordinates its parts.
 
-Make one `Controller` for each incarnation of a server. All times are whole tenths of a millisecond.
-`docs/design.md` says which parts of the algorithm are published and where it departs from them.
+Create one `Controller` for each incarnation of a server. Times are integers in tenths of a
+millisecond. `docs/design.md` describes which parts of the algorithm are published and where the
+implementation departs from them.
 """
 
 from __future__ import annotations
@@ -35,15 +36,15 @@
 
 
 class Controller:
-    """Decides for one app server.
+    """Makes the admission, dispatch and termination decisions of one app server.
 
-    The host passes events to `process_batch`, the first of them `ServerStarted`, and carries out
-    the decisions that it receives through the sink. The controller owns the parts and the time of
-    the next control period; each part owns its own state, which its docstring names.
+    The host passes events to `process_batch`, starting with `ServerStarted`, and carries out the
+    decisions that it receives through the sink. The controller owns the parts and the start time
+    of the next control period; the docstring of each part names the state that it owns.
     """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
-        """Makes the controller of a server that starts at `now`."""
+        """Creates the controller of a server that starts at `now`."""
         self.server = server
         self.started_at = now
         self.parts = ControllerParts(server, now)
@@ -53,7 +54,7 @@
 
     @property
     def admission_probability(self) -> float:
-        """The probability with which a request is admitted, p_a."""
+        """The probability p_a with which a request is admitted."""
         return self.parts.admission.admission_probability
 
     @property
@@ -63,47 +64,47 @@
 
     @property
     def open_requests(self) -> dict[Request, None]:
-        """Requests that are unanswered or still use memory, in the order of reading."""
+        """Requests that are unanswered or still use memory, in the order they were read."""
         return self.parts.load.open_requests
 
     @property
     def running(self) -> int:
-        """The number of executions, without those at a dependency call."""
+        """The number of executions, not counting those that wait for a dependency call."""
         return self.parts.load.running
 
     @property
     def memory_kb(self) -> float:
-        """The memory that open requests and idempotency keys use."""
+        """The memory used by open requests and idempotency keys."""
         return self.parts.load.memory_kb
 
     @property
     def concurrency_limit(self) -> float:
-        """The number of executions up to which queued requests are dispatched."""
+        """The limit on concurrent executions."""
         return self.parts.concurrency.limit
 
     @property
     def mean_execution_time(self) -> float:
-        """The running mean of execution times over all request classes."""
+        """The moving average of execution times over all request classes."""
         return self.parts.latency.mean_execution_time
 
     @property
     def execution_times(self) -> dict[RequestClass, float]:
-        """The running mean of execution times for each request class that was executed."""
+        """The moving average of execution times for each request class executed so far."""
         return self.parts.latency.execution_times
 
     @property
     def mean_unread_delay(self) -> float:
-        """The running mean of the time from a request's arrival until it is read."""
+        """The moving average of the time from a request's arrival until it is read."""
         return self.parts.latency.mean_unread_delay
 
     @property
     def pending_calls(self) -> list[Request]:
-        """Requests whose dependency call is to be made or skipped."""
+        """Requests whose dependency call has not been made or skipped yet."""
         return self.parts.dependency.pending
 
     @property
     def calls_in_progress(self) -> int:
-        """The number of dependency calls in progress, abandoned ones that linger included."""
+        """Dependency calls in progress, including abandoned ones that linger at the dependency."""
         return self.parts.dependency.in_progress
 
     @property
@@ -114,7 +115,7 @@
     # State that outlives an incarnation
 
     def learned_state(self) -> LearnedState:
-        """Returns what a later incarnation on this machine can start from."""
+        """Returns the state from which a later incarnation on this machine can start."""
         parts = self.parts
         return LearnedState(
             admission_probability=parts.admission.admission_probability,
@@ -126,9 +127,9 @@
         )
 
     def restore_learned_state(self, earlier: LearnedState, weight: float) -> None:
-        """Moves towards the state of an earlier incarnation, by `weight` from 0 to 1.
+        """Blends in the state of an earlier incarnation with `weight` from 0 to 1.
 
-        Slow start is not affected: whether caches are cold is told by the executor, not learned.
+        Slow start is not affected: the executor reports whether caches are cold.
         """
         parts = self.parts
         parts.admission.restore(
@@ -146,7 +147,7 @@
     # Events
 
     def process_batch(self, now: int, events: Sequence[Event], sink: DecisionSink) -> None:
-        """Handles all events since the last batch, in order, and writes decisions to `sink`."""
+        """Handles the events since the last batch in order and passes decisions to `sink`."""
         parts = self.parts
         parts.context.now = now
         parts.context.sink = sink
@@ -206,7 +207,7 @@
         parts.load.queue.append(request)
 
     def _estimate(self, request: Request) -> None:
-        """Fills in the expected work of a request, its objective and its weight per work."""
+        """Sets the expected work, the objective deadline and the weight per work of a request."""
         request_class = request.request_class
         request.expected_work = self.parts.latency.expected_execution_time(request)
         objective = (
@@ -264,7 +265,7 @@
             parts.load_reporter.report_load()
 
     def _drain_started(self, stop_at: int) -> None:
-        """Steers new requests away and terminates the open ones shortly before the stop."""
+        """Reports the server as unhealthy and schedules the termination of open requests."""
         parts = self.parts
         now = parts.context.now
         terminate_at = max(now, stop_at - 2 * parts.deadline_margin)
@@ -295,7 +296,7 @@
         parts.load_reporter.report_periodically()
 
     def _stall_started(self) -> None:
-        """Rejects what other servers may still complete, and all new requests until progress."""
+        """Reports the server as unhealthy and ends requests that another server may execute."""
         parts = self.parts
         parts.load_reporter.report_health(False)
         parts.context.sink.log(
--- a/lilacwalk/overload/deduplication.py
+++ b/lilacwalk/overload/deduplication.py
@@ -1,4 +1,4 @@
-"""Coalesces duplicates with the request that they repeat, and accounts for idempotency keys."""
+"""Coalesces duplicates with their original request, and accounts for idempotency keys."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
     """Owns the links between duplicates and the memory that registered keys use."""
 
     def __init__(self, context: BatchContext, server: ServerSettings, load: ServerLoad) -> None:
-        """Takes the parts of one controller."""
+        """Stores the parts of the controller that this one uses."""
         self._context = context
         self._server = server
         self._load = load
 
     def register_key(self, request: Request) -> None:
-        """Registers the key of an admitted request for what is left of its window.
+        """Registers the key of an admitted request for the rest of its deduplication window.
 
-        It is registered while the request is queued, so that any duplicate in the window is known.
+        The key is registered when the request is queued, not when it is dispatched, so that every
+        duplicate that arrives within the window is detected.
         """
         now = self._context.now
         lifetime = (
@@ -40,10 +41,11 @@
             self._load.free_memory(self._server.deduplication_entry_kb)
 
     def attach(self, duplicate: Request) -> bool:
-        """Attaches a duplicate to its original; returns whether it needs no execution of its own.
+        """Attaches a duplicate to its original; returns False if it has to be executed itself.
 
-        It is answered from an original that was dispatched, or waits for a queued one; the two are
-        never executed side by side. If the original ended unexecuted, the duplicate replaces it.
+        If the original was dispatched, the duplicate is answered with its result; if the original
+        is queued, the duplicate waits for it. The two are never executed concurrently. If the
+        original ended without being executed, the duplicate replaces it.
         """
         original = duplicate.duplicate_of
         while original.duplicate_of and not original.was_dispatched:
@@ -60,7 +62,7 @@
         return True
 
     def coalesce_queued_duplicates(self, original: Request) -> None:
-        """Answers the queued duplicates of a request from it, now that it is dispatched."""
+        """Coalesces the queued duplicates of a request that has just been dispatched."""
         for duplicate in original.duplicates:
             if duplicate.state is RequestState.QUEUED:
                 self._load.queue.remove(duplicate)
@@ -71,16 +73,16 @@
         self._context.sink.coalesce(duplicate)
 
     def replace_unexecuted(self, request: Request) -> None:
-        """Hands the place of a request that ended unexecuted to its first queued duplicate.
+        """Replaces a request that ended without being executed by its first queued duplicate.
 
-        Without one its key is released.
+        Releases the key of the request if no duplicate is queued.
         """
         queued = [other for other in request.duplicates if other.state is RequestState.QUEUED]
         if queued:
             successor, *others = queued
             successor.duplicate_of = None
             successor.duplicates = others
-            # `request` too: a duplicate of it that is read already finds its successor.
+            # Includes `request`, so that duplicates already linked to it find its successor.
             for other in (request, *others):
                 other.duplicate_of = successor
             self.register_key(successor)
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -1,4 +1,4 @@
-"""Makes, skips or gives up pending dependency calls."""
+"""Decides whether pending dependency calls are made, skipped or given up."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.termination import Termination
 
-CALL_TIMEOUT_MULTIPLE = 10  # mean call times after which a call is unresponsive
-RESUMED_CONCURRENCY_SHARE = 0.75  # of the safe concurrency that resumed executions may reach
+CALL_TIMEOUT_MULTIPLE = 10  # mean call times after which a first call times out
+RESUMED_CONCURRENCY_SHARE = 0.75  # of the safe concurrency, for executions that run or resume
 
 
 def skip_loss(request_class: RequestClass) -> float:
-    """The weight that a request of the class loses when its dependency call is skipped."""
+    """The weight that a request of the class loses if its dependency call is skipped."""
     return request_class.weight * (1 - request_class.skipped_call_weight_share)
 
 
 class DependencyScheduler:
-    """Decides on pending calls, those first that lose most without one.
+    """Decides on pending calls, in the order of the weight lost without the call.
 
-    The pending calls themselves belong to `DependencyLimiter`.
+    `DependencyLimiter` owns the list of pending calls.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         termination: Termination,
         deadline_margin: int,
     ) -> None:
-        """Takes the parts of one controller."""
+        """Stores the parts of the controller that this one uses."""
         self._context = context
         self._server = server
         self._load = load
@@ -49,19 +49,19 @@
         self._limiter = limiter
         self._termination = termination
         self._deadline_margin = deadline_margin
-        # While calls are crowded only the classes that lose this much still make theirs.
+        # During congestion only the classes that lose this weight make their calls.
         self._greatest_skip_loss = max(
             (skip_loss(each) for each in server.request_classes if each.calls_dependency),
             default=0,
         )
 
     def decide_pending_calls(self) -> None:
-        """Makes the pending calls for which there is room and time, and ends the others' wait."""
+        """Makes pending calls up to the limit, and skips or gives up those that are too late."""
         if not self._limiter.pending:
             return
         waiting = [request for request in self._limiter.pending if not request.answered]
         waiting.sort(key=lambda request: -skip_loss(request.request_class))
-        # Resumed executions come on top of the concurrency limit.
+        # Executions that resume after a call are not subject to the concurrency limit.
         limit = max(
             self._server.cores + 1,
             RESUMED_CONCURRENCY_SHARE * self._slow_start.safe_concurrency(),
@@ -76,11 +76,11 @@
             self._call(request)
 
     def _concurrency(self) -> int:
-        """Executions that run or will resume."""
+        """Executions that run or will resume after their call."""
         return self._load.running + self._limiter.in_progress
 
     def _remains_pending(self, request: Request, *, position: int, limit: float) -> bool:
-        """Skips the call or gives the request up where needed; returns whether it waits on."""
+        """Skips the call or ends the request if necessary; returns whether it remains pending."""
         request_class = request.request_class
         is_idempotent = request_class.effect is Effect.IDEMPOTENT
         can_skip = request_class.skipped_call_weight_share > 0
@@ -100,10 +100,10 @@
         return True
 
     def _is_late(self, request: Request, position: int) -> bool:
-        """Whether a call at `position` among those that wait would end too late to be useful."""
+        """Whether the call at `position` in the pending order would end too late to be useful."""
         limiter = self._limiter
         expected_call_time = 0.0 if limiter.has_been_idle() else limiter.call_time
-        # What was begun on idle cores is continued.
+        # On idle cores a started execution continues whatever its remaining work.
         remaining_work = (
             0.0 if self._load.is_idle() else REQUIRED_TIME_SHARE / 2 * request.expected_work
         )
@@ -114,7 +114,7 @@
         )
 
     def _must_skip(self, request_class: RequestClass) -> bool:
-        """Whether the class is to skip its calls for those that lose more without one."""
+        """Whether the class skips its calls in favour of classes that lose more weight."""
         return (
             self._limiter.is_congested
             and self._limiter.is_full()
@@ -138,17 +138,17 @@
             limiter.measured_calls >= INITIAL_CALLS and not limiter.is_congested
         )
         if is_idempotent and call_times_are_reliable and not request.call_may_have_executed:
-            # A first call only: the second has all the time that is left.
+            # Applies to the first call only; a retried call may use all of the remaining time.
             first_call_timeout_at = now + int(CALL_TIMEOUT_MULTIPLE * limiter.call_time)
             timeout_at = min(timeout_at, first_call_timeout_at)
         share = self._server.dependency_call_share
         if 0 < share < 1:
-            longest = int(share * self._server.dependency_call_span / 2)
-            timeout_at = min(timeout_at, now + longest)
+            maximum_duration = int(share * self._server.dependency_call_span / 2)
+            timeout_at = min(timeout_at, now + maximum_duration)
         return timeout_at
 
     def resume(self, request: Request) -> None:
-        """Continues the execution of a request whose call succeeded or is skipped."""
+        """Resumes the execution of a request whose call succeeded or is skipped."""
         now = self._context.now
         request.dependency_wait += now - request.call_pending_since
         request.call_may_have_executed = False
--- a/lilacwalk/overload/drain.py
+++ b/lilacwalk/overload/drain.py
@@ -1,19 +1,19 @@
-"""The drain of a server that was told to stop."""
+"""The state of a drain, which precedes the stop of the server."""
 
 from __future__ import annotations
 
 
 class Drain:
-    """Owns the two times of a drain, in tenths of a millisecond; 0 while there is none."""
+    """Owns the two times of a drain, in tenths of a millisecond; both are 0 without a drain."""
 
     def __init__(self) -> None:
-        """Starts without a drain."""
-        self.grace_ends_at = 0  # requests that arrive later are rejected
-        self.terminate_at = 0  # requests that are still open are terminated
+        """Creates the state without a drain."""
+        self.grace_ends_at = 0  # requests that arrive after it are rejected
+        self.terminate_at = 0  # requests still open at this time are terminated
 
     @property
     def is_active(self) -> bool:
-        """Whether the server was told to stop."""
+        """Whether a drain has started."""
         return bool(self.terminate_at)
 
     def begin(self, *, grace_ends_at: int, terminate_at: int) -> None:
--- a/lilacwalk/overload/events.py
+++ b/lilacwalk/overload/events.py
@@ -1,6 +1,6 @@
-"""What a host tells the controller: one frozen record for each kind of event.
+"""Events that the host passes to the controller: one frozen record for each kind.
 
-All times and durations are whole tenths of a millisecond.
+Times and durations are integers in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStarted:
-    """The server has started: the first event that a controller handles."""
+    """The server has started. This is the first event that a controller handles."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request was read. The host has linked it to the request that it duplicates, if any."""
+    """A request was read. The host has set `duplicate_of` if it is a duplicate."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """Nobody waits for the response any more."""
+    """The client has disconnected or withdrawn the request; no response is needed."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutionFinished:
-    """The execution of a request has ended, or its outcome is given up on."""
+    """The execution of a request has ended, or the host has stopped waiting for its outcome."""
 
     request: Request
     outcome: Outcome
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """An execution waits for its dependency call to be made or skipped."""
+    """An execution is waiting until its dependency call is made or skipped."""
 
     request: Request
 
@@ -55,24 +55,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorLinkChanged:
-    """The link to the executor came up or was lost."""
+    """The link to the executor was established or lost."""
 
     is_up: bool
 
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """The server was told to stop; the process is killed at `stop_at`."""
+    """A stop of the server was requested; the process is killed at `stop_at`."""
 
     stop_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The timer that the controller has set, with the executor's gauges."""
+    """The timer set by the controller has expired; carries the executor's latest gauges."""
 
     core_use: float  # share of the cores in use
-    run_queue: float  # runnable requests, running ones included
+    run_queue: float  # runnable requests, including those running
 
 
 Event = (
--- a/lilacwalk/overload/feasibility.py
+++ b/lilacwalk/overload/feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a request can still be answered in time."""
+"""Estimates whether a request can still be answered in time."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from lilacwalk.overload.model import Effect, Request
 from lilacwalk.overload.server_load import ServerLoad
 
-REQUIRED_TIME_SHARE = 0.7  # of the expected work that must fit: execution times scatter widely
-LOADED_LATE_SHARE = 0.5  # of the weight, from which a late response is worth full cores
+REQUIRED_TIME_SHARE = 0.7  # of the expected work that must fit; execution times vary widely
+LOADED_LATE_SHARE = 0.5  # late_weight_share from which late responses are useful on full cores
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Feasibility:
-    """Judges requests by execution times and queues as they are now. It has no state of its own."""
+    """Estimates from current execution times and queues. Has no state of its own."""
 
     context: BatchContext
     load: ServerLoad
@@ -30,18 +30,19 @@
     deadline_margin: int
 
     def useful_response_deadline(self, request: Request) -> int:
-        """The time after which a response is worth too little to work for.
+        """The time after which a response is not worth its execution.
 
-        A late response of little weight counts only while cores are free, as nothing else waits.
+        A late response of little weight is useful only while cores are free and no other request
+        needs them.
         """
         late_share = request.request_class.late_weight_share
-        last_moment = request.deadline - self.deadline_margin
+        latest = request.deadline - self.deadline_margin
         if late_share and (self.load.has_free_cores() or late_share >= LOADED_LATE_SHARE):
-            return last_moment
-        return min(request.objective_deadline, last_moment)
+            return latest
+        return min(request.objective_deadline, latest)
 
     def can_finish_in_time(self, request: Request, queue_wait: float) -> bool:
-        """Whether the request, once it has waited `queue_wait`, can be answered while useful."""
+        """Whether the request can be answered usefully after waiting for `queue_wait`."""
         now = self.context.now
         until = min(self.useful_response_deadline(request), self.drain.terminate_at or inf)
         wait = queue_wait
@@ -49,32 +50,37 @@
         if request_class.calls_dependency and not request_class.skipped_call_weight_share:
             wait += self._dependency_wait()
         if not queue_wait and self.load.is_idle() and self._may_probe(request):
-            # On idle cores a request is tried whatever its expected work: execution times learned
-            # during a stall are corrected by executions only, and all would be rejected for good.
+            # On idle cores a request is tried whatever its expected work. Otherwise execution
+            # times measured during a stall, which only executions correct, could cause the
+            # rejection of all requests forever.
             return now + wait < until
         return now + wait + REQUIRED_TIME_SHARE * request.expected_work <= until
 
     def _may_probe(self, request: Request) -> bool:
-        """Work that no other server may repeat is tried only after a while without progress."""
+        """Whether the request may be tried on idle cores against the estimate.
+
+        A non-idempotent request cannot be retried elsewhere if it fails, so that it is tried only
+        after PROBE_INTERVAL without progress.
+        """
         return (
             request.request_class.effect is not Effect.NON_IDEMPOTENT
             or self.context.now - self.load.last_progress_at > PROBE_INTERVAL
         )
 
     def queue_wait(self, request: Request) -> float:
-        """The expected wait behind queued requests of at least the same weight per work."""
+        """The expected wait for queued requests of equal or higher weight per work."""
         load = self.load
         if load.running < self.concurrency.limit and not load.queue:
             return 0.0
-        ahead = sum(
+        work_ahead = sum(
             queued.expected_work
             for queued in load.queue
             if queued.weight_per_work >= request.weight_per_work
         )
-        return (ahead + self.latency.mean_execution_time) / self.concurrency.limit
+        return (work_ahead + self.latency.mean_execution_time) / self.concurrency.limit
 
     def _dependency_wait(self) -> float:
-        """The time until all open requests that cannot skip their call have made it."""
+        """The time until all open requests that cannot skip their call have completed it."""
         if self.dependency.has_been_idle():
             return 0.0
         calls_needed = sum(
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -13,22 +13,22 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.stall_detector import StallDetector
 
-REPORT_INTERVAL = SECOND // 10  # well within the time for which clients remember a report
-OUTSTANDING_SHARE = 0.65  # of the target: outstanding requests include those still on their way
-MINIMUM_TOKENS = 0.2  # for one client
-MAXIMUM_TOKEN_FACTOR = 10.0  # by which tokens are multiplied at most while cores are free
-TOKEN_FACTOR_GROWTH = 1.1  # each report
-TOKEN_FACTOR_DECAY = 0.8  # each report
-MINIMUM_MEASURED_ACTIVITY = 5  # requests of late from which the heaviest client's share is measured
-MAXIMUM_UNREAD_SHARE = 0.7  # of the tokens that unread requests take
-TOKEN_PRECISION = 10_000  # fractions of a token, for rounding down during slow start
-RANK_WEIGHT = 0.3  # of the newest report in the running minimum rank
-RANK_ZERO_RATIO = 0.15  # ratio T of a lightly loaded server, which takes any rank
-RANK_RATIO_RANGE = 0.5  # above it, until hardly any request would be in time
+REPORT_INTERVAL = SECOND // 10  # well below the time for which clients use a report
+OUTSTANDING_SHARE = 0.65  # of the target, as outstanding requests include those in transit
+MINIMUM_TOKENS = 0.2  # per client
+MAXIMUM_TOKEN_FACTOR = 10.0  # maximum multiple of the tokens while cores are free
+TOKEN_FACTOR_GROWTH = 1.1  # factor per report
+TOKEN_FACTOR_DECAY = 0.8  # factor per report
+MINIMUM_MEASURED_ACTIVITY = 5  # recent requests needed to measure the heaviest client's share
+MAXIMUM_UNREAD_SHARE = 0.7  # maximum reduction of the tokens for unread requests
+TOKEN_PRECISION = 10_000  # fractions of a token to which tokens are rounded down in slow start
+RANK_WEIGHT = 0.3  # weight of the newest report in the moving minimum rank
+RANK_ZERO_RATIO = 0.15  # ratio T of a lightly loaded server, up to which any rank is accepted
+RANK_RATIO_RANGE = 0.5  # above that ratio; beyond it hardly any request would be in time
 
 
 class LoadReporter:
-    """Owns the last report, the running minimum rank and the factor on tokens."""
+    """Owns the last reported value, the moving minimum rank and the token factor."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         latency: LatencyEstimator,
         admission: AdmissionControl,
     ) -> None:
-        """Takes the parts of one controller; nothing has been reported."""
+        """Stores the parts of the controller that this one uses; nothing has been reported."""
         self._context = context
         self._server = server
         self._load = load
@@ -57,23 +57,24 @@
         self._admission = admission
         self._minimum_rank = 0.0
         self._last_value = -1.0
-        # How unevenly clients send is unknown at first: a warm server starts with the most tokens.
+        # The distribution of requests among clients is unknown at start, so a warm server starts
+        # with the maximum factor.
         self._token_factor = 1.0 if server.started_cold else MAXIMUM_TOKEN_FACTOR
         self._next_report_at = context.now
 
     def report_health(self, healthy: bool) -> None:
-        """Tells whether new requests should be sent here."""
+        """Reports whether new requests should be sent to this server."""
         self._context.sink.report_health(healthy)
 
     def report_periodically(self) -> None:
-        """Reports the load if the last periodic report is old enough."""
+        """Reports the load if the report interval has passed."""
         now = self._context.now
         if now >= self._next_report_at:
             self._next_report_at = now + REPORT_INTERVAL
             self.report_load()
 
     def report_load(self) -> None:
-        """Reports the load, if the value has changed."""
+        """Reports the load if its value has changed."""
         kind = self._server.load_report_kind
         is_unavailable = self._stall_detector.stalled or self._drain.is_active
         match kind:
@@ -86,7 +87,8 @@
                 value = 1.0 if is_unavailable else rank
             case LoadReportKind.BIAS:
                 value = 0.0 if is_unavailable else self._admission.admission_probability
-        # Tokens of a cold server are rounded down already: rounded up they would add up.
+        # Tokens are already rounded down during slow start; the sum of values rounded up over all
+        # clients would exceed the safe concurrency.
         if kind is not LoadReportKind.TOKENS or not self._slow_start.is_warming_up():
             value = round(value, 2)
         if value != self._last_value:
@@ -94,14 +96,14 @@
             self._context.sink.report_load(value)
 
     def _update_minimum_rank(self) -> float:
-        """Follows the ratio T that a request sent now would meet."""
+        """Moves the minimum rank towards the value for the expected ratio T of a new request."""
         excess_ratio = (self._latency.current_ratio() - RANK_ZERO_RATIO) / RANK_RATIO_RANGE
         target = min(1.0, max(0.0, excess_ratio))
         self._minimum_rank += RANK_WEIGHT * (target - self._minimum_rank)
         return self._minimum_rank
 
     def _tokens(self) -> float:
-        """Requests that one client may have outstanding here."""
+        """The number of requests that one client may have outstanding at this server."""
         self._update_token_factor()
         target_time = TARGET_LATENCY_RATIO * self._latency.mean_latency_objective
         unread_share = min(MAXIMUM_UNREAD_SHARE, self._latency.mean_unread_delay / target_time)
@@ -114,14 +116,14 @@
         )
         if not self._slow_start.is_warming_up():
             return tokens
-        # All clients send to a new server at once: together, with those not heard from yet, they
-        # may send what it survives. Too little where few of many clients ever send here.
+        # All clients may send to a new server at once, so the safe concurrency is divided among
+        # all of them, including those not seen yet. This is too low if only a few ever send here.
         clients = max(self._server.client_count, len(self._clients.activity))
         share = TOKEN_PRECISION * self._slow_start.safe_concurrency() / clients
         return min(tokens, int(share) / TOKEN_PRECISION)
 
     def _outstanding(self, target_time: float) -> float:
-        """Requests that can be answered within the target time."""
+        """The number of requests that can be answered within the target time."""
         executions = target_time / max(1.0, self._latency.mean_execution_time)
         return self._concurrency.limit * OUTSTANDING_SHARE * max(1.0, executions)
 
@@ -133,7 +135,7 @@
         return 1 / self._server.client_count
 
     def _update_token_factor(self) -> None:
-        """Grants more tokens while cores are free, as clients rarely use all of theirs at once."""
+        """Raises the factor while cores are free, as clients rarely use all tokens at once."""
         if self._load.has_free_cores() and not self._load.queue:
             self._token_factor = min(MAXIMUM_TOKEN_FACTOR, self._token_factor * TOKEN_FACTOR_GROWTH)
         else:
--- a/lilacwalk/overload/model.py
+++ b/lilacwalk/overload/model.py
@@ -1,6 +1,6 @@
-"""Records and enums that the controller and its host share.
+"""Records and enums shared by the controller and its host.
 
-All times and durations are whole tenths of a millisecond, all sizes kilobytes.
+Times and durations are integers in tenths of a millisecond; sizes are in kilobytes.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 
 class Effect(Enum):
-    """Whether a request may be executed more than once."""
+    """Side effects of a request, which determine whether it may be executed more than once."""
 
     IDEMPOTENT = auto()
-    DEDUPLICATED = auto()  # has an idempotency key by which duplicates are recognised
+    DEDUPLICATED = auto()  # an idempotency key identifies its duplicates
     NON_IDEMPOTENT = auto()
 
 
 class StopMode(Enum):
-    """What happens to a running execution that is cancelled."""
+    """How the executor treats a running execution that is cancelled."""
 
-    NONE = auto()  # it cannot be stopped
-    DROP = auto()  # its progress is lost
-    PAUSE = auto()  # its progress and memory are kept
+    NONE = auto()  # executions cannot be cancelled
+    DROP = auto()  # the execution is discarded with its progress
+    PAUSE = auto()  # the execution keeps its progress and its memory
 
 
 class LoadReportKind(Enum):
-    """What the value of a load report means to clients."""
+    """Meaning of the value in a load report."""
 
     NONE = auto()  # no load is reported
-    TOKENS = auto()  # requests that one client may have outstanding here
-    MIN_RANK = auto()  # requests of a lower rank are not sent
-    BIAS = auto()  # probability of not being skipped
+    TOKENS = auto()  # requests that one client may have outstanding at this server
+    MIN_RANK = auto()  # clients do not send requests of a lower rank
+    BIAS = auto()  # probability that a client does not skip this server
 
 
 class Outcome(Enum):
-    """How an execution or a dependency call ended."""
+    """Result of an execution or of a dependency call."""
 
     OK = auto()
     ERROR = auto()
@@ -50,53 +50,54 @@
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether nothing was executed, so that another attempt cannot be a second execution."""
+        """Whether nothing was executed, so that a retry cannot cause a second execution."""
         return self in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_EXECUTED)
 
 
 class RequestState(Enum):
-    """Where a request stands inside the app server."""
+    """Processing state of a request inside the app server."""
 
     QUEUED = auto()
     RUNNING = auto()
-    CALL_PENDING = auto()  # waits for the controller to make or skip the dependency call
+    CALL_PENDING = auto()  # waits until the dependency call is made or skipped
     CALL_IN_PROGRESS = auto()
-    COALESCED = auto()  # waits for the result of the request that it duplicates
+    COALESCED = auto()  # waits for the result of the request of which it is a duplicate
     FINISHED = auto()
 
 
 @dataclass(eq=False)
 class RequestClass:
-    """Requests of one kind, with common limits and value."""
+    """Time limits, priority weight and other properties common to requests of one kind."""
 
     name: str
     weight: float
     latency_objective: int
     timeout: int
     effect: Effect = Effect.IDEMPOTENT
-    objective_stretch: float = 0.0  # of the expected work, added to the latency objective
-    late_weight_share: float = 0.0  # of the weight that a response after the objective keeps
-    deduplication_window: int = 0  # for Effect.DEDUPLICATED: how long duplicates may arrive
+    objective_stretch: float = 0.0  # share of the expected work added to the latency objective
+    late_weight_share: float = 0.0  # share of the weight of a response after the objective
+    deduplication_window: int = 0  # for Effect.DEDUPLICATED: time in which duplicates may arrive
     calls_dependency: bool = False
-    skipped_call_weight_share: float = 0.0  # of the weight kept when the call is skipped; 0: never
+    # Share of the weight that remains without the dependency call; 0: the call is never skipped.
+    skipped_call_weight_share: float = 0.0
 
 
 @dataclass(eq=False)
 class Tenant:
-    """A customer with a quota of requests."""
+    """A customer with a request-rate quota."""
 
     name: str
-    quota: float  # requests a second over the whole fleet; 0: without a quota
+    quota: float  # requests per second over the whole fleet; 0: no quota
 
 
 @dataclass(eq=False)
 class ServerSettings:
-    """What an app server is told at start about itself, its platform and its requests."""
+    """Settings that an app server receives at start: its platform, request classes and tenants."""
 
     seed: int
     cores: int
     memory_kb: float
-    running_memory_factor: float  # memory of an executing request, as a multiple of a queued one
+    running_memory_factor: float  # memory of a running request as a multiple of a queued one
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     fleet_size: int = 1
@@ -104,15 +105,15 @@
     deduplication_entry_kb: float = 0.0
     stop_mode: StopMode = StopMode.NONE
     load_report_kind: LoadReportKind = LoadReportKind.NONE
-    dependency_call_share: float = 0.0  # concurrent calls that this server may make; 0: not told
-    dependency_call_span: int = 0  # time over which a share under one call is averaged
-    abandoned_call_linger: int = 0  # how long a call that timed out still loads the dependency
+    dependency_call_share: float = 0.0  # concurrent calls allowed to this server; 0: not set
+    dependency_call_span: int = 0  # averaging period of a share below one concurrent call
+    abandoned_call_linger: int = 0  # time that a timed-out call still loads the dependency
     started_cold: bool = False
     cold_capacity_share: float = 1.0
     warm_up_time: int = 0
-    collapse_multiple: float = 2.0  # of the cores: runnable requests at which throughput collapses
+    collapse_multiple: float = 2.0  # runnable requests per core at which throughput collapses
     drain_grace_period: int = 0
-    max_retry_after: int = 0  # 0: no retry-after may be sent
+    max_retry_after: int = 0  # 0: rejections carry no retry-after
     over_quota_weight_share: float = 1.0
     weight_scales_with_work: bool = False
     timer_quantum: int = 10
@@ -120,18 +121,18 @@
 
 @dataclass(eq=False)
 class Request:
-    """One request, from its arrival until it holds no resource any more.
+    """One request, from its arrival until all its resources are released.
 
-    The host fills the fields down to `duplicate_of`; the controller writes the others.
+    The host sets the fields up to `duplicate_of`; the controller writes the others.
     """
 
     request_class: RequestClass
-    arrived_at: int  # reached the machine
-    read_at: int
+    arrived_at: int  # time at which it reached the machine
+    read_at: int  # time at which it was read from the socket
     deadline: int
     memory_kb: float
     tenant: Tenant | None = None
-    work_hint: int = 0  # expected execution time as the client states it; 0: not stated
+    work_hint: int = 0  # execution time expected by the client; 0: not stated
     is_retry: bool = False
     client: int = 0
     duplicate_of: Request | None = None
@@ -146,14 +147,14 @@
     call_pending_since: int = 0
     dependency_wait: int = 0
     call_may_have_executed: bool = False  # a call ended without proof that it was not executed
-    is_registered: bool = False  # its idempotency key is kept
-    within_quota: bool = False  # a credit of its tenant was spent on it
+    is_registered: bool = False  # its idempotency key is registered
+    within_quota: bool = False  # it was admitted with a credit of its tenant
     duplicates: list[Request] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What one incarnation of a controller can hand to the next on the same machine."""
+    """State that one incarnation of a controller passes to the next on the same machine."""
 
     admission_probability: float
     last_error: float
--- a/lilacwalk/overload/parts.py
+++ b/lilacwalk/overload/parts.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a controller and wires them together."""
+"""Creates the parts of a controller and connects them."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-MAXIMUM_TIMER_PERIOD = 250
-TIMER_PERIODS_PER_OBJECTIVE = 40  # at least, in the shortest latency objective
+MAXIMUM_TIMER_PERIOD = 250  # tenths of a millisecond
+TIMER_PERIODS_PER_OBJECTIVE = 40  # minimum number in the shortest latency objective
 
 
 class ControllerParts:
-    """The parts of one controller, each made once and handed to those that need it."""
+    """The parts of one controller: one instance of each, shared by the parts that depend on it."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
-        """Makes the parts of the controller of a server that starts at `now`."""
+        """Creates the parts for a server that starts at `now`."""
         self.server = server
         shortest = min(each.latency_objective for each in server.request_classes)
         self.timer_period = max(
             server.timer_quantum,
             min(MAXIMUM_TIMER_PERIOD, shortest // TIMER_PERIODS_PER_OBJECTIVE),
         )
-        # Decisions that must not be late are made this much earlier: the next timer event may be.
+        # Decisions with a deadline are made this much earlier, because timer events may be late.
         self.deadline_margin = self.timer_period + 2 * server.timer_quantum
         self.context = BatchContext(now)
         self._create_estimators(now)
@@ -48,7 +48,7 @@
         self._create_reporting_parts()
 
     def _create_estimators(self, now: int) -> None:
-        """The parts that know the state of the server and judge requests by it."""
+        """Creates the parts that track the state of the server and estimate from it."""
         server = self.server
         self.load = ServerLoad(server, now)
         self.slow_start = SlowStart(context=self.context, server=server, started_at=now)
@@ -75,7 +75,7 @@
         )
 
     def _create_decision_parts(self) -> None:
-        """The parts that decide on requests."""
+        """Creates the parts that decide on requests."""
         context, server, load = self.context, self.server, self.load
         self.admission = AdmissionControl(server, load, self.latency)
         self.quota = TenantQuota(server, load, self.admission)
@@ -132,7 +132,7 @@
         )
 
     def _create_reporting_parts(self) -> None:
-        """The parts that advise clients and proxies."""
+        """Creates the parts that inform clients and proxies."""
         self.load_reporter = LoadReporter(
             self.context,
             self.server,
--- a/lilacwalk/overload/scheduler.py
+++ b/lilacwalk/overload/scheduler.py
@@ -1,4 +1,4 @@
-"""Starts the execution of queued requests."""
+"""Dispatches queued requests."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-CALLS_PER_EXECUTION = 4  # calls pending and in progress, for each execution that may be started
+CALLS_PER_EXECUTION = 4  # maximum of pending and running calls per permitted execution
 _weight_per_work = attrgetter("weight_per_work")
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Scheduler:
-    """Dispatches queued requests by weight per work. The queue itself belongs to `ServerLoad`."""
+    """Dispatches queued requests by weight per work. `ServerLoad` owns the queue."""
 
     context: BatchContext
     load: ServerLoad
@@ -37,7 +37,7 @@
     termination: Termination
 
     def dispatch_queued(self) -> None:
-        """Gives up queued requests that are too late and dispatches others up to the limit."""
+        """Ends queued requests that are too late and dispatches others up to the limit."""
         self._drop_infeasible()
         if self.stall_detector.stalled:
             return
@@ -56,7 +56,7 @@
             self.termination.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def _dispatchable(self) -> list[Request]:
-        """Queued requests that need neither a full dependency, nor memory, nor their original."""
+        """Queued requests not blocked by the call limit, by memory or by a queued original."""
         load = self.load
         dependency = self.dependency
         calls = len(dependency.pending) + dependency.in_progress
--- a/lilacwalk/overload/server_load.py
+++ b/lilacwalk/overload/server_load.py
@@ -1,27 +1,27 @@
-"""What the app server currently holds and executes."""
+"""Accounts for the requests, memory and executions of the app server."""
 
 from __future__ import annotations
 
 from lilacwalk.overload.model import Request, RequestState, ServerSettings
 
-MEMORY_LIMIT_SHARE = 0.9  # the rest holds requests read in one batch before they can be rejected
-FREE_CORE_USE = 0.85  # share of the cores in use below which cores count as free
+MEMORY_LIMIT_SHARE = 0.9  # the rest is for requests of one batch that are not rejected yet
+FREE_CORE_USE = 0.85  # core use below which cores count as free
 
 
 class ServerLoad:
-    """Accounts for requests, memory and executions, with the executor's latest gauges.
+    """The current load, with the executor's latest gauges.
 
-    It owns the queue, the open requests, the memory in use, the number of executions and the time
-    of their last progress. Other parts change these through its methods, with two exceptions: those
-    that decide on a queued request append it to `queue` or remove it, and the stall detector writes
-    `last_progress_at`. The controller writes the gauges.
+    Owns the queue, the open requests, the memory in use, the number of executions and the time of
+    their last progress. Other parts change these through its methods, with two exceptions: parts
+    that decide on a request append it to `queue` or remove it, and the stall detector sets
+    `last_progress_at`. The controller sets the gauges.
     """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         """Starts empty and idle at the time `now`."""
         self.server = server
         self.queue: list[Request] = []
-        # Not finished: unanswered or still using memory, in the order of reading.
+        # Requests that are unanswered or still use memory, in the order in which they were read.
         self.open_requests: dict[Request, None] = {}
         self.running = 0
         self.memory_kb = 0.0
@@ -44,19 +44,19 @@
         self.open_requests.pop(request, None)
 
     def reserve_memory(self, memory_kb: float) -> None:
-        """Accounts for memory beside that of queued requests."""
+        """Accounts for memory in addition to that of queued requests."""
         self.memory_kb += memory_kb
 
     def free_memory(self, memory_kb: float) -> None:
-        """Accounts for memory that `reserve_memory` had reserved."""
+        """Accounts for the release of memory reserved with `reserve_memory`."""
         self.memory_kb -= memory_kb
 
     def memory_limit_kb(self) -> float:
-        """The memory that requests and idempotency keys may use."""
+        """The limit on memory used by requests and idempotency keys."""
         return MEMORY_LIMIT_SHARE * self.server.memory_kb
 
     def execution_memory_kb(self, request: Request) -> float:
-        """The memory that a queued request will need in addition while it is executed."""
+        """The additional memory that a queued request needs during its execution."""
         return request.memory_kb * (self.server.running_memory_factor - 1)
 
     def begin_execution(self, request: Request, now: int) -> None:
@@ -67,13 +67,13 @@
         self.running += 1
 
     def end_execution(self) -> None:
-        """Accounts for an execution that ended or waits for its dependency call."""
+        """Accounts for an execution that ended or started to wait for its dependency call."""
         self.running -= 1
 
     def has_free_cores(self) -> bool:
-        """Whether the executor could take more work, by its latest gauges."""
+        """Whether the executor has capacity for more work, by its latest gauges."""
         return self.core_use < FREE_CORE_USE and self.run_queue < self.server.cores
 
     def is_idle(self) -> bool:
-        """Whether nothing is executed and the cores are free."""
+        """Whether no request is running and cores are free."""
         return not self.running and self.has_free_cores()
--- a/lilacwalk/overload/slow_start.py
+++ b/lilacwalk/overload/slow_start.py
@@ -10,7 +10,7 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class SlowStart:
-    """Tells what the server can do while it warms up. It has no state of its own."""
+    """Computes the capacity of the server while it warms up. Has no state of its own."""
 
     context: BatchContext
     server: ServerSettings
@@ -22,10 +22,10 @@
         return server.started_cold and self.context.now < self.started_at + server.warm_up_time
 
     def capacity_share(self) -> float:
-        """The share of its full speed that the server reaches at least."""
+        """The minimum share of its full speed that the server currently reaches."""
         return self.server.cold_capacity_share if self.is_warming_up() else 1.0
 
     def safe_concurrency(self) -> float:
-        """Runnable requests up to which throughput does not collapse."""
+        """The number of runnable requests up to which throughput does not collapse."""
         server = self.server
         return server.cores * (1 + (server.collapse_multiple - 1) * self.capacity_share())
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -1,4 +1,4 @@
-"""Detects executions that make no progress although the server still reads requests."""
+"""Detects that executions make no progress while the event loop still runs."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from lilacwalk.overload.server_load import ServerLoad
 from lilacwalk.overload.slow_start import SlowStart
 
-STALL_GAP_MULTIPLE = 9  # expected gaps between ends of executions: e^-9 by chance
-STALL_TIMER_PERIODS = 4  # allowed in addition
+STALL_GAP_MULTIPLE = 9  # mean gaps between ends of executions; a longer gap has probability e^-9
+STALL_TIMER_PERIODS = 4  # timer periods allowed in addition
 
 
 class StallDetector:
-    """Owns whether executions are stalled and whether the executor can be heard."""
+    """Owns whether executions are stalled and whether the link to the executor is up."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         slow_start: SlowStart,
         timer_period: int,
     ) -> None:
-        """Starts without a stall, with a link to the executor."""
+        """Starts without a stall and with the link to the executor up."""
         self._context = context
         self._load = load
         self._latency = latency
@@ -34,12 +34,12 @@
         self._last_timer_at = context.now
 
     def set_executor_link(self, is_up: bool) -> None:
-        """Notes whether the executor can be heard; while it cannot, silence is no stall."""
+        """Sets whether the link is up; without it a lack of progress events is not a stall."""
         self._executor_link_is_up = is_up
         self._load.last_progress_at = self._context.now
 
     def record_timer(self) -> None:
-        """Leaves out of the silence a time in which this process itself was not scheduled."""
+        """Excludes time in which this process itself was not scheduled from the stall detection."""
         now = self._context.now
         pause = now - self._last_timer_at - self._timer_period
         self._last_timer_at = now
@@ -47,23 +47,23 @@
             self._load.last_progress_at += pause
 
     def record_progress(self) -> bool:
-        """Notes that an execution made progress; returns whether that ends a stall."""
+        """Records that an execution made progress; returns whether that ends a stall."""
         self._load.last_progress_at = self._context.now
         ends_stall = self.stalled
         self.stalled = False
         return ends_stall
 
     def detects_new_stall(self) -> bool:
-        """Checks for a stall; returns whether one begins now."""
+        """Checks for a stall; returns whether one starts now."""
         load = self._load
         if self.stalled or not self._executor_link_is_up or not load.running:
             return False
-        # The longest mean, so that a single long execution is not taken for silence.
-        longest = max(
+        # Uses the longest mean, so that a single long execution does not count as a stall.
+        longest_mean = max(
             self._latency.execution_times.values(), default=self._latency.mean_execution_time
         )
         parallel = min(load.running, load.server.cores)
-        expected_gap = longest / parallel / self._slow_start.capacity_share()
+        expected_gap = longest_mean / parallel / self._slow_start.capacity_share()
         allowed = STALL_GAP_MULTIPLE * expected_gap + STALL_TIMER_PERIODS * self._timer_period
         self.stalled = not self._context.now - load.last_progress_at < allowed
         return self.stalled
--- a/lilacwalk/overload/termination.py
+++ b/lilacwalk/overload/termination.py
@@ -1,4 +1,4 @@
-"""Ends requests: deadlines, rejections with a retry-after, cancellation and release."""
+"""Ends requests: deadlines, rejections with a retry-after, cancellation and resource release."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Termination:
-    """Answers requests that are not completed and frees what they hold. It has no own state."""
+    """Answers requests that are not completed and frees their resources. Has no own state."""
 
     context: BatchContext
     server: ServerSettings
@@ -32,7 +32,7 @@
     deduplication: Deduplication
 
     def reject_or_fail(self, request: Request, *, do_not_retry_elsewhere: bool = False) -> None:
-        """Answers at once: a rejection, or a failure if the request may have had an effect."""
+        """Rejects the request, or fails it if it may have had a side effect."""
         if self._may_have_had_side_effect(request):
             self.context.sink.fail(request)
         else:
@@ -51,13 +51,13 @@
         return request.was_dispatched or (original is not None and original.was_dispatched)
 
     def _retry_after(self) -> int:
-        """The retry-after of a rejection: the longer, the fewer requests are admitted."""
+        """The retry-after of a rejection, which grows as the admission probability falls."""
         is_unavailable = self.stall_detector.stalled or self.drain.is_active
         share = 1.0 if is_unavailable else 1 - self.admission.admission_probability
         return int(self.server.max_retry_after * share)
 
     def _cancel_execution(self, request: Request) -> None:
-        """Stops work that serves nobody, unless a duplicate may still be answered from it."""
+        """Cancels a running execution, unless a duplicate may still need its result."""
         if (
             request.state is RequestState.RUNNING
             and request.request_class.effect is Effect.IDEMPOTENT
@@ -66,7 +66,7 @@
             self.context.sink.cancel(request)
 
     def abandon(self, request: Request) -> None:
-        """Ends a request whose client has gone: no answer is owed."""
+        """Ends a request whose client has disconnected or withdrawn it; it gets no response."""
         if request.state in (RequestState.QUEUED, RequestState.COALESCED):
             self.release(request)
         elif request.state is not RequestState.FINISHED:
@@ -85,9 +85,9 @@
             self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def objective_missed(self, request: Request) -> None:
-        """Gives up a request whose response has become worthless.
+        """Ends a request whose response is no longer useful.
 
-        An execution with an effect goes on, as ending it early could bring a retry of it.
+        A running execution with side effects continues, since failing it early could cause a retry.
         """
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
         if request.answered or (request.was_dispatched and not is_idempotent):
@@ -100,7 +100,7 @@
         self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def reject_or_fail_all(self, include_side_effects: bool) -> None:
-        """Gives up all open requests; those that may have had an effect only if told to."""
+        """Ends all open requests; those that may have had a side effect only if requested."""
         for request in list(self.load.open_requests):
             if not request.answered and (
                 include_side_effects
@@ -110,7 +110,7 @@
                 self.reject_or_fail(request)
 
     def release(self, request: Request) -> None:
-        """Frees all that an ended request holds; a queued duplicate of it takes its place."""
+        """Frees the resources of a request; if unexecuted, a queued duplicate replaces it."""
         match request.state:
             case RequestState.QUEUED:
                 if request in self.load.queue:
