--- a/lilacwalk/__init__.py
+++ b/lilacwalk/__init__.py
@@ -1,3 +1,3 @@
-"""lilacwalk: an overload controller that lives inside each app server of a fleet."""
+"""lilacwalk: an overload controller that runs inside each app server of a fleet."""
 
 __version__ = "0.1.0"
--- a/lilacwalk/__main__.py
+++ b/lilacwalk/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point of the command line: `lilacwalk COMMAND`."""
+"""Command-line entry point: `lilacwalk COMMAND`."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """Runs one command.
 
     Returns:
-        0: done; 1: a defect while running; 2: the command line, a file or an address cannot be
-        used. Some commands document further exit codes.
+        0: success; 1: internal error; 2: the command line, a file or an address is invalid. Some
+        commands document further exit codes.
     """
     # Imported here, because SIGTERM may arrive while the commands are being loaded.
     from lilacwalk.commands import lilacwalk
@@ -26,6 +26,6 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["serve"]:
-        # Until the server installs its own handler nothing is accepted, so that it may just exit.
+        # No connection is accepted before the server installs its own handler, so it may just exit.
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     sys.exit(main())
--- a/lilacwalk/errors.py
+++ b/lilacwalk/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that this package raises on purpose."""
+"""The base class of the errors raised by this package."""
 
 from __future__ import annotations
 
 
 class LilacwalkError(Exception):
-    """Derived errors carry what failed as fields and say it in their message."""
+    """Derived errors hold the details of a failure as attributes and state it in their message."""
--- a/lilacwalk/event_queue.py
+++ b/lilacwalk/event_queue.py
@@ -1,4 +1,4 @@
-"""The queue through which all other threads reach the event loop."""
+"""The queue through which other threads pass work to the event loop."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Callback:
-    """A handler that the event loop calls in its own thread."""
+    """A handler with its arguments, called in the event loop's thread."""
 
     handler: Callable[..., object]
     arguments: tuple
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ComponentFailure:
-    """The last message of a component without which the process cannot go on."""
+    """Reports the failure of a component without which the process cannot continue."""
 
     reason: str
 
@@ -29,13 +29,13 @@
 class EventQueue(SimpleQueue):
     """An unbounded queue with one consumer; any thread and any signal handler may post.
 
-    Whoever posts bounds what of its own may stand on the queue.
+    Each producer has to limit the number of its own queued items.
     """
 
     def post(self, handler: Callable[..., object], *arguments: object) -> None:
-        """Has the event loop call `handler` with these arguments."""
+        """Schedules a call of `handler` with these arguments in the event loop."""
         self.put(Callback(handler, arguments))
 
     def fail(self, reason: str) -> None:
-        """Has the event loop end the process: a component it cannot do without has failed."""
+        """Ends the process through the event loop because an essential component has failed."""
         self.put(ComponentFailure(reason))
--- a/lilacwalk/log.py
+++ b/lilacwalk/log.py
@@ -1,4 +1,4 @@
-"""Log lines of key=value pairs on standard error."""
+"""Logging of key=value lines to standard error."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from logfmter import Logfmter
 
-MAX_LINE_LENGTH = 4_000  # characters; a pipe with any room takes a page of 4,096 bytes at once
+MAX_LINE_LENGTH = 4_000  # characters; a writable pipe accepts a page of 4,096 bytes
 ELLIPSIS = " ... "
 
 
 class KeyValueFormatter(Logfmter):
-    """Formats a record as one line: `time=… level=… part=… event=…`, with a trace folded into it.
+    """Formats a record as one line `time=… level=… part=… event=…`, including a traceback.
 
-    A message is a text of key=value pairs, or a dict of them where values need quoting.
+    The message of a record is a text of key=value pairs, or a dict if values need quoting.
     """
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the line, with the middle left out if it is too long."""
+        """Returns the line; the middle of a line longer than MAX_LINE_LENGTH is left out."""
         timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         if isinstance(record.msg, dict):
             pairs = self.format_params(record.msg)
@@ -44,9 +44,9 @@
 
 
 class NonBlockingHandler(logging.StreamHandler):
-    """Drops lines while the stream is full, so that a slow reader of the log delays no thread.
+    """Drops lines while the stream is full, so that a slow log reader does not block any thread.
 
-    The next line that can be written is preceded by one with the number of lines dropped.
+    The first line after that is preceded by a line with the number of dropped lines.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -78,13 +78,13 @@
 
 
 class ReportThrottle:
-    """Counts faults of a peer and allows a log line at the first, second, fourth, eighth and so on.
+    """Counts faults of a peer and permits a log line at the 1st, 2nd, 4th, 8th fault and so on.
 
-    Several threads may count; a line more or less does not matter.
+    Not synchronized: with several threads a line may be missing or duplicated.
     """
 
     def __init__(self) -> None:
-        """Starts at 0."""
+        """Starts with a count of 0."""
         self.count = 0
 
     def count_and_check(self) -> int:
@@ -95,11 +95,11 @@
 
 
 def start_logging(level: int) -> None:
-    """Has all loggers of the process write to standard error from `level` on."""
+    """Configures all loggers to write records of at least `level` to standard error."""
     try:
         handler = NonBlockingHandler(sys.stderr)
-    except OSError:  # there is no descriptor that could block
+    except OSError:  # standard error has no file descriptor, so that writes cannot block
         handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler])
-    logging.raiseExceptions = False  # a closed standard error could not take the report either
+    logging.raiseExceptions = False  # standard error cannot take reports of its own failure
--- a/lilacwalk/settings.py
+++ b/lilacwalk/settings.py
@@ -1,7 +1,7 @@
-"""Decodes the settings of an app server, which are nested data, into typed records.
+"""Decodes the nested settings of an app server into typed records.
 
-This is the one place where names of settings are mapped to names of the code. Times in settings
-are milliseconds; in records they are whole tenths of a millisecond.
+Only this module maps the names used in settings to the names used in the code. Times are in
+milliseconds in settings, and integers in tenths of a millisecond in records.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     Tenant,
 )
 
-ROUNDING_TOLERANCE = 1e-6  # tenths of a millisecond, for times that are no exact binary fraction
+ROUNDING_TOLERANCE = 1e-6  # tenths of a millisecond, for times not exactly representable as float
 TENTHS_PER_MILLISECOND = 10
 
-# How the operator's file and printed tables name an effect.
+# Names of effects in the operator's file and in printed tables.
 EFFECT_NAMES = {
     Effect.IDEMPOTENT: "repeatable",
     Effect.DEDUPLICATED: "deduplicated",
@@ -31,7 +31,7 @@
 }
 EFFECTS_BY_NAME = {name: effect for effect, name in EFFECT_NAMES.items()}
 
-# How settings name them.
+# Names in settings.
 _EFFECTS = {
     "safe": Effect.IDEMPOTENT,
     "keyed": Effect.DEDUPLICATED,
@@ -49,41 +49,41 @@
 
 
 class SettingsError(LilacwalkError):
-    """A setting cannot be used.
+    """A setting is missing or invalid.
 
     Attributes:
-        name: The setting, as it is named where it was read.
-        problem: What is wrong with it.
+        name: The name of the setting at its source.
+        problem: The reason, as a predicate that follows the name.
     """
 
     def __init__(self, *, name: str, problem: str) -> None:
-        """The message is `name` followed by `problem`."""
+        """Creates the message from `name` and `problem`."""
         super().__init__(f"{name} {problem}")
         self.name = name
         self.problem = problem
 
 
 class SettingValueError(SettingsError):
-    """A setting has a value that cannot be used.
+    """A setting has an invalid value.
 
     Attributes:
-        value: The value that was found.
+        value: The invalid value.
     """
 
     def __init__(self, *, name: str, value: object, problem: str) -> None:
-        """The message is `name=value` followed by `problem`."""
+        """Creates the message from `name=value` and `problem`."""
         super().__init__(name=f"{name}={value}", problem=problem)
         self.name = name
         self.value = value
 
 
 def tenths_rounded_down(time_ms: float) -> int:
-    """Converts milliseconds to whole tenths, rounded so that a limit is never exceeded."""
+    """Converts milliseconds to tenths, rounded down so that a limit is never exceeded."""
     return math.floor(time_ms * TENTHS_PER_MILLISECOND + ROUNDING_TOLERANCE)
 
 
 def tenths_rounded_up(time_ms: float) -> int:
-    """Converts milliseconds to whole tenths, rounded so that a wait is never cut short."""
+    """Converts milliseconds to tenths, rounded up so that a wait is never too short."""
     return math.ceil(time_ms * TENTHS_PER_MILLISECOND - ROUNDING_TOLERANCE)
 
 
@@ -91,7 +91,7 @@
     """Converts the value of a setting to a finite number.
 
     Raises:
-        SettingValueError: The value is no finite number.
+        SettingValueError: The value is not a finite number.
     """
     try:
         number = float(value)  # type: ignore[arg-type]
@@ -103,10 +103,10 @@
 
 
 def read_number(settings: Mapping, name: str, default: float | None = None) -> float:
-    """Returns a number; a value that is empty or missing is `default`.
+    """Returns a number, or `default` if the value is empty or missing.
 
     Raises:
-        SettingsError: The value is no finite number, or missing without a default.
+        SettingsError: The value is not a finite number, or is missing and has no default.
     """
     value = settings.get(name)
     if value is not None and value != "":
@@ -117,7 +117,7 @@
 
 
 def read_integer(settings: Mapping, name: str, default: int | None = None) -> int:
-    """Returns a whole number, like `read_number`; a fraction is cut off."""
+    """Returns an integer, like `read_number`; a fraction is truncated."""
     value = settings.get(name)
     if isinstance(value, int):
         return int(value)
@@ -127,17 +127,17 @@
 
 
 def is_true(value: object) -> bool:
-    """Whether a flag is set, as nested data or as text."""
+    """Whether a flag is set, as a boolean or as text."""
     return value in (True, "true", "1")
 
 
 def read_choice(
     settings: Mapping, name: str, choices: Mapping[str, Value], default: str | None = None
 ) -> Value:
-    """Returns what the value of a setting names in `choices`.
+    """Returns the element of `choices` that is named by the value of a setting.
 
     Raises:
-        SettingsError: The value is none of the choices, or missing without a default.
+        SettingsError: The value is not one of the choices, or is missing and has no default.
     """
     value = settings.get(name, default)
     if value is None:
@@ -150,10 +150,10 @@
 
 
 def read_section(settings: Mapping, name: str) -> dict:
-    """Returns nested settings; those that are missing are empty.
+    """Returns nested settings; a missing section is empty.
 
     Raises:
-        SettingsError: The value is no object.
+        SettingsError: The value is not an object.
     """
     value = settings.get(name, {})
     if not isinstance(value, dict):
@@ -162,7 +162,7 @@
 
 
 def read_list(settings: Mapping, name: str) -> list:
-    """Returns a list; the simulator's wire writes a list of one like its element."""
+    """Returns a list; in the simulator's protocol a list of one is written as its element."""
     value = settings.get(name)
     if value is None or value == "":
         return []
@@ -170,10 +170,10 @@
 
 
 def decode_server_settings(settings: dict, seed: int) -> ServerSettings:
-    """Decodes all settings of an app server; `seed` is that of its random decisions.
+    """Decodes all settings of an app server; `seed` seeds its random decisions.
 
     Raises:
-        SettingsError: A setting is missing or cannot be used.
+        SettingsError: A setting is missing or invalid.
     """
     info = read_section(settings, "family_info")
     rules = read_section(settings, "rules")
@@ -237,13 +237,13 @@
     timeout_ms = timeout / TENTHS_PER_MILLISECOND
     latency_objective = tenths_rounded_down(read_number(fields, "aim_ms", timeout_ms))
     if timeout < 1 or latency_objective < 1:
-        raise SettingsError(name=f"class {name}", problem="leaves no time to answer in")
+        raise SettingsError(name=f"class {name}", problem="has a hard_limit_ms or aim_ms below 0.1")
     return RequestClass(
         name=name,
         weight=read_number(fields, "worth", 1.0),
         latency_objective=latency_objective,
         timeout=timeout,
-        # An unknown effect is taken for one that must not happen twice.
+        # A request with an unknown effect must not be executed twice.
         effect=_EFFECTS.get(str(fields.get("effect")), Effect.NON_IDEMPOTENT),
         objective_stretch=read_number(fields, "aim_stretch", 0.0),
         late_weight_share=read_number(fields, "late_worth", 0.0),
