--- a/lilacwalk/requests/in_flight.py
+++ b/lilacwalk/requests/in_flight.py
@@ -1,4 +1,4 @@
-"""The table of the requests in flight."""
+"""The table of requests in flight."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class InFlightTable:
-    """The requests in flight by id and by the controller's record.
+    """The requests in flight, by id and by the controller's record.
 
-    Also owns the `open_requests` of the clients' connections and the counts of the front ends.
+    Also maintains `open_requests` of client connections and `in_flight` of front ends.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         return len(self.by_id)
 
     def add(self, entry: InFlightRequest) -> None:
-        """Adds a request, also to its client's connection."""
+        """Adds a request to this table and to its client connection."""
         self.by_id[entry.id] = entry
         self.by_request[entry.request] = entry
         if entry.connection is not None:
@@ -30,10 +30,10 @@
             entry.connection.frontend.in_flight += 1
 
     def detach_client(self, entry: InFlightRequest) -> ClientConnection | None:
-        """Detaches the request from its client's connection; later results are discarded.
+        """Detaches the request from its client connection; later results are discarded.
 
         Returns:
-            The connection; None where the request was detached already.
+            The connection, or None if the request was already detached.
         """
         client, entry.connection = entry.connection, None
         if client is not None:
@@ -42,7 +42,7 @@
         return client
 
     def remove(self, entry: InFlightRequest) -> None:
-        """Removes the request, unless another one has taken its id meanwhile."""
+        """Removes the request unless its id now belongs to another one."""
         if self.by_id.get(entry.id) is entry:
             del self.by_id[entry.id]
             del self.by_request[entry.request]
--- a/lilacwalk/requests/records.py
+++ b/lilacwalk/requests/records.py
@@ -1,6 +1,6 @@
-"""Records of requests, shared by the front ends, the event loop and the protocols of the platform.
+"""Records of requests, shared by the front ends, the event loop and the protocol clients.
 
-Nothing here knows a protocol. Times and durations are in tenths of a millisecond.
+The records do not depend on any protocol. Times and durations are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request as its client states it.
+    """A request with the values that its client has sent.
 
     Attributes:
-        id: Chosen by the client, unique among the requests in flight.
-        class_name: Of the request class.
-        tenant_name: Empty: none was stated.
-        client: A number for whoever waits in the end; 0: none was stated.
-        arrived_at: When it reached this machine, by the Unix clock.
-        timeout: From then on; None: that of the request class.
-        work_hint: Execution time that the client expects; 0: none was stated.
-        memory_kb: Memory that its execution takes.
+        id: The id chosen by the client, unique among the requests in flight.
+        class_name: The name of the request class.
+        tenant_name: The name of the tenant; empty: not stated.
+        client: The number of the originating client; 0: not stated.
+        arrived_at: The Unix time at which it reached this machine.
+        timeout: The timeout from `arrived_at`; None: the timeout of the request class.
+        work_hint: The execution time that the client expects; 0: not stated.
+        memory_kb: The memory that its execution needs.
         is_retry: Whether the client has made an earlier attempt.
-        subject: What it reads, for requests that may share a result; empty: unknown.
-        idempotency_key: Empty: none.
-        body: A slice of what was read from the socket, or a copy.
+        subject: The object that it reads, for requests that may share a result; empty: unknown.
+        idempotency_key: The idempotency key; empty: none.
+        body: A slice of the socket's read buffer, or a copy.
     """
 
     id: str
@@ -46,7 +46,7 @@
 
 
 class CacheKeyKind(StrEnum):
-    """What duplicates of a request have in common; the values are stored."""
+    """The property by which duplicates of a request are identified; the values are persisted."""
 
     IDEMPOTENCY_KEY = "key"
     SUBJECT = "subject"
@@ -54,7 +54,7 @@
 
 
 class CacheKey(NamedTuple):
-    """Under which a request is found by its duplicates. Stored as an array, in this order."""
+    """The key under which a request is found by its duplicates; persisted as an array."""
 
     class_name: str
     tenant_name: str
@@ -63,11 +63,11 @@
 
 
 class FinalStatus(Enum):
-    """What became of a request."""
+    """The final status of a request."""
 
     COMPLETED = auto()
-    REJECTED = auto()  # this attempt was not executed
-    FAILED = auto()  # its outcome may be unknown
+    REJECTED = auto()  # the attempt was not executed
+    FAILED = auto()  # the outcome may be unknown
 
 
 @dataclass(slots=True)
@@ -76,31 +76,32 @@
 
     status: FinalStatus
     body: bytes | memoryview = b""
-    retry_after: int = 0  # 0: none is given
+    retry_after: int = 0  # 0: none
     do_not_retry_elsewhere: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class InFlightRequest:
-    """What this server keeps of a request until it is answered and its execution has ended.
+    """The state of a request until it is answered and its execution has ended.
 
     Attributes:
-        request: The request as the controller knows it.
-        id: As the client has chosen it; the executor and the dependency use it, too.
-        tag: By which the client's connection tells its requests apart.
-        connection: Whoever waits for the response; None: it was sent, or the client is gone.
-        class_name: The request class, as it is named on the wire.
-        body: Of the request.
-        cache_key: In the result cache; None: it has no entry.
+        request: The controller's record of the request.
+        id: The id chosen by the client, also used towards the executor and the dependency.
+        tag: The number that identifies the request on its client connection.
+        connection: The connection that awaits the response; None: the response was sent, or the
+            client has disconnected or withdrawn the request.
+        class_name: The name of the request class on the wire.
+        body: The body of the request.
+        cache_key: The key of its entry in the result cache; None: it has no entry.
         unacknowledged_commands: Commands that the executor may not have received.
         gauge_poll_at_last_command: The number of gauge polls when the last command was sent.
-        commands_resent: Whether commands were repeated after a lost link, so that the executor
-            may have received them twice.
-        call_body: Of the dependency call that the execution asked for last.
-        call_event_number: Of the executor event that asked for it.
+        commands_resent: Whether commands were sent again after the link was lost, so that the
+            executor may have received them twice.
+        call_body: The body of the dependency call that the execution requested last.
+        call_event_number: The number of the executor event that requested that call.
         call: The dependency call in progress.
-        call_started_at: When it started.
-        awaits_result_of: The request that this one is a duplicate of, whose result answers it.
+        call_started_at: The time at which the dependency call started.
+        awaits_result_of: The original request whose result answers this duplicate.
     """
 
     request: Request
@@ -121,12 +122,12 @@
 
 
 class ClientConnection(Protocol):
-    """Whoever waits for responses: a proxy's connection, a device's session.
+    """The destination of responses: the connection of a proxy or the session of a device.
 
     Attributes:
-        open_requests: The requests in flight by the client's own tag.
-        peer: For the log.
-        frontend: That the client is connected to.
+        open_requests: The requests in flight, by the client's tag.
+        peer: A description of the client for the log.
+        frontend: The front end to which the client is connected.
     """
 
     open_requests: dict[int, InFlightRequest]
@@ -135,16 +136,16 @@
 
 
 class Frontend(Protocol):
-    """One protocol by which requests are received, as the event loop knows it.
+    """The event loop's interface to one protocol by which requests are received.
 
     All methods are called in the event loop's thread.
 
     Attributes:
-        name: Of the protocol.
-        source_site: The site whose traffic comes in here; empty: local traffic.
-        max_in_flight: How many of its requests may be in flight, so that a flood at one front end
-            leaves room for the others.
-        in_flight: How many are.
+        name: The name of the protocol.
+        source_site: The site whose failover traffic is received here; empty: local traffic.
+        max_in_flight: The maximum number of its requests in flight, so that a flood at one front
+            end does not use the capacity of the others.
+        in_flight: The number of its requests in flight.
     """
 
     name: str
@@ -153,28 +154,28 @@
     in_flight: int
 
     def send_response(self, client: ClientConnection, tag: int, response: FinalResponse, /) -> None:
-        """Sends the response to a request, in the iteration that decided on it."""
+        """Sends the response to a request, in the event loop iteration that decided on it."""
 
     def reject_malformed(self, client: ClientConnection, tag: int, reason: str, /) -> None:
-        """Reports a message that cannot be processed, and answers it; tag 0: without an answer."""
+        """Logs a malformed message and answers it with an error unless `tag` is 0."""
 
     def tick(self, now: int, was_stalled: bool, /) -> None:
-        """Does periodic work; `was_stalled`: the event loop itself is late."""
+        """Does periodic work; `was_stalled` means that the event loop is late."""
 
     def start_draining(self, now: int, /) -> None:
-        """Handles the start of a drain; requests are still received."""
+        """Handles the start of a drain, in which requests are still received."""
 
     def stop_accepting(self) -> None:
         """Closes the listener and asks clients to disconnect."""
 
     def close_idle_connections(self, now: int, is_final: bool, /) -> None:
-        """Closes connections; called repeatedly after `stop_accepting`.
+        """Closes idle connections; called repeatedly after `stop_accepting`.
 
-        `is_final`: the process is about to end.
+        `is_final` means that the process is about to end.
         """
 
     def is_drained(self) -> bool:
-        """Whether no client is left."""
+        """Whether no client is connected any more."""
         ...
 
     def is_flushed(self) -> bool:
--- a/lilacwalk/requests/result_cache.py
+++ b/lilacwalk/requests/result_cache.py
@@ -1,6 +1,7 @@
-"""Keys and results of requests, by which duplicates are recognized and answered.
+"""A cache of request keys and results, used to detect and answer duplicates.
 
-Bounded by number, bytes and time. Times are in tenths of a millisecond.
+The number, total size and lifetime of its entries are limited. Times are in tenths of a
+millisecond.
 """
 
 from __future__ import annotations
@@ -10,19 +11,19 @@
 from lilacwalk.overload.model import Request
 from lilacwalk.requests.records import CacheKey
 
-MAX_READ_DELAY = 10_000  # a request that is read later than this after its arrival met a stall
+MAX_READ_DELAY = 10_000  # from arrival until read; longer delays occur only in a stall
 
 
 @dataclass(eq=False, slots=True)
 class CacheEntry:
-    """What is kept under a key.
+    """An entry of the cache.
 
     Attributes:
-        request: The request that the key belongs to.
-        expires_at: None: as long as the request is in flight.
-        result: None: there is none, or there was no room for it.
+        request: The request to which the key belongs.
+        expires_at: The time of expiry; None: not before the request is finished.
+        result: The result; None: there is none, or it did not fit into the cache.
         is_finished: Whether the execution has ended.
-        body_hash: Of the request's body; None: unknown.
+        body_hash: The hash of the request's body; None: unknown.
     """
 
     request: Request
@@ -33,30 +34,33 @@
 
 
 class ResultCache:
-    """Entries by key, in the order in which they were added."""
+    """Cache entries by key, in the order in which they were added."""
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
-        """Creates an empty cache; `max_bytes` bounds the results."""
+        """Creates an empty cache; `max_bytes` limits the total size of the results."""
         self.max_entries = max_entries
         self.max_bytes = max_bytes
         self.entries: dict[CacheKey, CacheEntry] = {}
         self.bytes = 0
-        self.evicted_until = 0  # a duplicate that arrived before this may not be recognized
+        self.evicted_until = 0  # duplicates that arrived before this time may go undetected
 
     @property
     def is_full(self) -> bool:
-        """Whether there is no room for another entry."""
+        """Whether the maximum number of entries is reached."""
         return len(self.entries) >= self.max_entries
 
     def find(self, key: CacheKey, arrived_at: int) -> CacheEntry | None:
-        """Returns the entry that was valid when a duplicate arrived, however late it is read."""
+        """Returns the entry unless it had expired at `arrived_at`, the arrival of a duplicate.
+
+        The time at which the duplicate is read does not matter.
+        """
         entry = self.entries.get(key)
         if entry is not None and entry.expires_at is not None and entry.expires_at <= arrived_at:
             return None
         return entry
 
     def has_different_body(self, key: CacheKey, arrived_at: int, body: bytes) -> bool:
-        """Whether the key belongs to a request that is known to have another body."""
+        """Whether the key belongs to a request whose body is known to be different."""
         entry = self.find(key, arrived_at)
         return entry is not None and entry.body_hash is not None and entry.body_hash != hash(body)
 
@@ -67,9 +71,9 @@
         expires_at: int | None,
         body: bytes | None = None,
     ) -> None:
-        """Adds an entry, or changes when the request's own entry expires.
+        """Adds an entry, or changes the expiry of the request's existing entry.
 
-        Replaces the entry of another request under the key.
+        An entry of another request under the same key is replaced.
         """
         old = self.entries.get(key)
         if old is not None and old.request is request:
@@ -83,10 +87,10 @@
     def restore(
         self, key: CacheKey, request: Request, expires_at: int, result: bytes | None
     ) -> bool:
-        """Adds an entry from before a restart, unless there is a newer one under the key.
+        """Adds an entry from before a restart unless the key already has a newer one.
 
         Returns:
-            False where there is no room.
+            False if the cache is full.
         """
         if key in self.entries:
             return True
@@ -99,7 +103,8 @@
     def record_result(self, key: CacheKey, request: Request, result: bytes | None) -> None:
         """Records the end of the request's execution.
 
-        A result without room is not kept. Its entry is, so that no duplicate is executed.
+        A result that does not fit is not stored. Its entry remains, so that no duplicate is
+        executed.
         """
         entry = self.entries.get(key)
         if entry is None or entry.request is not request:
@@ -110,14 +115,14 @@
             self.bytes += len(result)
 
     def remove(self, key: CacheKey, request: Request) -> None:
-        """Removes the entry, if it is the request's."""
+        """Removes the entry if it belongs to the request."""
         entry = self.entries.get(key)
         if entry is not None and entry.request is request:
             del self.entries[key]
             self.bytes -= len(entry.result or b"")
 
     def evict_expired(self, now: int) -> None:
-        """Removes the entries that no duplicate can need that is still to be read."""
+        """Removes entries that expired MAX_READ_DELAY ago; all their duplicates have been read."""
         for key, entry in list(self.entries.items()):
             if entry.expires_at is not None and entry.expires_at <= now - MAX_READ_DELAY:
                 self.evicted_until = max(self.evicted_until, entry.expires_at)
