--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Helpers for the app server: the other side of all that it speaks with, on loopback ports."""
+"""A harness for app server tests: the peers of an app server, on loopback ports."""
 
 import json
 import os
@@ -19,8 +19,8 @@
 from lilacwalk.server.startup import build
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 10.0  # seconds until a stand-in that receives nothing fails the test
-# Latency objectives and the silence of stalled work lie beyond PATIENCE, so that none ends a test.
+PATIENCE = 10.0  # seconds after which a peer that receives nothing fails the test
+# Latency objectives and stall detection take longer than PATIENCE, so that they affect no test.
 SETTINGS = {
     "classes": [
         {
@@ -75,7 +75,7 @@
 
 
 class MessagePeer:
-    """One end of a connection that reads whole messages, each within PATIENCE."""
+    """One end of a connection; reads complete messages, each within PATIENCE."""
 
     def __init__(self, sock, parser):
         self.sock, self.parser, self.read = sock, parser, []
@@ -95,7 +95,7 @@
 
 
 class ProxyClient(MessagePeer):
-    idents = count(1 << 32)  # beyond those that stories name themselves
+    idents = count(1 << 32)  # above the ids that tests choose themselves
 
     def __init__(self, address):
         super().__init__(socket.create_connection(address, PATIENCE), RespParser(8, 65536, 65536))
@@ -120,7 +120,7 @@
         self.sock.sendall(encode_array(*parts))
 
     def answer(self):
-        """Returns (tag, word, fields, body) of the next response; None at the connection's end."""
+        """Returns (tag, word, fields, body) of the next response; None if the connection ended."""
         parts = self.next()
         if parts is None:
             return None
@@ -130,7 +130,7 @@
 
 
 class LinePeer(MessagePeer):
-    """The executor's end of a link, or the dependency's end of a connection."""
+    """The executor's end of its link, or the dependency's end of a connection."""
 
     def __init__(self, listener, bodies):
         listener.settimeout(PATIENCE)
@@ -142,7 +142,7 @@
         self.sock.sendall(line.encode() + b"\r\n" + (body + b"\r\n" if body is not None else b""))
 
     def expect(self, verb):
-        """Returns the next message with this verb; answers gauge requests, ignores others."""
+        """Returns the next message with this verb; answers gauge requests and ignores the rest."""
         give_up = time.monotonic() + PATIENCE
         while (message := self.next()) is not None:
             words, body = message
@@ -159,7 +159,7 @@
 
 
 class ObservedEventQueue(EventQueue):
-    """Counts the items that were put, so that a test can wait for them."""
+    """Counts the items added to the queue, so that a test can wait for them."""
 
     def __init__(self):
         self.came = threading.Semaphore(0)
@@ -169,7 +169,7 @@
         self.came.release()
 
     def together(self, *acts):
-        """Has one iteration process what these functions put onto the queue, in this order."""
+        """Has one event loop iteration process the items that the functions add, in this order."""
         held, go_on = threading.Event(), threading.Event()
         self.post(lambda: (held.set(), go_on.wait(PATIENCE)))
         assert held.wait(PATIENCE)
@@ -214,7 +214,7 @@
         self.moved = [self.kernel_port, self.index_port]
 
     def start(self):
-        """Starts the server in this process, with the event loop in a thread of its own."""
+        """Starts the server in this process, with the event loop in its own thread."""
         self.event_loop, self.parts = build(self.handed, ObservedEventQueue(), **self.limits)
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
         for each in [self.thread, *self.parts]:
@@ -223,9 +223,9 @@
         return self
 
     def spawn(self, stderr=subprocess.PIPE):
-        """Starts the server in a process of its own, as the platform does."""
-        # A loopback address of this run's own: no other run, and no outgoing connection, can take
-        # the port between this look for a free one and the server's own bind.
+        """Starts the server in a separate process, with the run line of the deploy file."""
+        # The loopback address is unique to this process, so that no other test run and no outgoing
+        # connection can take the free port before the server binds it.
         with socket.create_server(
             (f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}", 0)
         ) as free:
@@ -242,7 +242,7 @@
         return self
 
     def move(self, *names):
-        """Gives these parties new addresses, in the configuration file, too."""
+        """Opens new listeners for these peers and updates the configuration and its file."""
         for name in names:
             port = socket.create_server(("127.0.0.1", 0))
             self.moved.append(port)
@@ -251,7 +251,7 @@
         self.path.write_text(json.dumps(self.handed | {"listen": plain(self.address)}))
 
     def link(self, state="steady", ready=True):
-        """Accepts a link as the executor, past the replay fence."""
+        """Accepts a link as the executor and, if `ready`, completes the replay fence."""
         kernel = LinePeer(self.kernel_port, ("SCHED", "IODONE"))
         kernel.opened = kernel.expect("OPEN")[0]
         if ready:
@@ -272,7 +272,7 @@
         if self.thread is not None and self.thread.is_alive():
             self.event_loop.event_queue.post(setattr, self.event_loop, "has_ended", True)
             self.thread.join(PATIENCE)
-            for part in self.parts:  # or one of them might reach the ports of another test
+            for part in self.parts:  # otherwise one could connect to the ports of another test
                 part.close()
         for sock in (*self.moved, self.catalog):
             sock.close()
@@ -293,14 +293,14 @@
 
 @pytest.fixture
 def site(make_site):
-    """A running server and the executor's end of its link."""
+    """A running server with a connected executor."""
     running = make_site().start()
     running.kernel = running.link()
     return running
 
 
 def execute_request(site, proxy, tag, event_number, result=b"result", **more):
-    """Has a request executed; returns the words and body of its dispatch, and its response."""
+    """Executes a request; returns the words and body of its dispatch, and its response."""
     proxy.submit(tag, **more)
     words, body = site.kernel.expect("SCHED")
     site.kernel.tell(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
@@ -311,7 +311,7 @@
 
 
 def submit_until_call(site, proxy, tag, event_number):
-    """Submits a request whose execution asks for a dependency call; returns the request's id."""
+    """Submits a request whose execution requests a dependency call; returns the request's id."""
     proxy.submit(tag, "look")
     request_id = site.kernel.expect("SCHED")[0][1]
     site.kernel.tell(f"IOREQ {event_number} {request_id} 1", b"?")
@@ -319,23 +319,23 @@
 
 
 def next_dispatched(site):
-    """Returns the id of the request that is dispatched next."""
+    """Returns the id of the next dispatched request."""
     return site.kernel.expect("SCHED")[0][1]
 
 
 def wait_until_processed(proxy):
-    """Waits until all that was sent before is processed, and what was due by then is done."""
+    """Waits until everything sent earlier is processed and all timers due by then have run."""
     proxy.say(b"PROBE", b"99")
     assert proxy.answer()[0] == 99
 
 
 def finish_execution(site, event_number, request_id, result=b"result"):
-    """Has the executor report a successful execution."""
+    """Reports a successful execution from the executor."""
     site.kernel.tell(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
 
 
 def request_call(site, event_number, request_id, body=b"?"):
-    """Has an execution ask for a dependency call; returns the connection that it comes on."""
+    """Requests a dependency call from an execution; returns the connection that carries it."""
     site.kernel.tell(f"IOREQ {event_number} {request_id} {len(body)}", body)
     dependency = site.calls()
     assert dependency.expect("GET")[1] == body
@@ -343,7 +343,7 @@
 
 
 def control_clock(site):
-    """Returns a function that advances the server's clock, as a stall of the process would."""
+    """Returns a function that advances the server's clock, which simulates a process stall."""
     ahead = [0]
     site.event_loop.clock = Clock(
         lambda: time.time_ns() + ahead[0], lambda: time.monotonic_ns() + ahead[0]
@@ -357,7 +357,7 @@
 
 @pytest.fixture
 def advance_clock(site):
-    """Advances the server's clock, and waits until the event loop has seen it."""
+    """Advances the server's clock and waits until the event loop has processed the change."""
     move = control_clock(site)
 
     def advance_clock(seconds):
--- a/tests/overload/conftest.py
+++ b/tests/overload/conftest.py
@@ -1,4 +1,4 @@
-"""A fake host of the controller: a clock that tests move, and a sink that records decisions."""
+"""A fake host of the controller with a manual clock and a sink that records decisions."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 class FakeHost:
-    """Runs a controller; nothing happens by itself. Each decision is recorded."""
+    """Runs a controller, records its decisions and processes only the events that a test passes."""
 
     def __init__(self, **server):
         self.server = ServerSettings(**(SERVER | server))
@@ -55,11 +55,11 @@
         return record
 
     def process(self, *events):
-        """Has the controller handle the events in one batch."""
+        """Passes the events to the controller in one batch."""
         self.controller.process_batch(self.now, list(events), self)
 
     def receive(self, request_class=None, ttl=30_000, **fields):
-        """Has the controller receive a new request, which is returned."""
+        """Passes a new request to the controller and returns it."""
         request = Request(
             request_class or self.server.request_classes[0],
             fields.pop("arrived_at", self.now),
@@ -72,7 +72,7 @@
         return request
 
     def wait(self, duration, core_use=1.0, run_queue=99.0):
-        """Lets time pass, with timer events that tell these gauges."""
+        """Advances the clock, with timer events that carry these gauges."""
         end = self.now + duration
         while self.now + MAXIMUM_TIMER_PERIOD <= end:
             self.now += MAXIMUM_TIMER_PERIOD
@@ -80,11 +80,11 @@
         self.now = end
 
     def finish(self, request, outcome=Outcome.OK):
-        """Ends the execution of a request."""
+        """Reports the end of a request's execution."""
         self.process(ExecutionFinished(request, outcome))
 
     def decisions(self, name):
-        """The first argument of each decision of this name: mostly a request."""
+        """The first argument, in most cases a request, of each decision with this name."""
         return [
             decision[1] if len(decision) > 1 else None
             for decision in self.recorded
@@ -92,7 +92,7 @@
         ]
 
     def responses(self, request):
-        """The names of the decisions by which the request was answered."""
+        """The names of the decisions that answered the request."""
         return [
             decision[0]
             for decision in self.recorded
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -1,11 +1,11 @@
-"""The admission probability and its random draw."""
+"""The admission probability and the random admission of requests."""
 
 from lilacwalk.overload.admission import CONTROL_PERIOD, MINIMUM_ADMISSION_PROBABILITY
 from lilacwalk.overload.events import ClientGone
 
 
 def serve_slowly(host, periods, execution_time):
-    """Requests arrive at a steady rate and finish `execution_time` later, with the cores full."""
+    """Receives requests at a constant rate on full cores; each finishes `execution_time` later."""
     running = []
     for _ in range(periods * CONTROL_PERIOD // 1000):
         running.append((host.now, host.receive()))
@@ -25,7 +25,7 @@
 
 
 def test_a_queue_that_has_drained_does_not_lower_the_admission_probability(host):
-    """Requests that waited in it finish late, but none is queued any more."""
+    """Requests that waited in the queue finish late, although no request is queued any more."""
     host.controller.parts.latency.mean_execution_time = 2_000
     requests = [host.receive() for _ in range(10)]
     assert len(host.controller.queue) == 8
--- a/tests/overload/test_admission_gate.py
+++ b/tests/overload/test_admission_gate.py
@@ -1,4 +1,4 @@
-"""Which requests are rejected on arrival."""
+"""Rejection of requests on arrival."""
 
 from lilacwalk.overload.events import DrainStarted
 
@@ -16,7 +16,7 @@
     admission = host.controller.parts.admission
     admission.admission_probability = 0.0
     assert host.do_not_retry_elsewhere[host.receive()] is True
-    admission.admission_probability = 0.95  # hardly short: a rejection by chance
+    admission.admission_probability = 0.95  # no shortage: rejected at random only
     admission.random_source.random = lambda: 0.99
     assert host.do_not_retry_elsewhere[host.receive()] is False
     assert host.do_not_retry_elsewhere[host.receive(is_retry=True)] is True
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -1,13 +1,13 @@
 """The limit on concurrent executions."""
 
 
-def test_executions_stop_at_the_limit_which_grows_only_with_free_cores(host):
+def test_executions_are_limited_and_the_limit_grows_only_while_cores_are_free(host):
     requests = [host.receive() for _ in range(5)]
     assert len(host.decisions("dispatch")) == 2
     host.wait(1_000)
     assert len(host.decisions("dispatch")) == 2
     host.wait(500, core_use=0.2, run_queue=0.0)
-    assert len(host.decisions("dispatch")) == 4  # half of the collapse point, two a core
+    assert len(host.decisions("dispatch")) == 4  # half of the collapse point, two per core
     assert len([request for request in requests if request.answered]) == 0
 
 
--- a/tests/overload/test_connection_policy.py
+++ b/tests/overload/test_connection_policy.py
@@ -1,11 +1,11 @@
-"""Idle client connections."""
+"""Closing of idle client connections."""
 
 
-def test_idle_connections_are_kept_for_seconds_where_overhead_outweighs_executions(
+def test_idle_connections_stay_open_for_seconds_when_overhead_exceeds_executions(
     make_host,
 ):
     host = make_host()
-    host.controller.parts.clients.returning_share = 0.0  # hardly any client returns
+    host.controller.parts.clients.returning_share = 0.0  # no client returns
     host.wait(5_000, run_queue=1.0)
     assert host.decisions("close_idle_connections") == [2_500]
     host.wait(50_000, run_queue=1.0)  # nothing is executed: the run queue is overhead
@@ -24,12 +24,12 @@
     assert host.decisions("close_idle_connections")[-1] == 0
 
 
-def test_idle_connections_are_closed_where_clients_seldom_return(host):
-    for client in range(100):  # each of many clients once
+def test_idle_connections_are_closed_when_few_clients_return(host):
+    for client in range(100):  # many clients with one request each
         host.receive(client=client)
         host.wait(1000, run_queue=2.0)
     assert 0 < host.decisions("close_idle_connections")[-1] < 10_000
     for _ in range(100):
         host.receive(client=1)
         host.wait(1000, run_queue=2.0)
-    assert host.decisions("close_idle_connections")[-1] == 0  # no limit
+    assert host.decisions("close_idle_connections")[-1] == 0  # never closed
--- a/tests/overload/test_deduplication.py
+++ b/tests/overload/test_deduplication.py
@@ -1,4 +1,4 @@
-"""Duplicates and idempotency keys."""
+"""Coalescing of duplicates, and idempotency keys."""
 
 from lilacwalk.overload.events import ClientGone
 
@@ -26,7 +26,7 @@
     assert host.decisions("coalesce") == [duplicate]
 
 
-def test_a_duplicate_is_executed_when_the_original_ended_unexecuted(make_host, deduplicated_class):
+def test_a_duplicate_is_executed_if_the_original_was_not(make_host, deduplicated_class):
     host = make_host(request_classes=[deduplicated_class], cores=1)
     blocker, first = host.receive(), host.receive()
     duplicate = host.receive(duplicate_of=first)
--- a/tests/overload/test_dependency_limiter.py
+++ b/tests/overload/test_dependency_limiter.py
@@ -4,7 +4,7 @@
 from lilacwalk.overload.model import Outcome
 
 
-def test_calls_in_progress_stay_under_the_share_with_lingering_ones_counted(make_host, make_class):
+def test_abandoned_calls_count_against_the_share_while_they_linger(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=1.5,
@@ -19,7 +19,7 @@
     assert len(host.decisions("call_dependency")) == 2
 
 
-def test_a_share_under_one_call_is_kept_on_average(make_host, make_class):
+def test_a_share_below_one_call_is_respected_on_average(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=0.5,
@@ -34,7 +34,7 @@
     assert host.decisions("call_dependency") == [first, second]
 
 
-def test_the_limit_falls_below_one_call_while_calls_are_crowded(make_host, make_class):
+def test_congestion_lowers_a_limit_that_is_below_one_call(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=0.5,
@@ -46,7 +46,7 @@
         host.controller.parts.dependency.record_call_time(elapsed)
     host.process(CallFinished(first, Outcome.OK, 1_000))
     host.wait(5_000)
-    # At the whole share the second call would be made by now.
+    # With the full share the second call would have been made by now.
     assert host.decisions("call_dependency") == [first]
     host.wait(5_000)
     assert host.decisions("call_dependency") == [first, second]
@@ -61,18 +61,18 @@
         host.controller.parts.dependency.record_call_time(elapsed)
     for elapsed in [5_000] * 30:
         host.controller.parts.dependency.record_call_time(elapsed)
-    assert 1 < host.controller.parts.dependency.limit < 2  # some are left to probe
+    assert 1 < host.controller.parts.dependency.limit < 2  # calls are still made
     request = host.receive()
     host.wait(6_000)
     host.process(CallRequested(request))
-    # It is too late for a call, yet in time without one.
+    # Too late with a dependency call, but in time without one.
     assert host.decisions("skip_dependency_call") == [request]
     for elapsed in [500] * 80:
         host.controller.parts.dependency.record_call_time(elapsed)
     assert host.controller.parts.dependency.limit == 6
 
 
-def test_a_dependency_that_was_slow_beyond_all_objectives_is_probed_again(make_host, make_class):
+def test_a_dependency_slower_than_all_objectives_is_probed_until_it_recovers(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)], dependency_call_share=0.33
     )
@@ -83,7 +83,7 @@
         > host.server.request_classes[0].latency_objective
     )
     rejected = host.receive()
-    assert host.responses(rejected) == ["reject"]  # with such calls it is too late
+    assert host.responses(rejected) == ["reject"]  # too late with the measured call time
     host.wait(11_000)
     probe = host.receive()
     assert not host.responses(probe)
@@ -92,7 +92,7 @@
     host.now += 300
     host.process(CallFinished(probe, Outcome.OK, 300))
     rejected = host.receive()
-    assert host.responses(rejected) == ["reject"]  # one a second, until the mean has followed
+    assert host.responses(rejected) == ["reject"]  # one probe per second until the mean falls
     for _ in range(40):
         host.wait(11_000)
         probe = host.receive()
--- a/tests/overload/test_dependency_scheduler.py
+++ b/tests/overload/test_dependency_scheduler.py
@@ -1,10 +1,10 @@
-"""Which dependency calls are made, skipped or repeated."""
+"""Dependency calls that are made, skipped or retried."""
 
 from lilacwalk.overload.events import CallFinished, CallRequested
 from lilacwalk.overload.model import Effect, Outcome
 
 
-def test_a_call_that_may_have_executed_is_not_repeated_for_non_idempotent_requests(
+def test_a_call_that_may_have_executed_is_not_retried_for_non_idempotent_requests(
     make_host, make_class
 ):
     host = make_host(
@@ -20,7 +20,7 @@
     assert host.responses(request) == ["fail"]
 
 
-def test_while_calls_are_crowded_requests_that_lose_less_skip_theirs(make_host, make_class):
+def test_during_congestion_requests_that_lose_less_weight_skip_their_calls(make_host, make_class):
     needs = make_class(name="needs", calls_dependency=True, weight=3.0)
     can_skip = make_class(name="can skip", calls_dependency=True, skipped_call_weight_share=0.6)
     host = make_host(request_classes=[needs, can_skip], cores=4, dependency_call_share=3.0)
@@ -33,7 +33,7 @@
     assert host.decisions("skip_dependency_call") == [second]
 
 
-def test_a_lost_reply_is_no_crowd_and_its_call_is_retried_in_time(make_host, make_class):
+def test_a_lost_reply_is_not_taken_for_congestion_and_its_call_is_retried(make_host, make_class):
     host = make_host(request_classes=[make_class(calls_dependency=True)], dependency_call_share=3.0)
     for _ in range(30):
         host.controller.parts.dependency.record_call_time(500)
--- a/tests/overload/test_feasibility.py
+++ b/tests/overload/test_feasibility.py
@@ -1,4 +1,4 @@
-"""Which requests can still be answered in time."""
+"""Feasibility of answering requests in time."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from lilacwalk.overload.model import Effect, Outcome, Request
 
 
-def test_late_requests_of_little_weight_are_started_only_on_free_cores(make_host, make_class):
+def test_late_requests_of_little_weight_are_dispatched_only_on_free_cores(make_host, make_class):
     host = make_host(request_classes=[make_class(late_weight_share=0.2)])
     host.wait(1_000, core_use=1.0)
     busy = host.receive(arrived_at=host.now - 9_500)
@@ -20,12 +20,12 @@
 @pytest.mark.parametrize(
     ("calls", "slow_calls", "slow_executions"),
     [(1, 1, 0), (1, 30, 0), (1, 0, 60), (0, 0, 60)],
-    ids=["its first call", "its first calls", "executions with calls", "executions"],
+    ids=["first call", "first 30 calls", "executions with calls", "executions"],
 )
-def test_slow_calls_and_executions_at_the_start_do_not_cause_rejections_for_good(
+def test_slow_calls_and_executions_at_the_start_do_not_cause_permanent_rejections(
     make_host, make_class, effect, calls, slow_calls, slow_executions
 ):
-    """All calls or executions took the whole objective at first, then none does."""
+    """The first calls or executions last as long as the objective or longer, the others do not."""
     host = make_host(
         request_classes=[make_class(calls_dependency=bool(calls), effect=effect)],
         dependency_call_share=4.0,
@@ -38,7 +38,7 @@
     for _ in range(slow_executions):
         controller.parts.latency.record_execution(earlier, 20_000)
     served = []
-    for _ in range(200):  # one after the other, well apart
+    for _ in range(200):  # one after the other, with pauses
         request = host.receive()
         if not host.responses(request):
             host.wait(300, run_queue=1.0)
--- a/tests/overload/test_latency_estimator.py
+++ b/tests/overload/test_latency_estimator.py
@@ -1,14 +1,14 @@
-"""Execution times and the latency ratio."""
+"""Estimates of execution times and the latency ratio."""
 
 
-def test_time_before_reading_counts_in_the_latency_ratio(host):
+def test_the_latency_ratio_includes_the_time_before_reading(host):
     request = host.receive(arrived_at=host.now - 5_000)
     host.finish(request)
     assert host.controller.parts.latency.ratio_sum >= 0.5
 
 
 def test_execution_times_learned_in_a_stall_are_corrected_and_requests_are_served_again(host):
-    """The process paused for a minute: two executions look longer than any objective."""
+    """A pause of the process for a minute makes two executions seem longer than any objective."""
     requests = [host.receive(), host.receive()]
     host.now += 600_000
     for request in requests:
--- a/tests/overload/test_load_reporter.py
+++ b/tests/overload/test_load_reporter.py
@@ -1,4 +1,4 @@
-"""Load reports to clients."""
+"""Load and health reports."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     assert host.decisions("report_load")[-1] < before
 
 
-def test_the_minimum_rank_rises_with_the_wait_and_tokens_end_in_a_drain(make_host):
+def test_the_minimum_rank_rises_with_the_unread_delay_and_a_drain_reports_no_tokens(make_host):
     host = make_host(load_report_kind=LoadReportKind.MIN_RANK)
     for _ in range(20):
         host.receive(arrived_at=host.now - 9_000)
@@ -28,7 +28,7 @@
     assert tokens.decisions("report_health")[-1] is False
 
 
-def test_tokens_grow_while_cores_are_free_and_shrink_when_they_fill(make_host):
+def test_tokens_grow_while_cores_are_free_and_shrink_when_they_are_busy(make_host):
     host = make_host(load_report_kind=LoadReportKind.TOKENS, started_cold=True, warm_up_time=1_000)
     host.wait(20_000, core_use=0.3, run_queue=0.0)
     grown = host.decisions("report_load")[-1]
@@ -51,7 +51,7 @@
     host = make_host(load_report_kind=LoadReportKind.TOKENS, client_count=clients, **cold)
     safe_concurrency = 2 * (1 + 8 * 0.25)
     tokens = []
-    for turn in range(60):  # the first client is a heavy one
+    for turn in range(60):  # client 0 sends most requests
         host.receive(client=0)
         host.receive(client=turn % active_clients)
         for request in host.decisions("dispatch"):
@@ -61,4 +61,4 @@
     assert tokens
     assert all(0 < value * clients <= safe_concurrency for value in tokens)
     host.wait(100_000, core_use=0.1, run_queue=0.0)
-    assert host.decisions("report_load")[-1] * clients > safe_concurrency  # it is warm
+    assert host.decisions("report_load")[-1] * clients > safe_concurrency  # the warm-up has ended
--- a/tests/overload/test_stall_detector.py
+++ b/tests/overload/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""Stalls of the executor."""
+"""Detection of stalled executions."""
 
 from lilacwalk.overload.events import ExecutorLinkChanged, TimerExpired
 from lilacwalk.overload.model import Outcome, RequestState
@@ -18,7 +18,7 @@
     assert not host.responses(host.receive())
 
 
-def test_silence_of_a_lost_executor_link_is_no_stall(host):
+def test_a_lost_executor_link_is_not_detected_as_a_stall(host):
     host.receive(), host.receive()
     host.process(ExecutorLinkChanged(False))
     host.wait(18_000)
@@ -28,7 +28,7 @@
     assert host.controller.stalled
 
 
-def test_a_pause_of_the_whole_process_is_no_stall(host):
+def test_a_pause_of_the_whole_process_is_not_detected_as_a_stall(host):
     running = host.receive()
     host.wait(500)
     host.now += 8_000
--- a/tests/overload/test_tenant_quota.py
+++ b/tests/overload/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Shares of tenants."""
+"""Division of capacity among tenants by quota."""
 
 import pytest
 
@@ -7,53 +7,53 @@
 
 
 @pytest.fixture
-def sharing(make_host):
-    """A host, and two tenants of which each has a quota of ten requests a second."""
-    calm, loud = Tenant("calm", 10.0), Tenant("loud", 10.0)
-    return make_host(tenants=[calm, loud], over_quota_weight_share=0.1), calm, loud
+def host_with_tenants(make_host):
+    """A host and two tenants, each with a quota of ten requests per second."""
+    quiet, noisy = Tenant("quiet", 10.0), Tenant("noisy", 10.0)
+    return make_host(tenants=[quiet, noisy], over_quota_weight_share=0.1), quiet, noisy
 
 
-def test_a_tenant_over_its_quota_is_rejected_first_under_shortage(sharing):
-    host, calm, loud = sharing
+def test_a_tenant_over_its_quota_is_rejected_first_under_shortage(host_with_tenants):
+    host, quiet, noisy = host_with_tenants
     for _ in range(6):  # without a shortage no request is rejected for its quota
-        request = host.receive(tenant=loud)
+        request = host.receive(tenant=noisy)
         assert not host.responses(request)
         host.finish(request)
     host.controller.parts.admission.admission_probability = 0.97
-    rejected = [host.receive(tenant=loud) for _ in range(10)]
+    rejected = [host.receive(tenant=noisy) for _ in range(10)]
     assert [host.responses(request) for request in rejected].count(["reject"]) >= 9
     assert all(
         host.do_not_retry_elsewhere[request] for request in rejected if host.responses(request)
-    )  # it is over its quota there, too
-    assert not host.responses(host.receive(tenant=calm))
+    )  # the tenant is over its quota on other servers as well
+    assert not host.responses(host.receive(tenant=quiet))
 
 
-def test_rejected_requests_do_not_count_against_a_quota(sharing):
-    host, calm, _ = sharing
+def test_rejected_requests_do_not_count_against_a_quota(host_with_tenants):
+    host, quiet, _ = host_with_tenants
     host.controller.parts.admission.admission_probability = 0.0
     for _ in range(100):
-        assert host.responses(host.receive(tenant=calm)) == ["reject"]
+        assert host.responses(host.receive(tenant=quiet)) == ["reject"]
         host.now += 100
     host.controller.parts.admission.admission_probability = 0.97
-    assert [host.responses(host.receive(tenant=calm)) for _ in range(3)].count([]) >= 2
+    assert [host.responses(host.receive(tenant=quiet)) for _ in range(3)].count([]) >= 2
 
 
-def test_the_credit_of_a_request_that_was_never_executed_is_refunded(sharing):
-    host, calm, _ = sharing
-    before = host.controller.parts.quota.credit[calm]
-    queued = [host.receive(tenant=calm) for _ in range(4)][-1]
+def test_the_credit_of_a_request_that_was_never_executed_is_refunded(host_with_tenants):
+    host, quiet, _ = host_with_tenants
+    before = host.controller.parts.quota.credit[quiet]
+    queued = [host.receive(tenant=quiet) for _ in range(4)][-1]
     assert (
-        host.controller.parts.quota.credit[calm] == before - 3
-    )  # the fourth is over it, which counts under shortage
+        host.controller.parts.quota.credit[quiet] == before - 3
+    )  # the fourth is over the quota, which has an effect under shortage only
     host.process(*[ClientGone(request) for request in list(host.controller.queue)])
     assert queued.state is RequestState.FINISHED
-    assert host.controller.parts.quota.credit[calm] == before - 2
+    assert host.controller.parts.quota.credit[quiet] == before - 2
 
 
-def test_requests_over_a_quota_are_executed_after_those_within(sharing):
-    host, calm, loud = sharing
-    running = [host.receive(tenant=loud) for _ in range(3)][:2]
-    over, within = host.receive(tenant=loud), host.receive(tenant=calm)
+def test_requests_over_a_quota_are_dispatched_after_those_within_it(host_with_tenants):
+    host, quiet, noisy = host_with_tenants
+    running = [host.receive(tenant=noisy) for _ in range(3)][:2]
+    over, within = host.receive(tenant=noisy), host.receive(tenant=quiet)
     for request in running:
         host.finish(request)
     assert within in host.decisions("dispatch")
@@ -63,7 +63,7 @@
 def test_a_share_grows_with_the_dispatch_rate_of_this_server(make_host):
     one, other = Tenant("one", 30.0), Tenant("other", 10.0)
     host = make_host(tenants=[one, other], over_quota_weight_share=0.1, fleet_size=100)
-    for _ in range(40):  # ten requests a second: twenty times its part of the quotas
+    for _ in range(40):  # ten requests per second: twenty times this server's part of the quotas
         for _ in range(5):
             host.finish(host.receive())
         host.wait(5_000)
@@ -71,9 +71,9 @@
     assert host.controller.parts.quota.credit[other] > 4
 
 
-def test_a_tenant_without_a_quota_is_never_over_it(make_host):
-    free = Tenant("free", 0.0)
-    host = make_host(tenants=[free], over_quota_weight_share=0.1)
+def test_a_tenant_without_a_quota_never_exceeds_it(make_host):
+    unlimited = Tenant("unlimited", 0.0)
+    host = make_host(tenants=[unlimited], over_quota_weight_share=0.1)
     host.controller.parts.admission.admission_probability = 0.97
-    host.controller.parts.quota.credit[free] = 0.0
-    assert [host.responses(host.receive(tenant=free)) for _ in range(2)].count([]) >= 1
+    host.controller.parts.quota.credit[unlimited] = 0.0
+    assert [host.responses(host.receive(tenant=unlimited)) for _ in range(2)].count([]) >= 1
--- a/tests/overload/test_termination.py
+++ b/tests/overload/test_termination.py
@@ -1,4 +1,4 @@
-"""Deadlines, rejections and cancellation."""
+"""Termination of requests: deadlines, rejections and cancellation."""
 
 import pytest
 
@@ -35,7 +35,7 @@
     assert host.responses(host.receive(ttl=1)) == ["reject"]
 
 
-def test_no_response_is_sent_once_the_client_is_gone(make_host):
+def test_no_response_is_sent_after_the_client_has_disconnected(make_host):
     host = make_host(stop_mode=StopMode.DROP)
     running, _, queued = host.receive(), host.receive(), host.receive()
     host.process(ClientGone(running), ClientGone(queued))
@@ -57,7 +57,7 @@
         {"stop_mode": StopMode.PAUSE},
     ],
 )
-def test_unusual_servers_answer_each_request_once_through_a_jump_of_the_clock(
+def test_each_request_is_answered_once_with_unusual_settings_and_a_clock_jump(
     make_host, make_class, server
 ):
     host = make_host(
--- a/tests/requests/test_result_cache.py
+++ b/tests/requests/test_result_cache.py
@@ -1,4 +1,4 @@
-"""The result cache."""
+"""The cache of request keys and results."""
 
 from lilacwalk.overload.model import Request, RequestClass
 from lilacwalk.requests.result_cache import MAX_READ_DELAY, ResultCache
@@ -8,20 +8,20 @@
     return Request(RequestClass("once", 1.0, 1, 1), 0, 0, 0, 1.0)
 
 
-def test_results_are_bounded_by_count_bytes_and_time_and_a_key_outlives_its_result():
-    kept, exes = ResultCache(2, 10), [make_request(), make_request()]
-    for name, ex in zip("ab", exes, strict=True):
-        kept.put((name,), ex, 100)
-        kept.record_result((name,), ex, b"7 bytes")
-    assert kept.is_full
-    assert kept.bytes == 7
-    assert kept.find(("a",), 50).result == b"7 bytes"
-    assert kept.find(("b",), 50).result is None
-    assert kept.find(("a",), 100) is None
-    kept.evict_expired(100)  # who came at 99 may be read now
-    assert kept.find(("a",), 99).result == b"7 bytes"
-    assert not kept.evicted_until
-    kept.evict_expired(100 + MAX_READ_DELAY)
-    assert not kept.entries
-    assert kept.bytes == 0
-    assert kept.evicted_until == 100
+def test_entries_bytes_and_lifetime_are_limited_and_an_entry_may_lack_its_result():
+    cache, requests = ResultCache(2, 10), [make_request(), make_request()]
+    for name, request in zip("ab", requests, strict=True):
+        cache.put((name,), request, 100)
+        cache.record_result((name,), request, b"7 bytes")
+    assert cache.is_full
+    assert cache.bytes == 7
+    assert cache.find(("a",), 50).result == b"7 bytes"
+    assert cache.find(("b",), 50).result is None
+    assert cache.find(("a",), 100) is None
+    cache.evict_expired(100)  # a duplicate that arrived at 99 may still be unread
+    assert cache.find(("a",), 99).result == b"7 bytes"
+    assert not cache.evicted_until
+    cache.evict_expired(100 + MAX_READ_DELAY)
+    assert not cache.entries
+    assert cache.bytes == 0
+    assert cache.evicted_until == 100
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that are derived from the configuration."""
+"""Limits computed from the configuration."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize(
     ("memory_mb", "sockets"), [(32, 384), (64, 384), (80, 512), (192, 1024), (192, 4096)]
 )
-def test_all_tables_and_buffers_filled_stay_within_the_configured_memory(memory_mb, sockets):
+def test_full_tables_and_buffers_stay_within_the_configured_memory(memory_mb, sockets):
     limits = Limits.from_configuration(
         {"settings": SETTINGS, "limits": {"memory_mb": memory_mb, "sockets": sockets}}
     )
@@ -23,4 +23,4 @@
     assert filled + 16_000_000 <= memory_mb * 1_000_000
     assert (
         limits.connection_high_water >= sockets // 2 or memory_mb / sockets < 0.1
-    )  # proxies open half
+    )  # proxies may use half of the sockets
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, decoded from nested data and from the simulator's fields."""
+"""Decoding of settings from nested data and from the simulator's fields."""
 
 import pytest
 
