--- a/lilacwalk/overload/admission.py
+++ b/lilacwalk/overload/admission.py
@@ -18,7 +18,8 @@
     / (TARGET_LATENCY_RATIO / 2)
     / (CONTROL_PERIOD / SECOND)
 )
-PROPORTIONAL_GAIN = INTEGRAL_GAIN * CONTROL_PERIOD / SECOND  # Kp; a change of T counts as much as T
+# Kp gives a change of T the same weight as T itself has over one control period.
+PROPORTIONAL_GAIN = INTEGRAL_GAIN * CONTROL_PERIOD / SECOND
 
 
 class AdmissionControl:
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -50,19 +50,19 @@
         request, which its arrival time does not show. The estimate is wrong for clients whose
         timeouts have no usual values.
         """
-        stated = request.deadline - request.arrived_at
+        stated_timeout = request.deadline - request.arrived_at
         class_timeout = request.request_class.timeout
         client = (
             request.client if self.activity[request.client] >= MINIMUM_TRACKED_ACTIVITY else None
         )
         key = (client, request.request_class)
         counts = self.timeout_counts.setdefault(key, {})
-        bucket = TIMEOUT_BUCKETS * stated // class_timeout
+        bucket = TIMEOUT_BUCKETS * stated_timeout // class_timeout
         counts[bucket] = counts.get(bucket, 0) + 1
         total = sum(counts.values())
         if total > MAXIMUM_TIMEOUT_COUNT:
             self.timeout_counts[key] = {each: n / 2 for each, n in counts.items() if n > 1}
-        similar = sum(counts.get(each, 0) for each in (bucket - 1, bucket, bucket + 1))
-        if similar >= USUAL_TIMEOUT_SHARE * total:
+        similar_count = sum(counts.get(each, 0) for each in (bucket - 1, bucket, bucket + 1))
+        if similar_count >= USUAL_TIMEOUT_SHARE * total:
             return 0
-        return max(0, class_timeout - stated)
+        return max(0, class_timeout - stated_timeout)
--- a/lilacwalk/overload/concurrency_limit.py
+++ b/lilacwalk/overload/concurrency_limit.py
@@ -18,7 +18,7 @@
         self.limit = float(server.cores)
 
     def adapt(self) -> None:
-        """Adapts the limit by 1 to the latest gauges.
+        """Raises or lowers the limit by 1 according to the executor's latest gauges.
 
         The limit grows while cores are free and requests are queued, up to half of the collapse
         point and not during slow start. It shrinks while the run queue is longer than the limit.
--- a/lilacwalk/overload/termination.py
+++ b/lilacwalk/overload/termination.py
@@ -18,7 +18,7 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Termination:
-    """Answers requests that are not completed and frees their resources. Has no own state."""
+    """Answers uncompleted requests and frees their resources. Has no state of its own."""
 
     context: BatchContext
     server: ServerSettings
