--- a/lilacwalk/__main__.py
+++ b/lilacwalk/__main__.py
@@ -26,6 +26,6 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["serve"]:
-        # No connection is accepted before the server installs its own handler, so it may just exit.
+        # The server accepts no connection before it installs its own handler, so exiting is safe.
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     sys.exit(main())
--- a/lilacwalk/event_queue.py
+++ b/lilacwalk/event_queue.py
@@ -33,9 +33,9 @@
     """
 
     def post(self, handler: Callable[..., object], *arguments: object) -> None:
-        """Schedules a call of `handler` with these arguments in the event loop."""
+        """Queues a call of `handler` with these arguments for the event loop."""
         self.put(Callback(handler, arguments))
 
     def fail(self, reason: str) -> None:
-        """Ends the process through the event loop because an essential component has failed."""
+        """Reports the failure of an essential component; the event loop then ends the process."""
         self.put(ComponentFailure(reason))
--- a/lilacwalk/limits.py
+++ b/lilacwalk/limits.py
@@ -15,26 +15,27 @@
 )
 
 MEGABYTE = 1_000_000
-RESERVED_SOCKETS = 64  # descriptors for links, the listener, logs and the interpreter
+RESERVED_SOCKETS = 64  # file descriptors for links, the listener, logs and the interpreter
 DEFAULT_SOCKETS = 1_024
 DEFAULT_MEMORY_MB = 192.0
-PROGRAM_BYTES = 16 * MEGABYTE  # the program itself, and requests read but not yet decided on
+# Memory of the program itself and of requests that are read but not decided on yet.
+PROGRAM_BYTES = 16 * MEGABYTE
 CONNECTION_BYTES = 24_000  # memory of a connection without its send buffer
 IN_FLIGHT_REQUEST_BYTES = 9_000
-CACHE_ENTRY_BYTES = 1_500  # memory of an entry without its result
-MIN_SEND_BUFFER_BYTES = 16_384  # space for four results
-MAX_SEND_BUFFER_BYTES = 163_840  # space for the results of all open requests of a connection
-MEMORY_PARTS = 8  # into which the memory beside PROGRAM_BYTES is divided
-CONNECTION_MEMORY_PARTS = 5  # parts for connections and their send buffers
+CACHE_ENTRY_BYTES = 1_500  # memory of a cache entry without its result
+MIN_SEND_BUFFER_BYTES = 16_384  # enough for four results
+MAX_SEND_BUFFER_BYTES = 163_840  # enough for the results of all open requests of a connection
+MEMORY_PARTS = 8  # number of equal parts of the memory that remains after PROGRAM_BYTES
+CONNECTION_MEMORY_PARTS = 5  # number of these parts for connections and their send buffers
 
 
 @dataclass(frozen=True)
 class Limits:
     """Limits that are fixed until the process ends.
 
-    Times are in tenths of a millisecond, sizes in bytes. Of the memory beside PROGRAM_BYTES, five
-    eighths are for connections and their send buffers, and one eighth each for requests in flight,
-    for cached results with their keys, and for the executor's send buffer.
+    Times are in tenths of a millisecond, sizes in bytes. Of the memory that remains after
+    PROGRAM_BYTES, five eighths are for connections and their send buffers, and one eighth each is
+    for requests in flight, for cached results with their keys, and for the executor's send buffer.
     """
 
     # From the configuration.
@@ -43,11 +44,12 @@
     connections: int
     #: Number of proxy connections above which some are closed to make room for new ones.
     connection_high_water: int
-    #: Time from the stop signal until the process is killed.
+    #: Time from the stop signal until the platform kills the process.
     stop_timeout: int
-    #: Time for which the result of an idempotent request may answer others; 0: never.
+    #: Time for which the result of an idempotent request may be used for others with the same
+    #: subject. If it is 0, results are not reused.
     result_freshness: int
-    #: Unsent bytes from which a proxy is disconnected.
+    #: Number of unsent bytes from which a proxy is disconnected.
     send_buffer_bytes: int
     #: Maximum number of requests in flight.
     max_in_flight: int
@@ -55,78 +57,80 @@
     max_cache_entries: int
     #: Maximum total size of the results in the cache.
     max_cached_result_bytes: int
-    #: Unsent bytes from which the executor counts as unresponsive.
+    #: Number of unsent bytes from which the executor counts as unresponsive.
     executor_send_buffer_bytes: int
-    #: Maximum number of dependency connections, with one call on each; further calls wait.
+    #: Maximum number of dependency connections. Each carries one call; further calls wait.
     max_dependency_connections: int
     #: Idle time after which proxies close their connections.
     proxy_idle_timeout: int
 
     # Proxy connections.
 
-    #: Open requests on one connection, as defined by the protocol.
+    #: Maximum number of open requests on one connection, as defined by the protocol.
     max_open_requests: int = 32
-    #: Size of a request's body.
+    #: Maximum size of a request's body.
     max_body_bytes: int = 2_048
-    #: Parts of one message; the protocol uses five, the rest is reserved for later versions.
+    #: Maximum number of parts in one message. The protocol uses five; the others are reserved for
+    #: later versions.
     max_message_parts: int = 8
-    #: Size of one part; a longer part is skipped.
+    #: Maximum size of a message part. A longer part is skipped.
     max_part_bytes: int = 16_384
-    #: Size of a skipped part from which the connection is closed.
+    #: Size of a skipped message part from which the connection is closed.
     max_skipped_bytes: int = 1_048_576
-    #: Bytes requested by one socket read; most messages have a few hundred.
+    #: Number of bytes requested by one socket read. Most messages have a few hundred bytes.
     proxy_read_bytes: int = 2_048
-    #: Messages passed to the event loop in one batch.
+    #: Maximum number of messages passed to the event loop in one batch.
     max_batch_messages: int = 32
-    #: Batches read from one connection that the event loop has not processed yet.
+    #: Maximum number of batches read from one connection but not processed by the event loop yet.
     max_undecided_batches: int = 2
     #: Size of the operating system's socket buffer in each direction.
     socket_buffer_bytes: int = 65_536
-    #: Length of the queue of connections that are not accepted yet.
+    #: Maximum number of connections that wait to be accepted.
     listen_backlog: int = 1_024
-    #: Time from connecting to the first complete message, and from the start of any message to its
-    #: end.
+    #: Maximum time from connecting to the end of the first message, and from the start of any
+    #: message to its end.
     message_timeout: int = SECOND
-    #: Age below which the first message of a connection may still be in transit.
+    #: Age of a connection below which its first message may still be in transit.
     new_connection_age: int = SECOND // 5
-    #: Items that the event loop processes from its queue in one iteration.
+    #: Maximum number of queue items that the event loop processes in one iteration.
     max_events_per_iteration: int = 64
 
     # Links to the executor and the dependency.
 
-    #: Bytes requested by one read; each buffer is shrunk to its content, and large ones would
-    #: fragment the heap.
+    #: Number of bytes requested by one socket read. Each buffer is truncated to the bytes received,
+    #: and truncating large buffers fragments the heap.
     link_read_bytes: int = 4_096
-    #: Length of a line.
+    #: Maximum length of a line.
     max_line_bytes: int = 512
-    #: Size of a reply; a longer one is a framing error.
+    #: Maximum size of a reply. A longer reply is a framing error.
     max_reply_bytes: int = 65_536
-    #: Delay of the first attempt to reconnect.
+    #: Delay before the first attempt to reconnect.
     min_reconnect_delay: int = SECOND // 50
-    #: Maximum delay; the delay doubles with each failed attempt.
+    #: Maximum delay before an attempt to reconnect. The delay doubles after each failed attempt.
     max_reconnect_delay: int = SECOND // 10
-    #: Idle time after which a connection is closed, before the dependency would close it.
+    #: Idle time after which a dependency connection is closed. The dependency closes it later.
     dependency_idle_timeout: int = 8 * SECOND
-    #: Time for connecting, which is short as both ends are on the same machine.
+    #: Timeout for connecting. It is short because both ends are on the same machine.
     connect_timeout: int = SECOND // 4
-    #: Time before a timer event at which the gauges for it are requested.
+    #: Time between requesting the executor's gauges and the timer event that carries them.
     gauge_lead: int = 30
 
     # Other times.
 
-    #: Time for which keys are stored beyond the deduplication window.
+    #: Time for which idempotency keys are stored after the end of the deduplication window.
     deduplication_window_slack: int = SECOND // 20
-    #: Interval between reports to the service registry, which lists a server for 3 s after each.
+    #: Interval between reports to the service registry. It lists a server for 3 s after a report.
     report_interval: int = 3 * SECOND // 10
     #: Interval between checks for idle connections and expired cache entries.
     housekeeping_interval: int = SECOND // 20
-    #: Time at the end of a drain that is reserved for sending responses.
+    #: Time at the end of a drain that is reserved for sending the last responses.
     drain_flush_margin: int = 3 * SECOND // 10
-    #: Time for a proxy to close a connection after a request to do so.
+    #: Time within which a proxy has to close a connection after it was asked to.
     close_request_timeout: int = 2 * SECOND
-    #: Time in a drain in which requests sent before the request to close may still arrive.
+    #: Time after a proxy was asked to close a connection in a drain, during which requests that it
+    #: sent earlier may still arrive.
     drain_settle_time: int = SECOND // 10
-    #: Time for which a half-closed connection is still read.
+    #: Maximum time for which a half-closed connection is read.
     half_close_linger: int = SECOND // 5
     #: Time after which a proxy that neither sends requests nor reads its response is disconnected.
     unsent_timeout: int = 10 * SECOND
@@ -171,7 +175,7 @@
 
 
 def _memory_part(limits: dict) -> int:
-    """An eighth of the memory beside PROGRAM_BYTES, in bytes."""
+    """One of MEMORY_PARTS parts of the memory that remains after PROGRAM_BYTES, in bytes."""
     memory = read_number(limits, "memory_mb", DEFAULT_MEMORY_MB) * MEGABYTE - PROGRAM_BYTES
     if memory < PROGRAM_BYTES // 4:
         raise SettingValueError(
--- a/lilacwalk/log.py
+++ b/lilacwalk/log.py
@@ -15,7 +15,7 @@
 
 
 class KeyValueFormatter(Logfmter):
-    """Formats a record as one line `time=… level=… part=… event=…`, including a traceback.
+    """Formats a record as one line `time=… level=… part=… event=…`, including any traceback.
 
     The message of a record is a text of key=value pairs, or a dict if values need quoting.
     """
@@ -44,9 +44,9 @@
 
 
 class NonBlockingHandler(logging.StreamHandler):
-    """Drops lines while the stream is full, so that a slow log reader does not block any thread.
+    """Drops log lines while the stream is full, so that a slow reader does not block any thread.
 
-    The first line after that is preceded by a line with the number of dropped lines.
+    The next line that can be written is preceded by one with the number of dropped lines.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -84,11 +84,11 @@
     """
 
     def __init__(self) -> None:
-        """Starts with a count of 0."""
+        """Sets the count to 0."""
         self.count = 0
 
     def count_and_check(self) -> int:
-        """Counts one fault; returns the count if a line is due, else 0."""
+        """Counts one fault; returns the count if a line is to be logged, else 0."""
         self.count += 1
         is_power_of_two = (self.count & (self.count - 1)) == 0
         return self.count if is_power_of_two else 0
@@ -98,8 +98,9 @@
     """Configures all loggers to write records of at least `level` to standard error."""
     try:
         handler = NonBlockingHandler(sys.stderr)
-    except OSError:  # standard error has no file descriptor, so that writes cannot block
+    except OSError:  # standard error has no file descriptor, so writes to it do not block
         handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler])
-    logging.raiseExceptions = False  # standard error cannot take reports of its own failure
+    # Otherwise errors of writing to standard error would be reported to standard error.
+    logging.raiseExceptions = False
--- a/lilacwalk/overload/admission.py
+++ b/lilacwalk/overload/admission.py
@@ -8,17 +8,22 @@
 from lilacwalk.overload.model import SECOND, ServerSettings
 from lilacwalk.overload.server_load import ServerLoad
 
-CONTROL_PERIOD = SECOND // 2  # h in the formula; about one response time of an overloaded server
-TARGET_LATENCY_RATIO = 0.55  # T_ref; the rest of the latency objective absorbs latency variance
+# h in the formula. It is about one response time of an overloaded server.
+CONTROL_PERIOD = SECOND // 2
+# T_ref, the target for the latency ratio T (defined in `latency_estimator`). The remaining part of
+# the latency objective absorbs the variance of latencies.
+TARGET_LATENCY_RATIO = 0.55
 MINIMUM_ADMISSION_PROBABILITY = 0.05
-PERIODS_TO_RECOVER = 5  # from the minimum to 1, at half the target ratio and with full cores
+# Number of control periods in which the admission probability rises from its minimum to 1 if T is
+# half its target and arrivals just fill the cores.
+PERIODS_TO_RECOVER = 5
 INTEGRAL_GAIN = (  # Ki, per second
     (1 - MINIMUM_ADMISSION_PROBABILITY)
     / PERIODS_TO_RECOVER
     / (TARGET_LATENCY_RATIO / 2)
     / (CONTROL_PERIOD / SECOND)
 )
-# Kp gives a change of T the same weight as T itself has over one control period.
+# Kp. A change of T has the same weight as T itself over one control period.
 PROPORTIONAL_GAIN = INTEGRAL_GAIN * CONTROL_PERIOD / SECOND
 
 
@@ -26,7 +31,7 @@
     """Owns the admission probability p_a, the state of its PI controller and the random source."""
 
     def __init__(self, server: ServerSettings, load: ServerLoad, latency: LatencyEstimator) -> None:
-        """Starts with an admission probability of 1; `server.seed` seeds the random source."""
+        """Sets the admission probability to 1 and seeds the random source with `server.seed`."""
         self._server = server
         self._load = load
         self._latency = latency
@@ -41,7 +46,7 @@
         self._arrivals += 1
 
     def draw(self) -> bool:
-        """Returns True with the admission probability; called exactly once for each arrival."""
+        """Returns True with probability p_a; to be called exactly once for each request."""
         return self.random_source.random() < self.admission_probability
 
     def update(self) -> None:
@@ -62,18 +67,19 @@
         self._latency.end_period()
 
     def _latency_ratio(self, has_free_cores: bool) -> float:
-        """The ratio T that is the input of the PI controller."""
+        """The latency ratio T that is the input of the PI controller."""
         ratio = self._latency.measured_ratio()
         if ratio is None:
             ratio = TARGET_LATENCY_RATIO / 2
         else:
-            # Finished requests reflect the queue at their arrival. After a burst they alone would
-            # lower the probability although the queue has drained.
+            # Measurements of finished requests reflect the queue at the arrival of these requests.
+            # After a burst they alone would lower p_a although the queue is empty again.
             current = self._latency.current_ratio()
             ratio = min((ratio + current) / 2, current)
         if has_free_cores:
-            # Near the minimum probability too few requests finish to lower T, and a server with
-            # free cores would keep rejecting. Free cores therefore cap T at half the target.
+            # If p_a is near its minimum, too few requests finish to lower T, and a server with free
+            # cores would keep rejecting requests. T is therefore capped at half its target while
+            # cores are free.
             ratio = min(ratio, TARGET_LATENCY_RATIO / 2)
         return ratio
 
@@ -95,7 +101,7 @@
         )
 
     def restore(self, *, probability: float, last_error: float, weight: float) -> None:
-        """Blends in the state of an earlier incarnation with `weight` from 0 to 1."""
+        """Interpolates towards the state of an earlier incarnation; `weight` is from 0 to 1."""
         current = self.admission_probability
         restored = current + weight * (probability - current)
         self.admission_probability = max(MINIMUM_ADMISSION_PROBABILITY, restored)
--- a/lilacwalk/overload/admission_gate.py
+++ b/lilacwalk/overload/admission_gate.py
@@ -14,7 +14,8 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-SHORTAGE_PROBABILITY = 0.9  # admission probability below which rejections forbid retries elsewhere
+# Admission probability below which rejected clients are asked not to retry on other servers.
+SHORTAGE_PROBABILITY = 0.9
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
@@ -34,7 +35,8 @@
 
     def admit(self, request: Request) -> bool:
         """Returns whether the request is admitted; if not, it has been answered."""
-        passes_draw = self.admission.draw()  # for every arrival, even if another check rejects it
+        # Drawn even if another check rejects the request, so that draws depend on arrivals only.
+        passes_draw = self.admission.draw()
         if self._cannot_serve(request):
             self.termination.reject_or_fail(request)
             return False
@@ -67,10 +69,11 @@
     def _retry_elsewhere_is_wasteful(self, request: Request) -> bool:
         """Whether retries on other servers would cost more than they gain.
 
-        Every server that is tried has to read the request, and in a large fleet many are tried.
-        Retries elsewhere are wasteful for a request that is itself a retry or that no server can
-        answer in time, and while this server rejects many requests. The last rule also applies if
-        only this server is slow; some first attempts that a faster server would complete are lost.
+        Each further attempt makes another server read the request, and a large fleet allows many
+        attempts. Retries elsewhere are wasteful if the request is itself a retry, if it is too late
+        for any server, or if this server currently rejects many requests. The last rule applies
+        even if only this server is slow, and then prevents attempts that a faster server would
+        complete.
         """
         return not self.drain.is_active and (
             request.is_retry
--- a/lilacwalk/overload/batch_context.py
+++ b/lilacwalk/overload/batch_context.py
@@ -21,7 +21,7 @@
     sink: DecisionSink
 
     def __init__(self, now: int) -> None:
-        """Starts at the time `now` without scheduled actions."""
+        """Sets the current time to `now`; no action is scheduled."""
         self.now = now
         self._scheduled: list[tuple] = []  # heap of (time, sequence number, action, *arguments)
         self._sequence = count()
@@ -31,7 +31,7 @@
         heapq.heappush(self._scheduled, (time, next(self._sequence), action, *arguments))
 
     def run_due_actions(self) -> None:
-        """Runs all actions that are due."""
+        """Runs the scheduled actions that are due at the current time."""
         scheduled = self._scheduled
         while scheduled and scheduled[0][0] <= self.now:
             _, _, action, *arguments = heapq.heappop(scheduled)
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -4,23 +4,29 @@
 
 from lilacwalk.overload.model import Request, RequestClass
 
-RETURNING_WEIGHT = 0.05  # weight of the newest request in the moving share of returning clients
-ACTIVITY_DECAY = 0.8  # factor per control period
-MINIMUM_ACTIVITY = 0.05  # activity at or below which a client is removed
-MINIMUM_TRACKED_ACTIVITY = 2  # clients with less share one set of timeout counts
-TIMEOUT_BUCKETS = 50  # histogram buckets from 0 to the timeout of the request class
-MAXIMUM_TIMEOUT_COUNT = 400  # requests in a histogram above which its counts are halved
-USUAL_TIMEOUT_SHARE = 0.25  # share of a client's requests from which a timeout counts as usual
+RETURNING_WEIGHT = 0.05  # weight of the newest request in the moving average `returning_share`
+ACTIVITY_DECAY = 0.8  # factor applied to each client's activity once per control period
+MINIMUM_ACTIVITY = 0.05  # a client whose activity is not above this value is removed
+# Clients whose activity is below this value do not get a histogram of timeouts of their own, but
+# use a common one.
+MINIMUM_TRACKED_ACTIVITY = 2
+TIMEOUT_BUCKETS = 50  # number of histogram buckets between 0 and the timeout of the request class
+MAXIMUM_TIMEOUT_COUNT = 400  # number of requests in a histogram above which its counts are halved
+# A timeout is one of the client's usual ones if at least this fraction of its requests have it.
+USUAL_TIMEOUT_SHARE = 0.25
 
 
 class ClientTracker:
     """Owns the recent activity of each client and histograms of the timeouts of its requests."""
 
     def __init__(self) -> None:
-        """Starts without clients and with a share of returning clients of 1."""
-        self.activity: dict[int, float] = {}  # decaying number of requests by client
-        self.returning_share = 1.0  # share of requests from clients seen in the last seconds
-        # Timeout histograms, bucket to count, by client (None: all with little activity) and class.
+        """Creates a tracker without clients that assumes all requests to be from returning ones."""
+        # The activity by client: its number of requests, which decays over time.
+        self.activity: dict[int, float] = {}
+        # Fraction of requests that come from a client with earlier requests in the last seconds.
+        self.returning_share = 1.0
+        # Histograms of timeouts (bucket to count) by client and request class. The key None is for
+        # all clients whose activity is low.
         self.timeout_counts: dict[tuple[int | None, RequestClass], dict[int, float]] = {}
 
     def record_request(self, client: int) -> None:
@@ -36,7 +42,7 @@
             for client, activity in self.activity.items()
             if activity > MINIMUM_ACTIVITY
         }
-        # A restarted client has a new number, so timeouts under the old one are not needed.
+        # A client has another number after a restart, so histograms of removed clients are useless.
         known = {None, *self.activity}
         self.timeout_counts = {
             key: counts for key, counts in self.timeout_counts.items() if key[0] in known
@@ -45,10 +51,10 @@
     def elapsed_before_arrival(self, request: Request) -> int:
         """Estimates the time that the client spent on earlier attempts at other servers.
 
-        A first attempt carries one of the client's usual timeouts, a later one the time that is
-        left of the request class's timeout. An unusual timeout therefore reveals the age of the
-        request, which its arrival time does not show. The estimate is wrong for clients whose
-        timeouts have no usual values.
+        The first attempt of a request is sent with one of the client's usual timeouts, the last
+        attempt with the remainder of the request class's timeout. An unusual timeout therefore
+        reveals the age of the request, which its arrival time does not show. The estimate is wrong
+        for clients that have no usual timeouts.
         """
         stated_timeout = request.deadline - request.arrived_at
         class_timeout = request.request_class.timeout
--- a/lilacwalk/overload/concurrency_limit.py
+++ b/lilacwalk/overload/concurrency_limit.py
@@ -11,7 +11,7 @@
     """Owns the limit, which starts at one execution per core and follows the executor's gauges."""
 
     def __init__(self, server: ServerSettings, load: ServerLoad, slow_start: SlowStart) -> None:
-        """Starts with one execution per core."""
+        """Sets the limit to one execution per core."""
         self._server = server
         self._load = load
         self._slow_start = slow_start
--- a/lilacwalk/overload/connection_policy.py
+++ b/lilacwalk/overload/connection_policy.py
@@ -9,31 +9,36 @@
 
 MINIMUM_IDLE_TIME = SECOND // 4  # enough for a client that sends its next request immediately
 MAXIMUM_IDLE_TIME = 8 * SECOND
-HIGH_OVERHEAD_SHARE = 0.5  # overhead in the run queue above which the idle time is doubled
-LOW_OVERHEAD_SHARE = 0.25  # overhead below which the idle time is halved
-OVERHEAD_WEIGHT = 0.3  # weight of the newest control period in the moving overhead share
-CLOSE_BELOW_RETURNING_SHARE = 0.4  # share of returning clients below which closing starts
-CLOSE_UNTIL_RETURNING_SHARE = 0.6  # share of returning clients from which closing stops
+# The overhead share is the fraction of the run queue that is caused by reading requests and by
+# connecting, not by executions. The idle time is doubled while the share is above the first value
+# and halved while it is below the second.
+HIGH_OVERHEAD_SHARE = 0.5
+LOW_OVERHEAD_SHARE = 0.25
+OVERHEAD_WEIGHT = 0.3  # weight of the newest control period in the moving average of that share
+# Idle connections are closed from the time when the fraction of requests from returning clients
+# falls below the first value until it reaches the second.
+CLOSE_BELOW_RETURNING_SHARE = 0.4
+CLOSE_UNTIL_RETURNING_SHARE = 0.6
 
 
 class ConnectionPolicy:
     """Owns the idle time after which connections are closed.
 
-    Idle connections cost processor time and fill the connection table, which is worthwhile only
-    if clients return soon; if few do, connections are closed after a short idle time. However,
-    if reading and connecting use more of the cores than executions do, a table full of known
-    clients is the cheapest way to reject, and idle connections are kept for seconds. This is a
-    disadvantage where opening a connection is expensive and the table large, and for clients that
-    find the table full while cores are free.
+    Idle connections cost processor time and fill the connection table. They are useful only if
+    clients return soon; if few clients do, connections are closed after a short idle time. However,
+    if reading and connecting use more processor time than executions, a connection table full of
+    known clients is the cheapest way to reject others, and connections stay open while idle for
+    seconds. Long idle times are a disadvantage if opening connections is expensive and the table
+    is large, and for clients that find the table full although cores are free.
     """
 
     def __init__(self, context: BatchContext, load: ServerLoad, clients: ClientTracker) -> None:
-        """Starts with connections kept open."""
+        """Creates a policy that does not close idle connections yet."""
         self._context = context
         self._load = load
         self._clients = clients
-        self._run_queue_sum = 0.0  # sum of the run-queue gauges in this control period
-        self._overhead_sum = 0.0  # part of that sum which is reading and connecting
+        self._run_queue_sum = 0.0  # sum of the run-queue gauges of this control period
+        self._overhead_sum = 0.0  # sum of the run-queue entries that were not running executions
         self._overhead_share = 0.0
         self._idle_time = MINIMUM_IDLE_TIME
         self._closes = False
@@ -45,7 +50,7 @@
         self._overhead_sum += max(0.0, run_queue - self._load.running)
 
     def update(self) -> None:
-        """Decides once each control period and reports a change to the sink."""
+        """Updates the decision once each control period and passes a change to the sink."""
         newest_share = self._overhead_sum / max(1.0, self._run_queue_sum)
         self._overhead_share += OVERHEAD_WEIGHT * (newest_share - self._overhead_share)
         self._run_queue_sum = 0.0
--- a/lilacwalk/overload/controller.py
+++ b/lilacwalk/overload/controller.py
@@ -104,7 +104,7 @@
 
     @property
     def calls_in_progress(self) -> int:
-        """Dependency calls in progress, including abandoned ones that linger at the dependency."""
+        """The number of dependency calls in progress, including abandoned ones still executed."""
         return self.parts.dependency.in_progress
 
     @property
@@ -127,7 +127,7 @@
         )
 
     def restore_learned_state(self, earlier: LearnedState, weight: float) -> None:
-        """Blends in the state of an earlier incarnation with `weight` from 0 to 1.
+        """Interpolates towards the state of an earlier incarnation; `weight` is from 0 to 1.
 
         Slow start is not affected: the executor reports whether caches are cold.
         """
@@ -247,7 +247,7 @@
         parts = self.parts
         if request.state is not RequestState.CALL_IN_PROGRESS:
             return
-        parts.dependency.end_call(elapsed, lingers=outcome is Outcome.TIMED_OUT)
+        parts.dependency.end_call(elapsed, is_abandoned=outcome is Outcome.TIMED_OUT)
         if outcome in (Outcome.OK, Outcome.TIMED_OUT):
             parts.dependency.record_call_time(elapsed)
         if outcome is Outcome.OK:
@@ -296,7 +296,7 @@
         parts.load_reporter.report_periodically()
 
     def _stall_started(self) -> None:
-        """Reports the server as unhealthy and ends requests that another server may execute."""
+        """Reports the server as unhealthy and rejects requests that another server may execute."""
         parts = self.parts
         parts.load_reporter.report_health(False)
         parts.context.sink.log(
--- a/lilacwalk/overload/decision_sink.py
+++ b/lilacwalk/overload/decision_sink.py
@@ -19,16 +19,20 @@
     def reject(
         self, request: Request, retry_after: int = 0, do_not_retry_elsewhere: bool = False, /
     ) -> None:
-        """Answers that the request was not executed; `retry_after` 0: none is sent."""
+        """Responds that the request was not executed.
+
+        If `retry_after` is 0, the response has no retry-after. `do_not_retry_elsewhere` asks the
+        client not to retry the request on another server.
+        """
 
     def fail(self, request: Request, /) -> None:
-        """Answers that the outcome of the request is unknown."""
+        """Responds that the outcome of the request is unknown."""
 
     def cancel(self, request: Request, /) -> None:
         """Cancels a running execution whose result is no longer needed."""
 
     def coalesce(self, request: Request, /) -> None:
-        """Answers a duplicate with the result of the original request."""
+        """Responds to a duplicate with the result of the original request, once it is known."""
 
     def register_key(self, request: Request, lifetime: int, /) -> None:
         """Stores the request's idempotency key for `lifetime`."""
@@ -37,19 +41,19 @@
         """Removes the idempotency key of a request that was never executed."""
 
     def call_dependency(self, request: Request, timeout_at: int, /) -> None:
-        """Makes the pending dependency call, which times out at `timeout_at`."""
+        """Makes the pending dependency call of a request; the call times out at `timeout_at`."""
 
     def skip_dependency_call(self, request: Request, /) -> None:
-        """Continues the execution without its dependency call."""
+        """Continues the execution of a request without its dependency call."""
 
     def report_health(self, healthy: bool, /) -> None:
         """Reports whether new requests should be sent to this server."""
 
     def report_load(self, value: float, /) -> None:
-        """Sends a load report; `LoadReportKind` defines the meaning of `value`."""
+        """Sends a load report to clients; `LoadReportKind` defines the meaning of `value`."""
 
     def close_idle_connections(self, after: int, /) -> None:
-        """Closes connections that have been idle for `after`; 0: none is closed."""
+        """Closes client connections once they have been idle for `after`, or none if it is 0."""
 
     def set_timer(self, after: int, /) -> None:
         """Requests one `TimerExpired` event after the duration `after`."""
--- a/lilacwalk/overload/deduplication.py
+++ b/lilacwalk/overload/deduplication.py
@@ -1,4 +1,4 @@
-"""Coalesces duplicates with their original request, and accounts for idempotency keys."""
+"""Coalesces duplicates with their original request and registers idempotency keys."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         return True
 
     def coalesce_queued_duplicates(self, original: Request) -> None:
-        """Coalesces the queued duplicates of a request that has just been dispatched."""
+        """Coalesces all queued duplicates with `original`, which has just been dispatched."""
         for duplicate in original.duplicates:
             if duplicate.state is RequestState.QUEUED:
                 self._load.queue.remove(duplicate)
--- a/lilacwalk/overload/dependency_limiter.py
+++ b/lilacwalk/overload/dependency_limiter.py
@@ -5,38 +5,51 @@
 from lilacwalk.overload.batch_context import BatchContext
 from lilacwalk.overload.model import SECOND, Request, RequestState, ServerSettings
 
-CALLS_PER_CORE = 4.0  # the limit if no dependency_call_share is set
-CALL_TIME_WEIGHT = 0.1  # of the newest call in the mean; calls may slow down within seconds
-BASELINE_WEIGHT = 0.005  # weight of the newest call in the baseline
-CONGESTED_BASELINE_DIVISOR = 20  # divides BASELINE_WEIGHT while the dependency is congested
-INITIAL_CALLS = 20  # averaged with equal weights, so that no single call sets the baseline
-OUTLIER_CAP_MULTIPLE = 3  # of the mean call time; a single lost reply must not signal congestion
-CONGESTION_MULTIPLE = 2  # of the baseline; exceeds the variance of a mean of ten calls
-MINIMUM_LIMIT_SHARE = 0.3  # of the full limit; a dependency may be slow without being overloaded
-LIMIT_DECREASE = 0.8  # factor per call during congestion
-LIMIT_INCREASE_STEPS = 16  # calls in which the limit grows by the full limit
-PROBE_INTERVAL = SECOND  # time without calls or progress after which estimates are ignored
+CALLS_PER_CORE = 4.0  # full limit per core if `dependency_call_share` is not configured
+# Weight of the newest call in the mean call time. It is high because calls can become slow within
+# seconds.
+CALL_TIME_WEIGHT = 0.1
+BASELINE_WEIGHT = 0.005  # weight of the newest call in the baseline call time
+CONGESTED_BASELINE_DIVISOR = 20  # BASELINE_WEIGHT is divided by it while calls are congested
+# The first calls are averaged with equal weights, so that one unusual call does not determine the
+# baseline.
+INITIAL_CALLS = 20
+# A call counts for at most this multiple of the mean call time, so that one lost reply is not taken
+# for congestion.
+OUTLIER_CAP_MULTIPLE = 3
+# Calls are congested if their mean time exceeds the baseline by this factor, which is outside the
+# variance of a mean of ten calls.
+CONGESTION_MULTIPLE = 2
+# The limit does not fall below this fraction of the full limit, since a dependency that is slow for
+# other reasons than its load would otherwise be left idle.
+MINIMUM_LIMIT_SHARE = 0.3
+LIMIT_DECREASE = 0.8  # factor applied to the limit after each call during congestion
+LIMIT_INCREASE_STEPS = 16  # number of calls after which the limit has grown by the full limit
+# After this time without a call, or without progress of any execution, estimates are ignored and a
+# call or execution is tried.
+PROBE_INTERVAL = SECOND
 
 
 class DependencyLimiter:
     """Owns the pending calls, the number of calls in progress, measured call times and the limit.
 
-    The latency ratio T does not include the time of dependency calls, so admission control alone
-    would send ever more calls to a dependency that slows down. Call times well above their
-    baseline therefore lower the limit. A limit below one call is applied as a pause between calls,
-    because in a large fleet one concurrent call from each server can overload the dependency.
+    The latency ratio T, by which requests are admitted, excludes dependency calls. Without a limit
+    a dependency that slows down would therefore receive more and more calls. The limit is lowered
+    while the mean call time is well above the baseline. It may fall below one call, which is
+    implemented by pauses between calls, because in a large fleet one concurrent call from each
+    server can already overload the dependency.
     """
 
     def __init__(self, context: BatchContext, server: ServerSettings) -> None:
-        """Starts with the full limit and without measurements."""
+        """Creates a limiter with the full limit and without measured calls."""
         self._context = context
         self._server = server
         self.pending: list[Request] = []  # requests whose call has not been made or skipped
-        self.in_progress = 0  # including abandoned calls that linger at the dependency
+        self.in_progress = 0  # number of calls, including abandoned ones that are still executed
         self.call_time = 0.0
         self.baseline_call_time = 0.0
         self.measured_calls = 0
-        self.limit = self._full_limit()  # mean number of calls in progress
+        self.limit = self._full_limit()  # maximum mean number of calls in progress
         self.is_congested = False
         self.next_call_at = context.now
         self._last_call_at = context.now
@@ -50,10 +63,10 @@
         return self.in_progress >= max(1, int(self.limit)) or self._context.now < self.next_call_at
 
     def has_been_idle(self) -> bool:
-        """Whether no call was in progress for PROBE_INTERVAL.
+        """Whether no call was in progress for longer than PROBE_INTERVAL.
 
-        The next call is then expected to take no time. Otherwise slow calls that made all requests
-        infeasible would prevent the calls that could show that the dependency has recovered.
+        The mean call time is then ignored. Otherwise, once slow calls have made all requests
+        infeasible, no further call would show that the dependency has recovered.
         """
         return not self.in_progress and self._context.now - self._last_call_at > PROBE_INTERVAL
 
@@ -62,34 +75,37 @@
         return self.call_time * (1 + calls_needed / self.limit)
 
     def add_pending(self, request: Request) -> None:
-        """Adds a request whose call is to be made or skipped."""
+        """Adds a request to the pending calls."""
         request.state = RequestState.CALL_PENDING
         self.pending.append(request)
 
     def begin_call(self, request: Request) -> None:
-        """Accounts for the start of a pending call."""
+        """Moves a request from the pending calls to the calls in progress."""
         self.pending.remove(request)
         request.state = RequestState.CALL_IN_PROGRESS
         self.in_progress += 1
 
-    def end_call(self, elapsed: int, *, lingers: bool) -> None:
-        """Accounts for a call that ended, or was abandoned and `lingers` at the dependency."""
+    def end_call(self, elapsed: int, *, is_abandoned: bool) -> None:
+        """Records that a call ended, or was abandoned, `elapsed` after its start.
+
+        An abandoned call counts as in progress until `abandoned_call_linger` has passed.
+        """
         now = self._context.now
         linger = self._server.abandoned_call_linger
         self._last_call_at = now
-        if lingers:
-            self._context.schedule(now + linger, self._end_lingering_call)
+        if is_abandoned:
+            self._context.schedule(now + linger, self._end_abandoned_call)
         else:
             self.in_progress -= 1
-        if self.limit < 1:  # single calls with pauses keep the mean concurrency within the limit
-            occupied = elapsed + (linger if lingers else 0)
+        if self.limit < 1:  # a pause after each call keeps the mean concurrency below the limit
+            occupied = elapsed + (linger if is_abandoned else 0)
             self.next_call_at = max(self.next_call_at, now + int(occupied / self.limit))
 
-    def _end_lingering_call(self) -> None:
-        self.end_call(0, lingers=False)
+    def _end_abandoned_call(self) -> None:
+        self.end_call(0, is_abandoned=False)
 
     def record_call_time(self, elapsed: int) -> None:
-        """Updates the call times with a call that took `elapsed` and adapts the limit."""
+        """Updates the mean and baseline call times with a completed call and adapts the limit."""
         self.measured_calls += 1
         is_first = self.measured_calls <= INITIAL_CALLS
         counted = elapsed if is_first else min(elapsed, OUTLIER_CAP_MULTIPLE * self.call_time)
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -11,17 +11,20 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.termination import Termination
 
-CALL_TIMEOUT_MULTIPLE = 10  # mean call times after which a first call times out
-RESUMED_CONCURRENCY_SHARE = 0.75  # of the safe concurrency, for executions that run or resume
+# The first call of a request times out after this multiple of the mean call time.
+CALL_TIMEOUT_MULTIPLE = 10
+# Calls are made only while the number of executions that run or will resume after a call is below
+# this fraction of the safe concurrency.
+RESUMED_CONCURRENCY_SHARE = 0.75
 
 
-def skip_loss(request_class: RequestClass) -> float:
-    """The weight that a request of the class loses if its dependency call is skipped."""
+def weight_lost_by_skipping(request_class: RequestClass) -> float:
+    """The weight lost if the dependency call of a request of this class is skipped."""
     return request_class.weight * (1 - request_class.skipped_call_weight_share)
 
 
 class DependencyScheduler:
-    """Decides on pending calls, in the order of the weight lost without the call.
+    """Decides on pending calls, in descending order of the weight lost by skipping the call.
 
     `DependencyLimiter` owns the list of pending calls.
     """
@@ -49,19 +52,23 @@
         self._limiter = limiter
         self._termination = termination
         self._deadline_margin = deadline_margin
-        # During congestion only the classes that lose this weight make their calls.
-        self._greatest_skip_loss = max(
-            (skip_loss(each) for each in server.request_classes if each.calls_dependency),
+        # Only classes with this value make calls while calls are congested and at their limit.
+        self._greatest_lost_weight = max(
+            (
+                weight_lost_by_skipping(each)
+                for each in server.request_classes
+                if each.calls_dependency
+            ),
             default=0,
         )
 
     def decide_pending_calls(self) -> None:
-        """Makes pending calls up to the limit, and skips or gives up those that are too late."""
+        """Makes pending calls up to the limit; skips calls or ends requests that are too late."""
         if not self._limiter.pending:
             return
         waiting = [request for request in self._limiter.pending if not request.answered]
-        waiting.sort(key=lambda request: -skip_loss(request.request_class))
-        # Executions that resume after a call are not subject to the concurrency limit.
+        waiting.sort(key=lambda request: -weight_lost_by_skipping(request.request_class))
+        # Executions that resume after a call are added to those within the concurrency limit.
         limit = max(
             self._server.cores + 1,
             RESUMED_CONCURRENCY_SHARE * self._slow_start.safe_concurrency(),
@@ -76,11 +83,11 @@
             self._call(request)
 
     def _concurrency(self) -> int:
-        """Executions that run or will resume after their call."""
+        """The number of executions that run or will resume after their dependency call."""
         return self._load.running + self._limiter.in_progress
 
     def _remains_pending(self, request: Request, *, position: int, limit: float) -> bool:
-        """Skips the call or ends the request if necessary; returns whether it remains pending."""
+        """Skips the call or ends the request if necessary; returns whether it stays pending."""
         request_class = request.request_class
         is_idempotent = request_class.effect is Effect.IDEMPOTENT
         can_skip = request_class.skipped_call_weight_share > 0
@@ -100,10 +107,13 @@
         return True
 
     def _is_late(self, request: Request, position: int) -> bool:
-        """Whether the call at `position` in the pending order would end too late to be useful."""
+        """Whether a call would end too late for a useful response.
+
+        `position` is the number of calls that are to be made before it.
+        """
         limiter = self._limiter
         expected_call_time = 0.0 if limiter.has_been_idle() else limiter.call_time
-        # On idle cores a started execution continues whatever its remaining work.
+        # If cores are idle, an execution is continued regardless of its remaining work.
         remaining_work = (
             0.0 if self._load.is_idle() else REQUIRED_TIME_SHARE / 2 * request.expected_work
         )
@@ -114,11 +124,14 @@
         )
 
     def _must_skip(self, request_class: RequestClass) -> bool:
-        """Whether the class skips its calls in favour of classes that lose more weight."""
+        """Whether the class has to skip its calls, so that classes that would lose more can call.
+
+        This applies only while calls are congested and no further call is permitted.
+        """
         return (
             self._limiter.is_congested
             and self._limiter.is_full()
-            and skip_loss(request_class) < self._greatest_skip_loss
+            and weight_lost_by_skipping(request_class) < self._greatest_lost_weight
         )
 
     def _call(self, request: Request) -> None:
@@ -138,7 +151,7 @@
             limiter.measured_calls >= INITIAL_CALLS and not limiter.is_congested
         )
         if is_idempotent and call_times_are_reliable and not request.call_may_have_executed:
-            # Applies to the first call only; a retried call may use all of the remaining time.
+            # This timeout applies to the first call only; a retry may use all the remaining time.
             first_call_timeout_at = now + int(CALL_TIMEOUT_MULTIPLE * limiter.call_time)
             timeout_at = min(timeout_at, first_call_timeout_at)
         share = self._server.dependency_call_share
--- a/lilacwalk/overload/drain.py
+++ b/lilacwalk/overload/drain.py
@@ -1,15 +1,15 @@
-"""The state of a drain, which precedes the stop of the server."""
+"""State of the drain of a server that is about to stop."""
 
 from __future__ import annotations
 
 
 class Drain:
-    """Owns the two times of a drain, in tenths of a millisecond; both are 0 without a drain."""
+    """Owns the two times of a drain, in tenths of a millisecond; both are 0 before a drain."""
 
     def __init__(self) -> None:
-        """Creates the state without a drain."""
-        self.grace_ends_at = 0  # requests that arrive after it are rejected
-        self.terminate_at = 0  # requests still open at this time are terminated
+        """Sets both times to 0."""
+        self.grace_ends_at = 0  # requests that arrive after this time are rejected
+        self.terminate_at = 0  # requests that are still open at this time are terminated
 
     @property
     def is_active(self) -> bool:
--- a/lilacwalk/overload/events.py
+++ b/lilacwalk/overload/events.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """A dependency call has ended after `elapsed`."""
+    """A dependency call has ended `elapsed` after its start."""
 
     request: Request
     outcome: Outcome
@@ -71,8 +71,8 @@
 class TimerExpired:
     """The timer set by the controller has expired; carries the executor's latest gauges."""
 
-    core_use: float  # share of the cores in use
-    run_queue: float  # runnable requests, including those running
+    core_use: float  # fraction of the cores that is in use
+    run_queue: float  # number of runnable requests, including running ones
 
 
 Event = (
--- a/lilacwalk/overload/feasibility.py
+++ b/lilacwalk/overload/feasibility.py
@@ -13,13 +13,16 @@
 from lilacwalk.overload.model import Effect, Request
 from lilacwalk.overload.server_load import ServerLoad
 
-REQUIRED_TIME_SHARE = 0.7  # of the expected work that must fit; execution times vary widely
-LOADED_LATE_SHARE = 0.5  # late_weight_share from which late responses are useful on full cores
+# Fraction of the expected work for which there must be time. It is below 1 because execution times
+# vary widely.
+REQUIRED_TIME_SHARE = 0.7
+# Value of `late_weight_share` from which late responses are useful even if no cores are free.
+LOADED_LATE_SHARE = 0.5
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Feasibility:
-    """Estimates from current execution times and queues. Has no state of its own."""
+    """Estimates response times from execution times and queues. Has no state of its own."""
 
     context: BatchContext
     load: ServerLoad
@@ -30,10 +33,10 @@
     deadline_margin: int
 
     def useful_response_deadline(self, request: Request) -> int:
-        """The time after which a response is not worth its execution.
+        """The time after which a response is not worth executing the request.
 
-        A late response of little weight is useful only while cores are free and no other request
-        needs them.
+        If a response that misses the latency objective retains little weight, it is useful only
+        while cores are free, because then no other request needs them.
         """
         late_share = request.request_class.late_weight_share
         latest = request.deadline - self.deadline_margin
@@ -42,7 +45,7 @@
         return min(request.objective_deadline, latest)
 
     def can_finish_in_time(self, request: Request, queue_wait: float) -> bool:
-        """Whether the request can be answered usefully after waiting for `queue_wait`."""
+        """Whether a request that waits for `queue_wait` can be answered while that is useful."""
         now = self.context.now
         until = min(self.useful_response_deadline(request), self.drain.terminate_at or inf)
         wait = queue_wait
@@ -50,17 +53,17 @@
         if request_class.calls_dependency and not request_class.skipped_call_weight_share:
             wait += self._dependency_wait()
         if not queue_wait and self.load.is_idle() and self._may_probe(request):
-            # On idle cores a request is tried whatever its expected work. Otherwise execution
-            # times measured during a stall, which only executions correct, could cause the
-            # rejection of all requests forever.
+            # On idle cores a request is executed regardless of its expected work. Otherwise, if
+            # the mean execution time is too high after a stall, all requests would be rejected
+            # forever, because only further executions can correct it.
             return now + wait < until
         return now + wait + REQUIRED_TIME_SHARE * request.expected_work <= until
 
     def _may_probe(self, request: Request) -> bool:
-        """Whether the request may be tried on idle cores against the estimate.
+        """Whether the request may be executed on idle cores regardless of its expected work.
 
-        A non-idempotent request cannot be retried elsewhere if it fails, so that it is tried only
-        after PROBE_INTERVAL without progress.
+        A non-idempotent request cannot be retried on another server if it fails. It is therefore
+        executed in this way only after PROBE_INTERVAL without progress of any execution.
         """
         return (
             request.request_class.effect is not Effect.NON_IDEMPOTENT
@@ -68,7 +71,7 @@
         )
 
     def queue_wait(self, request: Request) -> float:
-        """The expected wait for queued requests of equal or higher weight per work."""
+        """The expected time in the queue, behind requests of equal or higher weight per work."""
         load = self.load
         if load.running < self.concurrency.limit and not load.queue:
             return 0.0
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -13,22 +13,28 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.stall_detector import StallDetector
 
-REPORT_INTERVAL = SECOND // 10  # well below the time for which clients use a report
-OUTSTANDING_SHARE = 0.65  # of the target, as outstanding requests include those in transit
-MINIMUM_TOKENS = 0.2  # per client
-MAXIMUM_TOKEN_FACTOR = 10.0  # maximum multiple of the tokens while cores are free
-TOKEN_FACTOR_GROWTH = 1.1  # factor per report
-TOKEN_FACTOR_DECAY = 0.8  # factor per report
-MINIMUM_MEASURED_ACTIVITY = 5  # recent requests needed to measure the heaviest client's share
-MAXIMUM_UNREAD_SHARE = 0.7  # maximum reduction of the tokens for unread requests
-TOKEN_PRECISION = 10_000  # fractions of a token to which tokens are rounded down in slow start
-RANK_WEIGHT = 0.3  # weight of the newest report in the moving minimum rank
-RANK_ZERO_RATIO = 0.15  # ratio T of a lightly loaded server, up to which any rank is accepted
-RANK_RATIO_RANGE = 0.5  # above that ratio; beyond it hardly any request would be in time
+REPORT_INTERVAL = SECOND // 10  # much shorter than the time for which clients use a report
+# Fraction of the requests that can be answered in the target time for which tokens are granted. It
+# is below 1 because outstanding requests include those that are still in transit.
+OUTSTANDING_SHARE = 0.65
+MINIMUM_TOKENS = 0.2  # minimum number of tokens granted to each client
+MAXIMUM_TOKEN_FACTOR = 10.0  # maximum of the factor by which tokens are multiplied
+TOKEN_FACTOR_GROWTH = 1.1  # growth of that factor per report while cores are free
+TOKEN_FACTOR_DECAY = 0.8  # decrease of that factor per report while cores are busy
+# Sum of all clients' recent requests from which the share of the heaviest client is measured.
+MINIMUM_MEASURED_ACTIVITY = 5
+MAXIMUM_UNREAD_SHARE = 0.7  # maximum fraction by which unread requests reduce the tokens
+TOKEN_PRECISION = 10_000  # in slow start, tokens are rounded down to multiples of 1/10,000
+RANK_WEIGHT = 0.3  # weight of the newest value in the moving average of the minimum rank
+# The minimum rank rises from 0 to 1 with the latency ratio T (defined in `latency_estimator`). It
+# is 0 up to the first value, the ratio of a lightly loaded server, and 1 if T exceeds it by the
+# second, when hardly any request would be answered in time.
+RANK_ZERO_RATIO = 0.15
+RANK_RATIO_RANGE = 0.5
 
 
 class LoadReporter:
-    """Owns the last reported value, the moving minimum rank and the token factor."""
+    """Owns the last reported value, the minimum rank and the factor applied to tokens."""
 
     def __init__(
         self,
@@ -57,8 +63,8 @@
         self._admission = admission
         self._minimum_rank = 0.0
         self._last_value = -1.0
-        # The distribution of requests among clients is unknown at start, so a warm server starts
-        # with the maximum factor.
+        # How unevenly clients send is unknown at start, when each is assumed to have an equal share
+        # of the requests. A server that did not start cold therefore starts with the maximum.
         self._token_factor = 1.0 if server.started_cold else MAXIMUM_TOKEN_FACTOR
         self._next_report_at = context.now
 
@@ -87,8 +93,8 @@
                 value = 1.0 if is_unavailable else rank
             case LoadReportKind.BIAS:
                 value = 0.0 if is_unavailable else self._admission.admission_probability
-        # Tokens are already rounded down during slow start; the sum of values rounded up over all
-        # clients would exceed the safe concurrency.
+        # During slow start, tokens are already rounded down. Rounding to two decimals could round
+        # them up, and the sum over all clients would exceed the safe concurrency.
         if kind is not LoadReportKind.TOKENS or not self._slow_start.is_warming_up():
             value = round(value, 2)
         if value != self._last_value:
@@ -96,7 +102,7 @@
             self._context.sink.report_load(value)
 
     def _update_minimum_rank(self) -> float:
-        """Moves the minimum rank towards the value for the expected ratio T of a new request."""
+        """Moves the minimum rank towards the value for the expected T of a new request."""
         excess_ratio = (self._latency.current_ratio() - RANK_ZERO_RATIO) / RANK_RATIO_RANGE
         target = min(1.0, max(0.0, excess_ratio))
         self._minimum_rank += RANK_WEIGHT * (target - self._minimum_rank)
@@ -117,13 +123,14 @@
         if not self._slow_start.is_warming_up():
             return tokens
         # All clients may send to a new server at once, so the safe concurrency is divided among
-        # all of them, including those not seen yet. This is too low if only a few ever send here.
+        # all of them, including those that have not sent a request yet. The number of tokens is
+        # too low if only a few of many clients ever use this server.
         clients = max(self._server.client_count, len(self._clients.activity))
         share = TOKEN_PRECISION * self._slow_start.safe_concurrency() / clients
         return min(tokens, int(share) / TOKEN_PRECISION)
 
     def _outstanding(self, target_time: float) -> float:
-        """The number of requests that can be answered within the target time."""
+        """The number of requests that may be outstanding to be answered in the target time."""
         executions = target_time / max(1.0, self._latency.mean_execution_time)
         return self._concurrency.limit * OUTSTANDING_SHARE * max(1.0, executions)
 
@@ -135,7 +142,10 @@
         return 1 / self._server.client_count
 
     def _update_token_factor(self) -> None:
-        """Raises the factor while cores are free, as clients rarely use all tokens at once."""
+        """Raises the factor on tokens while cores are free, else lowers it.
+
+        Clients rarely use all their tokens at once.
+        """
         if self._load.has_free_cores() and not self._load.queue:
             self._token_factor = min(MAXIMUM_TOKEN_FACTOR, self._token_factor * TOKEN_FACTOR_GROWTH)
         else:
--- a/lilacwalk/overload/model.py
+++ b/lilacwalk/overload/model.py
@@ -31,8 +31,8 @@
     """Meaning of the value in a load report."""
 
     NONE = auto()  # no load is reported
-    TOKENS = auto()  # requests that one client may have outstanding at this server
-    MIN_RANK = auto()  # clients do not send requests of a lower rank
+    TOKENS = auto()  # number of requests that one client may have outstanding at this server
+    MIN_RANK = auto()  # minimum rank: clients do not send requests of a lower rank to this server
     BIAS = auto()  # probability that a client does not skip this server
 
 
@@ -74,11 +74,15 @@
     latency_objective: int
     timeout: int
     effect: Effect = Effect.IDEMPOTENT
-    objective_stretch: float = 0.0  # share of the expected work added to the latency objective
-    late_weight_share: float = 0.0  # share of the weight of a response after the objective
-    deduplication_window: int = 0  # for Effect.DEDUPLICATED: time in which duplicates may arrive
+    # The latency objective is extended by this fraction of the request's expected work.
+    objective_stretch: float = 0.0
+    # Fraction of the weight that a response retains if it misses the latency objective.
+    late_weight_share: float = 0.0
+    # Time after the arrival of a request in which its duplicates may arrive (Effect.DEDUPLICATED).
+    deduplication_window: int = 0
     calls_dependency: bool = False
-    # Share of the weight that remains without the dependency call; 0: the call is never skipped.
+    # Fraction of the weight that a response retains if the dependency call is skipped. If it is 0,
+    # the call is never skipped.
     skipped_call_weight_share: float = 0.0
 
 
@@ -87,7 +91,7 @@
     """A customer with a request-rate quota."""
 
     name: str
-    quota: float  # requests per second over the whole fleet; 0: no quota
+    quota: float  # requests per second over the whole fleet; 0 means that the tenant has no quota
 
 
 @dataclass(eq=False)
@@ -97,7 +101,7 @@
     seed: int
     cores: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running request as a multiple of a queued one
+    running_memory_factor: float  # memory of a running request, as a multiple of a queued one
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     fleet_size: int = 1
@@ -105,15 +109,19 @@
     deduplication_entry_kb: float = 0.0
     stop_mode: StopMode = StopMode.NONE
     load_report_kind: LoadReportKind = LoadReportKind.NONE
-    dependency_call_share: float = 0.0  # concurrent calls allowed to this server; 0: not set
-    dependency_call_span: int = 0  # averaging period of a share below one concurrent call
-    abandoned_call_linger: int = 0  # time that a timed-out call still loads the dependency
+    # Number of concurrent dependency calls that this server may make; 0 if it is not configured.
+    dependency_call_share: float = 0.0
+    # Period over which the number of concurrent calls is averaged if the share is below 1.
+    dependency_call_span: int = 0
+    # Time for which the dependency still executes a call after this server has abandoned it.
+    abandoned_call_linger: int = 0
     started_cold: bool = False
     cold_capacity_share: float = 1.0
     warm_up_time: int = 0
-    collapse_multiple: float = 2.0  # runnable requests per core at which throughput collapses
+    # Number of runnable requests per core at which throughput collapses.
+    collapse_multiple: float = 2.0
     drain_grace_period: int = 0
-    max_retry_after: int = 0  # 0: rejections carry no retry-after
+    max_retry_after: int = 0  # 0 means that rejections are sent without a retry-after
     over_quota_weight_share: float = 1.0
     weight_scales_with_work: bool = False
     timer_quantum: int = 10
@@ -127,12 +135,12 @@
     """
 
     request_class: RequestClass
-    arrived_at: int  # time at which it reached the machine
-    read_at: int  # time at which it was read from the socket
+    arrived_at: int  # time at which the request reached the machine
+    read_at: int  # time at which the request was read from the socket
     deadline: int
     memory_kb: float
     tenant: Tenant | None = None
-    work_hint: int = 0  # execution time expected by the client; 0: not stated
+    work_hint: int = 0  # execution time expected by the client; 0 if it did not state any
     is_retry: bool = False
     client: int = 0
     duplicate_of: Request | None = None
@@ -146,9 +154,10 @@
     dispatched_at: int = 0
     call_pending_since: int = 0
     dependency_wait: int = 0
-    call_may_have_executed: bool = False  # a call ended without proof that it was not executed
-    is_registered: bool = False  # its idempotency key is registered
-    within_quota: bool = False  # it was admitted with a credit of its tenant
+    # A dependency call ended with an outcome that does not prove that it was not executed.
+    call_may_have_executed: bool = False
+    is_registered: bool = False  # the request's idempotency key is registered
+    within_quota: bool = False  # the request was admitted with a credit of its tenant
     duplicates: list[Request] = field(default_factory=list)
 
 
--- a/lilacwalk/overload/parts.py
+++ b/lilacwalk/overload/parts.py
@@ -26,7 +26,8 @@
 from lilacwalk.overload.termination import Termination
 
 MAXIMUM_TIMER_PERIOD = 250  # tenths of a millisecond
-TIMER_PERIODS_PER_OBJECTIVE = 40  # minimum number in the shortest latency objective
+# The timer period is at most the shortest latency objective divided by this number.
+TIMER_PERIODS_PER_OBJECTIVE = 40
 
 
 class ControllerParts:
@@ -40,7 +41,8 @@
             server.timer_quantum,
             min(MAXIMUM_TIMER_PERIOD, shortest // TIMER_PERIODS_PER_OBJECTIVE),
         )
-        # Decisions with a deadline are made this much earlier, because timer events may be late.
+        # Decisions that have to be made by a deadline are made earlier by this margin, because the
+        # timer event that triggers them may be late.
         self.deadline_margin = self.timer_period + 2 * server.timer_quantum
         self.context = BatchContext(now)
         self._create_estimators(now)
@@ -48,7 +50,7 @@
         self._create_reporting_parts()
 
     def _create_estimators(self, now: int) -> None:
-        """Creates the parts that track the state of the server and estimate from it."""
+        """Creates the parts that track the state of the server and estimate latencies."""
         server = self.server
         self.load = ServerLoad(server, now)
         self.slow_start = SlowStart(context=self.context, server=server, started_at=now)
--- a/lilacwalk/overload/scheduler.py
+++ b/lilacwalk/overload/scheduler.py
@@ -17,7 +17,8 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-CALLS_PER_EXECUTION = 4  # maximum of pending and running calls per permitted execution
+# Maximum number of dependency calls, pending or in progress, per execution within the limit.
+CALLS_PER_EXECUTION = 4
 _weight_per_work = attrgetter("weight_per_work")
 
 
@@ -56,7 +57,11 @@
             self.termination.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def _dispatchable(self) -> list[Request]:
-        """Queued requests not blocked by the call limit, by memory or by a queued original."""
+        """Queued requests that can be executed now.
+
+        Excludes those for which too many dependency calls are open, memory is insufficient, or the
+        original of which they are a duplicate is queued.
+        """
         load = self.load
         dependency = self.dependency
         calls = len(dependency.pending) + dependency.in_progress
--- a/lilacwalk/overload/server_load.py
+++ b/lilacwalk/overload/server_load.py
@@ -1,15 +1,17 @@
-"""Accounts for the requests, memory and executions of the app server."""
+"""Requests, memory and executions of the app server."""
 
 from __future__ import annotations
 
 from lilacwalk.overload.model import Request, RequestState, ServerSettings
 
-MEMORY_LIMIT_SHARE = 0.9  # the rest is for requests of one batch that are not rejected yet
-FREE_CORE_USE = 0.85  # core use below which cores count as free
+# Fraction of the memory that requests and keys may use. The rest is for requests that are read in
+# one batch, before any of them can be rejected.
+MEMORY_LIMIT_SHARE = 0.9
+FREE_CORE_USE = 0.85  # fraction of the cores in use below which cores count as free
 
 
 class ServerLoad:
-    """The current load, with the executor's latest gauges.
+    """Tracks the current load and the executor's latest gauges.
 
     Owns the queue, the open requests, the memory in use, the number of executions and the time of
     their last progress. Other parts change these through its methods, with two exceptions: parts
@@ -18,7 +20,7 @@
     """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
-        """Starts empty and idle at the time `now`."""
+        """Creates an empty load of an idle server; `now` is the current time."""
         self.server = server
         self.queue: list[Request] = []
         # Requests that are unanswered or still use memory, in the order in which they were read.
@@ -30,12 +32,12 @@
         self.last_progress_at = now
 
     def add(self, request: Request) -> None:
-        """Accounts for a request that was read."""
+        """Adds a request that was read, with its memory."""
         self.open_requests[request] = None
         self.memory_kb += request.memory_kb
 
     def remove(self, request: Request) -> None:
-        """Accounts for the end of a request and marks it as finished and answered."""
+        """Removes an ended request with its memory, and marks it as finished and answered."""
         self.memory_kb -= request.memory_kb * (
             self.server.running_memory_factor if request.was_dispatched else 1
         )
@@ -44,11 +46,11 @@
         self.open_requests.pop(request, None)
 
     def reserve_memory(self, memory_kb: float) -> None:
-        """Accounts for memory in addition to that of queued requests."""
+        """Adds to the memory in use, beyond that of queued requests."""
         self.memory_kb += memory_kb
 
     def free_memory(self, memory_kb: float) -> None:
-        """Accounts for the release of memory reserved with `reserve_memory`."""
+        """Subtracts memory that was added by `reserve_memory`."""
         self.memory_kb -= memory_kb
 
     def memory_limit_kb(self) -> float:
@@ -60,14 +62,14 @@
         return request.memory_kb * (self.server.running_memory_factor - 1)
 
     def begin_execution(self, request: Request, now: int) -> None:
-        """Accounts for a request that starts or resumes its execution."""
+        """Counts the execution of a request, which starts or resumes."""
         if not self.running:
             self.last_progress_at = now
         request.state = RequestState.RUNNING
         self.running += 1
 
     def end_execution(self) -> None:
-        """Accounts for an execution that ended or started to wait for its dependency call."""
+        """Stops counting an execution, which has ended or waits for its dependency call."""
         self.running -= 1
 
     def has_free_cores(self) -> bool:
--- a/lilacwalk/overload/slow_start.py
+++ b/lilacwalk/overload/slow_start.py
@@ -22,7 +22,7 @@
         return server.started_cold and self.context.now < self.started_at + server.warm_up_time
 
     def capacity_share(self) -> float:
-        """The minimum share of its full speed that the server currently reaches."""
+        """The minimum current speed of the server, as a fraction of its full speed."""
         return self.server.cold_capacity_share if self.is_warming_up() else 1.0
 
     def safe_concurrency(self) -> float:
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -7,8 +7,10 @@
 from lilacwalk.overload.server_load import ServerLoad
 from lilacwalk.overload.slow_start import SlowStart
 
-STALL_GAP_MULTIPLE = 9  # mean gaps between ends of executions; a longer gap has probability e^-9
-STALL_TIMER_PERIODS = 4  # timer periods allowed in addition
+# Executions count as stalled if none has made progress for this multiple of the expected time
+# between the ends of two executions. The probability of such a gap without a stall is e^-9.
+STALL_GAP_MULTIPLE = 9
+STALL_TIMER_PERIODS = 4  # number of timer periods allowed in addition to that time
 
 
 class StallDetector:
@@ -23,7 +25,7 @@
         slow_start: SlowStart,
         timer_period: int,
     ) -> None:
-        """Starts without a stall and with the link to the executor up."""
+        """Creates a detector for executions that are not stalled and a link that is up."""
         self._context = context
         self._load = load
         self._latency = latency
@@ -34,12 +36,12 @@
         self._last_timer_at = context.now
 
     def set_executor_link(self, is_up: bool) -> None:
-        """Sets whether the link is up; without it a lack of progress events is not a stall."""
+        """Sets whether the link to the executor is up; no stall is detected while it is down."""
         self._executor_link_is_up = is_up
         self._load.last_progress_at = self._context.now
 
     def record_timer(self) -> None:
-        """Excludes time in which this process itself was not scheduled from the stall detection."""
+        """Excludes time in which this process itself was not scheduled, judged by late timers."""
         now = self._context.now
         pause = now - self._last_timer_at - self._timer_period
         self._last_timer_at = now
@@ -58,7 +60,7 @@
         load = self._load
         if self.stalled or not self._executor_link_is_up or not load.running:
             return False
-        # Uses the longest mean, so that a single long execution does not count as a stall.
+        # The longest mean is used, so that a single long execution does not count as a stall.
         longest_mean = max(
             self._latency.execution_times.values(), default=self._latency.mean_execution_time
         )
--- a/lilacwalk/overload/tenant_quota.py
+++ b/lilacwalk/overload/tenant_quota.py
@@ -6,33 +6,36 @@
 from lilacwalk.overload.model import SECOND, Request, ServerSettings
 from lilacwalk.overload.server_load import ServerLoad
 
-OVER_QUOTA_SHARE = 1.2  # multiple of its share that a tenant may use, as proxies spread unevenly
-DISPATCH_SHARE = 0.7  # minimum sum of all shares, relative to the dispatch rate
-CREDIT_CAPACITY = 3.0  # seconds of its share that a tenant may save, or requests if more
-DISPATCH_RATE_WEIGHT = 0.3  # weight of the newest control period in the moving dispatch rate
+# A tenant may use this multiple of its quota's part for this server, because proxies distribute its
+# requests unevenly over the fleet.
+OVER_QUOTA_SHARE = 1.2
+DISPATCH_SHARE = 0.7  # minimum fraction of the dispatch rate that is divided among tenants by quota
+# A tenant can accumulate credits for this number of seconds, but always for as many requests.
+CREDIT_CAPACITY = 3.0
+DISPATCH_RATE_WEIGHT = 0.3  # weight of the newest control period in the mean dispatch rate
 SHORTAGE_PROBABILITY = 0.98  # admission probability below which capacity counts as short
-LENIENT_WEIGHT_SHARE = 0.5  # over_quota_weight_share from which quotas are not enforced
+LENIENT_WEIGHT_SHARE = 0.5  # value of `over_quota_weight_share` from which quotas are not enforced
 
 
 class TenantQuota:
     """Owns the credits of tenants: the number of requests that each may still have admitted.
 
-    Only admitted requests use credits. Rejected requests are retried, so that if they counted,
-    every tenant would exceed its quota. The quota is too strict if a proxy sends the requests of
-    a tenant to only a few servers.
+    Only admitted requests use credits. If rejected requests used them too, every tenant would seem
+    to exceed its quota under overload, because rejected requests are retried. The division is too
+    strict for a tenant whose requests are sent to only a few servers by the proxy.
     """
 
     def __init__(
         self, server: ServerSettings, load: ServerLoad, admission: AdmissionControl
     ) -> None:
-        """Starts with CREDIT_CAPACITY requests for each tenant."""
+        """Gives each tenant credits for CREDIT_CAPACITY requests."""
         self._server = server
         self._load = load
         self._admission = admission
         self.credit = dict.fromkeys(server.tenants, CREDIT_CAPACITY)
         self._quota_sum = sum(tenant.quota for tenant in server.tenants) / server.fleet_size
-        self._dispatched = 0  # requests in this control period
-        self._dispatch_rate = 0.0  # requests per second
+        self._dispatched = 0  # number of requests dispatched in this control period
+        self._dispatch_rate = 0.0  # mean number of dispatched requests per second
 
     def count_dispatch(self) -> None:
         """Counts a dispatched request."""
@@ -41,8 +44,8 @@
     def refill(self) -> None:
         """Adds the share of each tenant to its credits, once each control period.
 
-        Shares are based on this server's part of the fleet's quotas, or on its own dispatch rate if
-        that is higher.
+        Shares are proportional to quotas. Their sum is this server's part of the fleet's quotas, or
+        is based on this server's dispatch rate if that is higher.
         """
         newest_rate = self._dispatched * SECOND / CONTROL_PERIOD
         self._dispatch_rate += DISPATCH_RATE_WEIGHT * (newest_rate - self._dispatch_rate)
@@ -58,7 +61,7 @@
             )
 
     def must_reject(self, request: Request) -> bool:
-        """Whether to reject a request because its tenant has no credit and capacity is short.
+        """Whether to reject a request because its tenant has no credit while capacity is short.
 
         A request without credit that is not rejected loses most of its weight, so that it is
         dispatched after requests of other tenants.
@@ -76,7 +79,7 @@
         )
 
     def spend(self, request: Request) -> None:
-        """Takes a credit for an admitted request if its tenant has one."""
+        """Uses one credit of the tenant, if it has any, for an admitted request."""
         if request.tenant and self.credit[request.tenant] >= 1:
             self.credit[request.tenant] -= 1
             request.within_quota = True
--- a/lilacwalk/overload/termination.py
+++ b/lilacwalk/overload/termination.py
@@ -57,7 +57,7 @@
         return int(self.server.max_retry_after * share)
 
     def _cancel_execution(self, request: Request) -> None:
-        """Cancels a running execution, unless a duplicate may still need its result."""
+        """Cancels a running execution, unless a duplicate may need its result."""
         if (
             request.state is RequestState.RUNNING
             and request.request_class.effect is Effect.IDEMPOTENT
@@ -66,7 +66,7 @@
             self.context.sink.cancel(request)
 
     def abandon(self, request: Request) -> None:
-        """Ends a request whose client has disconnected or withdrawn it; it gets no response."""
+        """Ends a request without a response, as its client has disconnected or withdrawn it."""
         if request.state in (RequestState.QUEUED, RequestState.COALESCED):
             self.release(request)
         elif request.state is not RequestState.FINISHED:
@@ -87,7 +87,7 @@
     def objective_missed(self, request: Request) -> None:
         """Ends a request whose response is no longer useful.
 
-        A running execution with side effects continues, since failing it early could cause a retry.
+        An execution that may have side effects continues, because ending it could cause a retry.
         """
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
         if request.answered or (request.was_dispatched and not is_idempotent):
@@ -110,7 +110,10 @@
                 self.reject_or_fail(request)
 
     def release(self, request: Request) -> None:
-        """Frees the resources of a request; if unexecuted, a queued duplicate replaces it."""
+        """Frees the resources of an ended request.
+
+        If the request was not executed, its first queued duplicate takes its place.
+        """
         match request.state:
             case RequestState.QUEUED:
                 if request in self.load.queue:
@@ -121,7 +124,7 @@
                 self.dependency.pending.remove(request)
             case RequestState.CALL_IN_PROGRESS:
                 elapsed = self.context.now - request.call_pending_since
-                self.dependency.end_call(elapsed, lingers=True)
+                self.dependency.end_call(elapsed, is_abandoned=True)
         self.load.remove(request)
         if not request.was_dispatched:
             self.quota.refund(request)
--- a/lilacwalk/requests/in_flight.py
+++ b/lilacwalk/requests/in_flight.py
@@ -7,9 +7,9 @@
 
 
 class InFlightTable:
-    """The requests in flight, by id and by the controller's record.
+    """The requests in flight, by id and by their `Request`.
 
-    Also maintains `open_requests` of client connections and `in_flight` of front ends.
+    The table also maintains `ClientConnection.open_requests` and `Frontend.in_flight`.
     """
 
     def __init__(self) -> None:
--- a/lilacwalk/requests/records.py
+++ b/lilacwalk/requests/records.py
@@ -19,15 +19,16 @@
     Attributes:
         id: The id chosen by the client, unique among the requests in flight.
         class_name: The name of the request class.
-        tenant_name: The name of the tenant; empty: not stated.
-        client: The number of the originating client; 0: not stated.
-        arrived_at: The Unix time at which it reached this machine.
-        timeout: The timeout from `arrived_at`; None: the timeout of the request class.
-        work_hint: The execution time that the client expects; 0: not stated.
-        memory_kb: The memory that its execution needs.
+        tenant_name: The name of the tenant; empty if none was stated.
+        client: The number of the originating client; 0 if none was stated.
+        arrived_at: The Unix time at which the request reached this machine.
+        timeout: The timeout, which starts at `arrived_at`; None for that of the request class.
+        work_hint: The execution time that the client expects; 0 if none was stated.
+        memory_kb: The memory needed for the request.
         is_retry: Whether the client has made an earlier attempt.
-        subject: The object that it reads, for requests that may share a result; empty: unknown.
-        idempotency_key: The idempotency key; empty: none.
+        subject: The object that the request reads; empty if unknown. Requests with the same subject
+            may share a result.
+        idempotency_key: The idempotency key; empty if there is none.
         body: A slice of the socket's read buffer, or a copy.
     """
 
@@ -76,7 +77,7 @@
 
     status: FinalStatus
     body: bytes | memoryview = b""
-    retry_after: int = 0  # 0: none
+    retry_after: int = 0  # 0 if no retry-after is to be sent
     do_not_retry_elsewhere: bool = False
 
 
@@ -88,11 +89,11 @@
         request: The controller's record of the request.
         id: The id chosen by the client, also used towards the executor and the dependency.
         tag: The number that identifies the request on its client connection.
-        connection: The connection that awaits the response; None: the response was sent, or the
-            client has disconnected or withdrawn the request.
+        connection: The connection that awaits the response; None after the response was sent, or
+            the client has disconnected or withdrawn the request.
         class_name: The name of the request class on the wire.
         body: The body of the request.
-        cache_key: The key of its entry in the result cache; None: it has no entry.
+        cache_key: The key of the request's entry in the result cache; None if it has no entry.
         unacknowledged_commands: Commands that the executor may not have received.
         gauge_poll_at_last_command: The number of gauge polls when the last command was sent.
         commands_resent: Whether commands were sent again after the link was lost, so that the
@@ -142,10 +143,10 @@
 
     Attributes:
         name: The name of the protocol.
-        source_site: The site whose failover traffic is received here; empty: local traffic.
-        max_in_flight: The maximum number of its requests in flight, so that a flood at one front
-            end does not use the capacity of the others.
-        in_flight: The number of its requests in flight.
+        source_site: The site whose failover traffic is received here; empty for local traffic.
+        max_in_flight: The maximum number of requests in flight of this front end, so that a flood
+            of requests at one front end leaves capacity for the others.
+        in_flight: The number of requests in flight of this front end.
     """
 
     name: str
@@ -157,10 +158,14 @@
         """Sends the response to a request, in the event loop iteration that decided on it."""
 
     def reject_malformed(self, client: ClientConnection, tag: int, reason: str, /) -> None:
-        """Logs a malformed message and answers it with an error unless `tag` is 0."""
+        """Logs a malformed message and responds with an error, unless `tag` is 0."""
 
     def tick(self, now: int, was_stalled: bool, /) -> None:
-        """Does periodic work; `was_stalled` means that the event loop is late."""
+        """Does the front end's housekeeping, such as closing idle connections.
+
+        `was_stalled` means that the event loop was delayed. Received messages may then be unread,
+        so that no connection may be closed as idle.
+        """
 
     def start_draining(self, now: int, /) -> None:
         """Handles the start of a drain, in which requests are still received."""
@@ -169,9 +174,10 @@
         """Closes the listener and asks clients to disconnect."""
 
     def close_idle_connections(self, now: int, is_final: bool, /) -> None:
-        """Closes idle connections; called repeatedly after `stop_accepting`.
+        """Closes unused connections; called repeatedly after `stop_accepting`.
 
-        `is_final` means that the process is about to end.
+        `is_final` means that the process is about to end, so that connections are closed without
+        waiting for the clients to do so.
         """
 
     def is_drained(self) -> bool:
--- a/lilacwalk/requests/result_cache.py
+++ b/lilacwalk/requests/result_cache.py
@@ -11,7 +11,8 @@
 from lilacwalk.overload.model import Request
 from lilacwalk.requests.records import CacheKey
 
-MAX_READ_DELAY = 10_000  # from arrival until read; longer delays occur only in a stall
+# Maximum time from the arrival of a request until it is read, except after a stall.
+MAX_READ_DELAY = 10_000
 
 
 @dataclass(eq=False, slots=True)
@@ -20,10 +21,10 @@
 
     Attributes:
         request: The request to which the key belongs.
-        expires_at: The time of expiry; None: not before the request is finished.
-        result: The result; None: there is none, or it did not fit into the cache.
+        expires_at: The time of expiry; None while the request is in flight.
+        result: The result; None if there is none or it did not fit into the cache.
         is_finished: Whether the execution has ended.
-        body_hash: The hash of the request's body; None: unknown.
+        body_hash: The hash of the request's body; None if unknown.
     """
 
     request: Request
@@ -122,7 +123,10 @@
             self.bytes -= len(entry.result or b"")
 
     def evict_expired(self, now: int) -> None:
-        """Removes entries that expired MAX_READ_DELAY ago; all their duplicates have been read."""
+        """Removes entries that expired at least MAX_READ_DELAY ago.
+
+        Until then a duplicate that arrived before the expiry may still be unread.
+        """
         for key, entry in list(self.entries.items()):
             if entry.expires_at is not None and entry.expires_at <= now - MAX_READ_DELAY:
                 self.evicted_until = max(self.evicted_until, entry.expires_at)
--- a/lilacwalk/settings.py
+++ b/lilacwalk/settings.py
@@ -20,7 +20,8 @@
     Tenant,
 )
 
-ROUNDING_TOLERANCE = 1e-6  # tenths of a millisecond, for times not exactly representable as float
+# Tenths of a millisecond. Compensates for times that have no exact binary representation.
+ROUNDING_TOLERANCE = 1e-6
 TENTHS_PER_MILLISECOND = 10
 
 # Names of effects in the operator's file and in printed tables.
@@ -31,7 +32,7 @@
 }
 EFFECTS_BY_NAME = {name: effect for effect, name in EFFECT_NAMES.items()}
 
-# Names in settings.
+# Names of effects, stop modes and load report kinds in settings.
 _EFFECTS = {
     "safe": Effect.IDEMPOTENT,
     "keyed": Effect.DEDUPLICATED,
@@ -52,8 +53,8 @@
     """A setting is missing or invalid.
 
     Attributes:
-        name: The name of the setting at its source.
-        problem: The reason, as a predicate that follows the name.
+        name: The name of the setting, as written in the settings.
+        problem: What is wrong, as a phrase that follows the name in the message.
     """
 
     def __init__(self, *, name: str, problem: str) -> None:
@@ -122,7 +123,7 @@
     if isinstance(value, int):
         return int(value)
     if isinstance(value, str) and value.lstrip("-").isdigit():
-        return int(value)  # a float would round a 64-bit seed
+        return int(value)  # conversion to float would round a 64-bit seed
     return int(read_number(settings, name, default))
 
 
@@ -134,14 +135,14 @@
 def read_choice(
     settings: Mapping, name: str, choices: Mapping[str, Value], default: str | None = None
 ) -> Value:
-    """Returns the element of `choices` that is named by the value of a setting.
+    """Returns the element of `choices` whose name is the value of the setting.
 
     Raises:
         SettingsError: The value is not one of the choices, or is missing and has no default.
     """
     value = settings.get(name, default)
     if value is None:
-        raise SettingsError(name=name, problem="is missing")
+        raise SettingsError(name=name, problem=f"is missing; expected one of {', '.join(choices)}")
     if value not in choices:
         raise SettingValueError(
             name=name, value=value, problem=f"is not one of {', '.join(choices)}"
@@ -162,7 +163,7 @@
 
 
 def read_list(settings: Mapping, name: str) -> list:
-    """Returns a list; in the simulator's protocol a list of one is written as its element."""
+    """Returns a list setting; a single value is a list of one, as in the simulator's protocol."""
     value = settings.get(name)
     if value is None or value == "":
         return []
@@ -243,7 +244,7 @@
         weight=read_number(fields, "worth", 1.0),
         latency_objective=latency_objective,
         timeout=timeout,
-        # A request with an unknown effect must not be executed twice.
+        # With an unknown effect the requests are assumed not to be safe to execute twice.
         effect=_EFFECTS.get(str(fields.get("effect")), Effect.NON_IDEMPOTENT),
         objective_stretch=read_number(fields, "aim_stretch", 0.0),
         late_weight_share=read_number(fields, "late_worth", 0.0),
--- a/tests/overload/conftest.py
+++ b/tests/overload/conftest.py
@@ -30,7 +30,7 @@
 
 
 class FakeHost:
-    """Runs a controller, records its decisions and processes only the events that a test passes."""
+    """Runs a controller with the events that a test supplies, and records its decisions."""
 
     def __init__(self, **server):
         self.server = ServerSettings(**(SERVER | server))
@@ -84,7 +84,7 @@
         self.process(ExecutionFinished(request, outcome))
 
     def decisions(self, name):
-        """The first argument, in most cases a request, of each decision with this name."""
+        """Returns the first argument of each decision with this name, usually the request."""
         return [
             decision[1] if len(decision) > 1 else None
             for decision in self.recorded
@@ -92,7 +92,7 @@
         ]
 
     def responses(self, request):
-        """The names of the decisions that answered the request."""
+        """Returns the names of the decisions that answered the request."""
         return [
             decision[0]
             for decision in self.recorded
--- a/tests/overload/test_dependency_limiter.py
+++ b/tests/overload/test_dependency_limiter.py
@@ -4,7 +4,7 @@
 from lilacwalk.overload.model import Outcome
 
 
-def test_abandoned_calls_count_against_the_share_while_they_linger(make_host, make_class):
+def test_an_abandoned_call_uses_the_call_limit_until_its_linger_time_ends(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=1.5,
@@ -19,7 +19,9 @@
     assert len(host.decisions("call_dependency")) == 2
 
 
-def test_a_share_below_one_call_is_respected_on_average(make_host, make_class):
+def test_with_half_a_concurrent_call_allowed_the_next_call_waits_after_the_first(
+    make_host, make_class
+):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=0.5,
@@ -34,7 +36,9 @@
     assert host.decisions("call_dependency") == [first, second]
 
 
-def test_congestion_lowers_a_limit_that_is_below_one_call(make_host, make_class):
+def test_congestion_lengthens_the_pause_between_calls_if_less_than_one_is_allowed(
+    make_host, make_class
+):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=0.5,
@@ -46,7 +50,7 @@
         host.controller.parts.dependency.record_call_time(elapsed)
     host.process(CallFinished(first, Outcome.OK, 1_000))
     host.wait(5_000)
-    # With the full share the second call would have been made by now.
+    # At the full limit the second call would have been made by now.
     assert host.decisions("call_dependency") == [first]
     host.wait(5_000)
     assert host.decisions("call_dependency") == [first, second]
@@ -61,7 +65,7 @@
         host.controller.parts.dependency.record_call_time(elapsed)
     for elapsed in [5_000] * 30:
         host.controller.parts.dependency.record_call_time(elapsed)
-    assert 1 < host.controller.parts.dependency.limit < 2  # calls are still made
+    assert 1 < host.controller.parts.dependency.limit < 2  # some calls still probe the dependency
     request = host.receive()
     host.wait(6_000)
     host.process(CallRequested(request))
--- a/tests/overload/test_feasibility.py
+++ b/tests/overload/test_feasibility.py
@@ -25,7 +25,10 @@
 def test_slow_calls_and_executions_at_the_start_do_not_cause_permanent_rejections(
     make_host, make_class, effect, calls, slow_calls, slow_executions
 ):
-    """The first calls or executions last as long as the objective or longer, the others do not."""
+    """The first calls or executions take about the latency objective or longer, all others do not.
+
+    Estimates from the first ones must not reject all requests, as nothing would correct them then.
+    """
     host = make_host(
         request_classes=[make_class(calls_dependency=bool(calls), effect=effect)],
         dependency_call_share=4.0,
--- a/tests/overload/test_tenant_quota.py
+++ b/tests/overload/test_tenant_quota.py
@@ -60,7 +60,7 @@
     assert over not in host.decisions("dispatch")
 
 
-def test_a_share_grows_with_the_dispatch_rate_of_this_server(make_host):
+def test_credits_grow_with_the_dispatch_rate_of_this_server(make_host):
     one, other = Tenant("one", 30.0), Tenant("other", 10.0)
     host = make_host(tenants=[one, other], over_quota_weight_share=0.1, fleet_size=100)
     for _ in range(40):  # ten requests per second: twenty times this server's part of the quotas
