--- a/lilacwalk/overload/admission_gate.py
+++ b/lilacwalk/overload/admission_gate.py
@@ -1,4 +1,4 @@
-"""Decides on each request that was read whether it is admitted."""
+"""Admission decision for each received request."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-SHORTAGE_PROBABILITY = 0.9  # admission probability below which retries elsewhere are unwelcome
+# Admission probability below which rejected clients are asked not to retry on other servers.
+SHORTAGE_PROBABILITY = 0.9
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class AdmissionGate:
-    """Admits a request, or has it rejected at once. It has no state of its own."""
+    """Admits requests or rejects them immediately. Has no state of its own."""
 
     context: BatchContext
     server: ServerSettings
@@ -33,23 +34,24 @@
     deadline_margin: int
 
     def admit(self, request: Request) -> bool:
-        """Returns whether the request is admitted; otherwise it was rejected."""
-        is_drawn = self.admission.draw()  # for every arrival, whatever decides
-        if self._cannot_take(request):
-            self.termination.give_up(request)
+        """Returns whether the request is admitted; if not, it has been answered."""
+        # Drawn even if another check rejects the request, so that draws depend on arrivals only.
+        passes_draw = self.admission.draw()
+        if self._cannot_serve(request):
+            self.termination.reject_or_fail(request)
             return False
-        must_yield = self.quota.must_yield(request)
-        if must_yield or not is_drawn or not self._is_feasible(request):
-            self.termination.give_up(
+        must_reject = self.quota.must_reject(request)
+        if must_reject or not passes_draw or not self._is_feasible(request):
+            self.termination.reject_or_fail(
                 request,
-                do_not_retry_elsewhere=must_yield or self._retry_elsewhere_is_wasteful(request),
+                do_not_retry_elsewhere=must_reject or self._retry_elsewhere_is_wasteful(request),
             )
             return False
         self.quota.spend(request)
         return True
 
-    def _cannot_take(self, request: Request) -> bool:
-        """Whether this server can take no request at all, or there is no time left for this one."""
+    def _cannot_serve(self, request: Request) -> bool:
+        """Whether the server accepts no requests now, or no time is left for this one."""
         if request.deadline - self.context.now <= self.deadline_margin:
             return True
         if self.drain.is_active and request.arrived_at > self.drain.grace_ends_at:
@@ -65,11 +67,13 @@
         return self.feasibility.can_finish_in_time(request, queue_wait)
 
     def _retry_elsewhere_is_wasteful(self, request: Request) -> bool:
-        """Whether retries on other servers would cost more than they bring.
+        """Whether retries on other servers would cost more than they gain.
 
-        Each server that is tried reads the request, and a large fleet makes the chain long. So for
-        a request that failed elsewhere or is too late anywhere, and while many are rejected, even
-        by a slow server alone. It costs first attempts that a faster server would complete.
+        Each further attempt makes another server read the request, and a large fleet allows many
+        attempts. Retries elsewhere are wasteful if the request is itself a retry, if it is too late
+        for any server, or if this server currently rejects many requests. The last rule applies
+        even if only this server is slow, and then prevents attempts that a faster server would
+        complete.
         """
         return not self.drain.is_active and (
             request.is_retry
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -1,26 +1,32 @@
-"""What is known of clients: how active they are, and how patient."""
+"""Tracks how active clients are and which timeouts they use."""
 
 from __future__ import annotations
 
 from lilacwalk.overload.model import Request, RequestClass
 
-RETURNING_WEIGHT = 0.05  # of the newest request in the running share of returning clients
-ACTIVITY_DECAY = 0.8  # each control period
-MINIMUM_ACTIVITY = 0.05  # below it a client is forgotten
-KNOWN_CLIENT_ACTIVITY = 2  # clients with less are treated as one
-TIMEOUT_BUCKETS = 50  # in which the class's timeout is divided to count clients' timeouts
-MAXIMUM_COUNT = 400  # requests counted before counts are halved
-COMMON_SHARE = 0.25  # of a client's requests; a timeout as frequent is one of its usual ones
+RETURNING_WEIGHT = 0.05  # weight of the newest request in the moving average `returning_share`
+ACTIVITY_DECAY = 0.8  # factor applied to each client's activity once per control period
+MINIMUM_ACTIVITY = 0.05  # a client whose activity is not above this value is removed
+# Clients whose activity is below this value do not get a histogram of timeouts of their own, but
+# use a common one.
+MINIMUM_TRACKED_ACTIVITY = 2
+TIMEOUT_BUCKETS = 50  # number of histogram buckets between 0 and the timeout of the request class
+MAXIMUM_TIMEOUT_COUNT = 400  # number of requests in a histogram above which its counts are halved
+# A timeout is one of the client's usual ones if at least this fraction of its requests have it.
+USUAL_TIMEOUT_SHARE = 0.25
 
 
 class ClientTracker:
-    """Owns the activity of each client and the timeouts that its requests state."""
+    """Owns the recent activity of each client and histograms of the timeouts of its requests."""
 
     def __init__(self) -> None:
-        """Starts without any client, and takes the first ones as returning."""
-        self.activity: dict[int, float] = {}  # requests of late, by client
-        self.returning_share = 1.0  # of the requests, from clients seen within the last seconds
-        # How often each timeout was stated, in buckets; by client (None: all that are seldom seen).
+        """Creates a tracker without clients that assumes all requests to be from returning ones."""
+        # The activity by client: its number of requests, which decays over time.
+        self.activity: dict[int, float] = {}
+        # Fraction of requests that come from a client with earlier requests in the last seconds.
+        self.returning_share = 1.0
+        # Histograms of timeouts (bucket to count) by client and request class. The key None is for
+        # all clients whose activity is low.
         self.timeout_counts: dict[tuple[int | None, RequestClass], dict[int, float]] = {}
 
     def record_request(self, client: int) -> None:
@@ -30,37 +36,39 @@
         self.activity[client] = self.activity.get(client, 0.0) + 1
 
     def decay(self) -> None:
-        """Lets activity fade, once each control period, and forgets clients that are gone."""
+        """Decays activity, once each control period, and removes inactive clients."""
         self.activity = {
             client: activity * ACTIVITY_DECAY
             for client, activity in self.activity.items()
             if activity > MINIMUM_ACTIVITY
         }
-        # Clients come back under other numbers after a restart, so their timeouts go as well.
+        # A client has another number after a restart, so histograms of removed clients are useless.
         known = {None, *self.activity}
         self.timeout_counts = {
             key: counts for key, counts in self.timeout_counts.items() if key[0] in known
         }
 
-    def time_already_spent(self, request: Request) -> int:
-        """How long the client had been trying elsewhere before this request, as an estimate.
+    def elapsed_before_arrival(self, request: Request) -> int:
+        """Estimates the time that the client spent on earlier attempts at other servers.
 
-        The first attempt states one of the client's usual timeouts, the last one what is left of
-        the class's timeout. A timeout that is seldom seen therefore tells how old the request is;
-        by its arrival alone it would look fresh. The estimate misleads where a client's timeouts
-        vary without end.
+        The first attempt of a request is sent with one of the client's usual timeouts, the last
+        attempt with the remainder of the request class's timeout. An unusual timeout therefore
+        reveals the age of the request, which its arrival time does not show. The estimate is wrong
+        for clients that have no usual timeouts.
         """
-        stated = request.deadline - request.arrived_at
+        stated_timeout = request.deadline - request.arrived_at
         class_timeout = request.request_class.timeout
-        client = request.client if self.activity[request.client] >= KNOWN_CLIENT_ACTIVITY else None
+        client = (
+            request.client if self.activity[request.client] >= MINIMUM_TRACKED_ACTIVITY else None
+        )
         key = (client, request.request_class)
         counts = self.timeout_counts.setdefault(key, {})
-        bucket = TIMEOUT_BUCKETS * stated // class_timeout
+        bucket = TIMEOUT_BUCKETS * stated_timeout // class_timeout
         counts[bucket] = counts.get(bucket, 0) + 1
         total = sum(counts.values())
-        if total > MAXIMUM_COUNT:
+        if total > MAXIMUM_TIMEOUT_COUNT:
             self.timeout_counts[key] = {each: n / 2 for each, n in counts.items() if n > 1}
-        similar = sum(counts.get(each, 0) for each in (bucket - 1, bucket, bucket + 1))
-        if similar >= COMMON_SHARE * total:
+        similar_count = sum(counts.get(each, 0) for each in (bucket - 1, bucket, bucket + 1))
+        if similar_count >= USUAL_TIMEOUT_SHARE * total:
             return 0
-        return max(0, class_timeout - stated)
+        return max(0, class_timeout - stated_timeout)
--- a/lilacwalk/overload/dependency_limiter.py
+++ b/lilacwalk/overload/dependency_limiter.py
@@ -5,38 +5,52 @@
 from lilacwalk.overload.batch_context import BatchContext
 from lilacwalk.overload.model import SECOND, Request, RequestState, ServerSettings
 
-CALLS_PER_CORE = 4.0  # the limit where the server was told no share
-CALL_TIME_WEIGHT = 0.1  # of the newest call in the running mean: calls slow down within seconds
-BASELINE_WEIGHT = 0.005  # of the newest call in the baseline
-CROWDED_BASELINE_DIVISOR = 20  # of that weight while calls are crowded
-FIRST_CALLS = 20  # averaged plainly, so that one odd first call does not set the baseline
-OUTLIER_CALL_TIMES = 3  # mean call times that one call counts for at most: a lost reply is no crowd
-CROWDED_MULTIPLE = 2  # of the baseline: beyond the scatter of a mean of ten calls
-MINIMUM_LIMIT_SHARE = 0.3  # of the full limit, so that a dependency slow by itself is not left idle
-LIMIT_DECREASE = 0.8  # factor for each call while crowded
-LIMIT_INCREASE_STEPS = 16  # calls in which the limit grows by its full value
-PROBE_INTERVAL = SECOND  # without any call or progress, after which one is tried regardless
+CALLS_PER_CORE = 4.0  # full limit per core if `dependency_call_share` is not configured
+# Weight of the newest call in the mean call time. It is high because calls can become slow within
+# seconds.
+CALL_TIME_WEIGHT = 0.1
+BASELINE_WEIGHT = 0.005  # weight of the newest call in the baseline call time
+CONGESTED_BASELINE_DIVISOR = 20  # BASELINE_WEIGHT is divided by it while calls are congested
+# The first calls are averaged with equal weights, so that one unusual call does not determine the
+# baseline.
+INITIAL_CALLS = 20
+# A call counts for at most this multiple of the mean call time, so that one lost reply is not taken
+# for congestion.
+OUTLIER_CAP_MULTIPLE = 3
+# Calls are congested if their mean time exceeds the baseline by this factor, which is outside the
+# variance of a mean of ten calls.
+CONGESTION_MULTIPLE = 2
+# The limit does not fall below this fraction of the full limit, since a dependency that is slow for
+# other reasons than its load would otherwise be left idle.
+MINIMUM_LIMIT_SHARE = 0.3
+LIMIT_DECREASE = 0.8  # factor applied to the limit after each call during congestion
+LIMIT_INCREASE_STEPS = 16  # number of calls after which the limit has grown by the full limit
+# After this time without a call, or without progress of any execution, estimates are ignored and a
+# call or execution is tried.
+PROBE_INTERVAL = SECOND
 
 
 class DependencyLimiter:
-    """Owns the pending calls, the calls in progress, their measured times and the limit.
+    """Owns the pending calls, the number of calls in progress, measured call times and the limit.
 
-    T leaves the wait for calls out, so a dependency that slows down would be sent ever more calls.
-    Call times well above their baseline therefore lower the limit; below one call it becomes a
-    pause between calls, for in a large fleet even one call from each server is a crowd.
+    The latency ratio T, by which requests are admitted, excludes dependency calls. Without a limit
+    a dependency that slows down would therefore receive more and more calls. The limit is lowered
+    while the mean call time is well above the baseline. It may fall below one call, which is
+    implemented by pauses between calls, because in a large fleet one concurrent call from each
+    server can already overload the dependency.
     """
 
     def __init__(self, context: BatchContext, server: ServerSettings) -> None:
-        """Starts with the full limit and without a measured call."""
+        """Creates a limiter with the full limit and without measured calls."""
         self._context = context
         self._server = server
-        self.pending: list[Request] = []  # their calls are to be made or skipped
-        self.in_progress = 0  # abandoned ones included while they linger
+        self.pending: list[Request] = []  # requests whose call has not been made or skipped
+        self.in_progress = 0  # number of calls, including abandoned ones that are still executed
         self.call_time = 0.0
         self.baseline_call_time = 0.0
         self.measured_calls = 0
-        self.limit = self._full_limit()  # mean number of calls in progress
-        self.is_crowded = False
+        self.limit = self._full_limit()  # maximum mean number of calls in progress
+        self.is_congested = False
         self.next_call_at = context.now
         self._last_call_at = context.now
 
@@ -45,13 +59,14 @@
         return share if share < 1 else float(int(share))
 
     def is_full(self) -> bool:
-        """Whether no call may be started now."""
+        """Whether the limit permits no further call now."""
         return self.in_progress >= max(1, int(self.limit)) or self._context.now < self.next_call_at
 
     def has_been_idle(self) -> bool:
-        """Whether no call was made for a while, so that the next is expected to take no time.
+        """Whether no call was in progress for longer than PROBE_INTERVAL.
 
-        Otherwise a slow spell that made all requests infeasible would never be seen to end.
+        The mean call time is then ignored. Otherwise, once slow calls have made all requests
+        infeasible, no further call would show that the dependency has recovered.
         """
         return not self.in_progress and self._context.now - self._last_call_at > PROBE_INTERVAL
 
@@ -60,55 +75,58 @@
         return self.call_time * (1 + calls_needed / self.limit)
 
     def add_pending(self, request: Request) -> None:
-        """Has the request wait for its call to be made or skipped."""
+        """Adds a request to the pending calls."""
         request.state = RequestState.CALL_PENDING
         self.pending.append(request)
 
     def begin_call(self, request: Request) -> None:
-        """Accounts for the call of a pending request."""
+        """Moves a request from the pending calls to the calls in progress."""
         self.pending.remove(request)
         request.state = RequestState.CALL_IN_PROGRESS
         self.in_progress += 1
 
-    def end_call(self, elapsed: int, *, lingers: bool) -> None:
-        """Accounts for a call that ended, or that was abandoned and lingers at the dependency."""
+    def end_call(self, elapsed: int, *, is_abandoned: bool) -> None:
+        """Records that a call ended, or was abandoned, `elapsed` after its start.
+
+        An abandoned call counts as in progress until `abandoned_call_linger` has passed.
+        """
         now = self._context.now
         linger = self._server.abandoned_call_linger
         self._last_call_at = now
-        if lingers:
-            self._context.schedule(now + linger, self._end_lingering_call)
+        if is_abandoned:
+            self._context.schedule(now + linger, self._end_abandoned_call)
         else:
             self.in_progress -= 1
-        if self.limit < 1:  # one call at a time and a pause keep the mean under the limit
-            occupied = elapsed + (linger if lingers else 0)
+        if self.limit < 1:  # a pause after each call keeps the mean concurrency below the limit
+            occupied = elapsed + (linger if is_abandoned else 0)
             self.next_call_at = max(self.next_call_at, now + int(occupied / self.limit))
 
-    def _end_lingering_call(self) -> None:
-        self.end_call(0, lingers=False)
+    def _end_abandoned_call(self) -> None:
+        self.end_call(0, is_abandoned=False)
 
     def record_call_time(self, elapsed: int) -> None:
-        """Learns from a call that took `elapsed` and adapts the limit."""
+        """Updates the mean and baseline call times with a completed call and adapts the limit."""
         self.measured_calls += 1
-        is_first = self.measured_calls <= FIRST_CALLS
-        counted = elapsed if is_first else min(elapsed, OUTLIER_CALL_TIMES * self.call_time)
+        is_first = self.measured_calls <= INITIAL_CALLS
+        counted = elapsed if is_first else min(elapsed, OUTLIER_CAP_MULTIPLE * self.call_time)
         weight = max(CALL_TIME_WEIGHT, 1 / self.measured_calls)
         self.call_time += weight * (counted - self.call_time)
         self.baseline_call_time += self._baseline_weight() * (counted - self.baseline_call_time)
-        self.is_crowded = self.call_time > CROWDED_MULTIPLE * self.baseline_call_time
+        self.is_congested = self.call_time > CONGESTION_MULTIPLE * self.baseline_call_time
         full_limit = self._full_limit()
-        if self.is_crowded:
+        if self.is_congested:
             self.limit = max(full_limit * MINIMUM_LIMIT_SHARE, self.limit * LIMIT_DECREASE)
         else:
             self.limit = min(full_limit, self.limit + full_limit / LIMIT_INCREASE_STEPS)
 
     def _baseline_weight(self) -> float:
-        if self.measured_calls <= FIRST_CALLS:
+        if self.measured_calls <= INITIAL_CALLS:
             return 1 / self.measured_calls
-        return BASELINE_WEIGHT / (CROWDED_BASELINE_DIVISOR if self.is_crowded else 1)
+        return BASELINE_WEIGHT / (CONGESTED_BASELINE_DIVISOR if self.is_congested else 1)
 
     def restore(self, *, call_time: float, baseline_call_time: float, weight: float) -> None:
-        """Takes over call times of an earlier incarnation, unless calls were measured already."""
+        """Adopts call times of an earlier incarnation unless calls have been measured."""
         if call_time and not self.measured_calls:
             self.call_time = call_time
             self.baseline_call_time = baseline_call_time
-            self.measured_calls = int(weight * FIRST_CALLS)
+            self.measured_calls = int(weight * INITIAL_CALLS)
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -1,9 +1,9 @@
-"""Makes, skips or gives up pending dependency calls."""
+"""Decides whether pending dependency calls are made, skipped or given up."""
 
 from __future__ import annotations
 
 from lilacwalk.overload.batch_context import BatchContext
-from lilacwalk.overload.dependency_limiter import FIRST_CALLS, DependencyLimiter
+from lilacwalk.overload.dependency_limiter import INITIAL_CALLS, DependencyLimiter
 from lilacwalk.overload.feasibility import REQUIRED_TIME_SHARE, Feasibility
 from lilacwalk.overload.latency_estimator import LatencyEstimator
 from lilacwalk.overload.model import Effect, Request, RequestClass, ServerSettings
@@ -11,19 +11,22 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.termination import Termination
 
-UNRESPONSIVE_CALL_TIMES = 10  # mean call times after which a call is unresponsive
-RESUMED_CONCURRENCY_SHARE = 0.75  # of the safe concurrency that resumed executions may reach
+# The first call of a request times out after this multiple of the mean call time.
+CALL_TIMEOUT_MULTIPLE = 10
+# Calls are made only while the number of executions that run or will resume after a call is below
+# this fraction of the safe concurrency.
+RESUMED_CONCURRENCY_SHARE = 0.75
 
 
-def skip_loss(request_class: RequestClass) -> float:
-    """The weight that a request of the class loses when its dependency call is skipped."""
+def weight_lost_by_skipping(request_class: RequestClass) -> float:
+    """The weight lost if the dependency call of a request of this class is skipped."""
     return request_class.weight * (1 - request_class.skipped_call_weight_share)
 
 
 class DependencyScheduler:
-    """Decides on pending calls, those first that lose most without one.
+    """Decides on pending calls, in descending order of the weight lost by skipping the call.
 
-    The pending calls themselves belong to `DependencyLimiter`.
+    `DependencyLimiter` owns the list of pending calls.
     """
 
     def __init__(
@@ -39,7 +42,7 @@
         termination: Termination,
         deadline_margin: int,
     ) -> None:
-        """Takes the parts of one controller."""
+        """Stores the parts of the controller that this one uses."""
         self._context = context
         self._server = server
         self._load = load
@@ -49,19 +52,23 @@
         self._limiter = limiter
         self._termination = termination
         self._deadline_margin = deadline_margin
-        # While calls are crowded only the classes that lose this much still make theirs.
-        self._greatest_skip_loss = max(
-            (skip_loss(each) for each in server.request_classes if each.calls_dependency),
+        # Only classes with this value make calls while calls are congested and at their limit.
+        self._greatest_lost_weight = max(
+            (
+                weight_lost_by_skipping(each)
+                for each in server.request_classes
+                if each.calls_dependency
+            ),
             default=0,
         )
 
     def decide_pending_calls(self) -> None:
-        """Makes the pending calls for which there is room and time, and ends the others' wait."""
+        """Makes pending calls up to the limit; skips calls or ends requests that are too late."""
         if not self._limiter.pending:
             return
         waiting = [request for request in self._limiter.pending if not request.answered]
-        waiting.sort(key=lambda request: -skip_loss(request.request_class))
-        # Resumed executions come on top of the concurrency limit.
+        waiting.sort(key=lambda request: -weight_lost_by_skipping(request.request_class))
+        # Executions that resume after a call are added to those within the concurrency limit.
         limit = max(
             self._server.cores + 1,
             RESUMED_CONCURRENCY_SHARE * self._slow_start.safe_concurrency(),
@@ -76,11 +83,11 @@
             self._call(request)
 
     def _concurrency(self) -> int:
-        """Executions that run or will resume."""
+        """The number of executions that run or will resume after their dependency call."""
         return self._load.running + self._limiter.in_progress
 
     def _remains_pending(self, request: Request, *, position: int, limit: float) -> bool:
-        """Skips the call or gives the request up where needed; returns whether it waits on."""
+        """Skips the call or ends the request if necessary; returns whether it stays pending."""
         request_class = request.request_class
         is_idempotent = request_class.effect is Effect.IDEMPOTENT
         can_skip = request_class.skipped_call_weight_share > 0
@@ -95,15 +102,18 @@
             return False
         if not may_call or (is_late and is_idempotent):
             self._latency.record_response(request, self._context.now)
-            self._termination.give_up(request, do_not_retry_elsewhere=True)
+            self._termination.reject_or_fail(request, do_not_retry_elsewhere=True)
             return False
         return True
 
     def _is_late(self, request: Request, position: int) -> bool:
-        """Whether a call at `position` among those that wait would end too late to be useful."""
+        """Whether a call would end too late for a useful response.
+
+        `position` is the number of calls that are to be made before it.
+        """
         limiter = self._limiter
         expected_call_time = 0.0 if limiter.has_been_idle() else limiter.call_time
-        # What was begun on idle cores is continued.
+        # If cores are idle, an execution is continued regardless of its remaining work.
         remaining_work = (
             0.0 if self._load.is_idle() else REQUIRED_TIME_SHARE / 2 * request.expected_work
         )
@@ -114,39 +124,44 @@
         )
 
     def _must_skip(self, request_class: RequestClass) -> bool:
-        """Whether the class is to skip its calls for those that lose more without one."""
+        """Whether the class has to skip its calls, so that classes that would lose more can call.
+
+        This applies only while calls are congested and no further call is permitted.
+        """
         return (
-            self._limiter.is_crowded
+            self._limiter.is_congested
             and self._limiter.is_full()
-            and skip_loss(request_class) < self._greatest_skip_loss
+            and weight_lost_by_skipping(request_class) < self._greatest_lost_weight
         )
 
     def _call(self, request: Request) -> None:
-        give_up_at = max(self._give_up_at(request), self._context.now + 1)
+        timeout_at = max(self._call_timeout_at(request), self._context.now + 1)
         self._limiter.begin_call(request)
-        self._context.sink.call_dependency(request, give_up_at)
+        self._context.sink.call_dependency(request, timeout_at)
 
-    def _give_up_at(self, request: Request) -> int:
+    def _call_timeout_at(self, request: Request) -> int:
         now = self._context.now
         limiter = self._limiter
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
         if is_idempotent:
-            give_up_at = self._feasibility.useful_response_deadline(request)
+            timeout_at = self._feasibility.useful_response_deadline(request)
         else:
-            give_up_at = request.deadline - self._deadline_margin
-        call_times_are_usual = limiter.measured_calls >= FIRST_CALLS and not limiter.is_crowded
-        if is_idempotent and call_times_are_usual and not request.call_may_have_executed:
-            # A first call only: the second has all the time that is left.
-            unresponsive_at = now + int(UNRESPONSIVE_CALL_TIMES * limiter.call_time)
-            give_up_at = min(give_up_at, unresponsive_at)
+            timeout_at = request.deadline - self._deadline_margin
+        call_times_are_reliable = (
+            limiter.measured_calls >= INITIAL_CALLS and not limiter.is_congested
+        )
+        if is_idempotent and call_times_are_reliable and not request.call_may_have_executed:
+            # This timeout applies to the first call only; a retry may use all the remaining time.
+            first_call_timeout_at = now + int(CALL_TIMEOUT_MULTIPLE * limiter.call_time)
+            timeout_at = min(timeout_at, first_call_timeout_at)
         share = self._server.dependency_call_share
         if 0 < share < 1:
-            longest = int(share * self._server.dependency_call_span / 2)
-            give_up_at = min(give_up_at, now + longest)
-        return give_up_at
+            maximum_duration = int(share * self._server.dependency_call_span / 2)
+            timeout_at = min(timeout_at, now + maximum_duration)
+        return timeout_at
 
     def resume(self, request: Request) -> None:
-        """Continues the execution of a request whose call succeeded or is skipped."""
+        """Resumes the execution of a request whose call succeeded or is skipped."""
         now = self._context.now
         request.dependency_wait += now - request.call_pending_since
         request.call_may_have_executed = False
--- a/lilacwalk/overload/drain.py
+++ b/lilacwalk/overload/drain.py
@@ -1,19 +1,19 @@
-"""The drain of a server that was told to stop."""
+"""State of the drain of a server that is about to stop."""
 
 from __future__ import annotations
 
 
 class Drain:
-    """Owns the two times of a drain, in tenths of a millisecond; 0 while there is none."""
+    """Owns the two times of a drain, in tenths of a millisecond; both are 0 before a drain."""
 
     def __init__(self) -> None:
-        """Starts without a drain."""
-        self.grace_ends_at = 0  # requests that arrive later are rejected
-        self.terminate_at = 0  # requests that are still open are terminated
+        """Sets both times to 0."""
+        self.grace_ends_at = 0  # requests that arrive after this time are rejected
+        self.terminate_at = 0  # requests that are still open at this time are terminated
 
     @property
     def is_active(self) -> bool:
-        """Whether the server was told to stop."""
+        """Whether a drain has started."""
         return bool(self.terminate_at)
 
     def begin(self, *, grace_ends_at: int, terminate_at: int) -> None:
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -13,22 +13,28 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.stall_detector import StallDetector
 
-REPORT_INTERVAL = SECOND // 10  # well within the time for which clients remember a report
-OUTSTANDING_SHARE = 0.65  # of the target: outstanding requests include those still on their way
-MINIMUM_TOKENS = 0.2  # for one client
-MAXIMUM_TOKEN_FACTOR = 10.0  # by which tokens are multiplied at most while cores are free
-TOKEN_FACTOR_GROWTH = 1.1  # each report
-TOKEN_FACTOR_DECAY = 0.8  # each report
-KNOWN_ACTIVITY = 5  # requests of late from which the heaviest client's share is measured
-MAXIMUM_UNREAD_SHARE = 0.7  # of the tokens that unread requests take
-TOKEN_PRECISION = 10_000  # fractions of a token, for rounding down during slow start
-RANK_WEIGHT = 0.3  # of the newest report in the running minimum rank
-RANK_FREE_RATIO = 0.15  # ratio T of a lightly loaded server, which takes any rank
-RANK_RATIO_SPAN = 0.5  # above it, until hardly any request would be in time
+REPORT_INTERVAL = SECOND // 10  # much shorter than the time for which clients use a report
+# Fraction of the requests that can be answered in the target time for which tokens are granted. It
+# is below 1 because outstanding requests include those that are still in transit.
+OUTSTANDING_SHARE = 0.65
+MINIMUM_TOKENS = 0.2  # minimum number of tokens granted to each client
+MAXIMUM_TOKEN_FACTOR = 10.0  # maximum of the factor by which tokens are multiplied
+TOKEN_FACTOR_GROWTH = 1.1  # growth of that factor per report while cores are free
+TOKEN_FACTOR_DECAY = 0.8  # decrease of that factor per report while cores are busy
+# Sum of all clients' recent requests from which the share of the heaviest client is measured.
+MINIMUM_MEASURED_ACTIVITY = 5
+MAXIMUM_UNREAD_SHARE = 0.7  # maximum fraction by which unread requests reduce the tokens
+TOKEN_PRECISION = 10_000  # in slow start, tokens are rounded down to multiples of 1/10,000
+RANK_WEIGHT = 0.3  # weight of the newest value in the moving average of the minimum rank
+# The minimum rank rises from 0 to 1 with the latency ratio T (defined in `latency_estimator`). It
+# is 0 up to the first value, the ratio of a lightly loaded server, and 1 if T exceeds it by the
+# second, when hardly any request would be answered in time.
+RANK_ZERO_RATIO = 0.15
+RANK_RATIO_RANGE = 0.5
 
 
 class LoadReporter:
-    """Owns the last report, the running minimum rank and the factor on tokens."""
+    """Owns the last reported value, the minimum rank and the factor applied to tokens."""
 
     def __init__(
         self,
@@ -44,7 +50,7 @@
         latency: LatencyEstimator,
         admission: AdmissionControl,
     ) -> None:
-        """Takes the parts of one controller; nothing has been reported."""
+        """Stores the parts of the controller that this one uses; nothing has been reported."""
         self._context = context
         self._server = server
         self._load = load
@@ -57,36 +63,38 @@
         self._admission = admission
         self._minimum_rank = 0.0
         self._last_value = -1.0
-        # How unevenly clients send is unknown at first: a warm server starts with the most tokens.
+        # How unevenly clients send is unknown at start, when each is assumed to have an equal share
+        # of the requests. A server that did not start cold therefore starts with the maximum.
         self._token_factor = 1.0 if server.started_cold else MAXIMUM_TOKEN_FACTOR
         self._next_report_at = context.now
 
     def report_health(self, healthy: bool) -> None:
-        """Tells whether new requests should be sent here."""
+        """Reports whether new requests should be sent to this server."""
         self._context.sink.report_health(healthy)
 
     def report_periodically(self) -> None:
-        """Reports the load if the last periodic report is old enough."""
+        """Reports the load if the report interval has passed."""
         now = self._context.now
         if now >= self._next_report_at:
             self._next_report_at = now + REPORT_INTERVAL
             self.report_load()
 
     def report_load(self) -> None:
-        """Reports the load, if the value has changed."""
+        """Reports the load if its value has changed."""
         kind = self._server.load_report_kind
-        is_closed = self._stall_detector.stalled or self._drain.is_active
+        is_unavailable = self._stall_detector.stalled or self._drain.is_active
         match kind:
             case LoadReportKind.NONE:
                 return
             case LoadReportKind.TOKENS:
-                value = 0.0 if is_closed else self._tokens()
+                value = 0.0 if is_unavailable else self._tokens()
             case LoadReportKind.MIN_RANK:
                 rank = self._update_minimum_rank()
-                value = 1.0 if is_closed else rank
+                value = 1.0 if is_unavailable else rank
             case LoadReportKind.BIAS:
-                value = 0.0 if is_closed else self._admission.admission_probability
-        # Tokens of a cold server are rounded down already: rounded up they would add up.
+                value = 0.0 if is_unavailable else self._admission.admission_probability
+        # During slow start, tokens are already rounded down. Rounding to two decimals could round
+        # them up, and the sum over all clients would exceed the safe concurrency.
         if kind is not LoadReportKind.TOKENS or not self._slow_start.is_warming_up():
             value = round(value, 2)
         if value != self._last_value:
@@ -94,14 +102,14 @@
             self._context.sink.report_load(value)
 
     def _update_minimum_rank(self) -> float:
-        """Follows the ratio T that a request sent now would meet."""
-        excess_ratio = (self._latency.current_ratio() - RANK_FREE_RATIO) / RANK_RATIO_SPAN
+        """Moves the minimum rank towards the value for the expected T of a new request."""
+        excess_ratio = (self._latency.current_ratio() - RANK_ZERO_RATIO) / RANK_RATIO_RANGE
         target = min(1.0, max(0.0, excess_ratio))
         self._minimum_rank += RANK_WEIGHT * (target - self._minimum_rank)
         return self._minimum_rank
 
     def _tokens(self) -> float:
-        """Requests that one client may have outstanding here."""
+        """The number of requests that one client may have outstanding at this server."""
         self._update_token_factor()
         target_time = TARGET_LATENCY_RATIO * self._latency.mean_latency_objective
         unread_share = min(MAXIMUM_UNREAD_SHARE, self._latency.mean_unread_delay / target_time)
@@ -114,26 +122,30 @@
         )
         if not self._slow_start.is_warming_up():
             return tokens
-        # All clients send to a new server at once: together, with those not heard from yet, they
-        # may send what it survives. Too little where few of many clients ever send here.
+        # All clients may send to a new server at once, so the safe concurrency is divided among
+        # all of them, including those that have not sent a request yet. The number of tokens is
+        # too low if only a few of many clients ever use this server.
         clients = max(self._server.client_count, len(self._clients.activity))
         share = TOKEN_PRECISION * self._slow_start.safe_concurrency() / clients
         return min(tokens, int(share) / TOKEN_PRECISION)
 
     def _outstanding(self, target_time: float) -> float:
-        """Requests that can be answered within the target time."""
+        """The number of requests that may be outstanding to be answered in the target time."""
         executions = target_time / max(1.0, self._latency.mean_execution_time)
         return self._concurrency.limit * OUTSTANDING_SHARE * max(1.0, executions)
 
     def _heaviest_client_share(self) -> float:
         activity = self._clients.activity.values()
         total = sum(activity)
-        if total > KNOWN_ACTIVITY:
+        if total > MINIMUM_MEASURED_ACTIVITY:
             return max(activity) / total
         return 1 / self._server.client_count
 
     def _update_token_factor(self) -> None:
-        """Grants more tokens while cores are free, as clients rarely use all of theirs at once."""
+        """Raises the factor on tokens while cores are free, else lowers it.
+
+        Clients rarely use all their tokens at once.
+        """
         if self._load.has_free_cores() and not self._load.queue:
             self._token_factor = min(MAXIMUM_TOKEN_FACTOR, self._token_factor * TOKEN_FACTOR_GROWTH)
         else:
--- a/lilacwalk/overload/tenant_quota.py
+++ b/lilacwalk/overload/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Each tenant's share of this server, as a token bucket."""
+"""Token buckets that divide the capacity of this server among tenants."""
 
 from __future__ import annotations
 
@@ -6,41 +6,46 @@
 from lilacwalk.overload.model import SECOND, Request, ServerSettings
 from lilacwalk.overload.server_load import ServerLoad
 
-OVER_QUOTA_SHARE = 1.2  # of its share before a tenant is over it: proxies spread unevenly
-DISPATCH_SHARE = 0.7  # of the dispatched requests that is split by quota at least
-SAVED_CREDIT = 3.0  # seconds of its share, or requests, that a tenant may save up
-DISPATCH_RATE_WEIGHT = 0.3  # of the newest control period in the running rate
-SHORTAGE_PROBABILITY = 0.98  # admission probability below which capacity is short
-LENIENT_WEIGHT_SHARE = 0.5  # of the weight kept over quota, from which quotas are not enforced
+# A tenant may use this multiple of its quota's part for this server, because proxies distribute its
+# requests unevenly over the fleet.
+OVER_QUOTA_SHARE = 1.2
+DISPATCH_SHARE = 0.7  # minimum fraction of the dispatch rate that is divided among tenants by quota
+# A tenant can accumulate credits for this number of seconds, but always for as many requests.
+CREDIT_CAPACITY = 3.0
+DISPATCH_RATE_WEIGHT = 0.3  # weight of the newest control period in the mean dispatch rate
+SHORTAGE_PROBABILITY = 0.98  # admission probability below which capacity counts as short
+LENIENT_WEIGHT_SHARE = 0.5  # value of `over_quota_weight_share` from which quotas are not enforced
 
 
 class TenantQuota:
-    """Owns the credits of tenants: requests that each may have admitted within its share.
+    """Owns the credits of tenants: the number of requests that each may still have admitted.
 
-    What counts is what was admitted: rejected requests are repeated, and by what is asked every
-    tenant would seem over its quota. It is too strict where a proxy sends a tenant to few servers.
+    Only admitted requests use credits. If rejected requests used them too, every tenant would seem
+    to exceed its quota under overload, because rejected requests are retried. The division is too
+    strict for a tenant whose requests are sent to only a few servers by the proxy.
     """
 
     def __init__(
         self, server: ServerSettings, load: ServerLoad, admission: AdmissionControl
     ) -> None:
-        """Starts with full credits."""
+        """Gives each tenant credits for CREDIT_CAPACITY requests."""
         self._server = server
         self._load = load
         self._admission = admission
-        self.credit = dict.fromkeys(server.tenants, SAVED_CREDIT)
+        self.credit = dict.fromkeys(server.tenants, CREDIT_CAPACITY)
         self._quota_sum = sum(tenant.quota for tenant in server.tenants) / server.fleet_size
-        self._dispatched = 0  # in this control period
-        self._dispatch_rate = 0.0  # requests a second
+        self._dispatched = 0  # number of requests dispatched in this control period
+        self._dispatch_rate = 0.0  # mean number of dispatched requests per second
 
     def count_dispatch(self) -> None:
-        """Counts a request whose execution starts."""
+        """Counts a dispatched request."""
         self._dispatched += 1
 
     def refill(self) -> None:
-        """Pays each tenant its share, once each control period.
+        """Adds the share of each tenant to its credits, once each control period.
 
-        Shares are of the fleet's quotas, or of what this server dispatches if that is more.
+        Shares are proportional to quotas. Their sum is this server's part of the fleet's quotas, or
+        is based on this server's dispatch rate if that is higher.
         """
         newest_rate = self._dispatched * SECOND / CONTROL_PERIOD
         self._dispatch_rate += DISPATCH_RATE_WEIGHT * (newest_rate - self._dispatch_rate)
@@ -51,15 +56,15 @@
         for tenant in self.credit:
             rate = scale * tenant.quota / self._server.fleet_size
             self.credit[tenant] = min(
-                SAVED_CREDIT * max(1.0, rate),
+                CREDIT_CAPACITY * max(1.0, rate),
                 self.credit[tenant] + rate * CONTROL_PERIOD / SECOND,
             )
 
-    def must_yield(self, request: Request) -> bool:
-        """Whether a request beyond its tenant's share is to be rejected as capacity is short.
+    def must_reject(self, request: Request) -> bool:
+        """Whether to reject a request because its tenant has no credit while capacity is short.
 
-        A request beyond the share that stays loses most of its weight, so that it is dispatched
-        after those of other tenants.
+        A request without credit that is not rejected loses most of its weight, so that it is
+        dispatched after requests of other tenants.
         """
         tenant = request.tenant
         share = self._server.over_quota_weight_share
@@ -74,12 +79,12 @@
         )
 
     def spend(self, request: Request) -> None:
-        """Takes a credit for an admitted request, if its tenant has one."""
+        """Uses one credit of the tenant, if it has any, for an admitted request."""
         if request.tenant and self.credit[request.tenant] >= 1:
             self.credit[request.tenant] -= 1
             request.within_quota = True
 
     def refund(self, request: Request) -> None:
-        """Gives the credit of a request back that was never executed."""
+        """Returns the credit of a request that was never executed."""
         if request.within_quota:
             self.credit[request.tenant] += 1
--- a/lilacwalk/overload/termination.py
+++ b/lilacwalk/overload/termination.py
@@ -1,4 +1,4 @@
-"""Ends requests: deadlines, rejections with a retry-after, cancellation and release."""
+"""Ends requests: deadlines, rejections with a retry-after, cancellation and resource release."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Termination:
-    """Answers requests that are not completed and frees what they hold. It has no own state."""
+    """Answers uncompleted requests and frees their resources. Has no state of its own."""
 
     context: BatchContext
     server: ServerSettings
@@ -31,9 +31,9 @@
     quota: TenantQuota
     deduplication: Deduplication
 
-    def give_up(self, request: Request, *, do_not_retry_elsewhere: bool = False) -> None:
-        """Answers at once: a rejection, or a failure if the request may have had an effect."""
-        if self._may_have_had_effect(request):
+    def reject_or_fail(self, request: Request, *, do_not_retry_elsewhere: bool = False) -> None:
+        """Rejects the request, or fails it if it may have had a side effect."""
+        if self._may_have_had_side_effect(request):
             self.context.sink.fail(request)
         else:
             self.context.sink.reject(request, self._retry_after(), do_not_retry_elsewhere)
@@ -44,20 +44,20 @@
             self._cancel_execution(request)
 
     @staticmethod
-    def _may_have_had_effect(request: Request) -> bool:
+    def _may_have_had_side_effect(request: Request) -> bool:
         if request.request_class.effect is Effect.IDEMPOTENT:
             return False
         original = request.duplicate_of
         return request.was_dispatched or (original is not None and original.was_dispatched)
 
     def _retry_after(self) -> int:
-        """The retry-after of a rejection: the longer, the fewer requests are admitted."""
-        is_closed = self.stall_detector.stalled or self.drain.is_active
-        share = 1.0 if is_closed else 1 - self.admission.admission_probability
+        """The retry-after of a rejection, which grows as the admission probability falls."""
+        is_unavailable = self.stall_detector.stalled or self.drain.is_active
+        share = 1.0 if is_unavailable else 1 - self.admission.admission_probability
         return int(self.server.max_retry_after * share)
 
     def _cancel_execution(self, request: Request) -> None:
-        """Stops work that serves nobody, unless a duplicate may still be answered from it."""
+        """Cancels a running execution, unless a duplicate may need its result."""
         if (
             request.state is RequestState.RUNNING
             and request.request_class.effect is Effect.IDEMPOTENT
@@ -66,7 +66,7 @@
             self.context.sink.cancel(request)
 
     def abandon(self, request: Request) -> None:
-        """Ends a request whose client has gone: no answer is owed."""
+        """Ends a request without a response, as its client has disconnected or withdrawn it."""
         if request.state in (RequestState.QUEUED, RequestState.COALESCED):
             self.release(request)
         elif request.state is not RequestState.FINISHED:
@@ -82,12 +82,12 @@
             request.answered = True
             self._cancel_execution(request)
         else:
-            self.give_up(request, do_not_retry_elsewhere=True)
+            self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def objective_missed(self, request: Request) -> None:
-        """Gives up a request whose response has become worthless.
+        """Ends a request whose response is no longer useful.
 
-        An execution with an effect goes on, as ending it early could bring a retry of it.
+        An execution that may have side effects continues, because ending it could cause a retry.
         """
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
         if request.answered or (request.was_dispatched and not is_idempotent):
@@ -97,20 +97,23 @@
             elapsed = now - request.dispatched_at - request.dependency_wait
             self.latency.record_execution(request, elapsed)
         self.latency.record_response(request, now)
-        self.give_up(request, do_not_retry_elsewhere=True)
+        self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
-    def give_up_all(self, include_effects: bool) -> None:
-        """Gives up all open requests; those that may have had an effect only if told to."""
+    def reject_or_fail_all(self, include_side_effects: bool) -> None:
+        """Ends all open requests; those that may have had a side effect only if requested."""
         for request in list(self.load.open_requests):
             if not request.answered and (
-                include_effects
+                include_side_effects
                 or request.request_class.effect is Effect.IDEMPOTENT
                 or not request.was_dispatched
             ):
-                self.give_up(request)
+                self.reject_or_fail(request)
 
     def release(self, request: Request) -> None:
-        """Frees all that an ended request holds; a queued duplicate of it takes its place."""
+        """Frees the resources of an ended request.
+
+        If the request was not executed, its first queued duplicate takes its place.
+        """
         match request.state:
             case RequestState.QUEUED:
                 if request in self.load.queue:
@@ -121,7 +124,7 @@
                 self.dependency.pending.remove(request)
             case RequestState.CALL_IN_PROGRESS:
                 elapsed = self.context.now - request.call_pending_since
-                self.dependency.end_call(elapsed, lingers=True)
+                self.dependency.end_call(elapsed, is_abandoned=True)
         self.load.remove(request)
         if not request.was_dispatched:
             self.quota.refund(request)
