--- a/lilacwalk/protocols/executor_codec.py
+++ b/lilacwalk/protocols/executor_codec.py
@@ -75,14 +75,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remark:
+class ExecutorLogMessage:
     """A log message of the executor; only its event number matters here."""
 
     event_number: int
 
 
 ExecutorEvent = (
-    ExecutionEnded | CallRequested | GaugesReported | ExecutorBooted | CommandRejected | Remark
+    ExecutionEnded
+    | CallRequested
+    | GaugesReported
+    | ExecutorBooted
+    | CommandRejected
+    | ExecutorLogMessage
 )
 
 
@@ -162,6 +167,6 @@
         case "EINVAL":
             return CommandRejected(words[1], words[2] if len(words) > 2 else "")
         case "DMESG":
-            return Remark(int(words[1]))
+            return ExecutorLogMessage(int(words[1]))
         case _:
             return None
--- a/tests/compatibility/test_wire_words.py
+++ b/tests/compatibility/test_wire_words.py
@@ -52,7 +52,7 @@
     assert decode("BOOTED booting 12.5") == executor_codec.ExecutorBooted(True, 125)
     assert decode("BOOTED steady 12.5") == executor_codec.ExecutorBooted(False, 125)
     assert decode("EINVAL SCHED a1") == executor_codec.CommandRejected("SCHED", "a1")
-    assert decode("DMESG 9") == executor_codec.Remark(9)
+    assert decode("DMESG 9") == executor_codec.ExecutorLogMessage(9)
 
 
 def test_calls_to_the_dependency_and_its_replies():
