--- a/lilacwalk/simulator_adapter/__main__.py
+++ b/lilacwalk/simulator_adapter/__main__.py
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Serves until the input ends; returns the exit status."""
+    """Processes the input until its end; returns the exit status."""
     lines = io.TextIOWrapper(sys.stdin.buffer, encoding="utf-8", newline="\n")
     replies = io.TextIOWrapper(
         sys.stdout.buffer, encoding="utf-8", newline="\n", write_through=False
@@ -21,7 +21,7 @@
         print(f"lilacwalk: {error}", file=sys.stderr)
         return EXIT_MALFORMED_INPUT
     except UnicodeDecodeError as error:
-        print(f"lilacwalk: the input is not UTF-8: {error}", file=sys.stderr)
+        print(f"lilacwalk: standard input is not UTF-8: {error}", file=sys.stderr)
         return EXIT_MALFORMED_INPUT
     return 0
 
--- a/lilacwalk/simulator_adapter/codec.py
+++ b/lilacwalk/simulator_adapter/codec.py
@@ -32,12 +32,12 @@
     """A line does not follow the protocol.
 
     Attributes:
-        problem: What is wrong and what was expected.
-        line: The number of the line, once it is known.
+        problem: Why the line is invalid.
+        line: The number of the line; None: not known yet.
     """
 
     def __init__(self, *, problem: str, line: int | None = None) -> None:
-        """The message is the problem, after the number of the line if it is known."""
+        """Formats the error message from the problem and, if known, the number of the line."""
         super().__init__(problem if line is None else f"line {line}: {problem}")
         self.problem = problem
         self.line = line
@@ -47,29 +47,29 @@
     """Parses `name=value` words.
 
     Raises:
-        WireError: A word has another form.
+        WireError: A word is not of this form.
     """
     fields = {}
     for part in parts:
         name, separator, value = part.partition("=")
         if not separator or not name:
-            raise WireError(problem=f"'{part}' is not name=value")
+            raise WireError(problem=f"expected name=value, got '{part}'")
         fields[name] = value
     return fields
 
 
 def read_flag(fields: Mapping[str, str], name: str) -> bool:
-    """Whether a flag is set; one that is missing is not."""
+    """Returns whether a flag is set; a missing flag is not set."""
     return fields.get(name, "0") in ("1", "true")
 
 
 def nest_fields(fields: Mapping[str, str]) -> dict:
     """Converts `path=value` fields to nested data.
 
-    `a.count` with `a.0.x` makes a list, as do values joined by commas.
+    `a.count` with `a.0.x` becomes a list, and so does a value with commas.
 
     Raises:
-        WireError: A path continues below a plain value.
+        WireError: The parent of a path has a plain value.
     """
     nested: dict = {}
     for path, value in fields.items():
@@ -78,7 +78,7 @@
         for name in parents:
             section = section.setdefault(name, {})
             if not isinstance(section, dict):
-                raise WireError(problem=f"{path} lies under a plain value")
+                raise WireError(problem=f"{path}: expected fields in {name}, got {section}")
         section[last] = value.split(",") if "," in value else value
     for name, section in nested.items():
         if isinstance(section, dict) and "count" in section:
@@ -134,14 +134,14 @@
     """Parses `name:value` pairs that are joined by commas.
 
     Raises:
-        WireError: A pair has another form.
-        SettingsError: A value is no finite number.
+        WireError: A pair is not of this form.
+        SettingsError: A value is not a finite number.
     """
     gauges = {}
     for part in text.split(",") if text else []:
         name, separator, value = part.partition(":")
         if not separator:
-            raise WireError(problem=f"gauge '{part}' is not name:value")
+            raise WireError(problem=f"expected a gauge as name:value, got '{part}'")
         gauges[name] = read_number({name: value}, name)
     return gauges
 
--- a/lilacwalk/simulator_adapter/host.py
+++ b/lilacwalk/simulator_adapter/host.py
@@ -45,14 +45,14 @@
 
 
 class SimulatorHost:
-    """Owns the instances, by the names that the simulator gives them."""
+    """Owns the server instances, by their names in the simulator."""
 
     def __init__(self) -> None:
         """Starts without an instance."""
         self._instances: dict[str, ServerInstance] = {}
 
     def process_batch(self, time_ms: float, lines: Sequence[NumberedLine]) -> list[str]:
-        """Handles all messages of one simulated moment and returns the lines of the reply.
+        """Processes all messages of one simulated time, and returns the lines of the reply.
 
         Raises:
             WireError: A line does not follow the protocol.
@@ -82,7 +82,7 @@
         fields = codec.parse_fields(parts)
         name = fields.get("who")
         if name is None:
-            raise WireError(problem="who is missing")
+            raise WireError(problem="field 'who' is missing")
         if message == START:
             server = codec.decode_server_settings(fields)
             self._instances[name] = ServerInstance(name, server, tenths_rounded_up(time_ms))
@@ -93,7 +93,7 @@
         else:
             instance = self._instances.get(name)
             if instance is None:
-                raise WireError(problem=f"{name} was never started")
+                raise WireError(problem=f"server '{name}' is not running, expected '{START}' first")
             event = _decode_event(message, instance, fields, time_ms)
             batch = batches.setdefault(name, [])
             if event is not None:
@@ -103,7 +103,7 @@
 def _decode_event(
     message: str, instance: ServerInstance, fields: Mapping[str, str], time_ms: float
 ) -> Event | None:
-    """Returns the event of a message; None if it names a request that is no longer known."""
+    """Returns the event of a message; None if the message refers to a request that was removed."""
     match message:
         case "incoming":
             return _decode_incoming(instance, fields, time_ms)
@@ -121,7 +121,7 @@
     instance: ServerInstance, fields: Mapping[str, str], time_ms: float
 ) -> RequestReceived:
     if "rid" not in fields:
-        raise WireError(problem="rid is missing")
+        raise WireError(problem="field 'rid' is missing")
     original = instance.find_original(fields, tenths_rounded_up(time_ms))
     request = codec.decode_request(fields, instance.server, time_ms, original)
     instance.add_request(fields, request)
--- a/lilacwalk/simulator_adapter/instance.py
+++ b/lilacwalk/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One simulated server: its controller, and the lines that carry out the controller's decisions."""
+"""A simulated server: its controller, and the encoding of the controller's decisions."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ServerInstance:
-    """Owns a controller and its requests; as `DecisionSink` it writes a line for each decision."""
+    """Owns a controller and its requests; as a `DecisionSink`, writes a line for each decision."""
 
     def __init__(self, name: str, server: ServerSettings, now: int) -> None:
-        """Starts a server that the simulator calls `name`."""
+        """Starts a server under its name in the simulator."""
         self.server = server
         self._name = name
         self._now = now
@@ -33,26 +33,26 @@
     # Requests
 
     def add_request(self, fields: Mapping[str, str], request: Request) -> None:
-        """Adds a request that the message names.
+        """Adds a request under the identifier in the message.
 
         Raises:
-            WireError: The message names none.
+            WireError: The message has no identifier.
         """
         self._requests.add(_request_id(fields), request)
 
     def find_request(self, fields: Mapping[str, str]) -> Request | None:
-        """Returns the request that the message names; None if it is no longer known.
+        """Returns the request with the identifier in the message; None if it was removed.
 
         Raises:
-            WireError: The message names none.
+            WireError: The message has no identifier.
         """
         return self._requests.find(_request_id(fields))
 
     def find_original(self, fields: Mapping[str, str], now: int) -> Request | None:
         """Returns the earlier request of which an incoming one is a duplicate, if any.
 
-        One that was removed here is replaced by a finished request, as the simulated server still
-        has its result.
+        An original that was removed here is replaced by a finished request, as the simulated
+        server still has its result.
         """
         original_id = fields.get("earlier", "0")
         if original_id in ("", "0"):
@@ -150,5 +150,5 @@
 
 def _request_id(fields: Mapping[str, str]) -> str:
     if "rid" not in fields:
-        raise WireError(problem="rid is missing")
+        raise WireError(problem="field 'rid' is missing")
     return fields["rid"]
--- a/lilacwalk/simulator_adapter/request_table.py
+++ b/lilacwalk/simulator_adapter/request_table.py
@@ -1,4 +1,4 @@
-"""The identifiers by which the simulator names the requests of one server."""
+"""The requests of one server by the identifiers that the simulator uses."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RequestTable:
-    """Owns the map between identifiers and requests, and removes finished requests from it."""
+    """Maps identifiers to requests and back, and removes finished requests."""
 
     def __init__(self, now: int) -> None:
-        """Starts empty at the time `now`, in tenths of a millisecond."""
+        """Creates an empty table at the time `now`, in tenths of a millisecond."""
         self._requests_by_id: dict[str, Request] = {}
         self._ids: dict[Request, str] = {}
         self._key_expires_at: dict[str, int] = {}
@@ -31,11 +31,11 @@
         return self._ids[request]
 
     def retain_for_key(self, request: Request, expires_at: int) -> None:
-        """Keeps a request while its idempotency key may be named by a duplicate."""
+        """Retains a request as long as a duplicate may have the same idempotency key."""
         self._key_expires_at[self._ids[request]] = expires_at
 
     def remove_expired(self, now: int) -> None:
-        """Removes finished requests that no message can name any more, now and then."""
+        """Removes finished requests that no message can refer to, once per `EXPIRY_INTERVAL`."""
         if now < self._next_expiry_at:
             return
         self._next_expiry_at = now + EXPIRY_INTERVAL
--- a/lilacwalk/simulator_adapter/session.py
+++ b/lilacwalk/simulator_adapter/session.py
@@ -12,21 +12,21 @@
 BATCH_START = "tick"
 BATCH_END = "go"
 REPLY_END = "ok\n"
-SHOWN_LENGTH = 40  # characters of a line that is out of place
+MAX_QUOTED_CHARACTERS = 40  # of a line that an error message quotes
 
 
 class Session:
-    """Owns the host, and the batch that is being read: its lines and its time."""
+    """Owns the host, and the lines and the time of the batch that is being read."""
 
     def __init__(self, replies: TextIO) -> None:
-        """Starts before the first batch."""
+        """Creates a session that expects the first batch."""
         self._replies = replies
         self._host = SimulatorHost()
         self._time_ms: float | None = None  # None between batches
         self._lines: list[NumberedLine] = []
 
     def read(self, line: NumberedLine) -> None:
-        """Handles one line; the last of a batch has its reply written.
+        """Processes one line; at the last line of a batch, writes the reply.
 
         Raises:
             WireError: The line does not follow the protocol.
@@ -37,13 +37,18 @@
         elif text == BATCH_START or text.startswith(BATCH_START + " "):
             self._start_batch(line)
         elif self._time_ms is None:
-            raise WireError(problem=f"'{text[:SHOWN_LENGTH]}' outside a batch", line=line.number)
+            raise WireError(
+                problem=f"expected {BATCH_START}, got '{text[:MAX_QUOTED_CHARACTERS]}'",
+                line=line.number,
+            )
         else:
             self._lines.append(line)
 
     def _start_batch(self, line: NumberedLine) -> None:
         if self._time_ms is not None:
-            raise WireError(problem="tick before the go of the last batch", line=line.number)
+            raise WireError(
+                problem=f"expected '{BATCH_END}' before the next '{BATCH_START}'", line=line.number
+            )
         try:
             fields = codec.parse_fields(line.text.split(" ")[1:])
             self._time_ms = read_number(fields, "time_ms")
@@ -52,7 +57,9 @@
 
     def _end_batch(self, line: NumberedLine) -> None:
         if self._time_ms is None:
-            raise WireError(problem="go without a tick before it", line=line.number)
+            raise WireError(
+                problem=f"expected '{BATCH_START}' before '{BATCH_END}'", line=line.number
+            )
         reply = self._host.process_batch(self._time_ms, self._lines)
         self._replies.write("\n".join([*reply, REPLY_END]))
         self._replies.flush()
@@ -62,11 +69,13 @@
     def end(self, last_number: int) -> None:
         """Checks that the input did not end inside a batch, after the line `last_number`."""
         if self._time_ms is not None:
-            raise WireError(problem="the input ended inside a batch", line=last_number)
+            raise WireError(
+                problem=f"input ended inside a batch, expected '{BATCH_END}'", line=last_number
+            )
 
 
 def serve(lines: TextIO, replies: TextIO) -> None:
-    """Answers batch after batch until the input ends.
+    """Processes batches, and writes a reply to each, until the input ends.
 
     Raises:
         WireError: A line does not follow the protocol.
--- a/tests/simulator_adapter/test_host.py
+++ b/tests/simulator_adapter/test_host.py
@@ -1,4 +1,4 @@
-"""A server played through the simulator adapter, line by line."""
+"""A server that is run through the simulator adapter, line by line."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.mark.parametrize("effect", ["unsafe", "odd"])
 def test_requests_are_answered_once_on_a_server_without_load_reports_or_cancellation(effect):
-    """Some deployments have such settings; health alone steers clients."""
+    """Some deployments have such settings; clients then choose a server by its health alone."""
     host = SimulatorHost()
 
     def process(time_ms, *lines):
--- a/tests/simulator_adapter/test_instances.py
+++ b/tests/simulator_adapter/test_instances.py
@@ -4,14 +4,14 @@
 
 
 def decisions_of(host, at, who, *lines):
-    """What the adapter decides for one instance in a batch."""
+    """Returns the decisions for one instance in a batch."""
     numbered = [NumberedLine(number, line) for number, line in enumerate(lines)]
     reply = host.process_batch(at, numbered)
     return [line for line in reply if f"who={who} " in line]
 
 
-def run_batches(host, who, beside=None):
-    """The same batches for one instance, with those of another between them."""
+def run_batches(host, who, other_who=None):
+    """Runs fixed batches for one instance, and optionally for another in the same host."""
     start = (
         "start who={} nonce64=7 replicas_of_me=4 "
         "classes.count=1 classes.0.name=pay classes.0.aim_ms={} "
@@ -23,12 +23,14 @@
         "rules.drain_grace_ms=1000.0 limits.retry_after=1 "
         "limits.max_retry_after_ms={} quantum_ms=2.0"
     )
-    own = start.format(who, 900.0, 2000.0, "keyed", 5000.0, 40.0, 2, "silent", "bias", 800.0)
-    other = start.format(beside, 90.0, 200.0, "safe", 0.0, 4000.0, 16, "drop", "tokens", 8.0)
-    decided = decisions_of(host, 10.0, who, own, *([other] if beside else []))
+    own_start = start.format(who, 900.0, 2000.0, "keyed", 5000.0, 40.0, 2, "silent", "bias", 800.0)
+    other_start = start.format(
+        other_who, 90.0, 200.0, "safe", 0.0, 4000.0, 16, "drop", "tokens", 8.0
+    )
+    decisions = decisions_of(host, 10.0, who, own_start, *([other_start] if other_who else []))
     for turn in range(1, 120):
         lines, now = [], 10.0 + 25.0 * turn
-        for each in (who, beside) if beside else (who,):
+        for each in (who, other_who) if other_who else (who,):
             if turn % 3:
                 repeats = f" earlier={turn - 1}" if turn % 3 == 2 else ""
                 lines.append(
@@ -40,13 +42,13 @@
                     f"work_done who={each} rid={turn - 6} disposition={100 if turn % 7 else 301}"
                 )
             lines.append(f"tick_due who={each} ctx=1 health_info=core_use:0.9,on_cores:3")
-        decided += decisions_of(host, now, who, *lines)
-    return decided
+        decisions += decisions_of(host, now, who, *lines)
+    return decisions
 
 
-def test_an_instance_decides_alike_beside_one_with_the_same_names_and_other_settings():
-    alone, beside = SimulatorHost(), SimulatorHost()
-    decided = run_batches(alone, "a")
-    assert len(decided) > 100
-    assert any("answer_from" in line for line in decided)
-    assert run_batches(beside, "a", "b") == decided
+def test_the_decisions_of_an_instance_do_not_depend_on_another_instance():
+    one_instance, two_instances = SimulatorHost(), SimulatorHost()
+    decisions = run_batches(one_instance, "a")
+    assert len(decisions) > 100
+    assert any("answer_from" in line for line in decisions)
+    assert run_batches(two_instances, "a", "b") == decisions
