--- a/lilacwalk/frontends/devices.py
+++ b/lilacwalk/frontends/devices.py
@@ -1,7 +1,7 @@
-"""The front end of devices, between the event loop and the thread that serves their sessions.
+"""The front end for devices, between the event loop and the thread that serves their sessions.
 
-Both threads pass events through their queues. The event loop knows a client connection for each
-session that has requests in flight.
+The two threads exchange events through queues. For the event loop, each session with requests in
+flight is a client connection.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
     FinalStatus.REJECTED: DENIED,
     FinalStatus.FAILED: TERMINATED,
 }
-RETRY_AFTER = 10_000  # tenths of a millisecond, until other servers have taken over
-DEFAULT_MEMORY_KB = 8.0  # of a request whose device states nothing
-FIRST_CLIENT_NUMBER = 1 << 52  # above all numbers that proxies use
+RETRY_AFTER = 10_000  # tenths of a millisecond; by then other servers have taken over
+DEFAULT_MEMORY_KB = 8.0  # of a request that does not state its memory
+FIRST_CLIENT_NUMBER = 1 << 52  # above all client numbers that proxies use
 REQUEST_IDS = 1 << 64
 REQUEST_ID_BYTES = 8
 
@@ -42,7 +42,10 @@
     """Persists sessions."""
 
     def __call__(self, sessions: dict[bytes, bytes | None], /) -> None:
-        """Takes encoded sessions by identifier, in the sessions' thread."""
+        """Persists encoded sessions by identifier, removing those that are None.
+
+        Called in the sessions' thread.
+        """
         ...
 
 
@@ -60,15 +63,15 @@
 
 
 class DeviceFrontend:
-    """Passes on the requests of devices, and sends the responses.
+    """Submits the requests of devices to the event loop, and sends the responses.
 
     Owns the `EdgeHost`, whose thread serves the sessions, and the table of client connections.
-    Implements `Frontend`. Methods are called in the event loop's thread, but for the handlers
-    that the edge host is given, which post to it.
+    Implements `Frontend`. Methods are called in the event loop's thread, except for the handlers
+    of the `EdgeHost`, which post to the event loop's queue.
     """
 
     name = "devices"
-    source_site = ""  # a session names one node, so whatever it sends is local traffic
+    source_site = ""  # a session is bound to one node, so its requests are local traffic
 
     def __init__(
         self,
@@ -81,21 +84,21 @@
         clock: Callable[[], int],
         on_keep: SessionsHandler | None = None,
     ) -> None:
-        """Listens, and serves nobody until `start`.
+        """Opens the listening sockets; connections are served after `start`.
 
         Args:
             host: The event loop.
-            config: The operator's.
+            config: The operator's configuration.
             groups: The request classes by name.
-            node: This server's name.
-            seed: Of the random choices.
-            event_queue: Leads to the event loop.
-            clock: Such as the event loop's, for the sessions' thread alone.
-            on_keep: Persists sessions; None: they end with the process.
+            node: Name of this server.
+            seed: Seed of random choices.
+            event_queue: The event loop's queue.
+            clock: A clock like the event loop's, for use only by the sessions' thread.
+            on_keep: Persists sessions; None: sessions end with the process.
 
         Raises:
             EdgeError: The certificates or secrets cannot be used.
-            OSError: The address cannot be listened at.
+            OSError: Listening on the address failed.
         """
         self.host = host
         self.config = config
@@ -103,7 +106,7 @@
         self.max_in_flight = config.in_hand
         self.in_flight = 0
         self.clients: dict[Session, DeviceConnection] = {}
-        # Starts far from the numbers that proxies choose, most likely.
+        # A random start makes a collision with the ids that proxies choose unlikely.
         self.request_numbers = count(int.from_bytes(os.urandom(REQUEST_ID_BYTES), "big"))
         self.edge = EdgeHost(
             config,
@@ -133,18 +136,18 @@
     def _post_recovered_request(self, session: Session, number: int, opened: Open) -> None:
         self.event_queue.post(self.request_recovered, session, number, opened)
 
-    # Called for the sessions' thread, in that of the event loop
+    # Posted by the sessions' thread, called in the event loop's thread
 
     def request_received(self, session: Session, number: int, asking: Asking) -> None:
         """Handles a request; `number` is its number in the session."""
         client = self.clients.get(session)
         if client is None:
             client = self.clients[session] = DeviceConnection(session, self)
-        problem = self.host.submit(client, number, self._incoming(session, number, asking))
+        problem = self.host.submit(client, number, self._to_incoming(session, number, asking))
         if problem:
             self.reject_malformed(client, number, problem)
 
-    def _incoming(self, session: Session, number: int, asking: Asking) -> IncomingRequest:
+    def _to_incoming(self, session: Session, number: int, asking: Asking) -> IncomingRequest:
         ask = asking.ask
         return IncomingRequest(
             id=self._request_id(session, number),
@@ -162,9 +165,10 @@
         )
 
     def _request_id(self, session: Session, number: int) -> str:
-        """Returns the request's id, which is the same after a restart.
+        """Returns the request's id, which is the same after a restart of the server.
 
-        So the record of its execution is found again. Requests over CoAP have no such id.
+        With it, the record of the execution is found again. A request over CoAP has no session,
+        and gets an id that differs after a restart.
         """
         if isinstance(session, Session):
             identity = session.ident + number.to_bytes(8, "big")
@@ -172,16 +176,17 @@
         return f"{next(self.request_numbers) % REQUEST_IDS:016x}"
 
     def client_gone(self, session: Session, number: int) -> None:
-        """Handles that the device does not wait for the response any more."""
+        """Handles a device that no longer waits for the response."""
         client = self.clients.get(session)
         if client is not None and number in client.open_requests:
             self.host.client_gone(client.open_requests[number])
-            self._forget_if_idle(client)
+            self._remove_if_idle(client)
 
     def request_recovered(self, session: Session, number: int, opened: Open) -> None:
         """Responds to a request that was in flight when the previous process ended.
 
-        With its result, where that is known; else as failed where it may have been executed.
+        Sends the result if it is known. Otherwise, a request that is not idempotent and may have
+        been executed is answered as failed; any other is rejected, and may be retried.
         """
         began, result = self.host.find_earlier_execution(
             *opened.about, self._request_id(session, number)
@@ -204,23 +209,23 @@
             bytes(response.body),
             response.retry_after,
         )
-        self._forget_if_idle(client)
+        self._remove_if_idle(client)
 
     def reject_malformed(self, client: DeviceConnection, tag: int, _reason: str) -> None:
-        """Answers a request that cannot be processed; tag 0: there is none to answer."""
+        """Responds to a request that cannot be processed; tag 0: sends no response."""
         if tag:
             self.edge.answered(client.session, tag, TERMINATED, b"", 0)
-            self._forget_if_idle(client)
+            self._remove_if_idle(client)
 
-    def _forget_if_idle(self, client: DeviceConnection) -> None:
+    def _remove_if_idle(self, client: DeviceConnection) -> None:
         if not client.open_requests:
             self.clients.pop(client.session, None)
 
     def tick(self, _now: int, _was_stalled: bool) -> None:
-        """Does nothing: the sessions' thread does its own periodic work."""
+        """Does nothing: the sessions' thread does its periodic work itself."""
 
     def start_draining(self, _now: int) -> None:
-        """Has the devices go to other servers."""
+        """Redirects the devices to other servers."""
         self.edge.put(self.edge.leave, RETRY_AFTER)
 
     def stop_accepting(self) -> None:
@@ -232,7 +237,7 @@
         """Does nothing: the sessions' thread closes its connections."""
 
     def is_drained(self) -> bool:
-        """Whether no device is left."""
+        """Whether no device is connected any more."""
         return self.edge.over.is_set() or (self.is_closing and self.edge.idle)
 
     def is_flushed(self) -> bool:
@@ -242,18 +247,20 @@
         )
 
     def reload(self, config: EdgeConfig) -> None:
-        """Applies another configuration, but for its address.
+        """Applies a new configuration, except for its listen address.
 
         Raises:
-            EdgeError: It cannot be used; the old one stays in force.
+            EdgeError: The new configuration is invalid; the old one remains in effect.
         """
         if config.listen != self.config.listen:
-            log.warning({"event": "edge_reload", "detail": "listen is for the next start"})
+            log.warning(
+                {"event": "edge_reload", "detail": "new listen address takes effect at next start"}
+            )
         self.edge.reload(config)
         self.config = config
 
     def end(self, timeout: float) -> None:
-        """Ends the sessions' thread, waiting for it at most `timeout` seconds."""
+        """Ends the sessions' thread, and waits for it for at most `timeout` seconds."""
         self.edge.end(timeout)
 
 
--- a/lilacwalk/frontends/interface.py
+++ b/lilacwalk/frontends/interface.py
@@ -1,4 +1,4 @@
-"""What front ends need of the event loop. The records they exchange are in `requests.records`."""
+"""The interface of the event loop to the front ends; its records are in `requests.records`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestHandler(Protocol):
-    """The event loop, as front ends know it; all of this is used in its own thread.
+    """The event loop as seen by front ends, which use it only in its own thread.
 
     Attributes:
         now: The time of the current iteration, in tenths of a millisecond.
@@ -22,24 +22,24 @@
 
     @property
     def is_healthy(self) -> bool:
-        """What health checks are told."""
+        """The status that health checks report."""
         ...
 
     @property
     def advertised_capacity(self) -> float | None:
-        """The load report that goes with each response; None: none yet."""
+        """The load report that is sent with each response; None: not yet known."""
         ...
 
     @property
     def close_idle_after(self) -> int:
-        """How long a connection may be idle; 0: as the front end's own limit says."""
+        """Idle time after which connections are closed; 0: the front end's own limit applies."""
         ...
 
     def submit(self, client: ClientConnection, tag: int, incoming: IncomingRequest, /) -> str:
-        """Takes a request under the client's tag, which must not be in use.
+        """Accepts a request under the client's tag, which must not be in use.
 
         Returns:
-            What is wrong with the request; empty where it was taken or answered.
+            Why the request is malformed; empty if it was accepted or answered.
         """
         ...
 
@@ -47,18 +47,18 @@
         """Counts a new connection."""
 
     def client_gone(self, in_flight: InFlightRequest, /) -> None:
-        """Handles that nobody waits for the response any more."""
+        """Handles a client that no longer waits for the response."""
 
     def find_earlier_execution(
         self, class_name: str, tenant_name: str, idempotency_key: str, request_id: str, /
     ) -> tuple[bool, bytes | None]:
-        """Looks for an execution before the last restart.
+        """Looks up the execution of a request before the last restart.
 
         Returns:
-            Whether it may have begun, and its result where that is known.
+            Whether it may have begun, and its result; None: the result is not known.
         """
         ...
 
     def send(self, send_buffer: SendBuffer, data: bytes, /) -> bool:
-        """Sends at the end of the iteration; False where the buffer is full."""
+        """Sends data at the end of the iteration; returns False if the buffer is full."""
         ...
--- a/lilacwalk/frontends/proxy_housekeeping.py
+++ b/lilacwalk/frontends/proxy_housekeeping.py
@@ -1,4 +1,4 @@
-"""Closing of proxy connections that are idle, stuck or too many."""
+"""Closing of idle, stuck and excess proxy connections."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
 
 class CloseRequester(Protocol):
-    """Asks a proxy to close its connection."""
+    """Requests a proxy to close its connection."""
 
     def __call__(self, connection: Connection, /) -> None:
-        """Asks once; does nothing where the proxy was asked already."""
+        """Sends the request; does nothing if it was sent before."""
         ...
 
 
 class ConnectionHousekeeper:
     """Decides which connections of a front end are closed, and how.
 
-    Owned by the front end, whose connections it is given; used in the event loop's thread.
+    Owned by the front end, and used in the event loop's thread.
     """
 
     def __init__(
-        self, connections: dict[Connection, None], limits: Limits, ask_to_close: CloseRequester
+        self, connections: dict[Connection, None], limits: Limits, request_close: CloseRequester
     ) -> None:
-        """Works on the front end's own table of connections."""
+        """Uses the front end's own table of connections."""
         self.connections = connections
         self.limits = limits
-        self.ask_to_close = ask_to_close
+        self.request_close = request_close
 
     def close_idle(self, now: int, idle_timeout: int) -> None:
-        """Closes the connections that are stuck, and asks those that are idle to close."""
+        """Closes stuck connections, and requests proxies to close idle ones."""
         for connection in self.connections:
             self._check(connection, now, idle_timeout)
-        self.make_room(now)
+        self.close_excess_connections(now)
 
     def _check(self, connection: Connection, now: int, idle_timeout: int) -> None:
-        if connection.is_cut_off:
+        if connection.is_shut_down:
             self._limit_linger(connection, now)
         elif self._is_stuck(connection, now):
             connection.abort()
@@ -48,58 +48,66 @@
         elif not connection.send_buffer.is_flushed:
             if now - connection.last_used > self.limits.unsent_timeout:
                 connection.abort(reset=True)
-        elif connection.closing_since:
-            asked_for = now - connection.closing_since
-            if asked_for > self.limits.close_request_timeout and connection.is_between_messages:
+        elif connection.close_requested_at:
+            time_since_close_request = now - connection.close_requested_at
+            if (
+                time_since_close_request > self.limits.close_request_timeout
+                and connection.is_between_messages
+            ):
                 connection.half_close(now)
         elif now - connection.last_used > idle_timeout:
-            self.ask_to_close(connection)
+            self.request_close(connection)
 
     def close_unused(self, now: int, is_final: bool) -> None:
-        """Half closes the connections that were asked to close and stay open.
+        """Half closes unused connections that their proxies were requested to close, but did not.
 
-        Only those with no request in flight and nothing unread or unsent. `is_final`: whether
-        the process is about to end, so that there is no time to wait for the proxy to close.
+        A connection is unused if it has no request in flight and no unread or unsent data.
+        `is_final`: whether the process is about to end, so that there is no time to wait for the
+        proxies.
         """
         for connection in self.connections:
-            if connection.is_cut_off:
+            if connection.is_shut_down:
                 self._limit_linger(connection, now)
             elif is_unused(connection) and self._may_half_close(connection, now, is_final):
                 connection.half_close(now)
 
     def _may_half_close(self, connection: Connection, now: int, is_final: bool) -> bool:
         if is_final:
-            return connection.is_quiet
-        asked_for = now - connection.closing_since
-        return asked_for > self.limits.drain_settle_time and connection.is_between_messages
+            return connection.is_input_processed
+        time_since_close_request = now - connection.close_requested_at
+        return (
+            time_since_close_request > self.limits.drain_settle_time
+            and connection.is_between_messages
+        )
 
-    def make_room(self, now: int) -> None:
-        """Closes unused connections until their number is below the high-water mark.
+    def close_excess_connections(self, now: int) -> None:
+        """Closes unused connections until the number of connections is at the high-water mark.
 
-        Those that never sent a message go first, then the longest idle, last those that are new:
-        whoever has a request finds room, also while the request is on its way.
+        Connections on which no valid message was received are closed first, then those that have
+        been idle longest, and new ones last, so that a proxy with a request can connect even while
+        its first request is in transit.
         """
-        open_connections = [each for each in self.connections if not each.is_cut_off]
+        open_connections = [each for each in self.connections if not each.is_shut_down]
         excess = len(open_connections) - self.limits.connection_high_water
         if excess <= 0:
             return
         new_since = now - self.limits.new_connection_age
 
         def closing_order(connection: Connection) -> tuple[int, int]:
-            if connection.has_spoken:
+            if connection.has_sent_valid_message:
                 return 1, connection.last_used
             return 2 if connection.last_used > new_since else 0, connection.last_used
 
         unused = sorted(filter(is_unused, open_connections), key=closing_order)
-        closable = (each for each in unused if _has_nothing_pending(each))
+        closable = (each for each in unused if _has_no_unprocessed_input(each))
         for connection in islice(closable, excess):
-            if connection.has_spoken:  # a response may be on its way to it
+            if connection.has_sent_valid_message:  # a response may be in transit
                 connection.half_close(now)
             else:
                 connection.abort()
 
     def _limit_linger(self, connection: Connection, now: int) -> None:
-        """Stops reading a half-closed connection whose peer does not close."""
+        """Shuts down a half-closed connection that the peer has not closed in time."""
         half_closed_at = connection.half_closed_at
         if half_closed_at and now - half_closed_at > self.limits.half_close_linger:
             shut_down_socket(connection.sock)
@@ -107,26 +115,31 @@
     def _is_stuck(self, connection: Connection, now: int) -> bool:
         """Whether the peer sent nothing after it connected, or stopped in the middle of a message.
 
-        Such a peer is no proxy, and would take the place of one. A partial message is timed from
-        its own beginning, since it may follow a long idle time or a long execution.
+        Such a peer is not a proxy, and would take up a connection that a proxy could use. The
+        timeout of a partial message starts at its own beginning, since the message may follow a
+        long idle time or a long execution.
         """
-        if connection.begun_message != connection.awaited_message:
-            connection.awaited_message = connection.begun_message
-            connection.awaited_since = now
+        if connection.partial_message_number != connection.timed_message_number:
+            connection.timed_message_number = connection.partial_message_number
+            connection.timed_since = now
         timeout = self.limits.message_timeout
-        if connection.begun_message:
-            return not connection.open_requests and now - connection.awaited_since > timeout
+        if connection.partial_message_number:
+            return not connection.open_requests and now - connection.timed_since > timeout
         return (
-            not connection.has_spoken
+            not connection.has_sent_valid_message
             and now - connection.last_used > timeout
-            and connection.is_quiet
+            and connection.is_input_processed
         )
 
 
 def is_unused(connection: Connection) -> bool:
-    """Whether no request is in flight on it, and all responses have been sent."""
+    """Whether a connection has no request in flight and no unsent response."""
     return not connection.open_requests and connection.send_buffer.is_flushed
 
 
-def _has_nothing_pending(connection: Connection) -> bool:
-    return connection.is_between_messages if connection.has_spoken else connection.is_quiet
+def _has_no_unprocessed_input(connection: Connection) -> bool:
+    return (
+        connection.is_between_messages
+        if connection.has_sent_valid_message
+        else connection.is_input_processed
+    )
--- a/lilacwalk/frontends/proxy_resp2.py
+++ b/lilacwalk/frontends/proxy_resp2.py
@@ -1,4 +1,4 @@
-"""The front end of the proxies, which send requests over RESP connections."""
+"""The front end for proxies, which send requests over RESP connections."""
 
 from __future__ import annotations
 
@@ -25,11 +25,10 @@
 
 
 class ProxyFrontend:
-    """Passes on the requests of one listener's connections, and sends the responses.
+    """Submits the requests of one listener's connections, and sends the responses.
 
-    Owns the listener's connections after they are opened. Implements `Frontend` for the event
-    loop and `ProxyListenerEvents` for the listener; all of it is called in the event loop's
-    thread.
+    Owns the listener's connections once they are open. Implements `Frontend` for the event loop
+    and `ProxyListenerEvents` for the listener; all methods are called in the event loop's thread.
     """
 
     name = "resp2"
@@ -42,14 +41,14 @@
         limits: Limits | None = None,
         source_site: str = "",
     ) -> None:
-        """Takes over the events of a listener that is not started yet.
+        """Registers as the event handler of a listener that is not started yet.
 
         Args:
             host: The event loop.
-            listener: Whose connections these are.
-            max_in_flight: How many requests of this front end may be in flight.
-            limits: Those of this front end, where they are not the process's own.
-            source_site: The site whose traffic comes in here; empty: local traffic.
+            listener: The listener that accepts the connections.
+            max_in_flight: Limit of requests in flight from this front end.
+            limits: Limits of this front end; None: those of the process.
+            source_site: The site whose traffic this front end receives; empty: local traffic.
         """
         self.host = host
         self.listener = listener
@@ -58,9 +57,9 @@
         self.limits = limits or host.limits
         self.source_site = source_site
         self.connections: dict[Connection, None] = {}
-        self.housekeeper = ConnectionHousekeeper(self.connections, self.limits, self._ask_to_close)
-        # The listener's thread reports its end, and whoever empties the backlog another.
-        self.pending_listener_ends = 2
+        self.housekeeper = ConnectionHousekeeper(self.connections, self.limits, self._request_close)
+        # One for the listener's thread, one for its backlog: `listener_closed` is called for each.
+        self.pending_listener_closures = 2
         listener.events = self
 
     # Called by the event loop
@@ -81,9 +80,9 @@
         )
 
     def reject_malformed(self, client: Connection, tag: int, reason: str) -> None:
-        """Reports a message that cannot be processed, and answers it; tag 0: without an answer.
+        """Logs a message that cannot be processed, and responds to it; tag 0: sends no response.
 
-        The log gets few lines, however many such messages there are.
+        The number of log lines grows only with the logarithm of the number of such messages.
         """
         if count := self.listener.malformed_messages.count_and_check():
             log.warning(
@@ -93,28 +92,28 @@
             self.reply(client, tag, MALFORMED)
 
     def tick(self, now: int, was_stalled: bool) -> None:
-        """Closes idle connections, except after a stall: what they sent is not read yet."""
+        """Closes idle connections, except after a stall: their data may not have been read yet."""
         if not was_stalled:
             idle_timeout = self.host.close_idle_after or self.limits.proxy_idle_timeout
             self.housekeeper.close_idle(now, idle_timeout)
 
     def start_draining(self, _now: int) -> None:
-        """Nothing changes for proxies until the listener closes."""
+        """Does nothing: for proxies, the drain begins when the listener closes."""
 
     def stop_accepting(self) -> None:
-        """Empties the listener's backlog, and asks all proxies to close their connections."""
+        """Drains the listener's backlog, and requests all proxies to close their connections."""
         self.listener.drain_backlog()
         for connection in self.connections:
-            self._ask_to_close(connection)
+            self._request_close(connection)
 
     def close_idle_connections(self, now: int, is_final: bool) -> None:
-        """Goes on with emptying the backlog and with closing connections."""
+        """Continues to drain the backlog and to close connections."""
         self.listener.drain_backlog()
         self.housekeeper.close_unused(now, is_final)
 
     def is_drained(self) -> bool:
-        """Whether no connection is left and none can come."""
-        return not self.pending_listener_ends and not self.connections
+        """Whether no connection is open and none can be accepted any more."""
+        return not self.pending_listener_closures and not self.connections
 
     def is_flushed(self) -> bool:
         """Whether all responses have been sent."""
@@ -123,37 +122,37 @@
     # Called for the listener
 
     def connection_opened(self, connection: Connection) -> None:
-        """Adds the connection, closing others where there are too many."""
+        """Adds the connection, and closes others if there are too many."""
         connection.frontend = self
         connection.last_used = self.host.now
         self.connections[connection] = None
         self.host.connection_opened()
         if len(self.connections) > self.limits.connection_high_water:
-            self.housekeeper.make_room(self.host.now)
+            self.housekeeper.close_excess_connections(self.host.now)
         if self.listener.is_draining:
-            self._ask_to_close(connection)
+            self._request_close(connection)
 
     def connection_ended(self, connection: Connection) -> None:
-        """Removes the connection; nobody waits for its responses any more."""
+        """Removes the connection; its client no longer waits for responses."""
         self.connections.pop(connection, None)
-        connection.is_cut_off = True
+        connection.is_shut_down = True
         connection.send_buffer.close()
         self.listener.release_slot()
         for in_flight in list(connection.open_requests.values()):
             self.host.client_gone(in_flight)
 
     def listener_closed(self) -> None:
-        """Counts the ends of the listener."""
-        self.pending_listener_ends -= 1
+        """Records that the listener's thread or its backlog has ended."""
+        self.pending_listener_closures -= 1
 
     def messages_received(self, connection: Connection, messages: list[ProxyMessage]) -> None:
-        """Processes messages until the connection is cut off, and returns the read credit."""
+        """Returns the read credit, and processes messages until the connection is shut down."""
         connection.read_credits.put(None)
-        if connection.is_cut_off:
+        if connection.is_shut_down:
             return
         connection.last_used = self.host.now
         for message in messages:
-            if connection.is_cut_off:
+            if connection.is_shut_down:
                 return
             self._process(connection, message)
 
@@ -162,14 +161,14 @@
     def _process(self, connection: Connection, message: ProxyMessage) -> None:
         match message:
             case Submit():
-                connection.has_spoken = True
+                connection.has_sent_valid_message = True
                 self._submit(connection, message)
             case Withdraw():
-                connection.has_spoken = True
+                connection.has_sent_valid_message = True
                 if message.tag in connection.open_requests:
                     self.host.client_gone(connection.open_requests[message.tag])
             case Probe():
-                connection.has_spoken = True
+                connection.has_sent_valid_message = True
                 word = HEALTHY if self.host.is_healthy else UNHEALTHY
                 self.reply(connection, message.tag, word)
             case Malformed():
@@ -179,26 +178,30 @@
     def _submit(self, connection: Connection, message: Submit) -> None:
         tag = message.tag
         if tag in connection.open_requests:
-            self.reject_malformed(connection, 0, "tag used twice")
-            # The proxy could take a response to either request for that to the other.
+            self.reject_malformed(connection, 0, "tag is in use by an open request")
+            # The proxy could not tell the responses to the two requests apart.
             connection.abort()
         elif len(connection.open_requests) >= self.limits.max_open_requests:
-            self.reject_malformed(connection, tag, "too many open")
+            self.reject_malformed(
+                connection,
+                tag,
+                f"too many open requests, expected at most {self.limits.max_open_requests}",
+            )
         elif problem := self.host.submit(connection, tag, message.incoming):
             self.reject_malformed(connection, tag, problem)
 
     def reply(self, connection: Connection, tag: int, word: bytes) -> None:
-        """Sends a word and the load report."""
+        """Sends a response of a status word and the load report."""
         load_report = proxy_codec.encode_load_report(self.host.advertised_capacity)
         self._send(connection, proxy_codec.encode_response(tag, word, load_report))
 
     def _send(self, connection: Connection, data: bytes) -> None:
-        """Sends; cuts off a proxy that does not read before unsent responses fill the memory."""
-        if not connection.is_cut_off and not self.host.send(connection.send_buffer, data):
+        """Sends data; resets the connection of a proxy that does not read, to limit memory."""
+        if not connection.is_shut_down and not self.host.send(connection.send_buffer, data):
             log.warning("event=connection_ended peer=%s reason=stopped_reading", connection.peer)
             connection.abort(reset=True)
 
-    def _ask_to_close(self, connection: Connection) -> None:
-        if not connection.closing_since:
-            connection.closing_since = self.host.now
-            self._send(connection, proxy_codec.CLOSING)
+    def _request_close(self, connection: Connection) -> None:
+        if not connection.close_requested_at:
+            connection.close_requested_at = self.host.now
+            self._send(connection, proxy_codec.CLOSE_REQUEST)
--- a/lilacwalk/protocols/admin_socket.py
+++ b/lilacwalk/protocols/admin_socket.py
@@ -23,10 +23,10 @@
 
 
 class QueryHandler(Protocol):
-    """Answers a query; what it returns is encoded as JSON."""
+    """Answers a query with an object that is encoded as JSON."""
 
     def __call__(self, query: str, /) -> object:
-        """Answers in the admin socket's thread; a TimeoutError is reported to the client."""
+        """Runs in the admin socket's thread; a TimeoutError is reported to the client."""
         ...
 
 
@@ -34,12 +34,12 @@
     """A listening Unix socket and the thread that serves it."""
 
     def __init__(self, path: str, answer: QueryHandler, name: str) -> None:
-        """Listens at the path, replacing a socket that a dead process left there.
+        """Listens at the path, replacing the stale socket of a process that has ended.
 
         Args:
-            path: Of the socket; one that somebody answers at is left alone.
+            path: Path of the socket; a socket that a running process serves is not replaced.
             answer: Answers each query.
-            name: Of the thread.
+            name: Name of the thread.
 
         Raises:
             OSError: The socket cannot be created there.
@@ -52,7 +52,7 @@
             if os.path.exists(path) and not self._is_served(path):
                 os.unlink(path)
             self.sock.bind(path)
-            os.chmod(path, 0o600)  # before it listens, so that nobody can have connected yet
+            os.chmod(path, 0o600)  # before it listens, so that no other user can connect
             self.sock.listen(1)
         except OSError:
             self.sock.close()
@@ -93,7 +93,7 @@
             sock.settimeout(CLIENT_TIMEOUT)
             sock.sendall(json.dumps(self._answer(sock)).encode() + b"\n")
         except OSError:
-            pass  # the client is gone
+            pass  # the client has disconnected
         except Exception:
             log.exception("event=thread_failed thread=%s", self.name)
 
@@ -114,7 +114,7 @@
     """Sends a query to the admin socket at the path and returns the decoded answer.
 
     Raises:
-        OSError: Nobody answers there in time.
+        OSError: No process answers at the path in time.
         ValueError: The answer is not JSON.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
--- a/lilacwalk/protocols/dependency_client.py
+++ b/lilacwalk/protocols/dependency_client.py
@@ -1,4 +1,4 @@
-"""Calls to the dependency, one at a time on each of a few connections."""
+"""Calls to the dependency over a connection pool, one at a time on each connection."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
         body: bytes,
         /,
     ) -> object:
-        """Has `call_finished` called for the connection; None: the call found none."""
+        """Has to call `call_finished`; `connection` is None if there was none for the call."""
         ...
 
 
 class DependencyClient:
-    """The connections to the dependency.
+    """The connection pool of the dependency.
 
-    The one that has been idle longest makes the next call, so that none is idle for so long that
-    the peer closes it while there is work.
+    The connection that has been idle longest makes the next call, so that under load no connection
+    is idle for so long that the peer closes it.
 
     The event loop's thread owns the client. Only `connection_failed`, `connection_opened` and
     `reply_malformed` are called by the connections' threads. The handler `on_call_finished` is
@@ -48,26 +48,26 @@
     def __init__(
         self, address: tuple[str, int] | None, limits: Limits, event_queue: EventQueue
     ) -> None:
-        """Sets where calls go to; None: there is no dependency, and every call fails."""
+        """Creates an empty pool; address None: no dependency is configured, all calls fail."""
         self.address = address
         self.limits = limits
         self.event_queue = event_queue
         self.on_call_finished: CallFinishedHandler
-        self.lock = threading.Lock()  # between the start of a call and its being abandoned
+        self.lock = threading.Lock()  # serializes starting, abandoning and closing
         self.idle_connections: deque[DependencyConnection] = deque()  # longest idle first
         self.connection_count = 0
-        self.queued_calls: deque[DependencyCall] = deque()  # until a connection is free
-        self.next_attempt_at = 0.0  # of the monotonic clock, in seconds
+        self.queued_calls: deque[DependencyCall] = deque()  # waiting for a connection
+        self.next_connect_at = 0.0  # monotonic clock, in seconds
         self.reconnect_delay = limits.min_reconnect_delay
         self.malformed_replies = ReportThrottle()
 
     def set_address(self, address: tuple[str, int] | None) -> None:
-        """Makes new calls there at once; those that are in progress end where they were made."""
+        """Sends new calls to another address at once; calls in progress finish at the old one."""
         self.address = address
-        self.next_attempt_at = 0.0
+        self.next_connect_at = 0.0
 
     def start_call(self, call: DependencyCall) -> None:
-        """Makes the call as soon as a connection is free; `on_call_finished` gets its outcome."""
+        """Makes a call once a connection is free; `on_call_finished` receives its outcome."""
         if not self.idle_connections and not self._add_connection():
             self.event_queue.post(self.on_call_finished, None, call, Outcome.UNREACHABLE, b"")
             return
@@ -77,10 +77,10 @@
             self.queued_calls.append(call)
 
     def _add_connection(self) -> bool:
-        """Adds an idle connection where the limit and the system allow it.
+        """Adds an idle connection if the limit and the system allow it.
 
         Returns:
-            Whether there is any connection, that a call can wait for.
+            Whether there is at least one connection that a call can wait for.
         """
         if self.connection_count >= self.limits.max_dependency_connections:
             return True
@@ -95,7 +95,7 @@
         return True
 
     def abandon(self, call: DependencyCall) -> bool:
-        """Gives up a call, and closes its connection: the peer may have become unresponsive.
+        """Abandons a call, and closes its connection, as the peer may be unresponsive.
 
         Returns:
             Whether it is certain that the call was not executed.
@@ -107,7 +107,7 @@
         return call.started_on is None
 
     def call_finished(self, connection: DependencyConnection | None, now: int) -> None:
-        """Gives the connection its next call, or makes it idle."""
+        """Assigns the next queued call to the connection, or marks it as idle."""
         while self.queued_calls and self.queued_calls[0].is_abandoned:
             self.queued_calls.popleft()
         if connection is None:
@@ -119,7 +119,7 @@
             self.idle_connections.append(connection)
 
     def close_idle(self, idle_since: int) -> None:
-        """Closes the connections that have been idle since before then, before the peer does."""
+        """Closes connections idle since before `idle_since`, before the peer closes them."""
         while self.idle_connections and self.idle_connections[0].idle_since < idle_since:
             self.idle_connections.popleft().calls.put(None)
             self.connection_count -= 1
@@ -130,10 +130,10 @@
             self.idle_connections.popleft().calls.put(None)
 
     def connection_failed(self, reason: str) -> None:
-        """Delays the next attempt to connect, each time for longer."""
+        """Delays the next attempt to connect, doubling the delay with each failure."""
         if self.reconnect_delay == self.limits.min_reconnect_delay:
             log.warning("event=dependency_down detail=%r", reason)
-        self.next_attempt_at = time.monotonic() + self.reconnect_delay / SECOND
+        self.next_connect_at = time.monotonic() + self.reconnect_delay / SECOND
         self.reconnect_delay = min(self.limits.max_reconnect_delay, 2 * self.reconnect_delay)
 
     def connection_opened(self) -> None:
--- a/lilacwalk/protocols/dependency_codec.py
+++ b/lilacwalk/protocols/dependency_codec.py
@@ -8,9 +8,9 @@
 from lilacwalk.protocols.errors import FramingError
 from lilacwalk.protocols.lines import shorten
 
-WITH_BODY = "HIT"
+HIT = "HIT"  # the only reply with a body
 OUTCOMES_BY_WORD = {
-    WITH_BODY: Outcome.OK,
+    HIT: Outcome.OK,
     "SHED": Outcome.REJECTED,
     "BROKEN": Outcome.ERROR,
     "SLOW": Outcome.TIMED_OUT,
@@ -34,7 +34,7 @@
 
 def has_body(words: list[str]) -> bool:
     """Whether a body follows the line with these words."""
-    return len(words) == 3 and words[1] == WITH_BODY
+    return len(words) == 3 and words[1] == HIT
 
 
 def decode_reply(words: list[str], body: memoryview | None) -> DependencyReply:
@@ -45,6 +45,6 @@
     """
     if body is not None:
         return DependencyReply(words[0], OUTCOMES_BY_WORD[words[1]], bytes(body))
-    if len(words) != 2 or words[1] not in OUTCOMES_BY_WORD or words[1] == WITH_BODY:
+    if len(words) != 2 or words[1] not in OUTCOMES_BY_WORD or words[1] == HIT:
         raise FramingError(expected="a dependency reply", received=shorten(words))
     return DependencyReply(words[0], OUTCOMES_BY_WORD[words[1]], b"")
--- a/lilacwalk/protocols/dependency_connection.py
+++ b/lilacwalk/protocols/dependency_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the dependency and the thread that makes calls on it."""
+"""A connection to the dependency and the thread that makes calls on it."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class DependencyCall:
-    """One call.
+    """A call to the dependency.
 
     Attributes:
-        message: The call as it is sent.
-        at_most_once: Whether it must not be made twice. Such a call takes a new connection: where
-            one that was idle breaks, nothing tells whether the peer had closed it before the call
-            or has taken the call.
-        started_on: The socket that its first byte may have left on. As long as there is none,
-            whoever abandons the call knows that it was not executed.
-        is_abandoned: Whether nobody waits for it any more.
+        message: The encoded call.
+        at_most_once: Whether the call must not be executed twice. Such a call uses a new
+            connection: if an idle connection breaks, it is unknown whether the peer had closed it
+            before the call or has received the call.
+        started_on: The socket on which sending may have begun; None: nothing has been sent, so
+            a call abandoned in this state has certainly not been executed.
+        is_abandoned: Whether its outcome is no longer needed.
     """
 
     __slots__ = ("at_most_once", "is_abandoned", "message", "request_id", "started_on")
@@ -54,17 +54,17 @@
 
 
 class DependencyConnection:
-    """A connection that is opened again as needed, and the thread that makes one call at a time.
+    """A connection that is reopened on demand, and the thread that makes one call at a time on it.
 
-    A malformed, late or missing reply costs the call that it belongs to, and this connection. A
-    reply to another request than the call's is ignored. A second copy of a reply could be taken
-    for the reply to the next call of the same request, so that one takes a new connection.
+    A malformed, late or missing reply fails only the current call, and closes the connection. A
+    reply to another request is ignored. A duplicate reply could be mistaken for the reply to the
+    next call of the same request, so that call uses a new connection.
 
-    The thread owns everything but `idle_since`, which is the event loop's.
+    The thread owns all attributes except `idle_since`, which the event loop's thread owns.
     """
 
     def __init__(self, client: DependencyClient) -> None:
-        """Creates a closed connection of the client."""
+        """Creates a connection that is not yet open."""
         self.client = client
         self.limits = client.limits
         self.calls: SimpleQueue[DependencyCall | None] = SimpleQueue()  # None: ends the thread
@@ -78,7 +78,7 @@
         """Starts the thread.
 
         Raises:
-            RuntimeError: The system has no thread to give.
+            RuntimeError: The system cannot start another thread.
         """
         threading.Thread(target=self._run, name="dependency-connection", daemon=True).start()
 
@@ -87,7 +87,7 @@
         while (call := self.calls.get()) is not None:
             outcome, body = Outcome.CONNECTION_LOST, b""
             try:
-                outcome, body = self._make(call)
+                outcome, body = self._make_call(call)
             except FramingError as error:
                 client.reply_malformed(error)
             except OSError:
@@ -99,7 +99,7 @@
             client.event_queue.post(client.on_call_finished, self, call, outcome, body)
         self._close()
 
-    def _make(self, call: DependencyCall) -> tuple[Outcome, bytes]:
+    def _make_call(self, call: DependencyCall) -> tuple[Outcome, bytes]:
         needs_new_connection = (
             call.at_most_once
             or call.request_id == self.last_request_id
@@ -125,7 +125,7 @@
         return [decode_reply(words, body) for words, body in self.parser.feed(chunk)]
 
     def _is_usable(self) -> bool:
-        """Whether the peer has left the connection open; discards what came since the last call."""
+        """Returns whether the connection is still open; discards late replies."""
         try:
             chunk = self.sock.recv(self.limits.link_read_bytes, socket.MSG_DONTWAIT)
             self._decode(chunk)
@@ -136,9 +136,9 @@
         return bool(chunk)
 
     def _connect(self) -> bool:
-        """Connects, after the delay that a failed attempt has set for the next."""
+        """Connects, after the delay set by an earlier failure; returns whether it succeeded."""
         client = self.client
-        delay = client.next_attempt_at - time.monotonic()
+        delay = client.next_connect_at - time.monotonic()
         time.sleep(max(0.0, min(delay, client.limits.max_reconnect_delay / SECOND)))
         address = client.address
         if address is None:
@@ -158,9 +158,9 @@
         return True
 
     def _close(self) -> None:
-        """Closes the socket, and with it whatever call it still carries."""
+        """Closes the socket, which also ends a call that is unanswered on it."""
         if self.sock is not None:
             shut_down_socket(self.sock)
-            with self.client.lock:  # so that `abandon` does not shut it down meanwhile
+            with self.client.lock:  # `abandon` must not use the closed descriptor
                 self.sock.close()
             self.sock = None
--- a/lilacwalk/protocols/errors.py
+++ b/lilacwalk/protocols/errors.py
@@ -6,15 +6,15 @@
 
 
 class FramingError(LilacwalkError):
-    """The received bytes are not a message, so nothing that follows them can be read.
+    """The received bytes are not a message, so the rest of the stream cannot be decoded.
 
     Attributes:
-        expected: What the protocol allows at this place.
-        received: What stood there, shortened.
+        expected: What the protocol allows at this position.
+        received: What was received there, truncated.
     """
 
     def __init__(self, *, expected: str, received: object) -> None:
-        """Composes the message from both fields."""
+        """Formats the error message from both fields."""
         super().__init__(f"expected {expected}, got {received!r}")
         self.expected = expected
         self.received = received
@@ -24,12 +24,12 @@
     """A well-framed message has contents that the protocol does not allow.
 
     Attributes:
-        problem: What is wrong.
-        field: The field that is wrong; empty where it is the message as a whole.
+        problem: Why the contents are not allowed.
+        field: The invalid field; empty if the message as a whole is invalid.
     """
 
     def __init__(self, *, problem: str, field: str = "") -> None:
-        """Composes the message from both fields."""
+        """Formats the error message from both fields."""
         super().__init__(f"{field} {problem}" if field else problem)
         self.problem = problem
         self.field = field
--- a/lilacwalk/protocols/executor_client.py
+++ b/lilacwalk/protocols/executor_client.py
@@ -1,4 +1,4 @@
-"""The link to the executor and the thread that reads it."""
+"""The link to the executor and the thread that reads from it."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 class LinkConnectedHandler(Protocol):
     """Takes over a new link."""
 
-    def __call__(self, send_buffer: SendBuffer, opening: bytes, /) -> object:
-        """Sends `opening` first of all; the executor then replays its events."""
+    def __call__(self, send_buffer: SendBuffer, open_message: bytes, /) -> object:
+        """Sends `open_message` before all else; the executor then replays its events."""
         ...
 
 
 class ExecutorEventsHandler(Protocol):
-    """Handles what was received on a link."""
+    """Handles the events received on a link."""
 
     def __call__(self, send_buffer: SendBuffer, events: list[ExecutorEvent], /) -> object:
-        """Handles the events in their order; `send_buffer` tells the link."""
+        """Handles the events in order; `send_buffer` identifies the link."""
         ...
 
 
@@ -47,9 +47,9 @@
 
 
 class ExecutorClient:
-    """Keeps one link to the executor open, and reconnects after each loss.
+    """Maintains one link to the executor, and reconnects after each loss.
 
-    Each numbered event is passed on once, however often the executor repeats it. The handlers
+    Each numbered event is posted once, however often the executor repeats it. The handlers
     `on_connected`, `on_events` and `on_disconnected` are set before `start`; the event loop calls
     them in its own thread.
     """
@@ -61,7 +61,7 @@
         event_queue: EventQueue,
         gauge_names: list[str],
     ) -> None:
-        """Sets where to connect to, and the names of the gauges in the order of their values."""
+        """Sets the executor's address, and the gauge names in the order of their values."""
         self.address = address
         self.limits = limits
         self.event_queue = event_queue
@@ -84,9 +84,9 @@
             shut_down_socket(self.sock)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Connects to another address at once.
+        """Reconnects to another address without delay.
 
-        What the old link may have lost is sent again, as after any lost link.
+        Messages that may have been lost on the old link are sent again, as after any lost link.
         """
         self.address = address
         if self.sock is not None:
@@ -101,7 +101,7 @@
                     delay = self.limits.min_reconnect_delay
                 else:
                     delay = min(self.limits.max_reconnect_delay, 2 * delay)
-                if address == self.address:  # a new address is connected to at once
+                if address == self.address:  # there is no delay before a new address
                     self.closed.wait(delay / SECOND)
         except Exception:  # nothing can be executed without this thread, so the process ends
             log.exception("event=thread_failed thread=executor-reader")
@@ -114,13 +114,13 @@
         except OSError:
             return False
         self.sock = sock
-        if address != self.address:  # it has changed while `set_address` could not see this socket
+        if address != self.address:  # `set_address` ran before `self.sock` was set
             shut_down_socket(sock)
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         send_buffer = SendBuffer(sock, self.limits.executor_send_buffer_bytes, "executor")
-        opening = encode_open(self.last_event_number)
-        self.event_queue.post(self.on_connected, send_buffer, opening)
+        open_message = encode_open(self.last_event_number)
+        self.event_queue.post(self.on_connected, send_buffer, open_message)
         has_received = self._read(sock, send_buffer)
         shut_down_socket(sock)
         self.event_queue.post(self.on_disconnected, send_buffer)
@@ -142,7 +142,7 @@
         except FramingError as error:
             log.warning("event=executor_link_ended reason=framing detail=%r", str(error))
         except OSError:
-            pass  # the link was reset, or shut down from this side
+            pass  # the link was reset, or shut down by this side
         return has_received
 
     def _drop_repeated(self, events: list[ExecutorEvent | None]) -> list[ExecutorEvent]:
--- a/lilacwalk/protocols/executor_codec.py
+++ b/lilacwalk/protocols/executor_codec.py
@@ -54,8 +54,8 @@
     """The first event of a link.
 
     Attributes:
-        is_cold: Whether the executor was just started.
-        age: How long it has run, in tenths of a millisecond.
+        is_cold: Whether the executor has just been started.
+        age: Time since its start, in tenths of a millisecond.
     """
 
     event_number: ClassVar[int] = 0
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorLogMessage:
-    """A log message of the executor; only its event number matters here."""
+    """A log message of the executor, of which only the event number is used."""
 
     event_number: int
 
@@ -92,33 +92,33 @@
 
 
 def encode_open(last_event_number: int) -> bytes:
-    """Begins a link: asks for a replay of the events behind this one."""
+    """Encodes the first message of a link, which requests a replay of all later events."""
     return b"OPEN %d\r\n" % last_event_number
 
 
 def encode_dispatch(request_id: str, class_name: str, body: bytes) -> bytes:
-    """Starts the execution of a request."""
+    """Encodes the command to start the execution of a request."""
     header = b"SCHED %b %b %d" % (request_id.encode(), class_name.encode(), len(body))
     return b"%b\r\n%b\r\n" % (header, body)
 
 
 def encode_cancel(request_id: str) -> bytes:
-    """Interrupts the execution of a request."""
+    """Encodes the command to interrupt the execution of a request."""
     return b"PREEMPT %b\r\n" % request_id.encode()
 
 
 def encode_call_result(request_id: str, body: bytes) -> bytes:
-    """Passes on the result of the dependency call that an execution waits for."""
+    """Encodes the result of the dependency call that an execution waits for."""
     return b"IODONE %b %d\r\n%b\r\n" % (request_id.encode(), len(body), body)
 
 
 def encode_skip_call(request_id: str, event_number: int) -> bytes:
-    """Has an execution go on without the dependency call that it asked for in this event."""
+    """Encodes the command to continue an execution without the call requested in this event."""
     return b"NOIO %b %d\r\n" % (request_id.encode(), event_number)
 
 
 def encode_gauge_request(tag: str) -> bytes:
-    """Asks for the gauges; the response carries the tag."""
+    """Encodes a gauge request; the response carries the tag."""
     return b"SYSINFO %b\r\n" % tag.encode()
 
 
@@ -139,14 +139,14 @@
     """Decodes one message of the executor.
 
     Returns:
-        The event, or None for a message that has no meaning here.
+        The event, or None for an unknown message, which is ignored.
 
     Raises:
         FramingError: The message is not an event.
     """
     try:
         return _decode(words, b"" if body is None else body, gauge_names)
-    # An OverflowError is that of an infinite age.
+    # OverflowError: an infinite age cannot be converted to an integer.
     except (IndexError, KeyError, ValueError, OverflowError):
         raise FramingError(expected="an executor event", received=shorten(words)) from None
 
--- a/lilacwalk/protocols/lines.py
+++ b/lilacwalk/protocols/lines.py
@@ -1,7 +1,7 @@
-"""A parser for the protocols of the executor and of the dependency.
+"""The framing of the protocols of the executor and of the dependency.
 
-A message is a line of words ending in CR LF. Some are followed by a body, whose length in bytes
-is the line's last word, and CR LF.
+A message is a line of words that ends in CR LF. Some lines are followed by a body and another
+CR LF; the last word of such a line is the length of the body in bytes.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from lilacwalk.protocols.errors import FramingError
 
-MAX_REPORTED_CHARACTERS = 60  # of a line that an error quotes
+MAX_REPORTED_CHARACTERS = 60  # of a line that an error message quotes
 
 
 class HasBody(Protocol):
-    """Tells from the words of a line whether a body follows it."""
+    """Determines whether a body follows a line."""
 
     def __call__(self, words: list[str], /) -> bool:
         """Returns whether a body follows the line with these words."""
@@ -22,7 +22,7 @@
 
 
 def shorten(words: list[str]) -> str:
-    """Returns the beginning of the line with these words, for an error."""
+    """Returns the beginning of the line with these words, for an error message."""
     return " ".join(words)[:MAX_REPORTED_CHARACTERS]
 
 
@@ -30,23 +30,24 @@
     """Parses a stream of lines and bodies from chunks of any size."""
 
     def __init__(self, has_body: HasBody, max_line_bytes: int, max_body_bytes: int) -> None:
-        """Sets what tells lines with a body from those without, and the limits."""
+        """Sets the limits and the test for lines that are followed by a body."""
         self.has_body = has_body
         self.max_line_bytes = max_line_bytes
         self.max_body_bytes = max_body_bytes
         self.unparsed = b""
-        self.words: list[str] | None = None  # of a line whose body is still to come
+        self.words: list[str] | None = None  # of a line whose body is incomplete
         self.body_size = 0
 
     def feed(self, chunk: bytes) -> list[tuple[list[str], memoryview | None]]:
         """Parses the next bytes of the stream.
 
         Returns:
-            The words and the body of each complete message; a body is a slice of its chunk, and
-            None for a line without one.
+            The words and the body of each complete message. A body is a slice of its chunk, or
+            None for a line without a body.
 
         Raises:
-            FramingError: A line or a body is too long, or has another end than it should.
+            FramingError: A line or a body is too long, the length of a body is not a number, or CR
+                LF does not follow a body.
         """
         data = self.unparsed + chunk if self.unparsed else chunk
         view, position = memoryview(data), 0
--- a/lilacwalk/protocols/listener.py
+++ b/lilacwalk/protocols/listener.py
@@ -6,10 +6,10 @@
 
 
 def listen(address: tuple[str, int], backlog: int) -> socket.socket:
-    """Returns a socket that listens at an IPv4 or IPv6 address.
+    """Returns a socket that listens on an IPv4 or IPv6 address.
 
     Raises:
-        OSError: The address cannot be listened at; no socket is left open.
+        OSError: Listening on the address failed; no socket is left open.
     """
     host, _ = address
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
--- a/lilacwalk/protocols/proxy_codec.py
+++ b/lilacwalk/protocols/proxy_codec.py
@@ -1,7 +1,7 @@
 """Messages between proxies and this server: decoding of requests, encoding of responses.
 
-On the wire a message is a RESP array. All times there are in milliseconds; here they are in tenths
-of a millisecond.
+On the wire, a message is a RESP array, and times are in milliseconds. In the decoded records, times
+are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from lilacwalk.requests.records import IncomingRequest
 from lilacwalk.settings import tenths_rounded_down, tenths_rounded_up
 
-MIN_MEMORY_KB = 1e-6  # the protocol excludes 0 ...
-MAX_MEMORY_KB = 2_000 - 1e-6  # ... and 2,000 itself
-MAX_PRIORITY = math.nextafter(1.0, 0.0)  # likewise 1
+MIN_MEMORY_KB = 1e-6  # the protocol requires more than 0
+MAX_MEMORY_KB = 2_000 - 1e-6  # the protocol requires less than 2,000
+MAX_PRIORITY = math.nextafter(1.0, 0.0)  # the protocol requires less than 1
 MAX_CLIENT = 2**53
-MAX_ARRIVAL_MS = 1e14  # of the Unix clock
+MAX_ARRIVAL_MS = 1e14  # Unix time
 MAX_DURATION_MS = 3_600_000.0  # an hour: longer than any client waits
 MAX_TAG_DIGITS = 18
 ID_LENGTH = 16
 HEX_DIGITS = frozenset("0123456789abcdef")
-SUBMIT_PARTS = 4  # without a body, which is the fifth
+SUBMIT_PARTS = 4  # without the body, which is the optional fifth part
 
-CLOSING = encode_array(b"0", b"closing")
-"""Asks the proxy to close the connection."""
+CLOSE_REQUEST = encode_array(b"0", b"closing")
+"""Requests the proxy to close the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """A request, to be answered under the tag."""
+    """A request; the response carries the tag."""
 
     tag: int
     incoming: IncomingRequest
@@ -39,21 +39,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """The client does not wait for the response to the request with this tag any more."""
+    """The client no longer waits for the response to the request with this tag."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A health check, to be answered under the tag."""
+    """A health check; the response carries the tag."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """A well-framed message that cannot be understood, to be answered `error` under the tag."""
+    """A well-framed but invalid message; the response is `error` and carries the tag."""
 
     tag: int
     problem: str
@@ -66,7 +66,7 @@
     """Decodes the parts of one message; a part that was too long is None.
 
     Raises:
-        FramingError: The message has no tag, so that it cannot even be rejected.
+        FramingError: The message has no valid tag, so no error response can be sent.
     """
     tag_part = bytes(parts[1]) if len(parts) > 1 and parts[1] is not None else b""
     if not tag_part.isdigit() or len(tag_part) > MAX_TAG_DIGITS or int(tag_part) < 1:
@@ -84,7 +84,7 @@
         case b"PROBE":
             return Probe(tag)
         case _:
-            return Malformed(tag, "unknown verb")
+            return Malformed(tag, "unknown verb, expected SUBMIT, WITHDRAW or PROBE")
 
 
 def decode_submit(parts: list[memoryview | None], max_body_bytes: int) -> IncomingRequest:
@@ -94,15 +94,19 @@
         MalformedMessageError: A part or a field is missing, too long or out of range.
     """
     if len(parts) not in (SUBMIT_PARTS, SUBMIT_PARTS + 1):
-        raise MalformedMessageError(problem="SUBMIT has the wrong number of parts")
+        raise MalformedMessageError(
+            problem=f"SUBMIT has {len(parts)} parts, expected {SUBMIT_PARTS} or {SUBMIT_PARTS + 1}"
+        )
     body = parts[4] if len(parts) > SUBMIT_PARTS else memoryview(b"")
     if parts[2] is None or parts[3] is None or body is None or len(body) > max_body_bytes:
-        raise MalformedMessageError(problem="a part is too long")
+        raise MalformedMessageError(
+            problem=f"request class, fields or body too long (body limit: {max_body_bytes} bytes)"
+        )
     fields = _decode_fields(parts[3])
     request_id = fields.get("i", "")
     if len(request_id) != ID_LENGTH or not HEX_DIGITS.issuperset(request_id):
-        raise MalformedMessageError(field="i", problem="is not 16 hexadecimal digits")
-    _decode_number(fields, "p", 0.0, MAX_PRIORITY, 0.0)  # unused here, yet it must be valid
+        raise MalformedMessageError(field="i", problem="is not 16 lower-case hexadecimal digits")
+    _decode_number(fields, "p", 0.0, MAX_PRIORITY, 0.0)  # validated, but not used
     return IncomingRequest(
         id=request_id,
         class_name=str(parts[2], "utf-8", "replace"),
@@ -136,16 +140,18 @@
     maximum: float,
     default: float | None = None,
 ) -> float:
-    """Returns the field's value; a field without a default is required."""
+    """Returns the value of a field; a field without a default is required."""
     text = fields.get(name)
     if text is None and default is not None:
         return default
     try:
         value = float(text)  # type: ignore[arg-type]
     except (TypeError, ValueError):
-        raise MalformedMessageError(field=name, problem="is not a number") from None
+        raise MalformedMessageError(field=name, problem="is missing or not a number") from None
     if not (math.isfinite(value) and minimum <= value <= maximum):
-        raise MalformedMessageError(field=name, problem="is out of range")
+        raise MalformedMessageError(
+            field=name, problem=f"is {value}, expected {minimum} to {maximum}"
+        )
     return value
 
 
@@ -160,12 +166,12 @@
     """Encodes the response to the message with this tag.
 
     Args:
-        tag: Of the message.
-        word: What became of it, in the protocol's word.
-        load_report: As `encode_load_report` returns it.
-        body: Of the response.
-        retry_after: In tenths of a millisecond; 0: none is given.
-        do_not_retry_elsewhere: Whether other servers would reject the request, too.
+        tag: Tag of the message.
+        word: Status of the message, as a word of the protocol.
+        load_report: The field that `encode_load_report` returns.
+        body: Body of the response.
+        retry_after: In tenths of a millisecond; 0: not sent.
+        do_not_retry_elsewhere: Whether other servers would reject the request as well.
     """
     fields = [load_report] if load_report else []
     if retry_after > 0:
@@ -177,5 +183,5 @@
 
 
 def encode_load_report(advertised_capacity: float | None) -> str:
-    """Encodes the advertised capacity as a field of a response; empty where there is none."""
+    """Encodes the advertised capacity as a field of a response; empty if there is none."""
     return "" if advertised_capacity is None else f"v={advertised_capacity:.4f}"
--- a/lilacwalk/protocols/proxy_connection.py
+++ b/lilacwalk/protocols/proxy_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a proxy and the thread that reads it."""
+"""A connection of a proxy and the thread that reads from it."""
 
 from __future__ import annotations
 
@@ -25,49 +25,51 @@
 
 
 class Connection:
-    """A connection, read by a thread of its own.
+    """A proxy connection with its own reader thread.
 
-    The thread posts what it reads in batches onto the event loop's queue. It may be ahead of the
-    event loop by as many batches as it has read credits, so that a proxy that floods delays only
-    itself.
+    The thread posts messages in batches to the event loop's queue. Each batch takes a read credit,
+    which the event loop returns, so that a proxy that floods the connection delays only itself.
 
-    The reader thread writes `is_reading` and `begun_message`, and takes from `read_credits`. The
-    event loop's thread writes all else; the reader thread reads `is_cut_off` and `half_closed_at`.
+    The reader thread writes `is_reading` and `partial_message_number`, and takes credits from
+    `read_credits`. The event loop's thread writes everything else; of that, the reader thread reads
+    `is_shut_down` and `half_closed_at`.
 
     Attributes:
-        is_cut_off: Whether this side has ended the connection; what still comes in is discarded.
-        is_reading: Whether bytes have left the system's buffer, or are about to, and are not yet
-            on the event loop's queue.
-        begun_message: The number, on this connection, of the message that was received in part;
-            0: there is none.
+        is_shut_down: Whether this side has shut the connection down, or it has ended; further
+            input is discarded.
+        is_reading: Whether bytes have left the operating system's buffer, or are about to, and
+            are not yet on the event loop's queue.
+        partial_message_number: The number, on this connection, of the message of which only the
+            beginning has been received; 0: there is none.
         open_requests: The requests in flight by tag.
-        last_used: When something was received or sent last.
-        closing_since: When the proxy was asked to close; 0: it was not.
-        half_closed_at: When this side sent its end; 0: it did not.
-        awaited_message: The last `begun_message` that the event loop has seen.
-        awaited_since: When it was seen first.
-        has_spoken: Whether a message was understood; until then the peer may be no proxy.
+        last_used: When data was last received or sent.
+        close_requested_at: When the proxy was requested to close; 0: it was not.
+        half_closed_at: When this side shut down its sending direction; 0: it has not.
+        timed_message_number: The last `partial_message_number` that the event loop has seen.
+        timed_since: When the event loop first saw it.
+        has_sent_valid_message: Whether the peer has sent a valid message; until then it may not
+            be a proxy.
     """
 
     __slots__ = (
-        "awaited_message",
-        "awaited_since",
-        "begun_message",
-        "closing_since",
+        "close_requested_at",
         "event_queue",
         "frontend",
         "half_closed_at",
-        "has_spoken",
-        "is_cut_off",
+        "has_sent_valid_message",
         "is_reading",
+        "is_shut_down",
         "last_used",
         "limits",
         "listener",
         "open_requests",
+        "partial_message_number",
         "peer",
         "read_credits",
         "send_buffer",
         "sock",
+        "timed_message_number",
+        "timed_since",
     )
 
     def __init__(
@@ -78,51 +80,53 @@
         event_queue: EventQueue,
         listener: ProxyListener,
     ) -> None:
-        """Takes over an accepted socket of `peer`, as the log names it."""
+        """Takes over an accepted socket; `peer` is the name of the other side in the log."""
         self.sock = sock
         self.peer = peer
         self.limits = limits
         self.event_queue = event_queue
         self.listener = listener
         self.send_buffer = SendBuffer(sock, limits.send_buffer_bytes, "proxy")
-        # A queue of nothing: lighter and faster than a semaphore.
+        # A queue of None as a semaphore: smaller and faster than `threading.Semaphore`.
         self.read_credits: SimpleQueue[None] = SimpleQueue()
         for _ in range(limits.max_undecided_batches):
             self.read_credits.put(None)
-        self.is_cut_off = False
+        self.is_shut_down = False
         self.is_reading = False
-        self.begun_message = 0
+        self.partial_message_number = 0
         self.frontend: Frontend | None = None
         self.open_requests: dict[int, InFlightRequest] = {}
         self.last_used = 0
-        self.closing_since = 0
+        self.close_requested_at = 0
         self.half_closed_at = 0
-        self.awaited_message = 0
-        self.awaited_since = 0
-        self.has_spoken = False
+        self.timed_message_number = 0
+        self.timed_since = 0
+        self.has_sent_valid_message = False
 
     def start(self) -> None:
         """Starts the reader thread, which ends with the connection.
 
         Raises:
-            RuntimeError: The system has no thread to give.
+            RuntimeError: The system cannot start another thread.
         """
         threading.Thread(target=self._run, name="proxy-reader", daemon=True).start()
 
     def abort(self, reset: bool = False) -> None:
-        """Ends the connection from this side.
+        """Shuts the connection down in both directions.
 
-        The socket can still be read after its shutdown, so the reader thread is told to stop.
+        Data received earlier can still be read after that, so `is_shut_down` stops the reader
+        thread.
         """
-        self.is_cut_off = True
+        self.is_shut_down = True
         shut_down_socket(self.sock, reset)
 
     @property
-    def is_quiet(self) -> bool:
-        """Whether all that was received has been processed by the event loop.
+    def is_input_processed(self) -> bool:
+        """Whether the event loop has processed all received data.
 
-        The places that bytes pass on their way, from the system's buffer to the event loop, are
-        checked in this order: what leaves one place between two checks is found in the next.
+        The stages between the operating system's buffer and the event loop are checked in the
+        order in which data passes them: data that leaves a stage between two checks is found in
+        the next one.
         """
         unread = select.poll()
         unread.register(self.sock, select.POLLIN)
@@ -134,23 +138,24 @@
 
     @property
     def is_between_messages(self) -> bool:
-        """Whether it is quiet and no message was received in part.
+        """Whether all input has been processed and no partial message has been received.
 
-        Checked in this order, as the reader thread sets `begun_message` before it clears
-        `is_reading`.
+        The order of the checks matters: the reader thread sets `partial_message_number` before it
+        clears `is_reading`.
         """
-        return self.is_quiet and not self.begun_message
+        return self.is_input_processed and not self.partial_message_number
 
     def half_close(self, now: int) -> None:
-        """Sends this side's end of the stream.
+        """Shuts down the sending direction.
 
-        The reader thread reads on until the peer closes too, and discards what it reads: a close
-        over unread bytes would reset the connection, and lose responses that are on their way.
+        The reader thread continues to read, and discards the data, until the peer closes too:
+        closing a socket with unread data would reset the connection, and lose responses in
+        transit.
         """
-        # Before the cut: the reader of a connection that is cut off and not half closed ends.
+        # Set first: the reader thread ends if `is_shut_down` is set and `half_closed_at` is not.
         self.half_closed_at = now
-        self.is_cut_off = True
-        with contextlib.suppress(OSError):  # the peer has closed already
+        self.is_shut_down = True
+        with contextlib.suppress(OSError):  # the peer has already closed
             self.sock.shutdown(socket.SHUT_WR)
 
     def _run(self) -> None:
@@ -184,10 +189,10 @@
             readable.poll()
             self.is_reading = True
             chunk = self.sock.recv(limits.proxy_read_bytes)
-            if not chunk or (self.is_cut_off and not self.half_closed_at):
+            if not chunk or (self.is_shut_down and not self.half_closed_at):
                 return
             batch: list[ProxyMessage] = []
-            for parts in parser.feed(chunk) if not self.is_cut_off else ():
+            for parts in parser.feed(chunk) if not self.is_shut_down else ():
                 message_count += 1
                 batch.append(decode_message(parts, limits.max_body_bytes))
                 if len(batch) == limits.max_batch_messages:
@@ -195,10 +200,10 @@
                     batch = []
             if batch:
                 self._post(batch)
-            self.begun_message = message_count + 1 if parser.begun else 0
+            self.partial_message_number = message_count + 1 if parser.has_partial_message else 0
             self.is_reading = False
 
     def _post(self, batch: list[ProxyMessage]) -> None:
-        """Posts a batch to the event loop, which returns the read credit."""
+        """Takes a read credit, which the event loop returns, and posts a batch."""
         self.read_credits.get()
         self.event_queue.post(self.listener.events.messages_received, self, batch)
--- a/lilacwalk/protocols/proxy_listener.py
+++ b/lilacwalk/protocols/proxy_listener.py
@@ -1,4 +1,4 @@
-"""The port that proxies connect to."""
+"""The listener that proxies connect to."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lilacwalk.protocols.send_buffer import shut_down_socket
 
 log = logging.getLogger(__name__)
-ACCEPT_RETRY_DELAY = 0.05  # seconds, as after running out of descriptors
+ACCEPT_RETRY_DELAY = 0.05  # seconds; accepting fails if the process is out of descriptors
 
 
 class ProxyListenerEvents(Protocol):
@@ -25,19 +25,20 @@
         """Handles a new connection."""
 
     def messages_received(self, connection: Connection, messages: list[ProxyMessage]) -> None:
-        """Handles messages in their order and returns the connection's read credit."""
+        """Handles messages in order and returns the connection's read credit."""
 
     def connection_ended(self, connection: Connection) -> None:
         """Handles the last event of a connection, and releases its resources."""
 
     def listener_closed(self) -> None:
-        """Handles the end of the listener's thread, or of its backlog: called once for each."""
+        """Called when the listener's thread has ended, and when its backlog has been drained."""
 
 
 class ProxyListener:
-    """Accepts connections, as many as the limits allow; others wait in the system's backlog.
+    """Accepts connections up to the limit; others wait in the operating system's backlog.
 
-    Its thread accepts until the server drains; the event loop then empties the backlog.
+    Its thread accepts connections until the server drains; then the event loop accepts those that
+    are left in the backlog.
     """
 
     def __init__(
@@ -47,16 +48,17 @@
         event_queue: EventQueue,
         connection_slots: threading.Semaphore | None = None,
     ) -> None:
-        """Listens at the address.
+        """Listens on the address.
 
         Args:
             address: IPv4 address and port; port 0 lets the system choose.
             limits: The limits of this listener and of its connections.
-            event_queue: Leads to the event loop.
-            connection_slots: Those of another listener, to share its maximum of connections.
+            event_queue: The event loop's queue.
+            connection_slots: Slots of another listener, to share its limit of connections; None:
+                this listener has its own limit.
 
         Raises:
-            OSError: The address cannot be listened at.
+            OSError: Listening on the address failed.
         """
         self.limits = limits
         self.event_queue = event_queue
@@ -75,7 +77,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address and port that it listens at."""
+        """The address and port that it listens on."""
         return self.sock.getsockname()
 
     def start(self) -> None:
@@ -83,7 +85,7 @@
         threading.Thread(target=self._run, name="listener", daemon=True).start()
 
     def release_slot(self) -> None:
-        """Makes room for another connection after one has ended."""
+        """Allows another connection after one has ended."""
         self.connection_slots.release()
 
     def close(self) -> None:
@@ -92,16 +94,16 @@
         shut_down_socket(self.sock)
 
     def drain_backlog(self) -> bool:
-        """Takes over the connections that the system has accepted, then closes the socket.
+        """Accepts the connections that are left in the backlog, then closes the socket.
 
-        They may hold requests already, and would be reset with the listening socket. Called by
-        the event loop until it returns True: everything was taken over.
+        They may already contain requests, and would be reset if the socket was closed first. The
+        event loop calls this until it returns True, when the backlog is empty.
         """
         if not self.is_draining:
             self.is_draining = True
-            self.sock.setblocking(False)  # the thread may stay in the accept that it waits in
-            # The thread may wait for a slot, too. At the end, one connection over the maximum
-            # does no harm.
+            self.sock.setblocking(False)  # the listener's thread may stay blocked in accept
+            # The listener's thread may also wait for a slot. During a drain, one connection over
+            # the limit is harmless.
             self.connection_slots.release()
         while not self.backlog_drained and self.connection_slots.acquire(blocking=False):
             try:
@@ -109,11 +111,11 @@
             except OSError as error:
                 self.connection_slots.release()
                 if not isinstance(error, BlockingIOError):
-                    return False  # out of descriptors, or a connection that is gone: try later
+                    return False  # out of descriptors, or the peer is gone: retry later
                 self.backlog_drained = True
                 shut_down_socket(self.sock)
                 self.sock.close()
-                # Behind the events of all connections that were taken over here.
+                # Posted after the events of all connections that were accepted here.
                 self.event_queue.post(self.events.listener_closed)
             else:
                 self._open_connection(sock, f"{host}:{port}")
@@ -129,7 +131,7 @@
                     self.connection_slots.release()
                     if not self.is_draining:
                         log.warning("event=accept_failed detail=%r", str(error))
-                        threading.Event().wait(ACCEPT_RETRY_DELAY)  # instead of a busy loop
+                        threading.Event().wait(ACCEPT_RETRY_DELAY)  # avoids a busy loop
                     continue
                 self._open_connection(sock, f"{host}:{port}")
         except Exception:
@@ -137,13 +139,13 @@
             self.event_queue.fail("the listener's thread failed")
         finally:
             if not self.is_draining or self.backlog_drained:
-                self.sock.close()  # else the event loop still empties the backlog
+                self.sock.close()  # otherwise the event loop still drains the backlog
             self.event_queue.post(self.events.listener_closed)
 
     def _open_connection(self, sock: socket.socket, peer: str) -> None:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # the peer is gone already, which must not end the listener
+        except OSError:  # the peer has disconnected, which must not end the listener
             sock.close()
             self.connection_slots.release()
             return
@@ -151,7 +153,7 @@
         self.event_queue.post(self.events.connection_opened, connection)
         try:
             connection.start()
-        except RuntimeError as error:  # no thread: only this connection is not served
+        except RuntimeError as error:  # no thread available: only this connection is closed
             log.warning(
                 "event=connection_ended peer=%s reason=no_thread detail=%r", peer, str(error)
             )
--- a/lilacwalk/protocols/resp.py
+++ b/lilacwalk/protocols/resp.py
@@ -12,7 +12,7 @@
 class RespParser:
     """Parses a stream of RESP arrays from chunks of any size.
 
-    The parts of a message are slices of the chunks: copy what must outlive them.
+    The parts of a message are slices of the chunks: copy a part to keep it longer than its chunk.
     A part over the size limit is skipped and represented by None.
     """
 
@@ -31,29 +31,29 @@
         """Sets the limits.
 
         Args:
-            max_parts: Parts of a message; more are a framing error.
-            max_part_bytes: Bytes of a part; a longer one is skipped.
-            max_skipped_bytes: Bytes of a part that is skipped; more are a framing error.
+            max_parts: Limit of parts in a message; more are a framing error.
+            max_part_bytes: Limit of bytes in a part; a longer part is skipped.
+            max_skipped_bytes: Limit of bytes in a skipped part; more are a framing error.
         """
         self.max_parts = max_parts
         self.max_part_bytes = max_part_bytes
         self.max_skipped_bytes = max_skipped_bytes
         self.unparsed = b""
         self.parts: list[memoryview | None] = []
-        self.missing_parts = 0  # of the current message
-        self.part_size = -1  # of the current part; -1: its length line is still to be read
+        self.missing_parts = 0  # of the current message, not yet received
+        self.part_size = -1  # of the current part; -1: its length line has not been read
         self.bytes_to_skip = 0
 
     @property
-    def begun(self) -> bool:
-        """Whether a message has been received in part."""
+    def has_partial_message(self) -> bool:
+        """Whether the beginning of a message has been received, but not its end."""
         return bool(self.unparsed or self.missing_parts)
 
     def feed(self, chunk: bytes) -> Iterator[list[memoryview | None]]:
         """Parses the next bytes of the stream.
 
-        Yields messages one by one, so that the hundreds of short ones that fit into a chunk are
-        never all held at once.
+        Yields messages one by one, so that the hundreds of short messages that a chunk may contain
+        are never all in memory at once.
 
         Raises:
             FramingError: The stream is not a sequence of RESP arrays within the limits.
@@ -92,18 +92,18 @@
         self.unparsed = data[position:]
 
     def _check_partial_length(self, line: bytes) -> None:
-        """Rejects at once what cannot become a length line: its sender may wait for that."""
+        """Rejects an invalid length line before its end arrives: the peer may not send one."""
         marker, digits = line[:1], line[1:].removesuffix(b"\r")
         expected_marker = b"$" if self.missing_parts else b"*"
         is_too_long = len(line) == MAX_LENGTH_LINE_BYTES
         if is_too_long or marker not in (b"", expected_marker) or digits.strip(b"0123456789"):
-            raise FramingError(expected="a length line", received=line)
+            raise FramingError(expected="a RESP length line", received=line)
 
     def _read_length(self, line: bytes) -> None:
-        """Reads the length line of an array or of a part."""
+        """Parses the length line of an array or of a part."""
         marker, digits = line[:1], line[1:]
         if marker != (b"$" if self.missing_parts else b"*") or not digits.isdigit():
-            raise FramingError(expected="a length line", received=line)
+            raise FramingError(expected="a RESP length line", received=line)
         length = int(digits)
         if not self.missing_parts:
             if not 1 <= length <= self.max_parts:
--- a/lilacwalk/protocols/send_buffer.py
+++ b/lilacwalk/protocols/send_buffer.py
@@ -1,4 +1,4 @@
-"""The bytes that wait to be sent on one socket."""
+"""A bounded buffer of the bytes to be sent on a socket."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from queue import SimpleQueue
 
 log = logging.getLogger(__name__)
-MESSAGE_OVERHEAD_BYTES = 64  # that the interpreter keeps for a message beside its contents
+MESSAGE_OVERHEAD_BYTES = 64  # of interpreter memory for each message, besides its contents
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedWrite:
-    """Bytes for the writer thread, and how much of the limit they take until they are sent."""
+    """Bytes for the writer thread, and how much of the limit they use until they are sent."""
 
     data: memoryview
     accounted_bytes: int
@@ -25,12 +25,12 @@
 class SendBuffer:
     """A bounded buffer in front of a socket, owned by the thread that appends and flushes.
 
-    A flush never blocks: what the system accepts at once is sent by the owner. The rest goes to a
-    writer thread, which is started when it is first needed: most connections never need one, and
-    it would cost memory and a thread switch for each response.
+    A flush never blocks: the owner sends the bytes that the operating system accepts at once, and
+    a writer thread sends the rest. The thread is started when first needed: most connections never
+    need it, and it would cost memory and a thread switch for each response.
 
-    No lock is needed: `accepted_bytes` is written by the owner alone, `sent_bytes` by the writer
-    thread alone.
+    No lock is needed: only the owner writes `accepted_bytes`, and only the writer thread writes
+    `sent_bytes`.
     """
 
     __slots__ = (
@@ -49,8 +49,8 @@
 
         Args:
             sock: The socket, which `close` closes.
-            max_bytes: How much may wait to be sent, overhead included.
-            name: Of the peer, for the writer thread's name.
+            max_bytes: Limit of unsent bytes, including the overhead of each message.
+            name: Kind of the peer, for the name of the writer thread.
         """
         self.sock = sock
         self.max_bytes = max_bytes
@@ -62,10 +62,10 @@
         self.thread: threading.Thread | None = None
 
     def append(self, data: bytes) -> bool:
-        """Adds a message, to be sent by the next flush.
+        """Adds a message, which the next flush sends.
 
         Returns:
-            False where the message does not fit, as the peer has stopped reading.
+            False if the message does not fit because the peer has stopped reading.
         """
         accounted_bytes = len(data) + MESSAGE_OVERHEAD_BYTES
         if self.accepted_bytes - self.sent_bytes + accounted_bytes > self.max_bytes:
@@ -75,7 +75,7 @@
         return True
 
     def flush(self) -> None:
-        """Sends what was appended, or hands the rest to the writer thread. Never blocks."""
+        """Sends the appended messages, or leaves the rest to the writer thread. Never blocks."""
         messages, self.pending = self.pending, []
         if not messages:
             return
@@ -89,7 +89,7 @@
             except BlockingIOError:
                 pass
             except OSError:
-                shut_down_socket(self.sock)  # the connection's reader sees the end and reports it
+                shut_down_socket(self.sock)  # the reader thread detects the end and reports it
                 return
         if sent == len(data):
             self.accepted_bytes -= accounted_bytes
@@ -97,7 +97,7 @@
             self.queue.put(QueuedWrite(memoryview(data)[sent:], accounted_bytes))
 
     def _start_writer(self) -> bool:
-        """Returns whether the system had a thread to give; the caller goes on without one."""
+        """Starts the writer thread; if that fails, resets the connection and returns False."""
         self.queue = SimpleQueue()
         thread = threading.Thread(target=self._run, name=f"{self.name}-writer", daemon=True)
         try:
@@ -111,14 +111,14 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether all that was appended has been sent."""
+        """Whether all appended messages have been sent."""
         return self.accepted_bytes == self.sent_bytes
 
     def close(self) -> None:
-        """Ends the writer thread and closes the socket; what is unsent is dropped.
+        """Ends the writer thread and closes the socket; unsent data is dropped.
 
-        Only the owner may call this, and nobody else closes the socket: so its descriptor is
-        never reused while somebody still sends to it.
+        Only the owner may call this, and nothing else closes the socket, so that its descriptor
+        is never reused while a thread still sends to it.
         """
         shut_down_socket(self.sock)
         if self.thread is not None:
@@ -139,14 +139,14 @@
 
 
 def shut_down_socket(sock: socket.socket, reset: bool = False) -> None:
-    """Wakes the threads that read or write the socket, without closing it.
+    """Shuts a socket down, which wakes the threads that read or write it, without closing it.
 
     Args:
-        sock: The socket; closing it is left to its owner.
-        reset: Whether its close is to drop unsent data and reset the connection, instead of
+        sock: The socket; its owner closes it.
+        reset: Whether closing the socket drops unsent data and resets the connection, instead of
             lingering for a peer that does not read.
     """
-    with contextlib.suppress(OSError):  # it has ended already
+    with contextlib.suppress(OSError):  # the connection has already ended
         if reset:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.shutdown(socket.SHUT_RDWR)
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -1,4 +1,4 @@
-"""Closing of proxy connections that are idle, stuck or too many."""
+"""Closing of idle, stuck and excess proxy connections."""
 
 import os
 import resource
@@ -25,44 +25,46 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*5\r\n$6\r\nSUB", encode_array(b"PROBE", b"1") + b"*"])
-def test_a_silent_or_stuck_connection_is_closed_and_an_idle_proxy_is_not(make_site, sent):
+def test_a_connection_without_a_complete_message_is_closed_and_an_idle_proxy_is_not(
+    make_site, sent
+):
     site = make_site(limits={"message_timeout": 1_000}).start()
-    site.kernel, proxy, odd = site.link(), site.router(), site.router()
+    site.kernel, proxy, stuck = site.link(), site.router(), site.router()
     proxy.say(b"PROBE", b"1")
     assert proxy.answer()[:2] == (1, "healthy")
-    odd.sock.sendall(sent)
-    while odd.answer() is not None:
+    stuck.sock.sendall(sent)
+    while stuck.answer() is not None:
         pass
     assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
 
 
-def test_after_a_stall_a_connection_with_unread_bytes_is_not_closed_as_silent(make_site):
+def test_after_a_stall_a_connection_whose_input_may_be_unread_is_not_closed_as_silent(make_site):
     event_loop, _ = serve.build(make_site().handed, EventQueue())
-    ours, theirs = socket.socketpair()
+    server_socket, peer_socket = socket.socketpair()
     connection = Connection(
-        ours, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
+        server_socket, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
     )
     event_loop.proxy_frontend.connection_opened(connection)
     due = event_loop.now + event_loop.limits.housekeeping_interval
     event_loop.now += 2 * event_loop.limits.message_timeout
     event_loop.run_housekeeping(due)
-    assert not connection.is_cut_off
+    assert not connection.is_shut_down
     event_loop.now += event_loop.limits.housekeeping_interval
     event_loop.run_housekeeping(event_loop.now)
-    assert connection.is_cut_off
-    assert theirs.recv(1) == b""
+    assert connection.is_shut_down
+    assert peer_socket.recv(1) == b""
 
 
 def test_idle_connections_are_closed_before_new_ones(make_site):
     site = make_site(
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 600_000}
     ).start()
-    site.kernel, stayed = site.link(), [site.router() for _ in range(8)]
-    for each in stayed:
+    site.kernel, idle_proxies = site.link(), [site.router() for _ in range(8)]
+    for each in idle_proxies:
         each.say(b"PROBE", b"1")
         assert each.answer()[:2] == (1, "healthy")
     new = [site.router() for _ in range(4)]
-    for each in stayed[:4]:
+    for each in idle_proxies[:4]:
         assert each.answer() is None
     for event_number, each in enumerate(new, 1):
         assert execute_request(site, each, 1, event_number)[2][:2] == (1, "done")
@@ -81,7 +83,7 @@
     assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
 
 
-def test_a_flood_of_connections_leaves_room_for_a_proxy_with_a_request(make_site):
+def test_a_proxy_with_a_request_is_served_during_a_flood_of_connections(make_site):
     site = make_site(limits={"connections": 12, "connection_high_water": 8}).start()
     site.kernel = site.link()
     flood = [socket.create_connection(site.address, PATIENCE) for _ in range(40)]
@@ -89,7 +91,7 @@
     assert len(flood) == 40
 
 
-def test_an_idle_connection_is_asked_to_close_and_one_in_use_is_not(make_site):
+def test_the_proxy_of_an_idle_connection_is_requested_to_close_it_and_one_in_use_is_not(make_site):
     site = make_site(
         settings={"family_info": SETTINGS["family_info"] | {"caller_idle_ms": 100.0}}
     ).start()
@@ -103,7 +105,10 @@
 
 @pytest.fixture
 def idle_pair(make_site):
-    """A server with two proxies that were asked to close and did not, and what ends their time."""
+    """A server, and two idle proxies that were requested to close their connections and did not.
+
+    `pass_close_timeout` advances the clock until the time for closing has passed.
+    """
     info = SETTINGS["family_info"] | {"caller_idle_ms": 1000.0}
     limits = {
         "close_request_timeout": 10_000,
@@ -111,121 +116,127 @@
         "message_timeout": 100_000,
     }
     site = make_site(settings={"family_info": info}, limits=limits).start()
-    site.kernel, site.resting = site.link(), [site.router() for _ in range(2)]
-    for each in site.resting:
+    site.kernel, site.idle_proxies = site.link(), [site.router() for _ in range(2)]
+    for each in site.idle_proxies:
         wait_until_processed(each)
-    move = control_clock(site)
-    move(1.5)
-    for each in site.resting:
+    advance = control_clock(site)
+    advance(1.5)
+    for each in site.idle_proxies:
         assert each.answer()[:2] == (0, "closing")
-    site.move_on = lambda: move(1.5)
+    site.pass_close_timeout = lambda: advance(1.5)
     return site
 
 
 def test_a_request_being_decoded_keeps_its_idle_connection_open_and_is_answered(
     idle_pair, monkeypatch
 ):
-    taken, go_on, decode = threading.Event(), threading.Event(), proxy_connection.decode_message
+    decode_started, decode_allowed, decode = (
+        threading.Event(),
+        threading.Event(),
+        proxy_connection.decode_message,
+    )
 
-    def held(parts, max_body_bytes):
-        taken.set()
-        assert go_on.wait(PATIENCE)
+    def blocked_decode(parts, max_body_bytes):
+        decode_started.set()
+        assert decode_allowed.wait(PATIENCE)
         return decode(parts, max_body_bytes)
 
-    monkeypatch.setattr(proxy_connection, "decode_message", held)
-    asking, beside = idle_pair.resting
-    asking.submit(1)
-    assert taken.wait(PATIENCE)
-    idle_pair.move_on()
-    assert beside.answer() is None  # both were looked at
-    go_on.set()
+    monkeypatch.setattr(proxy_connection, "decode_message", blocked_decode)
+    sender, other = idle_pair.idle_proxies
+    sender.submit(1)
+    assert decode_started.wait(PATIENCE)
+    idle_pair.pass_close_timeout()
+    assert other.answer() is None  # both connections have been checked
+    decode_allowed.set()
     finish_execution(idle_pair, 1, next_dispatched(idle_pair))
-    assert asking.answer()[:2] == (1, "done")
+    assert sender.answer()[:2] == (1, "done")
 
 
 def test_a_partial_request_keeps_its_idle_connection_open_until_it_is_complete(idle_pair):
-    asking, beside = idle_pair.resting
-    request = asking.message(2)
-    asking.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
-    assert asking.answer()[:2] == (1, "healthy")  # what came with it has been taken up
-    idle_pair.move_on()
-    assert beside.answer() is None  # both were looked at
-    asking.sock.sendall(request[-40:])
+    sender, other = idle_pair.idle_proxies
+    request = sender.message(2)
+    sender.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
+    assert sender.answer()[:2] == (1, "healthy")  # the partial request has been read as well
+    idle_pair.pass_close_timeout()
+    assert other.answer() is None  # both connections have been checked
+    sender.sock.sendall(request[-40:])
     finish_execution(idle_pair, 1, next_dispatched(idle_pair))
-    assert asking.answer()[:2] == (2, "done")
+    assert sender.answer()[:2] == (2, "done")
 
 
-def test_a_request_that_crosses_the_half_close_is_not_executed_and_resets_nothing(
+def test_a_request_that_crosses_the_half_close_is_not_executed_and_causes_no_reset(
     idle_pair,
 ):
-    asking, beside = idle_pair.resting
-    idle_pair.move_on()
-    assert asking.answer() is None
-    assert beside.answer() is None
-    asking.submit(1)
-    asking.sock.shutdown(socket.SHUT_WR)
-    assert asking.sock.recv(1) == b""
-    assert asking.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-    other = idle_pair.router()
-    other.submit(1, i="00000000000000ee")
+    sender, other = idle_pair.idle_proxies
+    idle_pair.pass_close_timeout()
+    assert sender.answer() is None
+    assert other.answer() is None
+    sender.submit(1)
+    sender.sock.shutdown(socket.SHUT_WR)
+    assert sender.sock.recv(1) == b""
+    assert sender.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
+    new_proxy = idle_pair.router()
+    new_proxy.submit(1, i="00000000000000ee")
     assert next_dispatched(idle_pair) == "00000000000000ee"
 
 
 def test_unread_bytes_keep_an_idle_connection_open(make_site):
     event_loop, _ = serve.build(make_site().handed, EventQueue())
-    ours, theirs = socket.socketpair()
-    # Nobody reads it.
+    server_socket, peer_socket = socket.socketpair()
+    # Its reader thread is not started, so the bytes stay unread.
     connection = Connection(
-        ours, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
+        server_socket, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
     )
     event_loop.proxy_frontend.connection_opened(connection)
-    connection.has_spoken, connection.closing_since = True, event_loop.now
-    theirs.sendall(b"*")
+    connection.has_sent_valid_message, connection.close_requested_at = True, event_loop.now
+    peer_socket.sendall(b"*")
     for _ in range(3):
         event_loop.now += 2 * event_loop.limits.close_request_timeout
         event_loop.proxy_frontend.tick(event_loop.now, False)
-        assert not connection.is_cut_off
-    ours.recv(1)
+        assert not connection.is_shut_down
+    server_socket.recv(1)
     event_loop.proxy_frontend.tick(event_loop.now, False)
-    assert connection.is_cut_off
-    assert theirs.recv(1) == b""
+    assert connection.is_shut_down
+    assert peer_socket.recv(1) == b""
 
 
-def test_an_unsent_response_is_not_lost_to_make_room(make_site):
+def test_a_connection_with_an_unsent_response_is_not_closed_to_make_room(make_site):
     event_loop, _ = serve.build(make_site().handed, EventQueue(), connection_high_water=1)
     pairs = [socket.socketpair() for _ in range(2)]
-    answered, silent = (
-        Connection(ours, "router", event_loop.limits, event_loop.event_queue, event_loop.listener)
-        for ours, _ in pairs
+    unflushed, silent = (
+        Connection(
+            server_socket, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
+        )
+        for server_socket, _ in pairs
     )
-    event_loop.proxy_frontend.connection_opened(answered)
-    answered.has_spoken = True
+    event_loop.proxy_frontend.connection_opened(unflushed)
+    unflushed.has_sent_valid_message = True
     event_loop.now += 20 * event_loop.limits.message_timeout  # the longest idle
-    event_loop.proxy_frontend.reply(answered, 1, b"error")
-    event_loop.proxy_frontend.connection_opened(silent)  # in the same pass there is one too many
-    assert not answered.is_cut_off
-    answered.send_buffer.flush()
+    event_loop.proxy_frontend.reply(unflushed, 1, b"error")
+    event_loop.proxy_frontend.connection_opened(silent)  # in the same iteration: one too many
+    assert not unflushed.is_shut_down
+    unflushed.send_buffer.flush()
     assert b"error" in pairs[0][1].recv(100)
 
 
-def test_a_partial_message_ends_no_connection_with_a_request_in_flight(make_site):
+def test_a_partial_message_does_not_end_a_connection_with_a_request_in_flight(make_site):
     site = make_site(limits={"message_timeout": 1_000}).start()
     site.kernel, proxy = site.link(), site.router()
     proxy.submit(1)
     running = next_dispatched(site)
     control_clock(site)(5.0)
-    half = proxy.message(2)
-    proxy.sock.sendall(half[:20])
+    partial = proxy.message(2)
+    proxy.sock.sendall(partial[:20])
     silent = site.router()
-    assert silent.answer() is None  # a message's time and more has passed
+    assert silent.answer() is None  # the message timeout has passed
     finish_execution(site, 1, running)
     assert proxy.answer()[:2] == (1, "done")
-    proxy.sock.sendall(half[20:])
+    proxy.sock.sendall(partial[20:])
     finish_execution(site, 2, next_dispatched(site))
     assert proxy.answer()[:2] == (2, "done")
 
 
-def test_idle_proxies_that_fill_the_descriptors_keep_nobody_out(make_site):
+def test_new_proxies_are_served_when_idle_proxies_use_up_the_descriptors(make_site):
     site = make_site(limits={"sockets": 256, "memory_mb": 192})
     site.handed["limits"], site.limits = site.limits, {}
     site.catalog.close()
@@ -233,9 +244,9 @@
     site.kernel, first = site.link(), site.router()
     resource.prlimit(site.process.pid, resource.RLIMIT_NOFILE, (256, 256))
     first.submit(1)
-    long = next_dispatched(site)
+    long_request_id = next_dispatched(site)
     idle = []
-    for _ in range(300):  # more than it may hold, each of them understood once
+    for _ in range(300):  # more than it can hold; each sends a valid message
         idle.append(site.router())
         idle[-1].sock.sendall(encode_array(b"PROBE", b"1"))
     for number in range(2, 12):
@@ -247,8 +258,8 @@
         finish_execution(site, 2 * number + 1, request_id)
         assert new.answer()[:2] == (1, "done")
         dependency.sock.close()
-    finish_execution(site, 99, long)
-    assert first.answer()[:2] == (1, "done")  # what is in flight never gives way
+    finish_execution(site, 99, long_request_id)
+    assert first.answer()[:2] == (1, "done")  # a connection in use is never closed to make room
     used = len(os.listdir(f"/proc/{site.process.pid}/fd"))
     assert used < 256
     assert len(idle) == 300
--- a/tests/frontends/test_proxy_resp2.py
+++ b/tests/frontends/test_proxy_resp2.py
@@ -1,4 +1,4 @@
-"""The front end of the proxies: health checks, tags, withdrawals, reports of bad messages."""
+"""The front end for proxies: tags, the limit of open requests, logs of malformed messages."""
 
 from lilacwalk.log import KeyValueFormatter
 from tests.conftest import execute_request
@@ -16,26 +16,29 @@
 
 
 def test_a_tag_used_twice_ends_its_connection_before_either_request_is_answered(site):
-    proxy, beside = site.router(), site.router()
+    proxy, other = site.router(), site.router()
     proxy.submit(1)
     words, _ = site.kernel.expect("SCHED")
     proxy.submit(1)
     assert site.kernel.expect("PREEMPT")[0][1] == words[1]
     site.kernel.tell(f"REAP 1 {words[1]} success 1 1", b"x")
     assert proxy.answer() is None
-    assert execute_request(site, beside, 1, 2)[2][:2] == (1, "done")
+    assert execute_request(site, other, 1, 2)[2][:2] == (1, "done")
 
 
-def test_malformed_messages_are_logged_ever_more_seldom_with_the_address(site, caplog):
+def test_malformed_messages_are_logged_at_a_decreasing_rate_with_the_peer_address(site, caplog):
     proxy = site.router()
     for tag in (1, 2, 3):
         proxy.say(b"SING", b"%d" % tag)
         assert proxy.answer()[:2] == (tag, "error")
-    told = [
+    lines = [
         KeyValueFormatter().format(record)
         for record in caplog.records
         if "malformed_message" in record.getMessage()
     ]
-    assert len(told) == 2
+    assert len(lines) == 2
     peer = f"127.0.0.1:{proxy.sock.getsockname()[1]}"
-    assert told[1].endswith(f"event=malformed_message count=2 peer={peer} reason='unknown verb'")
+    assert lines[1].endswith(
+        f"event=malformed_message count=2 peer={peer} "
+        "reason='unknown verb, expected SUBMIT, WITHDRAW or PROBE'"
+    )
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("reply", ["SHED", "NOBODY", "BROKEN", "SLOW"])
-def test_a_failed_call_is_retried_where_that_is_safe(site, reply):
+def test_a_failed_call_of_an_idempotent_request_is_retried(site, reply):
     proxy = site.router()
     proxy.submit(1, "look")
     request_id = site.kernel.expect("SCHED")[0][1]
@@ -29,9 +29,9 @@
     dependency = site.calls()
     dependency.expect("GET")
     dependency.tell(f"{request_id} {reply}")
-    again = site.calls()
-    assert again.expect("GET")[1] == b"?"
-    again.tell(f"{request_id} HIT 1", b"!")
+    retry_connection = site.calls()
+    assert retry_connection.expect("GET")[1] == b"?"
+    retry_connection.tell(f"{request_id} HIT 1", b"!")
     assert site.kernel.expect("IODONE")[1] == b"!"
 
 
@@ -43,9 +43,9 @@
     dependency = site.calls()
     dependency.expect("GET")
     dependency.reset()
-    again = site.calls()
-    again.expect("GET")
-    again.tell(f"{request_id} HIT 1", b"!")
+    retry_connection = site.calls()
+    retry_connection.expect("GET")
+    retry_connection.tell(f"{request_id} HIT 1", b"!")
     assert site.kernel.expect("IODONE")[1] == b"!"
 
 
@@ -77,74 +77,75 @@
 
 
 def make_client(address):
-    """The dependency's part alone, with what it tells."""
-    told = EventQueue()
-    dependency = DependencyClient(address, Limits.from_configuration({"settings": SETTINGS}), told)
-    dependency.on_call_finished = "over"
-    return dependency, told
+    """Returns a client without a server, and the queue that it posts to."""
+    event_queue = EventQueue()
+    client = DependencyClient(
+        address, Limits.from_configuration({"settings": SETTINGS}), event_queue
+    )
+    client.on_call_finished = "call_finished"
+    return client, event_queue
 
 
-def test_an_unreachable_dependency_is_reported_at_once_and_retried_at_intervals():
+def test_an_unreachable_dependency_is_reported_at_once_and_reconnects_are_delayed():
     with socket.create_server(("127.0.0.1", 0)) as port:
         address = port.getsockname()
-    dependency, told = make_client(address)
+    client, event_queue = make_client(address)
     first, second = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
-    dependency.start_call(first)
-    line, *ended = told.get(timeout=PATIENCE).arguments
-    assert ended == [first, Outcome.UNREACHABLE, b""]
-    dependency.call_finished(line, 0)
-    begun = time.monotonic()
-    dependency.start_call(second)
-    assert told.get(timeout=PATIENCE).arguments[1:] == (second, Outcome.UNREACHABLE, b"")
-    assert (
-        time.monotonic() - begun > 0.005
-    )  # after a pause: the controller asks again as soon as it is told
-    assert dependency.abandon(second)
-    dependency.close()
-
-
-def test_a_call_abandoned_before_it_was_sent_was_not_executed_and_one_sent_may_have_been():
+    client.start_call(first)
+    connection, *result = event_queue.get(timeout=PATIENCE).arguments
+    assert result == [first, Outcome.UNREACHABLE, b""]
+    client.call_finished(connection, 0)
+    started_at = time.monotonic()
+    client.start_call(second)
+    assert event_queue.get(timeout=PATIENCE).arguments[1:] == (second, Outcome.UNREACHABLE, b"")
+    # The second connect is delayed, since the controller retries as soon as a call has failed.
+    assert time.monotonic() - started_at > 0.005
+    assert client.abandon(second)
+    client.close()
+
+
+def test_abandon_distinguishes_an_unsent_call_from_one_that_may_have_been_executed():
     with socket.create_server(("127.0.0.1", 0)) as port:
-        dependency, told = make_client(port.getsockname())
-        never, made = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
-        assert dependency.abandon(never)
-        dependency.start_call(never)
-        line, *ended = told.get(timeout=PATIENCE).arguments
-        assert ended == [never, Outcome.UNREACHABLE, b""]
-        dependency.call_finished(line, 0)
-        dependency.start_call(made)
+        client, event_queue = make_client(port.getsockname())
+        unsent, sent = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
+        assert client.abandon(unsent)
+        client.start_call(unsent)
+        connection, *result = event_queue.get(timeout=PATIENCE).arguments
+        assert result == [unsent, Outcome.UNREACHABLE, b""]
+        client.call_finished(connection, 0)
+        client.start_call(sent)
         port.settimeout(PATIENCE)
         sock, _ = port.accept()
         assert sock.recv(100).startswith(b"GET b ")
-        assert not dependency.abandon(made)
+        assert not client.abandon(sent)
         assert sock.recv(100) == b""
-        assert told.get(timeout=PATIENCE).arguments[1:] == (
-            made,
+        assert event_queue.get(timeout=PATIENCE).arguments[1:] == (
+            sent,
             Outcome.CONNECTION_LOST,
             b"",
         )
-        dependency.close()
+        client.close()
 
 
 def test_an_at_most_once_call_takes_a_new_connection():
     with socket.create_server(("127.0.0.1", 0)) as port:
-        dependency, told = make_client(port.getsockname())
+        client, event_queue = make_client(port.getsockname())
         port.settimeout(PATIENCE)
         socks = []
-        for request_id, once in (("a", False), ("b", False), ("c", True)):
-            dependency.start_call(DependencyCall(request_id, 100, b"", once))
+        for request_id, at_most_once in (("a", False), ("b", False), ("c", True)):
+            client.start_call(DependencyCall(request_id, 100, b"", at_most_once))
             if request_id != "b":
                 socks.append(port.accept()[0])
             assert socks[-1].recv(100).startswith(b"GET %b " % request_id.encode())
             socks[-1].sendall(b"%b SHED\r\n" % request_id.encode())
-            line, call, ending, _ = told.get(timeout=PATIENCE).arguments
-            assert ending is Outcome.REJECTED
-            dependency.call_finished(line, 0)
-        dependency.close()
+            connection, call, outcome, _ = event_queue.get(timeout=PATIENCE).arguments
+            assert outcome is Outcome.REJECTED
+            client.call_finished(connection, 0)
+        client.close()
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\xff\xfe\0\r\n",
         b"x" * 600,
@@ -158,39 +159,46 @@
         b"%b WELL\r\n",
     ],
 )
-def test_a_malformed_reply_costs_one_call_which_is_retried_and_no_other(site, spoilt):
+def test_a_malformed_reply_fails_only_its_call_which_is_retried(site, malformed):
     proxy = site.router()
-    struck, beside = submit_until_call(site, proxy, 1, 1), submit_until_call(site, proxy, 2, 2)
-    lines = {}
+    affected_id, other_id = (
+        submit_until_call(site, proxy, 1, 1),
+        submit_until_call(site, proxy, 2, 2),
+    )
+    connections = {}
     for _ in range(2):
-        line = site.calls()
-        lines[line.expect("GET")[0][1]] = line
-    lines[struck].sock.sendall(spoilt.replace(b"%b", struck.encode()))
-    again = site.calls()
-    assert again.expect("GET")[0][1] == struck
-    assert lines[struck].next() is None
-    for line, request_id in ((lines[beside], beside), (again, struck)):
-        line.tell(f"{request_id} HIT 1", b"!")
+        connection = site.calls()
+        connections[connection.expect("GET")[0][1]] = connection
+    connections[affected_id].sock.sendall(malformed.replace(b"%b", affected_id.encode()))
+    retry_connection = site.calls()
+    assert retry_connection.expect("GET")[0][1] == affected_id
+    assert connections[affected_id].next() is None
+    for connection, request_id in (
+        (connections[other_id], other_id),
+        (retry_connection, affected_id),
+    ):
+        connection.tell(f"{request_id} HIT 1", b"!")
         assert site.kernel.expect("IODONE") == (["IODONE", request_id, "1"], b"!")
 
 
-def test_a_reply_to_another_call_is_ignored(site):
+def test_replies_to_other_requests_and_duplicate_replies_are_ignored(site):
     proxy = site.router()
     request_id = submit_until_call(site, proxy, 1, 1)
     dependency = site.calls()
     dependency.expect("GET")
     dependency.tell("00000000000000ee HIT 1", b"0")
     dependency.tell(f"{request_id} HIT 1", b"1")
-    dependency.tell(f"{request_id} HIT 1", b"1")  # a second copy
+    dependency.tell(f"{request_id} HIT 1", b"1")  # a duplicate reply
     assert site.kernel.expect("IODONE")[1] == b"1"
-    site.kernel.tell(f"IOREQ 2 {request_id} 1", b"?")  # must not be taken for the answer to this
+    # The duplicate reply to the first call must not be taken for the reply to this one.
+    site.kernel.tell(f"IOREQ 2 {request_id} 1", b"?")
     new = site.calls()
     new.expect("GET")
     new.tell(f"{request_id} HIT 1", b"2")
     assert site.kernel.expect("IODONE")[1] == b"2"
 
 
-def test_a_connection_that_was_closed_while_idle_costs_no_call(site):
+def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(site):
     proxy = site.router()
     for tag in (1, 2):
         request_id = submit_until_call(site, proxy, tag, tag)
@@ -201,54 +209,53 @@
         dependency.sock.close()
 
 
-def test_a_connect_that_nobody_accepts_delays_nothing_else_and_its_call_is_made_once(make_site):
+def test_an_unanswered_connect_delays_no_other_request_and_its_call_is_made_once(make_site):
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
+        # Fills the backlog of a listener that does not accept, so that the operating system leaves
+        # further connects unanswered.
         fillers = [socket.socket() for _ in range(4)]
-        for (
-            each
-        ) in fillers:  # what the system accepts by itself, and beyond: then it answers no dial
+        for each in fillers:
             each.setblocking(False)
             each.connect_ex(full.getsockname())
         site = make_site(index="{}:{}".format(*full.getsockname())).start()
         site.kernel, proxy = site.link(), site.router()
         proxy.submit(1, "look")
-        asking = next_dispatched(site)
-        site.kernel.tell(f"IOREQ 1 {asking} 1", b"?")
+        request_id = next_dispatched(site)
+        site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
         for number in range(2, 6):
             proxy.submit(number)
             finish_execution(site, number, next_dispatched(site))
             assert proxy.answer()[:2] == (number, "done")
         full.settimeout(PATIENCE)
-        made, others = None, [each.getsockname() for each in fillers]
-        while made is None:
+        accepted, filler_addresses = None, [each.getsockname() for each in fillers]
+        while accepted is None:
             sock, peer = full.accept()
-            if peer not in others:
-                made = sock
-        made.settimeout(PATIENCE)
-        assert made.recv(100).startswith(f"GET {asking} ".encode())
-        made.sendall(f"{asking} HIT 1\r\n!\r\n".encode())
+            if peer not in filler_addresses:
+                accepted = sock
+        accepted.settimeout(PATIENCE)
+        assert accepted.recv(100).startswith(f"GET {request_id} ".encode())
+        accepted.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
         assert site.kernel.expect("IODONE")[1] == b"!"
-        finish_execution(site, 6, asking)
+        finish_execution(site, 6, request_id)
         assert proxy.answer()[:2] == (1, "done")
-        for each in (*fillers, made):
+        for each in (*fillers, accepted):
             each.close()
 
 
 @pytest.mark.parametrize("second", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
-def test_a_second_reply_to_an_earlier_call_is_not_taken_for_the_next_ones(site, second):
+def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(site, second):
     proxy = site.router()
     proxy.submit(1, "look")
     request_id = next_dispatched(site)
     first = request_call(site, 1, request_id, b"1")
     first.tell(f"{request_id} HIT 1", b"a")
     assert site.kernel.expect("IODONE")[1] == b"a"
-    first.sock.sendall(
-        f"{request_id} ".encode() + second
-    )  # a second copy, as the next call is about to be made
-    again = request_call(site, 2, request_id, b"2")
-    again.tell(f"{request_id} HIT 1", b"b")
+    # A duplicate reply arrives just before the next call is made.
+    first.sock.sendall(f"{request_id} ".encode() + second)
+    next_connection = request_call(site, 2, request_id, b"2")
+    next_connection.tell(f"{request_id} HIT 1", b"b")
     assert site.kernel.expect("IODONE")[1] == b"b"
     finish_execution(site, 3, request_id)
     assert proxy.answer()[:2] == (1, "done")
--- a/tests/protocols/test_lines.py
+++ b/tests/protocols/test_lines.py
@@ -13,19 +13,19 @@
 )
 
 
-@pytest.mark.parametrize("cut", range(len(ENCODED_LINES) + 1))
-def test_lines_with_bodies_cut_anywhere_parse_the_same(cut):
+@pytest.mark.parametrize("split", range(len(ENCODED_LINES) + 1))
+def test_lines_with_bodies_parse_the_same_wherever_the_stream_is_split(split):
     parser = LineParser(lambda words: words[0] in ("REAP", "IOREQ"), 64, 100)
-    read = [
+    messages = [
         (words[0], body if body is None else bytes(body))
-        for chunk in (ENCODED_LINES[:cut], ENCODED_LINES[cut:])
+        for chunk in (ENCODED_LINES[:split], ENCODED_LINES[split:])
         for words, body in parser.feed(chunk)
     ]
-    assert read == [("BOOTED", None), ("REAP", b"\r\nbody"), ("IOREQ", b""), ("DMESG", None)]
+    assert messages == [("BOOTED", None), ("REAP", b"\r\nbody"), ("IOREQ", b""), ("DMESG", None)]
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "malformed",
     [
         b"x" * 100,
         b"REAP 1 ab success 9 x\r\n",
@@ -33,6 +33,6 @@
         b"REAP 1 2 3 4 101\r\n",
     ],
 )
-def test_broken_lines_raise_a_framing_error(broken):
+def test_malformed_lines_raise_a_framing_error(malformed):
     with pytest.raises(FramingError):
-        LineParser(lambda words: words[0] == "REAP", 64, 100).feed(broken)
+        LineParser(lambda words: words[0] == "REAP", 64, 100).feed(malformed)
--- a/tests/protocols/test_proxy_codec.py
+++ b/tests/protocols/test_proxy_codec.py
@@ -1,4 +1,4 @@
-"""Messages of proxies: malformed ones are rejected, broken framing ends the connection."""
+"""Messages of proxies: a malformed message is rejected, a framing error ends the connection."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_fields",
     [
         dict(group="nobody"),
         dict(t="stranger"),
@@ -29,14 +29,14 @@
         dict(body=b"x" * 20_000),
     ],
 )
-def test_a_malformed_request_gets_an_error_on_its_tag(site, bad):
+def test_a_malformed_request_gets_an_error_on_its_tag(site, invalid_fields):
     proxy = site.router()
-    proxy.submit(3, **bad)
+    proxy.submit(3, **invalid_fields)
     assert proxy.answer()[:2] == (3, "error")
     assert execute_request(site, proxy, 4, 1)[2][:2] == (4, "done")
 
 
-def test_an_unknown_verb_gets_an_error_and_a_withdrawal_of_nothing_gets_no_response(site):
+def test_an_unknown_verb_gets_an_error_and_withdrawing_an_unknown_tag_gets_no_response(site):
     proxy = site.router()
     proxy.say(b"WITHDRAW", b"9")
     proxy.say(b"SING", b"5")
@@ -45,10 +45,11 @@
 
 
 @pytest.mark.parametrize(
-    "broken", [b"GET / HTTP/1.1\r\n\r\n", encode_array(b"PROBE", b"zero"), encode_array(b"PROBE")]
+    "malformed",
+    [b"GET / HTTP/1.1\r\n\r\n", encode_array(b"PROBE", b"zero"), encode_array(b"PROBE")],
 )
-def test_a_framing_error_ends_its_connection_and_no_other(site, broken):
-    proxy, beside = site.router(), site.router()
-    proxy.sock.sendall(broken)
+def test_a_framing_error_ends_its_connection_and_no_other(site, malformed):
+    proxy, other = site.router(), site.router()
+    proxy.sock.sendall(malformed)
     assert proxy.answer() is None
-    assert execute_request(site, beside, 1, 1)[2][:2] == (1, "done")
+    assert execute_request(site, other, 1, 1)[2][:2] == (1, "done")
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -12,11 +12,11 @@
 from tests.conftest import PATIENCE, execute_request
 
 
-def test_a_message_cut_by_a_reset_is_not_executed(site):
-    proxy, beside = site.router(), site.router()
+def test_a_message_truncated_by_a_reset_is_not_executed(site):
+    proxy, other = site.router(), site.router()
     proxy.sock.sendall(proxy.message(1, i="00000000000000ff")[:-9])
     proxy.reset()
-    words, _, answer = execute_request(site, beside, 1, 1)
+    words, _, answer = execute_request(site, other, 1, 1)
     assert words[1] != "00000000000000ff"
     assert answer[1] == "done"
 
@@ -36,7 +36,7 @@
     listener.close()
 
 
-def test_many_connections_share_one_heap_and_their_threads_keep_no_freed_memory(make_site):
+def test_connection_threads_share_one_heap_and_retain_no_freed_memory(make_site):
     site = make_site().spawn()
     site.link()
     process, bodies = (
@@ -44,16 +44,16 @@
         [b"x" * size for size in range(600, 2000, 100)],
     )
 
-    def talk(proxy):
+    def send_rejected_requests(proxy):
         for tag, body in enumerate(bodies, 1):
             proxy.submit(tag, "nobody", body)
             assert proxy.answer()[:2] == (tag, "error")
 
-    talk(site.router())
+    send_rejected_requests(site.router())
     before = int((process / "statm").read_text().split()[1])
     proxies = [site.router() for _ in range(100)]
     for proxy in proxies:
-        talk(proxy)
+        send_rejected_requests(proxy)
     size, resident = [int(pages) for pages in (process / "statm").read_text().split()[:2]]
-    assert size * 4 < 400_000  # KB: a heap of its own reserves 64 MB for each thread
+    assert size * 4 < 400_000  # KB; a heap per thread would reserve 64 MB for each
     assert (resident - before) * 4 < 2_500
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -13,21 +13,19 @@
     site.kernel, first = site.link(), site.router()
     first.submit(1)
     running = next_dispatched(site)
-    waiting = [
-        site.router() for _ in range(4)
-    ]  # the system accepts them; there is no room for them here yet
-    for each in waiting:
+    # The operating system accepts these; the server has no connection slot for them yet.
+    waiting_proxies = [site.router() for _ in range(4)]
+    for each in waiting_proxies:
         each.submit(1)
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    assert first.answer()[:2] == (0, "closing")  # said behind the shut listener
+    assert first.answer()[:2] == (0, "closing")  # sent after the listener was closed
     finish_execution(site, 1, running)
     assert first.answer()[:2] == (1, "done")
     first.sock.close()
-    for number, each in enumerate(waiting, 2):
+    for number, each in enumerate(waiting_proxies, 2):
         assert each.answer()[:2] == (0, "closing")
-        finish_execution(
-            site, number, next_dispatched(site)
-        )  # it reached the machine within the grace
+        # The request is executed since it arrived within the drain grace period.
+        finish_execution(site, number, next_dispatched(site))
         assert each.answer()[:2] == (1, "done")
         each.sock.close()
     site.thread.join(PATIENCE)
@@ -37,15 +35,17 @@
 def test_a_connection_accepted_as_the_listener_closes_is_answered_before_the_end(
     make_site, monkeypatch
 ):
-    taken, take = threading.Event(), ProxyListener._open_connection
+    opened, open_connection = threading.Event(), ProxyListener._open_connection
     monkeypatch.setattr(
-        ProxyListener, "_open_connection", lambda *about: (take(*about), taken.set())
+        ProxyListener,
+        "_open_connection",
+        lambda *arguments: (open_connection(*arguments), opened.set()),
     )
     event_loop, (listener, _) = serve.build(make_site(stop_ms=60_000).handed, EventQueue())
     listener.start()
     proxy = ProxyClient(listener.address)
     proxy.submit(1)
-    assert taken.wait(PATIENCE)  # it is on the queue, and the event loop has not heard of it
+    assert opened.wait(PATIENCE)  # posted to the queue, but not yet processed
     event_loop.drain.start()
     event_loop.drain.close_listeners()
     event_loop.run()
--- a/tests/protocols/test_registry.py
+++ b/tests/protocols/test_registry.py
@@ -5,7 +5,7 @@
 from tests.conftest import PATIENCE, finish_execution, next_dispatched
 
 
-def test_reports_go_on_during_a_drain_and_say_critical(make_site):
+def test_reports_continue_during_a_drain_with_the_status_critical(make_site):
     site = make_site(limits={"report_interval": 200}).start()
     site.link()
     assert [site.catalog.recv(100) for _ in range(2)] == [b"alive n1 passing"] * 2
@@ -14,19 +14,19 @@
         pass
 
 
-def test_a_registry_that_was_down_gets_the_next_report(
+def test_a_registry_that_was_down_receives_the_next_report(
     make_site,
 ):
     site = make_site()
-    where = site.catalog.getsockname()
+    address = site.catalog.getsockname()
     site.catalog.close()
     site.start()
     site.kernel, proxy = site.link(), site.router()
-    for number in range(1, 4):  # nothing waits on it
+    for number in range(1, 4):  # requests do not wait for the registry
         proxy.submit(number)
         finish_execution(site, number, next_dispatched(site))
         assert proxy.answer()[:2] == (number, "done")
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as back:
-        back.bind(where)
-        back.settimeout(PATIENCE)
-        assert back.recv(100) == b"alive n1 passing"
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as registry:
+        registry.bind(address)
+        registry.settimeout(PATIENCE)
+        assert registry.recv(100) == b"alive n1 passing"
--- a/tests/protocols/test_resp.py
+++ b/tests/protocols/test_resp.py
@@ -24,10 +24,10 @@
     ]
 
 
-@pytest.mark.parametrize("cut", range(len(ENCODED) + 1))
-def test_a_stream_cut_anywhere_parses_the_same_and_a_part_too_long_is_skipped(cut):
+@pytest.mark.parametrize("split", range(len(ENCODED) + 1))
+def test_a_stream_parses_the_same_wherever_it_is_split_and_too_long_a_part_is_skipped(split):
     expected = [MESSAGES[0], MESSAGES[1], [None]]
-    assert parse([ENCODED[:cut], ENCODED[cut:]]) == expected
+    assert parse([ENCODED[:split], ENCODED[split:]]) == expected
 
 
 def test_a_stream_parses_the_same_byte_by_byte():
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "malformed",
     [
         b"PING\r\n",
         b"*0\r\n",
@@ -51,6 +51,6 @@
         b"*1\r\n$1x\r\n",
     ],
 )
-def test_broken_framing_raises_a_framing_error(broken):
+def test_broken_framing_raises_a_framing_error(malformed):
     with pytest.raises(FramingError):
-        parse([broken])
+        parse([malformed])
--- a/tests/protocols/test_send_buffer.py
+++ b/tests/protocols/test_send_buffer.py
@@ -15,15 +15,15 @@
         proxy.sock.sendall(probes)
 
 
-def test_a_proxy_that_stops_reading_is_cut_off_and_delays_nobody(make_site):
+def test_a_proxy_that_stops_reading_is_disconnected_and_delays_no_other(make_site):
     site = make_site(limits={"send_buffer_bytes": 4_096, "socket_buffer_bytes": 4_096}).start()
-    site.kernel, stuck, beside = site.link(), site.router(), site.router()
-    with pytest.raises((ConnectionResetError, BrokenPipeError)):  # long before the count ends
+    site.kernel, stuck, other = site.link(), site.router(), site.router()
+    with pytest.raises((ConnectionResetError, BrokenPipeError)):  # before all probes are sent
         send_probes(stuck)
-    assert execute_request(site, beside, 1, 1)[2][:2] == (1, "done")
+    assert execute_request(site, other, 1, 1)[2][:2] == (1, "done")
 
 
-def test_a_response_that_the_system_accepts_at_once_starts_no_writer_thread(site):
+def test_a_response_that_fits_into_the_socket_buffer_starts_no_writer_thread(site):
     proxy = site.router()
     assert execute_request(site, proxy, 1, 1, b"x" * 4096)[2][:2] == (1, "done")
     assert not {"proxy-writer", "executor-writer"} & {each.name for each in threading.enumerate()}
@@ -33,17 +33,17 @@
 def test_a_thread_that_cannot_be_started_ends_only_its_connection(make_site, monkeypatch, name):
     site = make_site(limits={"socket_buffer_bytes": 4_096}).start()
     site.kernel = site.link()
-    start, refused = threading.Thread.start, []
+    start, refused_threads = threading.Thread.start, []
 
-    def no_thread(thread):
-        if thread.name == name and not refused:
-            refused.append(thread)
+    def refuse_first_thread(thread):
+        if thread.name == name and not refused_threads:
+            refused_threads.append(thread)
             raise RuntimeError("can't start new thread")  # noqa: TRY003 - the interpreter's message
         start(thread)
 
-    monkeypatch.setattr(threading.Thread, "start", no_thread)
+    monkeypatch.setattr(threading.Thread, "start", refuse_first_thread)
     proxy = site.router()
     with pytest.raises((ConnectionResetError, BrokenPipeError)):
         send_probes(proxy)
-    assert refused
+    assert refused_threads
     assert execute_request(site, site.router(), 1, 1)[2][:2] == (1, "done")
