--- a/lilacwalk/protocols/dependency_client.py
+++ b/lilacwalk/protocols/dependency_client.py
@@ -30,12 +30,12 @@
         body: bytes,
         /,
     ) -> object:
-        """Has to call `call_finished`; `connection` is None if there was none for the call."""
+        """Must call `call_finished`; `connection` is None if the call had no connection."""
         ...
 
 
 class DependencyClient:
-    """The connection pool of the dependency.
+    """A pool of connections to the dependency.
 
     The connection that has been idle longest makes the next call, so that under load no connection
     is idle for so long that the peer closes it.
@@ -53,7 +53,9 @@
         self.limits = limits
         self.event_queue = event_queue
         self.on_call_finished: CallFinishedHandler
-        self.lock = threading.Lock()  # serializes starting, abandoning and closing
+        self.lock = (
+            threading.Lock()
+        )  # serializes starting and abandoning calls, and closing sockets
         self.idle_connections: deque[DependencyConnection] = deque()  # longest idle first
         self.connection_count = 0
         self.queued_calls: deque[DependencyCall] = deque()  # waiting for a connection
--- a/lilacwalk/protocols/dependency_connection.py
+++ b/lilacwalk/protocols/dependency_connection.py
@@ -158,7 +158,7 @@
         return True
 
     def _close(self) -> None:
-        """Closes the socket, which also ends a call that is unanswered on it."""
+        """Closes the socket; an unanswered call on it is lost."""
         if self.sock is not None:
             shut_down_socket(self.sock)
             with self.client.lock:  # `abandon` must not use the closed descriptor
--- a/lilacwalk/protocols/executor_client.py
+++ b/lilacwalk/protocols/executor_client.py
@@ -101,7 +101,7 @@
                     delay = self.limits.min_reconnect_delay
                 else:
                     delay = min(self.limits.max_reconnect_delay, 2 * delay)
-                if address == self.address:  # there is no delay before a new address
+                if address == self.address:  # no delay if the address has changed
                     self.closed.wait(delay / SECOND)
         except Exception:  # nothing can be executed without this thread, so the process ends
             log.exception("event=thread_failed thread=executor-reader")
--- a/lilacwalk/protocols/lines.py
+++ b/lilacwalk/protocols/lines.py
@@ -86,6 +86,7 @@
         size = words[-1]
         if not (size.isascii() and size.isdigit()) or int(size) > self.max_body_bytes:
             raise FramingError(
-                expected=f"a body of at most {self.max_body_bytes} bytes", received=shorten(words)
+                expected=f"a body size of at most {self.max_body_bytes} at the line end",
+                received=shorten(words),
             )
         return int(size)
--- a/lilacwalk/simulator_adapter/session.py
+++ b/lilacwalk/simulator_adapter/session.py
@@ -38,7 +38,7 @@
             self._start_batch(line)
         elif self._time_ms is None:
             raise WireError(
-                problem=f"expected {BATCH_START}, got '{text[:MAX_QUOTED_CHARACTERS]}'",
+                problem=f"expected '{BATCH_START}' first, got '{text[:MAX_QUOTED_CHARACTERS]}'",
                 line=line.number,
             )
         else:
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -11,7 +11,7 @@
 from lilacwalk.protocols import proxy_connection
 from lilacwalk.protocols.proxy_connection import Connection
 from lilacwalk.protocols.resp import encode_array
-from lilacwalk.server import startup as serve
+from lilacwalk.server import startup
 from tests.conftest import (
     PATIENCE,
     SETTINGS,
@@ -39,7 +39,8 @@
 
 
 def test_after_a_stall_a_connection_whose_input_may_be_unread_is_not_closed_as_silent(make_site):
-    event_loop, _ = serve.build(make_site().handed, EventQueue())
+    """During a stall of the event loop, input may have arrived that has not been read yet."""
+    event_loop, _ = startup.build(make_site().handed, EventQueue())
     server_socket, peer_socket = socket.socketpair()
     connection = Connection(
         server_socket, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
@@ -167,6 +168,7 @@
 def test_a_request_that_crosses_the_half_close_is_not_executed_and_causes_no_reset(
     idle_pair,
 ):
+    """Closing the socket while the request is unread would reset the connection."""
     sender, other = idle_pair.idle_proxies
     idle_pair.pass_close_timeout()
     assert sender.answer() is None
@@ -181,7 +183,7 @@
 
 
 def test_unread_bytes_keep_an_idle_connection_open(make_site):
-    event_loop, _ = serve.build(make_site().handed, EventQueue())
+    event_loop, _ = startup.build(make_site().handed, EventQueue())
     server_socket, peer_socket = socket.socketpair()
     # Its reader thread is not started, so the bytes stay unread.
     connection = Connection(
@@ -201,7 +203,7 @@
 
 
 def test_a_connection_with_an_unsent_response_is_not_closed_to_make_room(make_site):
-    event_loop, _ = serve.build(make_site().handed, EventQueue(), connection_high_water=1)
+    event_loop, _ = startup.build(make_site().handed, EventQueue(), connection_high_water=1)
     pairs = [socket.socketpair() for _ in range(2)]
     unflushed, silent = (
         Connection(
@@ -211,9 +213,9 @@
     )
     event_loop.proxy_frontend.connection_opened(unflushed)
     unflushed.has_sent_valid_message = True
-    event_loop.now += 20 * event_loop.limits.message_timeout  # the longest idle
+    event_loop.now += 20 * event_loop.limits.message_timeout  # it has been idle longest
     event_loop.proxy_frontend.reply(unflushed, 1, b"error")
-    event_loop.proxy_frontend.connection_opened(silent)  # in the same iteration: one too many
+    event_loop.proxy_frontend.connection_opened(silent)  # exceeds the limit in the same iteration
     assert not unflushed.is_shut_down
     unflushed.send_buffer.flush()
     assert b"error" in pairs[0][1].recv(100)
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -128,6 +128,7 @@
 
 
 def test_an_at_most_once_call_takes_a_new_connection():
+    """If an idle connection breaks, it is unknown whether the peer has received the call."""
     with socket.create_server(("127.0.0.1", 0)) as port:
         client, event_queue = make_client(port.getsockname())
         port.settimeout(PATIENCE)
@@ -246,6 +247,7 @@
 
 @pytest.mark.parametrize("second", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
 def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(site, second):
+    """Both calls carry the id of the same request, so their replies cannot be told apart."""
     proxy = site.router()
     proxy.submit(1, "look")
     request_id = next_dispatched(site)
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -8,7 +8,7 @@
 
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.protocols.resp import encode_array
-from lilacwalk.server import startup as serve
+from lilacwalk.server import startup
 from tests.conftest import PATIENCE, execute_request
 
 
@@ -22,7 +22,7 @@
 
 
 def test_a_proxy_that_floods_delays_only_itself(make_site):
-    event_loop, (listener, *_) = serve.build(make_site().handed, EventQueue())
+    event_loop, (listener, *_) = startup.build(make_site().handed, EventQueue())
     listener.start()
     with socket.create_connection(listener.address, PATIENCE) as flood:
         flood.sendall(b"".join(encode_array(b"PROBE", b"%d" % tag) for tag in range(1, 500)))
@@ -37,6 +37,7 @@
 
 
 def test_connection_threads_share_one_heap_and_retain_no_freed_memory(make_site):
+    """With the default settings of malloc, each thread has its own heap and its own cache."""
     site = make_site().spawn()
     site.link()
     process, bodies = (
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -4,7 +4,7 @@
 
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.protocols.proxy_listener import ProxyListener
-from lilacwalk.server import startup as serve
+from lilacwalk.server import startup
 from tests.conftest import PATIENCE, ProxyClient, finish_execution, next_dispatched
 
 
@@ -35,13 +35,14 @@
 def test_a_connection_accepted_as_the_listener_closes_is_answered_before_the_end(
     make_site, monkeypatch
 ):
+    """The listener may accept a connection just before the event loop starts to drain."""
     opened, open_connection = threading.Event(), ProxyListener._open_connection
     monkeypatch.setattr(
         ProxyListener,
         "_open_connection",
         lambda *arguments: (open_connection(*arguments), opened.set()),
     )
-    event_loop, (listener, _) = serve.build(make_site(stop_ms=60_000).handed, EventQueue())
+    event_loop, (listener, _) = startup.build(make_site(stop_ms=60_000).handed, EventQueue())
     listener.start()
     proxy = ProxyClient(listener.address)
     proxy.submit(1)
