--- a/lilacwalk/frontends/devices.py
+++ b/lilacwalk/frontends/devices.py
@@ -94,7 +94,7 @@
             seed: Seed of random choices.
             event_queue: The event loop's queue.
             clock: A clock like the event loop's, for use only by the sessions' thread.
-            on_keep: Persists sessions; None: sessions end with the process.
+            on_keep: Persists sessions, or None if sessions end with the process.
 
         Raises:
             EdgeError: The certificates or secrets cannot be used.
@@ -212,7 +212,7 @@
         self._remove_if_idle(client)
 
     def reject_malformed(self, client: DeviceConnection, tag: int, _reason: str) -> None:
-        """Responds to a request that cannot be processed; tag 0: sends no response."""
+        """Responds to a request that cannot be processed, unless the tag is 0."""
         if tag:
             self.edge.answered(client.session, tag, TERMINATED, b"", 0)
             self._remove_if_idle(client)
@@ -260,7 +260,7 @@
         self.config = config
 
     def end(self, timeout: float) -> None:
-        """Ends the sessions' thread, and waits for it for at most `timeout` seconds."""
+        """Stops the sessions' thread, and waits for its end for at most `timeout` seconds."""
         self.edge.end(timeout)
 
 
--- a/lilacwalk/frontends/interface.py
+++ b/lilacwalk/frontends/interface.py
@@ -27,12 +27,12 @@
 
     @property
     def advertised_capacity(self) -> float | None:
-        """The load report that is sent with each response; None: not yet known."""
+        """The load report that is sent with each response, or None if it is not known yet."""
         ...
 
     @property
     def close_idle_after(self) -> int:
-        """Idle time after which connections are closed; 0: the front end's own limit applies."""
+        """Idle time after which connections are closed, or 0 to apply the front end's limit."""
         ...
 
     def submit(self, client: ClientConnection, tag: int, incoming: IncomingRequest, /) -> str:
@@ -55,7 +55,7 @@
         """Looks up the execution of a request before the last restart.
 
         Returns:
-            Whether it may have begun, and its result; None: the result is not known.
+            Whether it may have begun, and its result, or None if the result is not known.
         """
         ...
 
--- a/lilacwalk/frontends/proxy_housekeeping.py
+++ b/lilacwalk/frontends/proxy_housekeeping.py
@@ -119,12 +119,15 @@
         timeout of a partial message starts at its own beginning, since the message may follow a
         long idle time or a long execution.
         """
-        if connection.partial_message_number != connection.timed_message_number:
-            connection.timed_message_number = connection.partial_message_number
-            connection.timed_since = now
+        if connection.partial_message_number != connection.seen_partial_message_number:
+            connection.seen_partial_message_number = connection.partial_message_number
+            connection.partial_message_seen_since = now
         timeout = self.limits.message_timeout
         if connection.partial_message_number:
-            return not connection.open_requests and now - connection.timed_since > timeout
+            return (
+                not connection.open_requests
+                and now - connection.partial_message_seen_since > timeout
+            )
         return (
             not connection.has_sent_valid_message
             and now - connection.last_used > timeout
--- a/lilacwalk/frontends/proxy_resp2.py
+++ b/lilacwalk/frontends/proxy_resp2.py
@@ -47,8 +47,8 @@
             host: The event loop.
             listener: The listener that accepts the connections.
             max_in_flight: Limit of requests in flight from this front end.
-            limits: Limits of this front end; None: those of the process.
-            source_site: The site whose traffic this front end receives; empty: local traffic.
+            limits: Limits of this front end, or None for those of the process.
+            source_site: The site whose traffic this front end receives, or empty for local traffic.
         """
         self.host = host
         self.listener = listener
@@ -80,7 +80,7 @@
         )
 
     def reject_malformed(self, client: Connection, tag: int, reason: str) -> None:
-        """Logs a message that cannot be processed, and responds to it; tag 0: sends no response.
+        """Logs a message that cannot be processed, and responds to it unless the tag is 0.
 
         The number of log lines grows only with the logarithm of the number of such messages.
         """
@@ -133,7 +133,7 @@
             self._request_close(connection)
 
     def connection_ended(self, connection: Connection) -> None:
-        """Removes the connection; its client no longer waits for responses."""
+        """Removes the connection, frees its slot, and reports its open requests as abandoned."""
         self.connections.pop(connection, None)
         connection.is_shut_down = True
         connection.send_buffer.close()
@@ -142,7 +142,7 @@
             self.host.client_gone(in_flight)
 
     def listener_closed(self) -> None:
-        """Records that the listener's thread or its backlog has ended."""
+        """Records that the listener's thread has ended, or that its backlog has been drained."""
         self.pending_listener_closures -= 1
 
     def messages_received(self, connection: Connection, messages: list[ProxyMessage]) -> None:
@@ -178,14 +178,14 @@
     def _submit(self, connection: Connection, message: Submit) -> None:
         tag = message.tag
         if tag in connection.open_requests:
-            self.reject_malformed(connection, 0, "tag is in use by an open request")
+            self.reject_malformed(connection, 0, f"tag {tag} is in use by an open request")
             # The proxy could not tell the responses to the two requests apart.
             connection.abort()
         elif len(connection.open_requests) >= self.limits.max_open_requests:
             self.reject_malformed(
                 connection,
                 tag,
-                f"too many open requests, expected at most {self.limits.max_open_requests}",
+                f"request limit reached: {self.limits.max_open_requests} open requests",
             )
         elif problem := self.host.submit(connection, tag, message.incoming):
             self.reject_malformed(connection, tag, problem)
--- a/lilacwalk/protocols/dependency_client.py
+++ b/lilacwalk/protocols/dependency_client.py
@@ -48,7 +48,7 @@
     def __init__(
         self, address: tuple[str, int] | None, limits: Limits, event_queue: EventQueue
     ) -> None:
-        """Creates an empty pool; address None: no dependency is configured, all calls fail."""
+        """Creates an empty pool; without an address, every call fails."""
         self.address = address
         self.limits = limits
         self.event_queue = event_queue
@@ -121,7 +121,10 @@
             self.idle_connections.append(connection)
 
     def close_idle(self, idle_since: int) -> None:
-        """Closes connections idle since before `idle_since`, before the peer closes them."""
+        """Closes connections that became idle before `idle_since`.
+
+        This side closes an idle connection earlier than the peer does.
+        """
         while self.idle_connections and self.idle_connections[0].idle_since < idle_since:
             self.idle_connections.popleft().calls.put(None)
             self.connection_count -= 1
@@ -132,14 +135,14 @@
             self.idle_connections.popleft().calls.put(None)
 
     def connection_failed(self, reason: str) -> None:
-        """Delays the next attempt to connect, doubling the delay with each failure."""
+        """Logs the first failure, and delays the next attempt, twice as long after each failure."""
         if self.reconnect_delay == self.limits.min_reconnect_delay:
             log.warning("event=dependency_down detail=%r", reason)
         self.next_connect_at = time.monotonic() + self.reconnect_delay / SECOND
         self.reconnect_delay = min(self.limits.max_reconnect_delay, 2 * self.reconnect_delay)
 
     def connection_opened(self) -> None:
-        """Resets the delay between attempts to connect."""
+        """Resets the reconnect delay, and logs the recovery if an attempt had failed."""
         if self.reconnect_delay != self.limits.min_reconnect_delay:
             log.info("event=dependency_up")
         self.reconnect_delay = self.limits.min_reconnect_delay
--- a/lilacwalk/protocols/dependency_connection.py
+++ b/lilacwalk/protocols/dependency_connection.py
@@ -67,7 +67,7 @@
         """Creates a connection that is not yet open."""
         self.client = client
         self.limits = client.limits
-        self.calls: SimpleQueue[DependencyCall | None] = SimpleQueue()  # None: ends the thread
+        self.calls: SimpleQueue[DependencyCall | None] = SimpleQueue()  # None: stops the thread
         self.sock: socket.socket | None = None
         self.address: tuple[str, int] | None = None
         self.parser: LineParser
--- a/lilacwalk/protocols/executor_client.py
+++ b/lilacwalk/protocols/executor_client.py
@@ -39,7 +39,7 @@
 
 
 class LinkDisconnectedHandler(Protocol):
-    """Handles the end of a link."""
+    """Handles the loss of a link."""
 
     def __call__(self, send_buffer: SendBuffer, /) -> object:
         """Closes the link's send buffer."""
@@ -78,7 +78,7 @@
         threading.Thread(target=self._run, name="executor-reader", daemon=True).start()
 
     def close(self) -> None:
-        """Ends the link and the thread."""
+        """Closes the link, and stops the thread."""
         self.closed.set()
         if self.sock is not None:
             shut_down_socket(self.sock)
@@ -108,7 +108,11 @@
             self.event_queue.fail("the thread that reads from the executor failed")
 
     def _run_link(self, address: tuple[str, int]) -> bool:
-        """Runs one link from its opening to its end; returns whether anything was received."""
+        """Opens a link and reads from it until it is closed.
+
+        Returns:
+            Whether any data was received.
+        """
         try:
             sock = socket.create_connection(address, self.limits.connect_timeout / SECOND)
         except OSError:
@@ -127,7 +131,11 @@
         return has_received
 
     def _read(self, sock: socket.socket, send_buffer: SendBuffer) -> bool:
-        """Reads the link to its end; returns whether anything was received."""
+        """Reads from the link until it is closed, and posts the new events.
+
+        Returns:
+            Whether any data was received.
+        """
         parser = LineParser(has_body, self.limits.max_line_bytes, self.limits.max_reply_bytes)
         has_received = False
         try:
--- a/lilacwalk/protocols/executor_codec.py
+++ b/lilacwalk/protocols/executor_codec.py
@@ -142,7 +142,7 @@
         The event, or None for an unknown message, which is ignored.
 
     Raises:
-        FramingError: The message is not an event.
+        FramingError: A known event has missing or invalid fields.
     """
     try:
         return _decode(words, b"" if body is None else body, gauge_names)
--- a/lilacwalk/protocols/proxy_codec.py
+++ b/lilacwalk/protocols/proxy_codec.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 
 from lilacwalk.protocols.errors import FramingError, MalformedMessageError
+from lilacwalk.protocols.lines import MAX_REPORTED_CHARACTERS
 from lilacwalk.protocols.resp import encode_array
 from lilacwalk.requests.records import IncomingRequest
 from lilacwalk.settings import tenths_rounded_down, tenths_rounded_up
@@ -70,7 +71,10 @@
     """
     tag_part = bytes(parts[1]) if len(parts) > 1 and parts[1] is not None else b""
     if not tag_part.isdigit() or len(tag_part) > MAX_TAG_DIGITS or int(tag_part) < 1:
-        raise FramingError(expected="a message with a tag", received=tag_part[:MAX_TAG_DIGITS])
+        raise FramingError(
+            expected=f"a positive tag of at most {MAX_TAG_DIGITS} digits",
+            received=tag_part[: MAX_TAG_DIGITS + 1],
+        )
     tag = int(tag_part)
     verb = bytes(parts[0]) if parts[0] is not None else b""
     match verb:
@@ -84,7 +88,11 @@
         case b"PROBE":
             return Probe(tag)
         case _:
-            return Malformed(tag, "unknown verb, expected SUBMIT, WITHDRAW or PROBE")
+            return Malformed(
+                tag,
+                f"unknown verb {verb[:MAX_REPORTED_CHARACTERS]!r}, "
+                "expected SUBMIT, WITHDRAW or PROBE",
+            )
 
 
 def decode_submit(parts: list[memoryview | None], max_body_bytes: int) -> IncomingRequest:
@@ -147,7 +155,9 @@
     try:
         value = float(text)  # type: ignore[arg-type]
     except (TypeError, ValueError):
-        raise MalformedMessageError(field=name, problem="is missing or not a number") from None
+        raise MalformedMessageError(
+            field=name, problem=f"is missing or not a number, expected {minimum} to {maximum}"
+        ) from None
     if not (math.isfinite(value) and minimum <= value <= maximum):
         raise MalformedMessageError(
             field=name, problem=f"is {value}, expected {minimum} to {maximum}"
@@ -170,7 +180,7 @@
         word: Status of the message, as a word of the protocol.
         load_report: The field that `encode_load_report` returns.
         body: Body of the response.
-        retry_after: In tenths of a millisecond; 0: not sent.
+        retry_after: In tenths of a millisecond, or 0 to send none.
         do_not_retry_elsewhere: Whether other servers would reject the request as well.
     """
     fields = [load_report] if load_report else []
--- a/lilacwalk/protocols/proxy_connection.py
+++ b/lilacwalk/protocols/proxy_connection.py
@@ -31,24 +31,25 @@
     which the event loop returns, so that a proxy that floods the connection delays only itself.
 
     The reader thread writes `is_reading` and `partial_message_number`, and takes credits from
-    `read_credits`. The event loop's thread writes everything else; of that, the reader thread reads
+    `read_credits`. The event loop's thread writes all other attributes; the reader thread reads
     `is_shut_down` and `half_closed_at`.
 
     Attributes:
         is_shut_down: Whether this side has shut the connection down, or it has ended; further
             input is discarded.
-        is_reading: Whether bytes have left the operating system's buffer, or are about to, and
-            are not yet on the event loop's queue.
-        partial_message_number: The number, on this connection, of the message of which only the
-            beginning has been received; 0: there is none.
+        is_reading: Whether the reader thread is reading from the socket, or has data that it has
+            not yet posted to the event loop's queue.
+        partial_message_number: The sequence number on this connection of the message that has
+            been received only in part, or 0 if there is none.
         open_requests: The requests in flight by tag.
         last_used: When data was last received or sent.
-        close_requested_at: When the proxy was requested to close; 0: it was not.
-        half_closed_at: When this side shut down its sending direction; 0: it has not.
-        timed_message_number: The last `partial_message_number` that the event loop has seen.
-        timed_since: When the event loop first saw it.
-        has_sent_valid_message: Whether the peer has sent a valid message; until then it may not
-            be a proxy.
+        close_requested_at: When the close request was sent to the proxy, or 0.
+        half_closed_at: When this side shut down its sending direction, or 0.
+        seen_partial_message_number: The last value of `partial_message_number` that the event
+            loop read.
+        partial_message_seen_since: When the event loop first read that value.
+        has_sent_valid_message: Whether the peer has sent a valid message; until then, the peer
+            might not be a proxy.
     """
 
     __slots__ = (
@@ -64,12 +65,12 @@
         "listener",
         "open_requests",
         "partial_message_number",
+        "partial_message_seen_since",
         "peer",
         "read_credits",
+        "seen_partial_message_number",
         "send_buffer",
         "sock",
-        "timed_message_number",
-        "timed_since",
     )
 
     def __init__(
@@ -99,12 +100,12 @@
         self.last_used = 0
         self.close_requested_at = 0
         self.half_closed_at = 0
-        self.timed_message_number = 0
-        self.timed_since = 0
+        self.seen_partial_message_number = 0
+        self.partial_message_seen_since = 0
         self.has_sent_valid_message = False
 
     def start(self) -> None:
-        """Starts the reader thread, which ends with the connection.
+        """Starts the reader thread, which stops when the connection is closed.
 
         Raises:
             RuntimeError: The system cannot start another thread.
@@ -140,8 +141,8 @@
     def is_between_messages(self) -> bool:
         """Whether all input has been processed and no partial message has been received.
 
-        The order of the checks matters: the reader thread sets `partial_message_number` before it
-        clears `is_reading`.
+        `is_input_processed` must be checked first, since it reads `is_reading`, which the reader
+        thread clears after it has set `partial_message_number`.
         """
         return self.is_input_processed and not self.partial_message_number
 
--- a/lilacwalk/protocols/proxy_listener.py
+++ b/lilacwalk/protocols/proxy_listener.py
@@ -54,8 +54,8 @@
             address: IPv4 address and port; port 0 lets the system choose.
             limits: The limits of this listener and of its connections.
             event_queue: The event loop's queue.
-            connection_slots: Slots of another listener, to share its limit of connections; None:
-                this listener has its own limit.
+            connection_slots: Slots of another listener, to share its limit of connections, or None
+                for a limit of its own.
 
         Raises:
             OSError: Listening on the address failed.
@@ -101,9 +101,11 @@
         """
         if not self.is_draining:
             self.is_draining = True
-            self.sock.setblocking(False)  # the listener's thread may stay blocked in accept
-            # The listener's thread may also wait for a slot. During a drain, one connection over
-            # the limit is harmless.
+            # The accept calls below must not block. This does not wake the listener's thread if it
+            # is already blocked in accept.
+            self.sock.setblocking(False)
+            # Wakes the listener's thread if it is waiting for a slot. The additional slot allows
+            # one connection over the limit, which is harmless during a drain.
             self.connection_slots.release()
         while not self.backlog_drained and self.connection_slots.acquire(blocking=False):
             try:
@@ -115,7 +117,8 @@
                 self.backlog_drained = True
                 shut_down_socket(self.sock)
                 self.sock.close()
-                # Posted after the events of all connections that were accepted here.
+                # The event loop receives `listener_closed` after `connection_opened` for each
+                # connection accepted from the backlog.
                 self.event_queue.post(self.events.listener_closed)
             else:
                 self._open_connection(sock, f"{host}:{port}")
--- a/lilacwalk/protocols/send_buffer.py
+++ b/lilacwalk/protocols/send_buffer.py
@@ -115,7 +115,7 @@
         return self.accepted_bytes == self.sent_bytes
 
     def close(self) -> None:
-        """Ends the writer thread and closes the socket; unsent data is dropped.
+        """Stops the writer thread and closes the socket; unsent data is dropped.
 
         Only the owner may call this, and nothing else closes the socket, so that its descriptor
         is never reused while a thread still sends to it.
--- a/lilacwalk/simulator_adapter/codec.py
+++ b/lilacwalk/simulator_adapter/codec.py
@@ -33,7 +33,7 @@
 
     Attributes:
         problem: Why the line is invalid.
-        line: The number of the line; None: not known yet.
+        line: The number of the line, or None if it is not known yet.
     """
 
     def __init__(self, *, problem: str, line: int | None = None) -> None:
--- a/lilacwalk/simulator_adapter/host.py
+++ b/lilacwalk/simulator_adapter/host.py
@@ -75,7 +75,10 @@
         return reply
 
     def _decode(self, line: str, time_ms: float, batches: dict[str, list[Event]]) -> None:
-        """Decodes a line into an event of its server's batch; starts and halts servers."""
+        """Decodes a line and adds its event to the batch of the server that the line names.
+
+        A `start` or `halt` line creates or removes the server.
+        """
         message, *parts = line.split(" ")
         if message not in (START, HALT) and message not in EVENTS:
             raise WireError(problem=f"unknown message '{message}'")
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -56,7 +56,7 @@
     assert peer_socket.recv(1) == b""
 
 
-def test_idle_connections_are_closed_before_new_ones(make_site):
+def test_over_the_high_water_mark_idle_connections_are_closed_before_new_ones(make_site):
     site = make_site(
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 600_000}
     ).start()
@@ -71,7 +71,9 @@
         assert execute_request(site, each, 1, event_number)[2][:2] == (1, "done")
 
 
-def test_silent_connections_are_closed_before_idle_proxies(make_site):
+def test_over_the_high_water_mark_connections_without_a_message_are_closed_before_idle_proxies(
+    make_site,
+):
     site = make_site(
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 0}
     ).start()
@@ -92,7 +94,7 @@
     assert len(flood) == 40
 
 
-def test_the_proxy_of_an_idle_connection_is_requested_to_close_it_and_one_in_use_is_not(make_site):
+def test_a_close_request_is_sent_on_an_idle_connection_but_not_on_one_in_use(make_site):
     site = make_site(
         settings={"family_info": SETTINGS["family_info"] | {"caller_idle_ms": 100.0}}
     ).start()
@@ -147,7 +149,7 @@
     sender.submit(1)
     assert decode_started.wait(PATIENCE)
     idle_pair.pass_close_timeout()
-    assert other.answer() is None  # both connections have been checked
+    assert other.answer() is None  # closed, so housekeeping has checked both connections
     decode_allowed.set()
     finish_execution(idle_pair, 1, next_dispatched(idle_pair))
     assert sender.answer()[:2] == (1, "done")
@@ -159,7 +161,7 @@
     sender.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
     assert sender.answer()[:2] == (1, "healthy")  # the partial request has been read as well
     idle_pair.pass_close_timeout()
-    assert other.answer() is None  # both connections have been checked
+    assert other.answer() is None  # closed, so housekeeping has checked both connections
     sender.sock.sendall(request[-40:])
     finish_execution(idle_pair, 1, next_dispatched(idle_pair))
     assert sender.answer()[:2] == (2, "done")
@@ -213,9 +215,9 @@
     )
     event_loop.proxy_frontend.connection_opened(unflushed)
     unflushed.has_sent_valid_message = True
-    event_loop.now += 20 * event_loop.limits.message_timeout  # it has been idle longest
+    event_loop.now += 20 * event_loop.limits.message_timeout  # `unflushed` has been idle longest
     event_loop.proxy_frontend.reply(unflushed, 1, b"error")
-    event_loop.proxy_frontend.connection_opened(silent)  # exceeds the limit in the same iteration
+    event_loop.proxy_frontend.connection_opened(silent)  # exceeds the high-water mark
     assert not unflushed.is_shut_down
     unflushed.send_buffer.flush()
     assert b"error" in pairs[0][1].recv(100)
@@ -230,7 +232,9 @@
     partial = proxy.message(2)
     proxy.sock.sendall(partial[:20])
     silent = site.router()
-    assert silent.answer() is None  # the message timeout has passed
+    # `silent` was opened after the partial message was sent, so its end shows that the message
+    # timeout has expired for both.
+    assert silent.answer() is None
     finish_execution(site, 1, running)
     assert proxy.answer()[:2] == (1, "done")
     proxy.sock.sendall(partial[20:])
@@ -248,7 +252,7 @@
     first.submit(1)
     long_request_id = next_dispatched(site)
     idle = []
-    for _ in range(300):  # more than it can hold; each sends a valid message
+    for _ in range(300):  # over the descriptor limit; each sends a valid message
         idle.append(site.router())
         idle[-1].sock.sendall(encode_array(b"PROBE", b"1"))
     for number in range(2, 12):
--- a/tests/frontends/test_proxy_resp2.py
+++ b/tests/frontends/test_proxy_resp2.py
@@ -4,7 +4,7 @@
 from tests.conftest import execute_request
 
 
-def test_more_open_requests_than_the_protocol_allows_get_an_error(make_site):
+def test_a_request_over_the_open_request_limit_gets_an_error(make_site):
     site = make_site(limits={"max_open_requests": 2}).start()
     site.kernel, proxy = site.link(), site.router()
     proxy.sock.sendall(b"".join(proxy.message(tag) for tag in (1, 2, 3)))
@@ -40,5 +40,5 @@
     peer = f"127.0.0.1:{proxy.sock.getsockname()[1]}"
     assert lines[1].endswith(
         f"event=malformed_message count=2 peer={peer} "
-        "reason='unknown verb, expected SUBMIT, WITHDRAW or PROBE'"
+        "reason=\"unknown verb b'SING', expected SUBMIT, WITHDRAW or PROBE\""
     )
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -104,7 +104,7 @@
     client.close()
 
 
-def test_abandon_distinguishes_an_unsent_call_from_one_that_may_have_been_executed():
+def test_abandon_returns_true_only_for_a_call_that_was_not_sent():
     with socket.create_server(("127.0.0.1", 0)) as port:
         client, event_queue = make_client(port.getsockname())
         unsent, sent = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
--- a/tests/protocols/test_lines.py
+++ b/tests/protocols/test_lines.py
@@ -1,4 +1,4 @@
-"""The parser of lines with bodies."""
+"""The parser of CR LF lines, some of which are followed by a body."""
 
 import pytest
 
--- a/tests/protocols/test_proxy_codec.py
+++ b/tests/protocols/test_proxy_codec.py
@@ -36,7 +36,7 @@
     assert execute_request(site, proxy, 4, 1)[2][:2] == (4, "done")
 
 
-def test_an_unknown_verb_gets_an_error_and_withdrawing_an_unknown_tag_gets_no_response(site):
+def test_unknown_verbs_and_incomplete_requests_get_errors_and_unknown_withdrawals_no_response(site):
     proxy = site.router()
     proxy.say(b"WITHDRAW", b"9")
     proxy.say(b"SING", b"5")
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -13,12 +13,15 @@
     site.kernel, first = site.link(), site.router()
     first.submit(1)
     running = next_dispatched(site)
-    # The operating system accepts these; the server has no connection slot for them yet.
+    # These connections stay in the listen backlog, as the server has no free connection slot.
     waiting_proxies = [site.router() for _ in range(4)]
     for each in waiting_proxies:
         each.submit(1)
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    assert first.answer()[:2] == (0, "closing")  # sent after the listener was closed
+    assert first.answer()[:2] == (
+        0,
+        "closing",
+    )  # the close request is sent after the listener is closed
     finish_execution(site, 1, running)
     assert first.answer()[:2] == (1, "done")
     first.sock.close()
@@ -46,7 +49,7 @@
     listener.start()
     proxy = ProxyClient(listener.address)
     proxy.submit(1)
-    assert opened.wait(PATIENCE)  # posted to the queue, but not yet processed
+    assert opened.wait(PATIENCE)  # the event loop has not processed the event yet
     event_loop.drain.start()
     event_loop.drain.close_listeners()
     event_loop.run()
--- a/tests/protocols/test_send_buffer.py
+++ b/tests/protocols/test_send_buffer.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("name", ["proxy-reader", "proxy-writer"])
-def test_a_thread_that_cannot_be_started_ends_only_its_connection(make_site, monkeypatch, name):
+def test_a_thread_that_cannot_be_started_closes_only_its_connection(make_site, monkeypatch, name):
     site = make_site(limits={"socket_buffer_bytes": 4_096}).start()
     site.kernel = site.link()
     start, refused_threads = threading.Thread.start, []
