--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,7 +32,7 @@
     def suspicion_notice(self, member: Member) -> tuple:
         return ()
 
-    def broadcast_update(self, update) -> None:
+    def send_update_to_sample(self, update) -> None:
         return
 
     def probe_suspects(self, now: int) -> None:
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -214,7 +214,7 @@
         self.suspicions.clear()
         self.probes.cancel_all()
 
-    def broadcast_update(self, update: GossipUpdate) -> None:
+    def send_update_to_sample(self, update: GossipUpdate) -> None:
         """Sends a claim to some members at once, which then check a suspicion themselves.
 
         Gossip alone would take as long for the confirmations as for reaching all.
@@ -267,7 +267,7 @@
                 self.node.gossip.enqueue(update, membership_change=True)
             return
         self.apply_update(update, now, "gave no answer to a probe")
-        self.broadcast_update(update)
+        self.send_update_to_sample(update)
         self.probe_suspects(now)
 
     def _declare_dead(self, suspicion: Suspicion, now: int) -> None:
@@ -281,7 +281,7 @@
         reporters = ",".join(sorted(suspicion.reporters))
         duration_ms = (now - suspicion.started_at) / 10
         self.apply_update(update, now, f"suspected for {duration_ms:.0f} ms by {reporters}")
-        self.broadcast_update(update)
+        self.send_update_to_sample(update)
 
 
 def with_report(update: GossipUpdate, reported_by: str, health: Health) -> GossipUpdate:
