--- a/lilacwalk/membership/actions.py
+++ b/lilacwalk/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership machine hands to its host: datagrams to send and events to log."""
+"""Output of the membership state machine for its host: datagrams to send and events to log."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """A change that operators are told; `at` in tenths of a millisecond.
+    """A change that is reported to operators; `at` in tenths of a millisecond.
 
-    `change` is a word that operators read: a value of `view.Change`, or one of the machine's own.
+    `change` is a value of `member.Change`, or another word for an event of the local member.
     """
 
     at: int
     change: str
-    member: str  # or the site, where the change is a partition
+    member: str  # for a partition: the site
     reason: str
     reported_by: str
--- a/lilacwalk/membership/admin.py
+++ b/lilacwalk/membership/admin.py
@@ -1,7 +1,7 @@
-"""Answers of a running member to operators: its view, its recent events, and a probe on request.
+"""Admin socket of a running member: reports its view and recent events, and probes on request.
 
-The keys and words of the answers are an interface that operators' tools read; they are mapped here
-from the names that the package uses.
+The keys and words of the responses are an interface for operators' tools; this module maps the
+names used in the package to them.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from lilacwalk.membership.swim import Membership
 from lilacwalk.protocols.admin_socket import AdminSocket
 
-POLL_INTERVAL_SECONDS = 0.002  # between two checks whether a requested probe was answered
+POLL_INTERVAL_SECONDS = 0.002  # between two checks for the answer to a requested probe
 
 SiteCommandHandler: TypeAlias = Callable[[list[str]], object]
-"""Answers the words of a question that begins with `sites`."""
+"""Handles a query that begins with `sites`, given as its words."""
 
 
 def admin_socket(
     host: FleetHost, path: str, site_commands: SiteCommandHandler | None = None
 ) -> AdminSocket:
-    """Opens the socket on which operators ask this member.
+    """Opens the admin socket of this member.
 
     Raises:
         OSError: the socket cannot be opened at `path`.
@@ -35,11 +35,11 @@
 
 
 def answer(line: str, host: FleetHost, site_commands: SiteCommandHandler | None = None) -> object:
-    """Returns the JSON-encodable answer to one line; an unknown question gets an `error` key."""
+    """Returns the JSON-encodable response to a query; errors are reported under the key `error`."""
     match line.split():
         case ["sites", *_] as words:
             if site_commands is None:
-                return {"error": "no sites block in this program's file"}
+                return {"error": "the operator's file has no sites block"}
             return site_commands(words)
         case ["show"]:
             return host.query(lambda machine, now: view_report(machine, now, host.store.state))
@@ -48,11 +48,11 @@
         case ["ping", name]:
             return ping(name, host)
         case _:
-            return {"error": "ask: show, events, ping NAME"}
+            return {"error": f"unknown query {line!r}: expected show, events or ping NAME"}
 
 
 def view_report(machine: Membership, now: int, store: str = "off") -> dict[str, object]:
-    """Returns what the member knows and concludes; `store` is the state of its storage."""
+    """Returns the member's view and its conclusion; `store` is the state of its storage."""
     conclusion, statistics = machine.conclusion(now), machine.statistics(now)
     members = sorted(machine.view.known(), key=lambda member: member.name)
     recent_suspicions, usual_suspicions = machine.suspicion_rate(now)
@@ -79,7 +79,7 @@
 
 
 def member_report(member: Member, machine: Membership, now: int) -> dict[str, object]:
-    """Returns one row of the view; shares as fractions, ages in milliseconds."""
+    """Returns one row of the view, with shares as fractions and ages in milliseconds."""
     metadata = member.metadata
     assert metadata is not None
     is_self = member.name == machine.name
@@ -109,7 +109,7 @@
 
 
 def recent_events(machine: Membership, now: int) -> list[dict[str, object]]:
-    """Returns the remembered events, oldest first."""
+    """Returns the recent events, oldest first."""
     return [
         {
             "ago_ms": (now - event.at) // 10,
@@ -123,10 +123,10 @@
 
 
 def ping(name: str, host: FleetHost) -> dict[str, object]:
-    """Probes a member now and waits up to one probe interval for a datagram from it."""
+    """Probes a member immediately and waits up to one probe interval for a datagram from it."""
     heard_before = host.query(lambda machine, now: _start_ping(name, machine, now))
     if heard_before is None:
-        return {"error": f"no member {name}"}
+        return {"error": f"unknown member {name}"}
     started_at = time.monotonic()
     deadline = started_at + host.config.probe_interval / SECOND
     while time.monotonic() < deadline:
@@ -146,7 +146,7 @@
 
 
 def _start_ping(name: str, machine: Membership, now: int) -> int | None:
-    """Starts a probe; returns when the member was last heard, None for an unknown name."""
+    """Starts a probe; returns when the member was last heard from, None for an unknown name."""
     member = machine.view.get(name)
     if member is None:
         return None
--- a/lilacwalk/membership/assessment.py
+++ b/lilacwalk/membership/assessment.py
@@ -1,10 +1,10 @@
-"""What a node holds of its own view: statistics, conclusion, whether it may withdraw."""
+"""Assessment of the local view: statistics, conclusion, permission to withdraw."""
 
 from __future__ import annotations
 
 from lilacwalk.membership.conclusions import Conclusion, Verdict, ViewStatistics, conclude
 from lilacwalk.membership.failure_detector import FailureDetector
-from lilacwalk.membership.join import Joining
+from lilacwalk.membership.join import JoinProtocol
 from lilacwalk.membership.local_node import LocalNode
 from lilacwalk.membership.messages import Health
 from lilacwalk.membership.minimum_healthy import ServingMember, may_withdraw
@@ -12,23 +12,23 @@
 
 
 class ViewAssessment:
-    """Reads the parts of the machine; owns nothing."""
+    """Evaluates the components of the state machine; owns no state."""
 
     def __init__(
         self,
         node: LocalNode,
         detector: FailureDetector,
         exchange: StateExchange,
-        joining: Joining,
+        joining: JoinProtocol,
     ) -> None:
-        """Takes the parts to read."""
+        """Stores the components to evaluate."""
         self.node = node
         self.detector = detector
         self.exchange = exchange
         self.joining = joining
 
     def is_settled(self, now: int) -> bool:
-        """Whether no suspicion, stall or name conflict is left, and peers agree."""
+        """Whether no suspicion, stall, name conflict or join is pending, and peers agree."""
         return (
             not self.detector.suspicions
             and not self.detector.is_recovering(now)
@@ -42,7 +42,7 @@
         return conclude(self.statistics(now))
 
     def statistics(self, now: int) -> ViewStatistics:
-        """Returns the figures behind the conclusion."""
+        """Returns the statistics from which the conclusion is drawn."""
         view = self.node.view
         present = view.present
         silence = (now - self.detector.last_heard) // self.node.interval
@@ -60,11 +60,11 @@
         )
 
     def may_withdraw(self, now: int, verdict: Verdict | None = None) -> bool:
-        """Returns whether this node may withdraw as unhealthy.
+        """Returns whether this node may withdraw its announcements as unhealthy.
 
         Args:
-            now: the time.
-            verdict: of the conclusion, where the caller has drawn it already.
+            now: the current time.
+            verdict: verdict of the current conclusion; computed if omitted.
         """
         view = self.node.view
         verdict = verdict or self.conclusion(now).verdict
--- a/lilacwalk/membership/claims.py
+++ b/lilacwalk/membership/claims.py
@@ -1,4 +1,4 @@
-"""Claims about members: taken into the view, gossiped on, and followed up by the other parts."""
+"""Applies claims about members to the view, gossips them on and notifies other components."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from lilacwalk.membership.failure_detector import FailureDetector
 from lilacwalk.membership.incarnation import ClaimOutcome
-from lilacwalk.membership.join import Joining
+from lilacwalk.membership.join import JoinProtocol
 from lilacwalk.membership.local_node import LocalNode
 from lilacwalk.membership.member import Change, Member
 from lilacwalk.membership.messages import GossipUpdate, Health
@@ -14,15 +14,15 @@
 from lilacwalk.membership.state_exchange import StateExchange
 
 REPORTED_CHANGES = frozenset(Change) - {Change.UPDATED, Change.CONFIRMED}
-DEFAULT_REASON = "was told"
+DEFAULT_REASON = "reported by another member"
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimSource:
-    """Where a claim comes from.
+    """The origin of a claim.
 
-    `reason` goes into the event, `sender` is the member whose datagram carried the claim, empty
-    for one of our own.
+    `reason` goes into the event. `sender` is the member whose datagram carried the claim, empty for
+    a claim of this node. `from_exchange` marks a claim from an exchange of full state.
     """
 
     reason: str = DEFAULT_REASON
@@ -31,23 +31,23 @@
 
 
 class ClaimHandler:
-    """Applies claims; owns nothing beside the parts that it was given."""
+    """Applies claims; owns no state."""
 
     def __init__(
         self,
         node: LocalNode,
         detector: FailureDetector,
         exchange: StateExchange,
-        joining: Joining,
+        joining: JoinProtocol,
     ) -> None:
-        """Takes the parts that follow up on changes."""
+        """Stores the components that react to changes."""
         self.node = node
         self.detector = detector
         self.exchange = exchange
         self.joining = joining
 
     def apply(self, update: GossipUpdate, now: int, source: ClaimSource) -> None:
-        """Takes a claim into the view, and does what follows from the change."""
+        """Applies a claim to the view and reacts to the change that it makes."""
         if update.name == self.node.name:
             self.apply_to_self(update, now)
             return
@@ -69,30 +69,34 @@
             self._follow_up(change, member, update, now, source)
 
     def apply_to_self(self, claim: GossipUpdate, now: int) -> None:
-        """Handles what others claim about this member's name."""
+        """Handles a claim by another member about this member's name."""
         match self.node.identity.handle_claim(claim):
             case ClaimOutcome.IGNORED:
                 return
             case ClaimOutcome.YIELDED:
                 change = "yielded"
-                reason = f"another process holds this name: life {claim.incarnation}"
+                reason = f"another process holds this name, with incarnation {claim.incarnation}"
             case ClaimOutcome.REFUTED:
                 self.node.counts["refutations"] += 1
                 self.detector.probes.adjust_health_multiplier(1)
                 change = "refuted-doubt"
-                reason = f"{claim.health.name.lower()} said of us"
+                reason = f"refuted the claim that this member is {claim.health.name.lower()}"
             case ClaimOutcome.SUPERSEDED:
                 change = "stepped"
-                reason = f"above life {claim.incarnation} of another process"
+                reason = f"superseded incarnation {claim.incarnation} of another process"
         self.node.record_event(now, change, self.node.name, reason, claim.reported_by)
         self.node.publish_own_update(now)
 
     def _notify_reported_dead(self, update: GossipUpdate, now: int) -> bool:
-        """Handles a reported death of a member that is alive here; returns whether it was one.
+        """Handles a reported death of a member that is alive in this view.
 
-        Both sides of a healed partition hold the other dead. If each believed it, each would give
-        up its own side; as suspicions, all of them would be gossiped to all. So only the member
-        itself is told, and refutes it. If it is dead, our own probes find out.
+        After a partition heals, each side considers the other side dead. If members accepted such
+        claims, each would declare its own side dead; if they treated them as suspicions, all of
+        these would be gossiped to all members. So only the member itself is notified, and refutes
+        the claim. If it is dead, this node's own probes detect it.
+
+        Returns:
+            Whether the claim was such a report.
         """
         if update.health is not Health.DEAD:
             return False
@@ -118,6 +122,6 @@
     def _report_partitions(self, now: int) -> None:
         for partition in mark_partitioned_members(self.node.view, self.node.interval):
             recent, usual = self.detector.suspicion_rate(now)
-            rate = f"{recent} suspicions in ten intervals, not {usual:.1f}"
-            reason = f"{partition.losses} lost at once; {rate}"
+            rate = f"{recent} suspicions in the last ten intervals, usually {usual:.1f}"
+            reason = f"{partition.losses} members lost within a short time; {rate}"
             self.node.record_event(now, "cut", partition.site, reason, self.node.name)
--- a/lilacwalk/membership/conclusions.py
+++ b/lilacwalk/membership/conclusions.py
@@ -1,16 +1,18 @@
-"""What one node may conclude from its view.
+"""Conclusions that one node may draw from its view.
 
-alone      hears nobody, though others should be there: the fault is likely its own
-minority   hears fewer than half of the expected: likely the smaller side of a partition
-unsure     the view is not reliable at this moment; the reason says why
-whole      hears more than half, and nothing is in doubt
+alone      no other member is heard from, though some are expected: the fault is likely local
+minority   fewer than half of the expected members are present: likely the smaller side of a
+           partition
+unsure     the view is not reliable at the moment; the reason says why
+whole      more than half of the expected members are present, none is suspected, peers agree
 
-Those who should be there are all present members, and all lost ones that did not leave and are not
-yet forgotten. Exactly half is unsure: the other half concludes the same.
+Expected are all present members, and all lost members that did not leave and are not yet forgotten.
+With exactly half of them the conclusion is `unsure`, because the other half concludes the same.
 
-In a large fleet some member is suspected at all times, so a view would rarely be whole. Hence a
-conclusion also says whether it is firm: this node hears more than half even if all suspected
-members are lost. That is enough to know on which side of a partition it is.
+In a large fleet some member is suspected at any time, so a view would rarely be `whole`. A
+conclusion therefore also states whether it is firm: more than half of the expected members are
+present even if all suspected ones are lost. That is enough to know on which side of a partition
+this node is.
 """
 
 from __future__ import annotations
@@ -18,12 +20,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_SILENT_INTERVALS = 4  # with 30% loss, one in a thousand by chance
-MAX_UNANSWERED_PROBES = 6  # in a row, while others are heard
+MAX_SILENT_INTERVALS = 4  # at 30% packet loss, reached by chance once in a thousand cases
+MAX_UNANSWERED_PROBES = 6  # consecutive, while datagrams of other members arrive
 
 
 class Verdict(StrEnum):
-    """The conclusion in one word, as operators read it."""
+    """The conclusion in one word, as reported to operators."""
 
     ALONE = "alone"
     MINORITY = "minority"
@@ -33,28 +35,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewStatistics:
-    """What a conclusion is drawn from."""
+    """The figures from which a conclusion is drawn."""
 
-    present: int  # with this node
+    present: int  # including this node
     suspects: int
     lost: int
     left: int
-    silent_intervals: int  # probe intervals since anybody was heard
-    unanswered_probes: int  # own probes in a row that nobody answered, though others are heard
-    joining: bool  # has not met anybody yet, though seeds are configured
+    silent_intervals: int  # probe intervals since a datagram of another member arrived
+    unanswered_probes: int  # consecutive, while datagrams of other members arrive
+    joining: bool  # seeds are configured, but no other member has answered yet
     recovering_from_stall: bool
     name_conflict: bool
-    peers_agree: bool  # the members heard last hold the same view
+    peers_agree: bool  # the members heard from last hold the same view
 
     @property
     def expected(self) -> int:
-        """How many members should be there."""
+        """The number of members that should be present."""
         return self.present + self.lost
 
 
 @dataclass(frozen=True, slots=True)
 class Conclusion:
-    """A verdict with its reason; `firm`: a majority is there without the suspects."""
+    """A verdict with its reason; `firm`: a majority is present even without the suspects."""
 
     verdict: Verdict
     reason: str
@@ -62,7 +64,7 @@
 
 
 def conclude(statistics: ViewStatistics) -> Conclusion:
-    """Returns what one node may conclude."""
+    """Returns the conclusion that one node may draw."""
     if statistics.name_conflict:
         return Conclusion(Verdict.UNSURE, "another process holds this name")
     return _isolation(statistics) or _own_fault(statistics) or _majority(statistics)
@@ -71,27 +73,27 @@
 def _isolation(statistics: ViewStatistics) -> Conclusion | None:
     silent_intervals = statistics.silent_intervals
     if statistics.joining:
-        return Conclusion(Verdict.ALONE, "nobody has answered yet")
+        return Conclusion(Verdict.ALONE, "no other member has answered yet")
     if statistics.expected > 1 and silent_intervals >= MAX_SILENT_INTERVALS:
-        return Conclusion(Verdict.ALONE, f"heard nobody for {silent_intervals} probe intervals")
+        return Conclusion(Verdict.ALONE, f"no datagram received for {silent_intervals} intervals")
     if statistics.present == 1 and statistics.lost:
-        return Conclusion(Verdict.ALONE, f"all {statistics.lost} others are lost")
+        return Conclusion(Verdict.ALONE, f"all {statistics.lost} other members are lost")
     return None
 
 
 def _own_fault(statistics: ViewStatistics) -> Conclusion | None:
     unanswered = statistics.unanswered_probes
     if statistics.recovering_from_stall:
-        return Conclusion(Verdict.UNSURE, "stood still, and has not caught up yet")
+        return Conclusion(Verdict.UNSURE, "this process stalled and has not caught up yet")
     if unanswered >= MAX_UNANSWERED_PROBES:
-        reason = f"hears others, but {unanswered} probes in a row were not answered"
+        reason = f"datagrams arrive, but {unanswered} consecutive probes were not answered"
         return Conclusion(Verdict.UNSURE, reason)
     return None
 
 
 def _majority(statistics: ViewStatistics) -> Conclusion:
     present, expected = statistics.present, statistics.expected
-    counts = f"present {present} of {expected}"
+    counts = f"{present} of {expected} members present"
     if 2 * present < expected:
         return Conclusion(Verdict.MINORITY, counts)
     if 2 * present == expected:
@@ -100,6 +102,6 @@
     if statistics.suspects:
         return Conclusion(Verdict.UNSURE, f"{counts}, {statistics.suspects} suspected", firm)
     if not statistics.peers_agree:
-        return Conclusion(Verdict.UNSURE, f"{counts}, not all agree yet", firm)
+        return Conclusion(Verdict.UNSURE, f"{counts}, views of recent peers differ", firm)
     reason = f"{counts}, {statistics.lost} lost" if statistics.lost else counts
     return Conclusion(Verdict.WHOLE, reason, firm)
--- a/lilacwalk/membership/config.py
+++ b/lilacwalk/membership/config.py
@@ -1,7 +1,7 @@
-"""Configuration of the membership: the operator's `fleet` block, and what the machine needs of it.
+"""Configuration of the membership: the operator's `fleet` block and the state machine's settings.
 
-The fields of the block are the words of the operator's file, which `operator/` reads and checks.
-Times are in tenths of a millisecond.
+The field names of the block are keywords of the operator's file, which `operator/` reads and
+checks. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from msgspec import Meta, Struct
 
 SECOND = 10_000
-NAME = "^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$"  # short, so that several updates fit a datagram
+NAME = "^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$"  # short, so that several updates fit into a datagram
 
 
 def unit(name: str, **limits) -> Meta:
-    """Returns the annotation of a value with a unit, which the operator's file writes beside it."""
+    """Returns the annotation of a value that the operator's file gives with this unit."""
     return Meta(extra={"unit": name}, **limits)
 
 
@@ -26,7 +26,7 @@
 
 
 class Seed(Struct, frozen=True, kw_only=True):
-    """An address to ask when no member is known. Any of the seeds may be down."""
+    """An address to contact when no member is known. Any of the seeds may be down."""
 
     ARGUMENTS: ClassVar = ("address",)
     address: Endpoint
@@ -35,43 +35,43 @@
 class FleetConfig(Struct, frozen=True, kw_only=True):
     """The `fleet` block of the operator's file."""
 
-    name: Name | None = None  # an app server's own, where left out
+    name: Name | None = None  # default: the app server's own name
     site: Name
     listen: Endpoint
-    advertise: Endpoint | None = None  # where others reach it, if that is another address
-    key: str  # a file: one key a line in hexadecimal digits, the first seals, all open
+    advertise: Endpoint | None = None  # address at which others reach this member; default: listen
+    key: str  # path of a file, one key in hexadecimal digits per line: the first seals, all open
     seed: tuple[Seed, ...] = ()
     probe_interval: Annotated[int, unit("duration", ge=SECOND // 20, le=60 * SECOND)] = SECOND
     forget: Annotated[int, unit("duration", ge=60 * SECOND, le=7 * 24 * 3600 * SECOND)] = (
         3600 * SECOND
     )
     withdraw_share: Annotated[float, Meta(ge=0.0, le=1.0)] = (
-        0.34  # of the fleet may withdraw as unhealthy at once
+        0.34  # share of the fleet that may withdraw as unhealthy at the same time
     )
-    members: Annotated[int, Meta(ge=2, le=20_000)] = 2_000  # more are not taken into the view
-    socket: str | None = None  # where `lilacwalk fleet show` asks
-    store: str | None = None  # a directory; left out: nothing is stored
+    members: Annotated[int, Meta(ge=2, le=20_000)] = 2_000  # limit on members in the view
+    socket: str | None = None  # path of the admin socket, which `lilacwalk fleet show` queries
+    store: str | None = None  # path of a directory; None: nothing is stored
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns what is wrong across fields, as (field, what was expected)."""
-        found = [
+        """Returns the errors that concern several fields, as (field, what was expected)."""
+        errors = [
             ("seed", f"{host}:{port} once, not twice")
             for (host, port), times in Counter(seed.address for seed in self.seed).items()
             if times > 1
         ]
         if self.advertise is None and self.listen[0] in ("0.0.0.0", "::"):
-            found.append(("listen", "an advertise line beside an address that stands for all"))
-        return found
+            errors.append(("listen", "an advertise line together with a wildcard address"))
+        return errors
 
     @property
     def advertised_address(self) -> tuple[str, int]:
-        """Where other members reach this one."""
+        """The address at which other members reach this one."""
         return self.advertise or self.listen
 
 
 @dataclass(frozen=True, slots=True)
 class MemberConfig:
-    """What the membership machine needs of the block, with the name filled in."""
+    """The settings of the membership state machine, with the name filled in."""
 
     name: str
     site: str
@@ -84,7 +84,7 @@
 
 
 def member_config(config: FleetConfig, default_name: str) -> MemberConfig:
-    """Returns the machine's configuration; the name is that of the block, or the default."""
+    """Returns the state machine's settings; the name is that of the block, or the default."""
     return MemberConfig(
         name=config.name or default_name,
         site=config.site,
--- a/lilacwalk/membership/datagram_reader.py
+++ b/lilacwalk/membership/datagram_reader.py
@@ -1,4 +1,4 @@
-"""The thread that receives datagrams, authenticates and queues them."""
+"""The thread that receives datagrams, authenticates them and queues them."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from lilacwalk.membership.messages import Datagram, DatagramError, unseal
 
 log = logging.getLogger(__name__)
-RECEIVE_BYTES = 65_536  # the longest datagram of UDP
-ERROR_PAUSE_SECONDS = 0.01  # an error that lasts makes no busy loop
+RECEIVE_BYTES = 65_536  # the maximum size of a UDP datagram
+ERROR_PAUSE_SECONDS = 0.01  # prevents a busy loop on a persistent socket error
 
 
 class DatagramHandler(Protocol):
-    """Handles a datagram in the machine's thread."""
+    """Handles a datagram in the state machine's thread."""
 
     def __call__(self, datagram: Datagram) -> None:
-        """Takes the datagram."""
+        """Handles the datagram."""
 
 
 class DatagramReader:
     """Reads one UDP socket until stopped.
 
-    Owns its thread, and the counts of datagrams that were dropped by reason. The socket belongs to
-    the host, which closes it to end the thread.
+    Owns its thread, and the counts of dropped datagrams by reason. The socket belongs to the
+    transport, which shuts it down to end the thread.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         max_queued: int,
         stopped: threading.Event,
     ) -> None:
-        """Prepares the thread; at most `max_queued` datagrams wait on the queue."""
+        """Creates the thread; at most `max_queued` events wait in the queue."""
         self.udp_socket = udp_socket
         self.keys = keys  # replaced as a whole on a reload
         self.event_queue = event_queue
@@ -56,7 +56,7 @@
         self._thread.start()
 
     def report_refused(self, reason: str) -> None:
-        """Counts a datagram that is not used, and logs it at the 1st, 2nd, 4th and so on."""
+        """Counts a dropped datagram; logs the 1st, 2nd, 4th, 8th and so on of each reason."""
         self.counts[reason] += 1
         throttle = self._throttles.setdefault(reason, ReportThrottle())
         if count := throttle.count_and_check():
@@ -73,7 +73,7 @@
             data, _ = self.udp_socket.recvfrom(RECEIVE_BYTES)
         except OSError as error:
             if not self.stopped.is_set():
-                self.report_refused(f"socket {error.strerror}")
+                self.report_refused(f"socket error: {error.strerror}")
                 self.stopped.wait(ERROR_PAUSE_SECONDS)
             return None
         is_wake_up = not data and self.stopped.is_set()
@@ -88,6 +88,6 @@
             log.exception("event=thread_failed thread=fleet-reader")
         else:
             if self.event_queue.qsize() >= self.max_queued:
-                self.report_refused("too many")
+                self.report_refused("queue full")
             else:
                 self.event_queue.post(self.on_datagram, datagram)
--- a/lilacwalk/membership/dissemination.py
+++ b/lilacwalk/membership/dissemination.py
@@ -1,8 +1,8 @@
 """Gossip: updates that are piggybacked on other datagrams a limited number of times.
 
-After λ·ln(n + 1) transmissions the share of n members that an update has missed falls as n^-λ
-(SWIM, section 4.1); the exchange of full state repairs the rest. Updates on who is there go before
-those that only refresh metadata.
+After λ·ln(n + 1) transmissions the share of n members that an update has not reached falls as n^-λ
+(SWIM, section 4.1); the exchange of full state repairs the rest. Membership changes are sent before
+updates that only refresh metadata.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 from lilacwalk.membership.messages import GossipUpdate, encode
 
 RETRANSMIT_MULTIPLIER = 3  # SWIM's λ
-MAX_QUEUED_UPDATES = 4_000  # twice the default limit of members
+MAX_QUEUED_UPDATES = 4_000  # twice the default limit on members
 MAX_UPDATES_PER_DATAGRAM = 24
-SMALLEST_UPDATE_BYTES = 24  # less room takes no update
+SMALLEST_UPDATE_BYTES = 24  # no update fits into less room
 
 
 @dataclass(eq=False, slots=True)
 class QueuedUpdate:
-    """An update on its way; the larger `order` was queued later."""
+    """An update that is being sent; a larger `order` was queued later."""
 
     update: GossipUpdate
     size: int
     order: int
-    is_membership_change: bool  # else it only refreshes metadata
+    is_membership_change: bool  # otherwise it only refreshes metadata
     transmissions: int = 0
 
 
 class GossipQueue:
-    """The updates still to be passed on, at most one for each member."""
+    """The updates still to be sent, at most one for each member."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty queue."""
         self.items: dict[str, QueuedUpdate] = {}
         self.count = 0
         self.dropped = 0
 
     def enqueue(self, update: GossipUpdate, membership_change: bool) -> None:
-        """Replaces what is queued on the same member.
+        """Queues an update in place of an earlier one about the same member.
 
-        An unsent membership change keeps its rank when an update of metadata replaces it. A full
-        queue drops updates on members that it does not hold yet.
+        If a metadata update replaces a membership change that was not sent yet, it takes over its
+        priority. A full queue drops updates about members that it does not hold yet.
         """
         previous = self.items.pop(update.name, None)
         if previous is None and len(self.items) >= MAX_QUEUED_UPDATES:
@@ -58,33 +58,33 @@
     def piggyback(
         self, room: int, members: int, first: tuple[GossipUpdate, ...] = ()
     ) -> tuple[GossipUpdate, ...]:
-        """Takes the updates for one datagram.
+        """Returns the updates for one datagram and counts them as sent.
 
         Args:
-            room: bytes for all updates.
-            members: present members, which set how often an update is sent.
-            first: updates that go in any case and are not counted as sent.
+            room: bytes available for all updates.
+            members: number of present members, which determines how often an update is sent.
+            first: updates that are always included and not counted as sent.
         """
         if not self.items:
             return first
-        taken = list(first)
+        selected = list(first)
         names = {update.name for update in first}
         room -= sum(len(encode(update)) for update in first)
         max_transmissions = math.ceil(RETRANSMIT_MULTIPLIER * math.log(members + 1))
         for item in self._by_priority():
-            if len(taken) >= MAX_UPDATES_PER_DATAGRAM or room < SMALLEST_UPDATE_BYTES:
+            if len(selected) >= MAX_UPDATES_PER_DATAGRAM or room < SMALLEST_UPDATE_BYTES:
                 break
             if item.size > room or item.update.name in names:
                 continue
             room -= item.size
-            taken.append(item.update)
+            selected.append(item.update)
             item.transmissions += 1
             if item.transmissions >= max_transmissions:
                 del self.items[item.update.name]
-        return tuple(taken)
+        return tuple(selected)
 
     def _by_priority(self) -> list[QueuedUpdate]:
-        """Membership changes first; among equals the least sent, then the newest."""
+        """Returns membership changes first; among equals the least sent, then the newest."""
         return sorted(
             self.items.values(),
             key=lambda item: (not item.is_membership_change, item.transmissions, -item.order),
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -1,8 +1,8 @@
-"""Failure detection: failed probes raise suspicions, unrefuted suspicions end in a death.
+"""Failure detection: failed probes start suspicions, and unrefuted suspects are declared dead.
 
-It departs from SWIM and Lifeguard, as docs/design/membership.md explains: a member heard since a
-probe of it began is not suspected by that probe; a node that hears nobody suspects nobody at
-first; suspected members are probed out of turn.
+It differs from SWIM and Lifeguard, as docs/design/membership.md explains: a failed probe starts no
+suspicion if a datagram of its target arrived after the probe began; a node that receives no
+datagrams at all does not suspect others at first; suspected members are probed out of turn.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 MAX_RELAYED_PINGS = 64
 MAX_REMEMBERED_SUSPICIONS = 256
-MAX_SILENT_PROBES = 4  # failed while nobody is heard, before others are suspected for it
+MAX_SILENT_PROBES = 4  # failed while no datagram arrives, before their targets are suspected
 STALL_RECOVERY_INTERVALS = 4
 SUSPICION_RATE_INTERVALS = 10
 
 
 class ApplyUpdate(Protocol):
-    """Takes a claim into the view, with all that follows from it."""
+    """Applies a claim to the view and reacts to the change that it makes."""
 
     def __call__(self, update: GossipUpdate, now: int, reason: str) -> None:
         """Applies the claim; `reason` goes into the event."""
@@ -35,8 +35,9 @@
 class FailureDetector:
     """Probes members, suspects those that do not answer, and declares them dead.
 
-    Owns the probes, the suspicions, and what speaks against this node itself: unanswered probes,
-    silence, the time until which it recovers from a stall. Times are in tenths of a millisecond.
+    Owns the probes, the suspicions, and the signs of a fault of this node itself: unanswered
+    probes, silence, the time until which it recovers from a stall. Times are in tenths of a
+    millisecond.
     """
 
     def __init__(self, node: LocalNode, now: int, apply_update: ApplyUpdate) -> None:
@@ -47,36 +48,36 @@
         self.suspicions: dict[str, Suspicion] = {}
         self.started_at = now
         self.last_heard = now
-        self.unanswered_probes = 0  # in a row, while others are heard
-        self.silent_probes = 0  # failed since anybody was heard
+        self.unanswered_probes = 0  # consecutive, without those out of turn
+        self.silent_probes = 0  # failed since a datagram of another member arrived
         self.stall_recovery_until = now
         self._suspected_at: deque[int] = deque(maxlen=MAX_REMEMBERED_SUSPICIONS)
 
     def is_recovering(self, now: int) -> bool:
-        """Whether this node has stalled and may hold an outdated view."""
+        """Whether this node stalled recently and may hold an outdated view."""
         return now < self.stall_recovery_until
 
     def next_deadline(self) -> int:
-        """Returns when a probe or a suspicion is due."""
+        """Returns when the next probe or suspicion is due."""
         deadlines = [suspicion.deadline for suspicion in self.suspicions.values()]
         return min([self.probes.next_deadline(), *deadlines])
 
     def note_heard(self, now: int) -> None:
-        """A datagram of another member came."""
+        """Records that a datagram of another member arrived."""
         self.last_heard = now
         self.silent_probes = 0
 
     def advance(self, now: int) -> None:
-        """Retries and fails probes, sends nacks, and ends suspicions whose time is over."""
+        """Retries and fails probes, sends nacks, declares members dead whose suspicion expired."""
         self.advance_probes(now)
         for relayed in self.probes.take_due_nacks(now):
             self.node.send(relayed.requester, MessageType.NACK, relayed.requester_sequence)
-        over = [suspicion for suspicion in self.suspicions.values() if now >= suspicion.deadline]
-        for suspicion in over:
+        expired = [suspicion for suspicion in self.suspicions.values() if now >= suspicion.deadline]
+        for suspicion in expired:
             self._declare_dead(suspicion, now)
 
     def advance_probes(self, now: int) -> None:
-        """Retries probes with the help of others, and handles those that failed."""
+        """Retries probes through other members, and handles those that failed."""
         to_retry, failed = self.probes.take_due_probes(now)
         for probe in to_retry:
             self._retry(probe)
@@ -84,7 +85,7 @@
             self._handle_failure(probe, now)
 
     def probe_next(self, now: int) -> None:
-        """Probes the member whose turn it is."""
+        """Probes the next member in the rotation."""
         member = self.probes.next_target(self.node.view, self.node.name)
         if member is not None:
             self.ping(member, now)
@@ -97,8 +98,9 @@
     def probe_suspects(self, now: int) -> None:
         """Probes some of the members that this node suspects, or whose suspicion is half over.
 
-        A member that has not heard of a suspicion cannot refute it. And whoever only heard of the
-        suspicion checks it before it ends: the refutation may have been lost.
+        A member that has not received a suspicion cannot refute it. A node that only received the
+        suspicion from others checks it before it expires, because the refutation may have been
+        lost.
         """
         name = self.node.name
         candidates = sorted(
@@ -111,7 +113,7 @@
                 self.ping(self.node.view.members[suspect], now, out_of_turn=True)
 
     def suspicion_notice(self, member: Member) -> tuple[GossipUpdate, ...]:
-        """Returns what a suspected member is told first, so that it can refute it (Lifeguard)."""
+        """Returns the claim that a suspected member receives, to let it refute it (Lifeguard)."""
         return (member.update(False),) if member.health is not Health.ALIVE else ()
 
     def handle_ack(self, datagram: Datagram) -> None:
@@ -134,7 +136,7 @@
             member.reached_via = datagram.sender if datagram.sender != probe.name else ""
 
     def handle_ping_req(self, datagram: Datagram, now: int) -> None:
-        """Pings a member for another one."""
+        """Pings a member on behalf of another one."""
         target = self.node.view.get(datagram.target)
         if target is None:
             return
@@ -145,7 +147,7 @@
             self._send_ping(target, relayed.sequence)
 
     def confirm_suspicion(self, update: GossipUpdate) -> None:
-        """Another member suspects one that is suspected here."""
+        """Records that another member suspects a member that is already suspected here."""
         suspicion = self.suspicions.get(update.name)
         if suspicion is not None and suspicion.confirm(update.reported_by):
             self.node.gossip.enqueue(update, membership_change=True)
@@ -155,8 +157,8 @@
     ) -> None:
         """Starts or ends a suspicion after a claim changed the view.
 
-        A newly suspected member is checked at once by whom the reporter told itself, and by some
-        of the others.
+        A newly suspected member is probed at once by the members that received the claim from its
+        reporter directly, and by a random few of the others.
         """
         if member.health is not Health.SUSPECT:
             self.suspicions.pop(member.name, None)
@@ -168,8 +170,8 @@
         self.suspicions[member.name] = start_suspicion(
             member.name, member.precedence, update.reported_by, now, self.node.interval, present
         )
-        told_directly = update.reported_by == sender
-        probability = 1.0 if told_directly else INDIRECT_PROBES / max(INDIRECT_PROBES, present)
+        reported_directly = update.reported_by == sender
+        probability = 1.0 if reported_directly else INDIRECT_PROBES / max(INDIRECT_PROBES, present)
         needs_no_check = (
             update.reported_by == self.node.name
             or self.probes.is_probing(member.name)
@@ -179,23 +181,23 @@
             self.ping(member, now, out_of_turn=True)
 
     def count_suspicion(self, now: int) -> None:
-        """Remembers a suspicion for the rate."""
+        """Records the time of a suspicion for `suspicion_rate`."""
         self._suspected_at.append(now)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions of the last ten intervals, and how many ten usually see."""
+        """Returns the suspicions of the last ten intervals, and the mean per ten before."""
         span = SUSPICION_RATE_INTERVALS * self.node.interval
         recent = sum(now - at <= span for at in self._suspected_at)
-        before = max(span, now - self.started_at - span)
+        earlier_span = max(span, now - self.started_at - span)
         earlier = max(0, self.node.counts["suspect"] - recent)
-        return recent, earlier * span / before
+        return recent, earlier * span / earlier_span
 
     def handle_stall(self, now: int, stalled_for: int) -> bool:
-        """Defers all deadlines by a stall of this process.
+        """Defers all deadlines by the duration of a stall of this process.
 
         Returns:
-            Whether it was so long that the view is outdated and others may have declared this node
-            dead.
+            Whether the stall was so long that the view is outdated and others may have declared
+            this node dead.
         """
         self.probes.shift_deadlines(stalled_for)
         for suspicion in self.suspicions.values():
@@ -215,9 +217,10 @@
         self.probes.cancel_all()
 
     def send_update_to_sample(self, update: GossipUpdate) -> None:
-        """Sends a claim to some members at once, which then check a suspicion themselves.
+        """Sends a claim to a few random members at once, which then check a suspicion themselves.
 
-        Gossip alone would take as long for the confirmations as for reaching all.
+        With gossip alone, confirmations would take as long to arrive as a claim to reach all
+        members.
         """
         peers = [member for member in self._alive_peers() if member.name != update.name]
         for peer in self.node.rng.sample(peers, min(len(peers), INDIRECT_PROBES)):
@@ -250,12 +253,12 @@
         if not probe.out_of_turn:
             self.unanswered_probes += 1
         if member.last_heard > probe.started_at:
-            self.node.counts["one_way"] += 1  # it runs: only one direction of the link is lost
+            self.node.counts["one_way"] += 1  # the target runs: one direction of the link fails
             return
         if self.last_heard <= probe.started_at:
             self.silent_probes += 1
             if self.silent_probes <= MAX_SILENT_PROBES and len(self.node.peers()) > 1:
-                return  # nobody at all is heard: the fault is likely this node's own
+                return  # no datagrams arrive at all: the fault is likely this node's own
         if not self.is_recovering(now):
             self._suspect(member, now)
 
@@ -266,7 +269,7 @@
             if suspicion.confirm(self.node.name):
                 self.node.gossip.enqueue(update, membership_change=True)
             return
-        self.apply_update(update, now, "gave no answer to a probe")
+        self.apply_update(update, now, "did not answer a probe")
         self.send_update_to_sample(update)
         self.probe_suspects(now)
 
--- a/lilacwalk/membership/hooks.py
+++ b/lilacwalk/membership/hooks.py
@@ -1,4 +1,4 @@
-"""Callbacks of the membership host; all are called in the machine's thread."""
+"""Callbacks of the membership host; all are called in the state machine's thread."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ViewListener(Protocol):
-    """Told when what others use of the view may have changed."""
+    """Notified when the view, the verdict or the permission to withdraw has changed."""
 
     def __call__(self, machine: Membership, verdict: Verdict, may_withdraw: bool, /) -> None:
-        """Called in the machine's thread."""
+        """Called in the state machine's thread."""
 
 
 class PeriodicEvaluation(Protocol):
-    """Evaluates the view from time to time."""
+    """Evaluates the view periodically."""
 
     def __call__(self, machine: Membership, now: int, /) -> None:
-        """Called in the machine's thread several times a second."""
+        """Called in the state machine's thread several times a second."""
--- a/lilacwalk/membership/host.py
+++ b/lilacwalk/membership/host.py
@@ -1,7 +1,7 @@
-"""The host of the membership machine: its thread, its UDP socket and its clock.
+"""The host of the membership state machine: its thread, its UDP socket and its clock.
 
-Other threads reach the machine through one queue. Elapsed time counts, not the wall clock, which
-is read for the incarnation and the records on disk.
+Other threads reach the state machine through one queue. All timing uses the monotonic clock; the
+wall clock is read only for the incarnation and the records on disk.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 ]
 
 log = logging.getLogger(__name__)
-Answer = TypeVar("Answer")
+Result = TypeVar("Result")
 
 EVALUATION_INTERVAL = 2_000  # tenths of a millisecond between two periodic evaluations
 EVENTS_PER_ITERATION = 64  # handled between two readings of the clock
-LEAVE_ROUNDS = 3  # so that loss does not turn a leave into a crash
+LEAVE_ROUNDS = 3  # repeated, so that packet loss does not make a leave look like a crash
 LEAVE_PAUSE_SECONDS = 0.05  # between these rounds
 SEED_BYTES = 8
-NANOSECONDS_PER_TICK = 100_000  # of a tenth of a millisecond
+NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedView:
-    """What the listener was told last."""
+    """The state of which the view listener was last notified."""
 
     digest: int
     verdict: Verdict
@@ -60,8 +60,8 @@
 class FleetHost:
     """Runs one member of the fleet.
 
-    Owns the machine and its thread, the transport and the store. `stopped` is set when the thread
-    has ended or is to end, `failed` where a defect ended it.
+    Owns the state machine and its thread, the transport and the store. `stopped` is set when the
+    thread has ended or is to end, `failed` if an unexpected exception ended it.
     """
 
     def __init__(
@@ -78,11 +78,11 @@
 
         Args:
             config: the `fleet` block.
-            name: the member's, where the block gives none.
-            on_view: told of changes.
+            name: the member's name, used if the block gives none.
+            on_view: notified of changes.
             clock: elapsed nanoseconds.
             wall_clock: the Unix clock in seconds.
-            revision: of the program, told to others.
+            revision: of the program, published to other members.
             on_evaluate: called periodically.
 
         Raises:
@@ -121,18 +121,18 @@
         """Returns the elapsed time in tenths of a millisecond."""
         return self.clock() // NANOSECONDS_PER_TICK
 
-    # For other threads
+    # Called from other threads
 
     def start(self) -> None:
-        """Starts the machine's thread."""
+        """Starts the state machine's thread."""
         self._thread.start()
 
     def update_metadata(self, state: NodeState | None = None, **fields: object) -> None:
-        """Changes what this member tells of itself; see LocalNode.update_metadata."""
+        """Changes the metadata that this member publishes; see LocalNode.update_metadata."""
         self.event_queue.post(self._update_metadata, state, fields)
 
     def reload(self, config: FleetConfig) -> None:
-        """Applies a changed block; address, name, storage and admin socket are for the next start.
+        """Applies a changed block; address, name, storage and admin socket change on a restart.
 
         Raises:
             FleetError: the key file cannot be used; nothing has changed.
@@ -145,15 +145,15 @@
             or config.socket != self.config.socket
         )
         if needs_restart:
-            detail = "address, name, storage and socket change at the next start"
+            detail = "changes of address, name, storage or socket take effect at the next start"
             log.warning({"event": "fleet_reload", "detail": detail})
         self.event_queue.post(self._reload, config, keys)
 
     def leave(self, timeout: float = 1.0) -> None:
-        """Tells the others that this member leaves, then ends; without it they see a crash.
+        """Announces that this member leaves, then ends; otherwise the others would see a crash.
 
         Args:
-            timeout: seconds to wait for the machine's thread.
+            timeout: seconds to wait for the state machine's thread.
         """
         self.event_queue.post(self._leave)
         if threading.current_thread() is not self._thread:
@@ -161,31 +161,31 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the threads and closes the socket, telling nobody."""
+        """Ends the threads and closes the socket without announcing that this member leaves."""
         self.stopped.set()
         self.transport.close()
 
-    def query(self, question: Callable[[Membership, int], Answer], timeout: float = 2.0) -> Answer:
-        """Has the machine's thread answer a question.
+    def query(self, function: Callable[[Membership, int], Result], timeout: float = 2.0) -> Result:
+        """Runs a function in the state machine's thread and returns its result.
 
         Args:
-            question: called with the machine and the time.
+            function: called with the state machine and the time.
             timeout: in seconds.
 
         Raises:
             MachineTimeoutError: the thread does not answer in time.
         """
-        answers: SimpleQueue[Answer] = SimpleQueue()
-        self.event_queue.post(lambda: answers.put(question(self._machine(), self.now())))
+        results: SimpleQueue[Result] = SimpleQueue()
+        self.event_queue.post(lambda: results.put(function(self._machine(), self.now())))
         try:
-            return answers.get(timeout=timeout)
+            return results.get(timeout=timeout)
         except Empty:
             raise MachineTimeoutError(timeout) from None
 
-    # The machine's thread
+    # Run in the state machine's thread
 
     def _machine(self) -> Membership:
-        assert self.machine is not None, "the machine's thread creates it before it handles events"
+        assert self.machine is not None, "the thread creates it before it handles events"
         return self.machine
 
     def _run(self) -> None:
@@ -223,9 +223,10 @@
         )
 
     def _iterate(self, machine: Membership) -> None:
-        """Handles the events that wait, advances the machine and carries out its actions."""
+        """Handles the queued events, advances the state machine and carries out its actions."""
         self._handle_events(self._seconds_until_due(machine))
-        # Silence counts only once all that came meanwhile was read: an iteration may come late.
+        # An iteration may be late: queued datagrams are read before deadlines are checked, unless
+        # these are overdue by more than a probe interval.
         is_overdue = machine.next_deadline() + machine.interval < self.now()
         if self.event_queue.empty() or is_overdue:
             machine.tick(self.now())
@@ -241,7 +242,7 @@
         return max(0, due_at - self.now()) / SECOND
 
     def _handle_events(self, timeout: float) -> None:
-        """Waits up to `timeout` seconds for an event, then handles those that are there."""
+        """Waits up to `timeout` seconds for an event, then handles a batch of queued events."""
         try:
             event = self.event_queue.get(timeout=timeout) if timeout else self._next_event()
             for _ in range(EVENTS_PER_ITERATION):
@@ -272,7 +273,7 @@
             self._published = view
             on_view(machine, verdict, may_withdraw)
 
-    # Events of other threads, handled in the machine's thread
+    # Events posted by other threads, handled in the state machine's thread
 
     def _receive(self, datagram: Datagram) -> None:
         self._machine().receive(datagram, self.now())
--- a/lilacwalk/membership/incarnation.py
+++ b/lilacwalk/membership/incarnation.py
@@ -1,22 +1,24 @@
 """The identity of the local member: its incarnation, its refutations, and conflicts over its name.
 
-An incarnation is the larger of the clock's milliseconds and one more than the stored one, so a
-clock that was set back does no harm where the disk keeps the last one. Where none does, the other
-members remember: the first answer to a newcomer tells what they hold of its name, and it takes a
-higher incarnation. Thus no incarnation returns that others hold to be old.
-
-An instance is drawn at the start (the clock's milliseconds, then 20 random bits) and tells two
-processes of one name apart. A claim of another instance above ours is handled by what is known of
-it:
-
-it is dead or has left                               an earlier process: supersede it
-we have just started and have not superseded it yet  likely our own earlier process: supersede it
-it has overtaken an incarnation that superseded it   it runs: a name conflict
-we were established, and it is new                   it started under our name: a conflict
+The incarnation is the larger of the clock's milliseconds and the stored incarnation plus one, so a
+clock that was set back does no harm if the last incarnation is on the disk. Otherwise the other
+members supply it: the first answer to a newcomer contains the claim that they hold about its name,
+and the newcomer takes a higher incarnation. An incarnation that others consider old is thus never
+used again.
+
+The instance is generated at the start (the clock's milliseconds, then 20 random bits) and
+distinguishes processes that use the same name. A claim of another instance with a higher
+precedence than the local one is handled by what is known about that instance:
+
+it is dead or has left                              an earlier process: supersede it
+this process has just started, and has not          likely an earlier process of this member:
+superseded it yet                                   supersede it
+its incarnation exceeds the one that superseded it  it is running: a name conflict
+this process was established before it appeared     it started under this name: a name conflict
 
 In a conflict the smaller instance, which started first, keeps the name, unless it stalled for so
-long that the others presumed it dead: then the newer process was meant to replace it. The other
-one yields: it makes no more claims until it is started under a name of its own.
+long that the others presumed it dead: then the newer process was started to replace it. The other
+process yields: it makes no more claims until it is started under a name of its own.
 """
 
 from __future__ import annotations
@@ -33,33 +35,33 @@
 
 INSTANCE_RANDOM_BITS = 20
 INSTANCE_CLOCK_BITS = 42
-MAX_SUPERSEDED = 16  # instances remembered; the oldest are of no use any more
+MAX_SUPERSEDED = 16  # instances remembered; claims of older ones are no longer expected
 
 
 class ClaimOutcome(Enum):
-    """What a claim about the local name led to."""
+    """The outcome of a claim about the local name."""
 
     IGNORED = auto()
-    REFUTED = auto()  # a suspicion or death: a higher refutation answers it
-    SUPERSEDED = auto()  # a claim of another process: a higher incarnation answers it
+    REFUTED = auto()  # a suspicion or death, answered by a higher refutation
+    SUPERSEDED = auto()  # a claim of another process, answered by a higher incarnation
     YIELDED = auto()  # the name belongs to another process
 
 
 class LocalIdentity:
     """The name, incarnation, instance and refutation of this process.
 
-    Owned by the local node. `established` is set once others have answered under this name for a
-    while, `presumed_dead` while others may have given this member up during a stall.
+    Owned by the local node. `established` is set once other members answer this process some time
+    after its start, `presumed_dead` while others may have declared it dead because of a stall.
     """
 
     def __init__(self, name: str, stored_incarnation: int, wall_ms: int, random_bits: int) -> None:
         """Chooses incarnation and instance.
 
         Args:
-            name: of the member.
-            stored_incarnation: of the last process, 0 where none was stored.
+            name: name of the member.
+            stored_incarnation: incarnation of the last process, 0 if none was stored.
             wall_ms: the Unix clock in milliseconds.
-            random_bits: INSTANCE_RANDOM_BITS of them.
+            random_bits: an integer of INSTANCE_RANDOM_BITS random bits.
         """
         self.name = name
         self.incarnation = min(max(stored_incarnation + 1, wall_ms, 1), MAX_INCARNATION)
@@ -69,7 +71,7 @@
         self.health = Health.ALIVE
         self.established = False
         self.presumed_dead = False
-        self.superseded: dict[int, int] = {}  # our incarnation, by the superseded instance
+        self.superseded: dict[int, int] = {}  # by instance: the incarnation that superseded it
         self.yielded_to: GossipUpdate | None = None
 
     @property
@@ -84,21 +86,21 @@
 
     @property
     def precedence(self) -> Precedence:
-        """Of the claim that this member makes about itself."""
+        """The precedence of the claim that this member makes about itself."""
         return self.incarnation, self.instance, self.refutation, self.health
 
     def leave(self) -> None:
-        """Marks this member as one that left."""
+        """Marks this member as having left."""
         self.health = Health.LEFT
 
     def handle_claim(self, claim: GossipUpdate) -> ClaimOutcome:
-        """Handles what others claim about this name; the identity changes as the outcome says."""
+        """Handles a claim of others about this name; the identity changes as the outcome says."""
         if self.has_yielded:
             return ClaimOutcome.IGNORED
         if claim.instance == self.instance:
             return self._refute(claim)
         if claim.process < (self.incarnation, self.instance):
-            return ClaimOutcome.IGNORED  # ours is newer, and its sender will hear of it
+            return ClaimOutcome.IGNORED  # the local claim is newer and will reach the sender
         if claim.health in (Health.DEAD, Health.LEFT):
             return self._supersede(claim)
         superseded_by = self.superseded.get(claim.instance)
@@ -106,7 +108,7 @@
         if not is_running and not self.established:
             return self._supersede(claim)
         if superseded_by is not None and not is_running:
-            return ClaimOutcome.IGNORED  # made before it was superseded
+            return ClaimOutcome.IGNORED  # the claim was made before the instance was superseded
         if self.instance < claim.instance and not self.presumed_dead:
             return self._supersede(claim)
         return self._yield_to(claim)
@@ -124,7 +126,7 @@
 
     def _supersede(self, claim: GossipUpdate) -> ClaimOutcome:
         if claim.incarnation >= MAX_INCARNATION:
-            if self.instance < claim.instance:  # no incarnation is left: the instance decides
+            if self.instance < claim.instance:  # no higher incarnation exists: instances decide
                 return self._yield_to(claim)
             self.incarnation = MAX_INCARNATION
             return ClaimOutcome.SUPERSEDED
--- a/lilacwalk/membership/join.py
+++ b/lilacwalk/membership/join.py
@@ -1,8 +1,8 @@
 """Joining the fleet, and finding lost members again.
 
-A node asks its seeds, and until somebody has answered also the members that it stored earlier.
-Later it keeps trying seeds that are not in its view and members that were lost, so that two halves
-of a partition find each other again without a restart, whichever seeds are down.
+A node contacts its seeds and, until another member has answered, also the members that it stored
+earlier. Later it keeps contacting seeds that are not in its view and members that were lost, so
+that two halves of a partition find each other again without a restart, whichever seeds are down.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from lilacwalk.membership.messages import Address, GossipUpdate, Health
 from lilacwalk.membership.state_exchange import StateExchange
 
-REJOIN_INTERVALS = 2  # probe intervals between two attempts soon after a loss
-LATE_REJOIN_INTERVALS = 10  # and later
-RECENT_LOSS_INTERVALS = 120  # for so long a loss is recent
-ESTABLISHED_INTERVALS = 3  # after the start an answer makes the name ours
+REJOIN_INTERVALS = 2  # probe intervals between two attempts after a recent loss
+LATE_REJOIN_INTERVALS = 10  # probe intervals between two attempts otherwise
+RECENT_LOSS_INTERVALS = 120  # probe intervals during which a loss is recent
+ESTABLISHED_INTERVALS = 3  # probe intervals after the start; a later answer sets `established`
 
 
-class Joining:
-    """Tries addresses of members that are not in the view, one at a time.
+class JoinProtocol:
+    """Contacts addresses of members that are not in the view, one at a time.
 
-    Owns whether anybody has answered, the addresses stored by an earlier process, and the time of
-    the next attempt.
+    Owns whether another member has answered, the addresses stored by an earlier process, and the
+    time of the next attempt.
     """
 
     def __init__(
         self, node: LocalNode, exchange: StateExchange, now: int, stored: Iterable[GossipUpdate]
     ) -> None:
-        """Starts trying at `now`; `stored` are the members that an earlier process knew."""
+        """Starts attempts at `now`; `stored` are the members that an earlier process knew."""
         self.node = node
         self.exchange = exchange
         self.started_at = now
@@ -42,25 +42,25 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether there are seeds and nobody has answered yet."""
+        """Whether seeds are configured and no other member has answered yet."""
         return not self.has_joined and bool(self.node.config.seeds)
 
     def confirm(self, now: int) -> None:
-        """Another member has answered."""
+        """Records that another member has answered."""
         if not self.has_joined:
             self.has_joined = True
             self.node.record_event(
-                now, "met", self.node.name, "others have answered", self.node.name
+                now, "met", self.node.name, "another member has answered", self.node.name
             )
         if now - self.started_at > ESTABLISHED_INTERVALS * self.node.interval:
             self.node.identity.established = True
 
     def note_loss(self, now: int) -> None:
-        """A member was declared dead."""
+        """Records that a member was declared dead."""
         self.last_loss_at = now
 
     def attempt(self, now: int) -> None:
-        """Asks one address for its state, where an attempt is due."""
+        """Requests the state of the member at one address, if an attempt is due."""
         if now < self.next_attempt_at:
             return
         addresses = self._addresses()
--- a/lilacwalk/membership/keys.py
+++ b/lilacwalk/membership/keys.py
@@ -7,8 +7,8 @@
 from lilacwalk.membership.errors import KeyFileError
 
 MIN_KEY_BYTES = 16
-MAX_KEY_BYTES = 64  # as BLAKE2b takes them
-MAX_KEYS = 4  # two while a key is replaced
+MAX_KEY_BYTES = 64  # the limit of BLAKE2b
+MAX_KEYS = 4  # two are in use while a key is replaced
 MAX_FILE_CHARACTERS = 4_096
 ACCESS_BY_OTHERS = 0o077
 
@@ -32,7 +32,7 @@
     try:
         with open(path, encoding="ascii") as file:
             if os.fstat(file.fileno()).st_mode & ACCESS_BY_OTHERS:
-                raise KeyFileError(path, "others may read it: expected mode 0600")
+                raise KeyFileError(path, "accessible to other users: expected mode 0600")
             return [line.strip() for line in file.read(MAX_FILE_CHARACTERS).splitlines()]
     except OSError as error:
         raise KeyFileError(path, error.strerror or str(error)) from error
--- a/lilacwalk/membership/local_node.py
+++ b/lilacwalk/membership/local_node.py
@@ -1,4 +1,4 @@
-"""The local member: what it says of itself, what it knows, and what it sends and reports."""
+"""The local member: its identity and metadata, its view, and the datagrams and events it emits."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 )
 from lilacwalk.membership.view import MembershipView
 
-MAX_EVENTS = 256  # remembered for operators
+MAX_EVENTS = 256  # kept for queries by operators
 METRICS_INTERVALS = 4  # probe intervals between two updates of metrics
-MEMBERS_PER_METRICS_SPACING = 50  # a fleet n times as large spaces metrics n times as far
+MEMBERS_PER_METRICS_SPACING = 50  # above this, updates of metrics are rarer in proportion
 
 
 class LocalNode:
-    """State shared by the parts of the membership machine.
+    """State shared by the components of the membership state machine.
 
     Owns the configuration, the random generator, the identity and metadata of this member, the
-    view, the gossip queue, the outgoing datagrams, the events and the counters. The view is
-    changed only through the machine.
+    view, the gossip queue, the outgoing datagrams, the events and the counters. Only the state
+    machine changes the view.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         stored_incarnation: int = 0,
         revision: str = "",
     ) -> None:
-        """Creates the member alone in its view; `wall_ms` is the Unix clock in milliseconds."""
+        """Creates the member, alone in its view; `wall_ms` is the Unix clock in milliseconds."""
         self.config = config
         self.rng = rng
         random_bits = rng.getrandbits(INSTANCE_RANDOM_BITS)
@@ -89,24 +89,24 @@
         return [member for member in self.view.present if member.name != self.name]
 
     def sample_peers(self, count: int) -> list[Member]:
-        """Returns so many other present members at random, or all where they are fewer."""
+        """Returns up to `count` other present members at random."""
         peers = self.peers()
         return self.rng.sample(peers, min(len(peers), count))
 
     def take_datagrams(self) -> list[SendDatagram]:
-        """Returns the datagrams to send since the last call."""
+        """Returns the datagrams queued since the last call."""
         datagrams = self._datagrams
         self._datagrams = []
         return datagrams
 
     def take_events(self) -> list[MembershipEvent]:
-        """Returns the events since the last call."""
+        """Returns the events recorded since the last call."""
         events = self._new_events
         self._new_events = []
         return events
 
     def record_event(self, now: int, change: str, member: str, reason: str, by: str) -> None:
-        """Remembers an event and hands it to the host."""
+        """Stores an event and passes it to the host."""
         event = MembershipEvent(now, change, member, reason, by)
         self.events.append(event)
         self._new_events.append(event)
@@ -118,16 +118,16 @@
         withdrawn: bool | None = None,
         **metrics: object,
     ) -> None:
-        """Changes what this member tells of itself.
+        """Changes the metadata that this member publishes.
 
         A changed state, withdrawal, operator command or site stage is published at once. Metrics
-        are published from time to time, less often in a large fleet, so that each member's traffic
-        does not grow with it.
+        are published periodically, less often in a large fleet, so that each member's traffic does
+        not grow with the fleet.
 
         Args:
             now: in tenths of a millisecond.
-            state: None leaves it as it is.
-            withdrawn: None leaves it as it is.
+            state: None leaves it unchanged.
+            withdrawn: None leaves it unchanged.
             metrics: other fields of MemberMetadata.
         """
         current = self.pending_metadata or self.metadata
@@ -148,7 +148,7 @@
             self.publish_due_metrics(now)
 
     def publish_due_metrics(self, now: int) -> None:
-        """Publishes pending metadata where its time has come."""
+        """Publishes pending metadata if it is due."""
         if self.pending_metadata is not None and now >= self.next_metrics_at:
             self.publish_metadata(self.pending_metadata, now, membership_change=False)
 
@@ -181,7 +181,7 @@
         part: int = 0,
         parts: int = 0,
     ) -> None:
-        """Hands a datagram to the host, with `first` and as much gossip as fits.
+        """Queues a datagram for the host, with the updates `first` and as much gossip as fits.
 
         Nothing is sent once the name belongs to another process.
         """
--- a/lilacwalk/membership/member.py
+++ b/lilacwalk/membership/member.py
@@ -1,4 +1,4 @@
-"""One member as a view holds it, and what a claim can change about it."""
+"""One member in the view, and the changes that a claim can make to it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Change(Enum):
-    """What a claim changed; the values are words that operators read."""
+    """The change made by a claim; the values are reported to operators."""
 
     JOINED = "joined"
     RETURNED = "back"
@@ -28,8 +28,8 @@
     DEAD = "dead"
     LEFT = "left"
     MOVED = "moved"
-    UPDATED = "told"  # newer metadata or a newer refutation: nothing that changes who is there
-    CONFIRMED = "confirmed"  # another member suspects it too
+    UPDATED = "told"  # newer metadata or a newer refutation: no change of membership
+    CONFIRMED = "confirmed"  # a suspicion that another member reported too
 
 
 CHANGE_BY_HEALTH = {
@@ -43,8 +43,8 @@
 class Member:
     """One row of the view; times in tenths of a millisecond.
 
-    Owned by the view. The failure detector notes when and through whom it was heard, the reading
-    of losses whether it is partitioned.
+    Owned by the view. The datagram receiver records when the member was heard from, the failure
+    detector through which member it answers, `partitions` whether it is partitioned.
     """
 
     name: str
@@ -54,12 +54,12 @@
     health: Health
     metadata: MemberMetadata | None  # None: forgotten
     health_since: int
-    reported_by: str  # the member whose claim holds
+    reported_by: str  # the member that made the claim in force
     metadata_at: int
-    last_heard: int = 0  # when a datagram of its own came; 0: never
-    reached_via: str = ""  # it answers only by way of this member
+    last_heard: int = 0  # when its last datagram arrived; 0: never
+    reached_via: str = ""  # the member that relayed its last answer to a probe; empty: direct
     partitioned: bool = False  # lost together with most of its site
-    row_digest: int = 0  # its part of the view's digest
+    row_digest: int = 0  # its contribution to the view's digest
 
     @property
     def process(self) -> Process:
@@ -68,17 +68,17 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The order among claims about this member."""
+        """The precedence of the claim in force about this member."""
         return self.incarnation, self.instance, self.refutation, self.health
 
     @property
     def address(self) -> Address:
-        """Where it is reached; only for a member that is not forgotten."""
+        """The member's address; only for a member that is not forgotten."""
         assert self.metadata is not None
         return self.metadata.host, self.metadata.port
 
     def update(self, with_metadata: bool = True) -> GossipUpdate:
-        """Returns the claim that holds about this member."""
+        """Returns the claim in force about this member."""
         return GossipUpdate(
             self.name,
             self.incarnation,
@@ -90,7 +90,7 @@
         )
 
     def newer_metadata(self, update: GossipUpdate) -> MemberMetadata | None:
-        """Returns the metadata of a claim where it is newer than this member's."""
+        """Returns the metadata of a claim if it is newer than this member's, else None."""
         metadata = update.metadata
         if metadata is None:
             return None
@@ -103,7 +103,7 @@
         return metadata
 
     def is_confirmed_by(self, update: GossipUpdate) -> bool:
-        """Whether the claim is the suspicion that holds here, reported by another member."""
+        """Whether the claim is the suspicion in force here, reported by another member."""
         return (
             update.health is Health.SUSPECT
             and update.precedence == self.precedence
@@ -113,11 +113,11 @@
     def change_by(
         self, update: GossipUpdate, metadata: MemberMetadata | None, *, is_newer: bool
     ) -> Change:
-        """Returns what a claim changes, before it is applied.
+        """Returns the change that a claim will make, before it is applied.
 
         Args:
             update: the claim.
-            metadata: that of the claim where it is newer, else None.
+            metadata: the metadata of the claim if it is newer, else None.
             is_newer: whether the claim has the larger precedence.
         """
         if self.metadata is None:
@@ -135,7 +135,7 @@
         return Change.MOVED if has_moved else Change.UPDATED
 
     def advance(self, update: GossipUpdate, now: int) -> None:
-        """Takes over a newer claim, but for its metadata."""
+        """Adopts a newer claim, except for its metadata."""
         if update.health is not self.health or update.process != self.process:
             self.health_since = now
         if update.health is Health.ALIVE:
@@ -145,7 +145,7 @@
         self.reported_by = update.reported_by
 
     def set_precedence(self, update: GossipUpdate) -> None:
-        """Takes over what orders a claim."""
+        """Adopts the fields of a claim that determine its precedence."""
         self.incarnation = update.incarnation
         self.instance = update.instance
         self.refutation = update.refutation
--- a/lilacwalk/membership/member_store.py
+++ b/lilacwalk/membership/member_store.py
@@ -1,6 +1,6 @@
-"""Storage of the membership on disk: opens the store in a thread of its own and writes what is due.
+"""Storage of the membership on disk: opens the store in a thread of its own, writes due records.
 
-A disk may take as long as it likes; the view goes on without it.
+The membership never waits for the disk, however slow it is, except for a short time at the start.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
     max_disk_bytes=16_000_000,
     max_pending=64,
 )
-OPEN_TIMEOUT_SECONDS = 0.5  # that a start waits for the disk
+OPEN_TIMEOUT_SECONDS = 0.5  # limit on the time that a start waits for the disk
 STOP_TIMEOUT_SECONDS = 0.2
 FAR_FUTURE = 1 << 60  # membership records do not expire
 
 
 class IncarnationLoaded(Protocol):
-    """Takes the incarnation of the last process, once the disk gives it."""
+    """Receives the incarnation of the last process once it was read from disk."""
 
     def __call__(self, incarnation: int) -> None:
-        """Called in the machine's thread."""
+        """Called in the state machine's thread."""
 
 
 class MemberStore:
     """The store of one member; without a path nothing is stored.
 
-    Owns the store, the thread that opens it and the schedule of writes. All but the opening runs
-    in the machine's thread.
+    Owns the store, the thread that opens it and the schedule of writes. Everything except opening
+    the store runs in the state machine's thread.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
         stopped: threading.Event,
         on_incarnation: IncarnationLoaded,
     ) -> None:
-        """Prepares the store.
+        """Prepares the store; `load` opens it.
 
         Args:
             path: a directory, None to store nothing.
-            event_queue: of the machine's thread.
+            event_queue: the queue of the state machine's thread.
             clock: elapsed tenths of a millisecond.
             wall_clock: the Unix clock in seconds.
             stopped: ends attempts to open the store.
@@ -90,19 +90,19 @@
         return self.schedule.state
 
     def load(self) -> StoredMembership:
-        """Starts opening the store; returns what it holds, or nothing where the disk is slow."""
+        """Starts opening the store; returns its content, or an empty one if the disk is slow."""
         if self.path is None:
             return StoredMembership()
         threading.Thread(target=self._open, name="fleet-store", daemon=True).start()
         try:
             return self._first_result.get(timeout=OPEN_TIMEOUT_SECONDS)
         except Empty:
-            reason = "the disk takes its time"
+            reason = f"not read within {OPEN_TIMEOUT_SECONDS} s; starting without stored state"
             log.warning({"event": "fleet_store", "state": "opening", "why": reason})
             return StoredMembership()
 
     def write_due(self, incarnation: int, view: MembershipView, own_name: str) -> None:
-        """Writes what is due, and logs changes of the storage's state."""
+        """Writes the records that are due, and logs changes of the storage's state."""
         now = self.clock()
         if self.store is not None:
             wall = self._wall_time()
@@ -129,7 +129,7 @@
                 store = Store(
                     Directory(self.path), Durability.SYNCED, STORE_LIMITS, self._post_write_result
                 )
-            except Exception as error:  # noqa: BLE001 - a damaged store must not end the view
+            except Exception as error:  # noqa: BLE001 - a damaged store must not end the membership
                 reason = getattr(error, "strerror", None) or str(error)
                 if is_first_attempt:
                     self._first_result.put(StoredMembership())
--- a/lilacwalk/membership/messages.py
+++ b/lilacwalk/membership/messages.py
@@ -1,12 +1,12 @@
 """The datagram codec: one record in MessagePack, authenticated with a shared key.
 
     1 byte     format version, 1
-    16 bytes   BLAKE2b of the body, keyed (RFC 7693), its personalisation naming this use
-    body       a Datagram in MessagePack, its fields in their order
+    16 bytes   keyed BLAKE2b of the body (RFC 7693), personalised with SEAL_PERSONALISATION
+    body       a Datagram in MessagePack, its fields in the order of their declaration
 
-All records are encoded as arrays, so the order of the fields is the wire format and their names
-are not. Decoding is total: any bytes give a record or a DatagramError. Nothing is read from a body
-whose tag does not match.
+All records are encoded as arrays, so the order of the fields is part of the wire format and their
+names are not. Any bytes decode to a record or raise a DatagramError. A body is decoded only if its
+tag matches.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 SEAL_BYTES = 16
 HEADER_BYTES = 1 + SEAL_BYTES
 MAX_DATAGRAM_BYTES = 1_400  # fits an Ethernet frame with room for two tunnels' headers
-SENDER_BYTES = 170  # of a datagram beside its updates: names, address, numbers
-MAX_UPDATE_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - SENDER_BYTES  # all updates of a datagram
+FIXED_FIELDS_BYTES = 170  # reserved for the fields other than updates: names, address, numbers
+MAX_UPDATE_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - FIXED_FIELDS_BYTES  # all updates together
 MAX_INCARNATION = 1 << 62  # incarnations are milliseconds of the Unix clock: 2^41 today
 MAX_REFUTATION = 1 << 31
 SEAL_PERSONALISATION = b"lilacwalk-fleet"
@@ -44,23 +44,23 @@
 
 Address: TypeAlias = tuple[str, int]
 Process: TypeAlias = tuple[int, int]
-"""Incarnation and instance: which process a claim is about; the larger one started later."""
+"""Incarnation and instance: the process that a claim is about; the larger one started later."""
 Precedence: TypeAlias = tuple[int, int, int, int]
-"""Incarnation, instance, refutation, health: of two claims about a member the larger holds."""
+"""Incarnation, instance, refutation, health: of two claims about a member the larger one wins."""
 DatagramErrorKind: TypeAlias = Literal["short", "long", "format", "seal", "shape"]
 
 
 class DatagramError(LilacwalkError):
-    """Bytes that are no datagram of this fleet, or a datagram that is too long to send."""
+    """Bytes that are not a datagram of this fleet, or a datagram that is too long to send."""
 
     def __init__(self, kind: DatagramErrorKind, detail: str) -> None:
-        """Stores what is wrong as one of the kinds, and the detail for a reader."""
+        """Stores the kind of the error; the detail goes into the message."""
         super().__init__(f"{kind}: {detail}")
         self.kind = kind
 
 
 class Health(IntEnum):
-    """What the fleet holds of a member, in the order in which one claim overrides another."""
+    """A member's health; of claims that differ only in health, the larger value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -69,7 +69,7 @@
 
 
 class NodeState(IntEnum):
-    """What a member says of its own service."""
+    """The state that a member reports about its own service."""
 
     COLD = 0
     WARMING = 1
@@ -80,7 +80,7 @@
     STOPPED = 6
 
 
-NODE_STATE_NAMES = {  # as operators read and write them
+NODE_STATE_NAMES = {  # as used by operators, in commands and reports
     NodeState.COLD: "cold",
     NodeState.WARMING: "warming",
     NodeState.READY: "ready",
@@ -93,39 +93,39 @@
 
 
 class MemberMetadata(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What a member tells of itself; of one process the larger `version` is newer."""
+    """The metadata that a member publishes; within one process the larger `version` is newer."""
 
     site: Name
     host: Host
     port: Port
     version: Unsigned32
     state: NodeState = NodeState.COLD
-    withdrawn: bool = False  # its announcements, because it is unhealthy
+    withdrawn: bool = False  # whether its announcements are withdrawn because it is unhealthy
     cores: Unsigned32 = 0
     completed_per_second: Unsigned32 = 0  # requests
-    load_permille: Permille = 0  # of what its cores can complete
+    load_permille: Permille = 0  # share of its cores' capacity in use
     admission_permille: Permille = 1_000
     rejected_classes: Annotated[
         tuple[Annotated[str, Meta(max_length=24)], ...], Meta(max_length=6)
     ] = ()
     revision: Annotated[str, Meta(max_length=16)] = ""
-    # commands of operators that it passes on, and which failover plan it has
+    # operators' commands that it passes on, and an identification of its failover plan
     operator_commands: Annotated[
         tuple[Annotated[str, Meta(max_length=80)], ...], Meta(max_length=5)
     ] = ()
-    # recovery stages of sites that are not healthy, as it sees them
+    # recovery stages of unhealthy sites in its view
     site_stages: Annotated[tuple[Annotated[str, Meta(max_length=48)], ...], Meta(max_length=4)] = ()
-    # where effects are not stored as configured; empty: all is well, or there is no store
+    # why effects are not stored as configured; empty if they are, or without a store
     storage_state: Annotated[str, Meta(max_length=12)] = ""
 
     @property
     def address(self) -> Address:
-        """Where the member is reached."""
+        """The address at which other members reach this one."""
         return self.host, self.port
 
 
 class GossipUpdate(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A claim about one member, and who made it."""
+    """A claim about one member, and the member that made it."""
 
     name: Name
     incarnation: Incarnation
@@ -142,20 +142,20 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The order among claims about one member."""
+        """The precedence of this claim among the claims about its member."""
         return self.incarnation, self.instance, self.refutation, self.health
 
 
 class MessageType(IntEnum):
-    """What a datagram is for."""
+    """The purpose of a datagram."""
 
     PING = 1
     ACK = 2  # answers a ping and repeats its sequence number
     PING_REQ = 3  # asks the receiver to ping `target`
-    NACK = 4  # answers a ping-req: the target has not answered yet, the helper itself is well
-    STATE_REQUEST = 5  # carries bucket digests; asks for the members of buckets that differ
+    NACK = 4  # answers a ping-req: the target has not answered yet, but the helper is running
+    STATE_REQUEST = 5  # carries bucket digests; asks for the members in buckets that differ
     STATE_REPLY = 6  # one part of these members
-    STATE_PUSH = 7  # members that the sender of a state reply lacks; gets no answer
+    STATE_PUSH = 7  # members that the sender of a state reply lacks; not answered
 
 
 class Datagram(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -166,7 +166,7 @@
     incarnation: Incarnation
     instance: Unsigned63
     refutation: Refutation
-    host: Host  # where the sender is reached, whatever the datagram's own source address says
+    host: Host  # address at which the sender is reached; the UDP source address is not used
     port: Port
     sequence: Unsigned32 = 0
     view_digest: Unsigned63 = 0
@@ -178,12 +178,12 @@
 
     @property
     def process(self) -> Process:
-        """The process that sent it."""
+        """The process that sent the datagram."""
         return self.incarnation, self.instance
 
     @property
     def reply_address(self) -> Address:
-        """Where an answer goes."""
+        """The address to which answers are sent."""
         return self.host, self.port
 
 
@@ -200,11 +200,13 @@
     """Returns the datagram's bytes, authenticated with the key.
 
     Raises:
-        DatagramError: it would be too long to send.
+        DatagramError: the datagram is too long to send.
     """
     body = _encoder.encode(datagram)
     if len(body) + HEADER_BYTES > MAX_DATAGRAM_BYTES:
-        raise DatagramError("long", f"{len(body) + HEADER_BYTES} bytes")
+        raise DatagramError(
+            "long", f"{len(body) + HEADER_BYTES} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+        )
     return bytes((FORMAT_VERSION,)) + authentication_tag(body, key) + body
 
 
@@ -212,18 +214,18 @@
     """Returns the datagram in these bytes, authenticated with any of the keys.
 
     Raises:
-        DatagramError: the bytes are no datagram of this fleet.
+        DatagramError: the bytes are not a datagram of this fleet.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise DatagramError("long", f"{len(data)} bytes")
+        raise DatagramError("long", f"{len(data)} bytes, expected at most {MAX_DATAGRAM_BYTES}")
     if len(data) <= HEADER_BYTES:
-        raise DatagramError("short", f"{len(data)} bytes")
+        raise DatagramError("short", f"{len(data)} bytes, expected more than {HEADER_BYTES}")
     if data[0] != FORMAT_VERSION:
-        raise DatagramError("format", f"version {data[0]}, not {FORMAT_VERSION}")
+        raise DatagramError("format", f"version {data[0]}, expected {FORMAT_VERSION}")
     tag = data[1:HEADER_BYTES]
     body = data[HEADER_BYTES:]
     if not any(hmac.compare_digest(tag, authentication_tag(body, key)) for key in keys):
-        raise DatagramError("seal", "made with none of the configured keys")
+        raise DatagramError("seal", "the tag matches none of the configured keys")
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:  # ValueError: not UTF-8
@@ -231,5 +233,5 @@
 
 
 def authentication_tag(body: bytes | memoryview, key: bytes) -> bytes:
-    """Returns the keyed hash that stands before a body."""
+    """Returns the keyed hash that precedes a body."""
     return blake2b(body, digest_size=SEAL_BYTES, key=key, person=SEAL_PERSONALISATION).digest()
--- a/lilacwalk/membership/minimum_healthy.py
+++ b/lilacwalk/membership/minimum_healthy.py
@@ -1,15 +1,15 @@
-"""How many members may withdraw their announcements as unhealthy at once.
-
-Where many fall ill at the same time the cause is likely shared, and each withdrawal puts its load
-on the others. So no more than a share of the fleet withdraws, chosen by a rank that all compute
-alike: a hash of name and incarnation, so that it is not always the same members. In doubt a node
-keeps serving: one whose view is not whole does not withdraw.
-
-A member that has withdrawn says so in its metadata, and counts first. Nodes with different views
-may choose differently: the share can be exceeded by members that fall ill and withdraw within the
-time in which a change spreads. On the two sides of a partition each side counts only the members
-it sees: both together withdraw no more than the share of all, and one more for each side where its
-share is less than one.
+"""Limit on the members that may withdraw their announcements as unhealthy at the same time.
+
+If many members become unhealthy at the same time, the cause is likely shared, and each withdrawal
+moves load to the others. So no more than a share of the fleet withdraws, selected by a rank that
+all members compute alike: a hash of name and incarnation, so that it is not always the same
+members. When in doubt, a node keeps serving: it does not withdraw unless its view is whole.
+
+A member that has withdrawn publishes this in its metadata and is counted first. Nodes with
+different views may select different members: the share can be exceeded by members that become
+unhealthy and withdraw within the time that a change takes to spread. In a partition each side
+counts only the members it sees: both sides together withdraw no more than the share of all
+members, plus one for each side on which the share amounts to less than one member.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ServingMember(NamedTuple):
-    """A present member as the rule sees it."""
+    """The properties of a present member on which the limit depends."""
 
     name: str
     incarnation: int
@@ -35,15 +35,15 @@
 
 
 def withdrawal_rank(name: str, incarnation: int) -> bytes:
-    """Returns the order in which unhealthy members may withdraw."""
+    """Returns the key by which unhealthy members are ordered for withdrawal."""
     return blake2b(f"{name} {incarnation}".encode(), digest_size=8).digest()
 
 
 def withdrawal_limit(serving: int, share: float) -> int:
-    """Returns how many of so many serving members may withdraw.
+    """Returns how many of the serving members may withdraw.
 
-    Never all of them, and one of two or more: otherwise a single unhealthy member among many
-    healthy ones could not withdraw under a small share.
+    Never all of them, and at least one of two or more: otherwise a single unhealthy member among
+    many healthy ones could not withdraw under a small share.
     """
     return min(max(0, serving - 1), max(1, math.floor(serving * share)))
 
@@ -51,7 +51,7 @@
 def may_withdraw(
     own_name: str, members: Iterable[ServingMember], share: float, *, view_is_whole: bool
 ) -> bool:
-    """Returns whether this node may withdraw; `members` are all present ones, with this node."""
+    """Returns whether this node may withdraw; `members` are all present ones, including itself."""
     if not view_is_whole:
         return False
     serving = [member for member in members if member.state in SERVING_STATES]
--- a/lilacwalk/membership/partitions.py
+++ b/lilacwalk/membership/partitions.py
@@ -1,6 +1,6 @@
-"""Partitions: most of a site lost within a short while; single losses are crashes.
+"""Detection of partitions: most of a site's members lost within a short time.
 
-A site without power looks like a partition from outside.
+Single losses are crashes. A site without power cannot be told from a partitioned one.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from lilacwalk.membership.messages import Health
 from lilacwalk.membership.view import MembershipView
 
-MIN_LOSSES = 2  # of one site: one alone is no pattern
-MIN_LOST_SHARE = 2 / 3  # of the site's members that were there
-WINDOW_INTERVALS = 12  # probe intervals within which all members notice one cause
+MIN_LOSSES = 2  # of one site: a single loss is a crash
+MIN_LOST_SHARE = 2 / 3  # of the site's members, present and lost
+LOSS_WINDOW_INTERVALS = 12  # probe intervals within which all losses of one cause are detected
 
 
 @dataclass(frozen=True, slots=True)
-class SiteLoss:
+class MemberLoss:
     """A member of a site that was declared dead at this time."""
 
     site: str
@@ -27,33 +27,33 @@
 
 @dataclass(frozen=True, slots=True)
 class SitePartition:
-    """A site that was lost as a whole, with the losses within the window."""
+    """A site that looks partitioned, with the number of its losses within the window."""
 
     site: str
     losses: int
 
 
 def partitioned_sites(
-    losses: Iterable[SiteLoss], present: Counter[str], interval: int
+    losses: Iterable[MemberLoss], present: Counter[str], interval: int
 ) -> list[SitePartition]:
     """Returns the sites that look partitioned.
 
     Args:
-        losses: of the members that are lost now.
-        present: members still there, by site.
+        losses: losses of the members that are dead now.
+        present: number of present members, by site.
         interval: the probe interval, in the unit of the losses' times.
     """
     times_by_site: defaultdict[str, list[int]] = defaultdict(list)
     for loss in losses:
         times_by_site[loss.site].append(loss.at)
-    window = WINDOW_INTERVALS * interval
-    found = []
+    window = LOSS_WINDOW_INTERVALS * interval
+    partitions = []
     for site, times in times_by_site.items():
-        at_once = max(sum(start <= at <= start + window for at in times) for start in times)
+        in_window = max(sum(start <= at <= start + window for at in times) for start in times)
         members = len(times) + present[site]
-        if at_once >= MIN_LOSSES and at_once >= MIN_LOST_SHARE * members:
-            found.append(SitePartition(site, at_once))
-    return found
+        if in_window >= MIN_LOSSES and in_window >= MIN_LOST_SHARE * members:
+            partitions.append(SitePartition(site, in_window))
+    return partitions
 
 
 def mark_partitioned_members(view: MembershipView, interval: int) -> list[SitePartition]:
@@ -64,8 +64,10 @@
         if member.metadata is not None
     ]
     present = Counter(member.metadata.site for member in view.present if member.metadata)
-    losses = [SiteLoss(site, member.health_since) for member, site in lost_members]
-    partitions = {found.site: found for found in partitioned_sites(losses, present, interval)}
+    losses = [MemberLoss(site, member.health_since) for member, site in lost_members]
+    partitions = {
+        partition.site: partition for partition in partitioned_sites(losses, present, interval)
+    }
     already_known = {site for member, site in lost_members if member.partitioned}
     new_sites: dict[str, SitePartition] = {}
     for member, site in lost_members:
--- a/lilacwalk/membership/persistence.py
+++ b/lilacwalk/membership/persistence.py
@@ -1,9 +1,9 @@
-"""What of the membership outlives the process: its incarnation and the members it knew last.
+"""Membership data that outlives the process: its incarnation and the members it knew last.
 
-With the incarnation the next one is higher though the clock may be set back; with the members a
-node finds the fleet though every seed is down. The records are a decimal number and a MessagePack
-array of gossip updates. A disk that is full, read-only, slow or damaged takes nothing from the
-view.
+The stored incarnation lets the next process take a higher one even if the clock was set back; the
+stored members let a node find the fleet even if every seed is down. The records are a decimal
+number and a MessagePack array of gossip updates. A disk that is full, read-only, slow or damaged
+does not affect the view.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from lilacwalk.membership.messages import GossipUpdate, Health
 from lilacwalk.membership.view import MembershipView
 
-RETRY_INTERVAL = 5 * SECOND  # as the store itself tries a full disk again
-MEMBERS_WRITE_INTERVAL = 10 * SECOND  # an old list serves as well
+RETRY_INTERVAL = 5 * SECOND  # the store itself retries a full disk at this interval
+MEMBERS_WRITE_INTERVAL = 10 * SECOND  # an outdated list is still useful
 MAX_STORED_MEMBERS = 64  # enough to find one that is up
 INCARNATION_KEY, MEMBERS_KEY = b"life", b"members"
 MAX_INCARNATION_DIGITS = 19
 
 
 class StoreState(StrEnum):
-    """The state of the storage, as operators read it."""
+    """The state of the storage, as reported to operators."""
 
-    OFF = "off"  # none is configured
+    OFF = "off"  # no store is configured
     OPENING = "opening"  # nothing has been written yet
     STORED = "kept"  # the incarnation of this process is on the disk
-    FAILED = "not-kept"  # it is not; tried again after RETRY_INTERVAL
+    FAILED = "not-kept"  # opening or writing the store failed; retried after RETRY_INTERVAL
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A key and its value to be written."""
+    """A key and the value to be written under it."""
 
     key: bytes
     value: bytes
@@ -51,20 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredMembership:
-    """What an earlier process stored; the members are addresses to try, no claims about today."""
+    """Data of an earlier process; its members serve as addresses to try, not as claims."""
 
     incarnation: int = 0  # 0: none
     members: tuple[GossipUpdate, ...] = ()
 
 
 class PersistenceSchedule:
-    """Decides what is to be written and when, and tracks what became of it.
+    """Decides which records to write and when, and tracks the results.
 
-    Owned by the member store; used in the machine's thread. `changes` are taken out by the owner.
+    Owned by the member store; used in the state machine's thread. The owner takes the `changes`.
     """
 
     def __init__(self, enabled: bool, now: int) -> None:
-        """Starts without knowledge of the disk."""
+        """Starts with the content of the disk unknown."""
         self.state = StoreState.OPENING if enabled else StoreState.OFF
         self.loaded = False
         self.stored_incarnation = 0
@@ -75,19 +75,19 @@
         self.changes: list[StoreStateChange] = []
 
     def store_opened(self, incarnation: int) -> None:
-        """The store was read; `incarnation` is that of the process before."""
+        """Records that the store was read; `incarnation` is that of the previous process."""
         self.stored_incarnation = incarnation
         self.loaded = True
 
     def open_failed(self, reason: str, now: int) -> None:
-        """The store cannot be opened."""
+        """Records that the store could not be opened."""
         self._change_state(StoreState.FAILED, reason)
         self.retry_at = now + RETRY_INTERVAL
 
     def take_due_records(
         self, incarnation: int, view: MembershipView, own_name: str, now: int
     ) -> list[Record]:
-        """Returns what to write now: a new incarnation at once, the members from time to time."""
+        """Returns the records to write now: a new incarnation at once, the members periodically."""
         if not self.loaded or now < self.retry_at:
             return []
         if incarnation > self.stored_incarnation and incarnation != self.pending_incarnation:
@@ -104,13 +104,13 @@
         return [Record(MEMBERS_KEY, data)]
 
     def write_finished(self, key: bytes, succeeded: bool, now: int) -> None:
-        """Notes what became of a record."""
+        """Handles the result of a write."""
         if succeeded:
             if key == INCARNATION_KEY:
                 self.stored_incarnation = self.pending_incarnation
             self._change_state(StoreState.STORED, "")
             return
-        self._change_state(StoreState.FAILED, "the disk does not take it")
+        self._change_state(StoreState.FAILED, "write failed")
         self.retry_at = now + RETRY_INTERVAL
         self.pending_incarnation = 0
         self.stored_members = b""
@@ -128,14 +128,14 @@
 
 
 def decode_incarnation(value: bytes | None) -> int:
-    """Returns the stored incarnation, 0 where nothing readable was stored."""
+    """Returns the stored incarnation, 0 if none was stored or it is unreadable."""
     if not value or not value.isdigit() or len(value) > MAX_INCARNATION_DIGITS:
         return 0
     return int(value)
 
 
 def decode_members(value: bytes | None) -> list[GossipUpdate]:
-    """Returns the stored members that had not left, none where nothing readable was stored."""
+    """Returns the stored members that had not left, none if the record is missing or unreadable."""
     if not value:
         return []
     try:
--- a/lilacwalk/membership/probing.py
+++ b/lilacwalk/membership/probing.py
@@ -1,12 +1,13 @@
-"""The probes under way: SWIM's probe round with Lifeguard's local health multiplier.
+"""The probes in progress: SWIM's probe round with Lifeguard's local health multiplier.
 
-In each interval one member is pinged, in an order that is shuffled anew each time round (SWIM 4.3:
-whoever is gone is probed within 2n - 1 intervals by each member, and by one of them within a few).
-Without an answer after a quarter of the interval it is pinged once more, and others are asked to
-ping it (ping-req). Without an answer by the end of the interval the probe has failed.
+In each interval one member is pinged, in an order that is shuffled anew after each pass over all
+members (SWIM 4.3: a failed member is probed within 2n - 1 intervals by each member, and by at
+least one of them within a few). If no answer arrives within a quarter of the interval, the member
+is pinged once more, and other members are asked to ping it (ping-req). If no answer arrives by the
+end of the interval, the probe has failed.
 
-The health multiplier (Lifeguard III.A) counts what speaks against this member itself: failed
-probes, helpers that sent not even a nack, suspicions that it had to refute. It stretches all
+The health multiplier (Lifeguard III.A) counts signs of a fault of this member itself: failed
+probes, helpers that did not even send a nack, suspicions that it had to refute. It lengthens all
 timeouts.
 """
 
@@ -19,22 +20,22 @@
 from lilacwalk.membership.messages import Address
 from lilacwalk.membership.view import MembershipView
 
-INDIRECT_PROBES = 3  # SWIM's k: helpers asked by a ping-req
-MAX_HEALTH_MULTIPLIER = 8  # as published
-RETRY_DIVISOR = 4  # of a probe's timeout: a round trip takes milliseconds
-OUT_OF_TURN_DIVISOR = 2  # of a probe's timeout
+INDIRECT_PROBES = 3  # SWIM's k: helpers that receive a ping-req
+MAX_HEALTH_MULTIPLIER = 8  # as in the Lifeguard paper
+RETRY_DIVISOR = 4  # the retry follows after timeout / 4; a round trip takes milliseconds
+OUT_OF_TURN_DIVISOR = 2  # a probe out of turn has timeout / 2
 SEQUENCE_MASK = 0xFFFF_FFFF
 SEQUENCE_START_BITS = 30
 
 
 @dataclass(eq=False, slots=True)
 class Probe:
-    """A ping that waits for its ack."""
+    """A ping that has not been answered by an ack yet."""
 
     sequence: int
     name: str
     started_at: int
-    retry_at: int  # 0: it was retried
+    retry_at: int  # 0: already retried
     deadline: int
     ping_requests: int = 0
     nacks: int = 0
@@ -48,22 +49,22 @@
     sequence: int
     requester: Address
     requester_sequence: int
-    nack_at: int  # 0: the nack was sent
+    nack_at: int  # 0: nack already sent
     deadline: int
 
 
 @dataclass(eq=False, slots=True)
 class ProbeScheduler:
-    """The probes under way, the relayed pings, the order of targets and the health multiplier.
+    """The probes in progress, the relayed pings, the order of targets and the health multiplier.
 
     Owned by the failure detector. Times and the interval are in tenths of a millisecond.
     """
 
     rng: random.Random
     interval: int
-    rotation: list[str] = field(default_factory=list)  # the next target is the last
-    rotation_members: set[str] = field(default_factory=set)  # all since it was last shuffled
-    view_version: int = -1  # when newcomers were last looked for
+    rotation: list[str] = field(default_factory=list)  # the next target is the last element
+    rotation_members: set[str] = field(default_factory=set)  # all since the last shuffle
+    view_version: int = -1  # version of the view when newcomers were last inserted
     probes: dict[int, Probe] = field(default_factory=dict)
     relayed_pings: dict[int, RelayedPing] = field(default_factory=dict)
     health_multiplier: int = 0
@@ -71,7 +72,7 @@
     next_round_at: int = 0
 
     def __post_init__(self) -> None:
-        """Starts at a random number, so that answers to an earlier process match no probe."""
+        """Chooses a random first number, so that answers to an earlier process match no probe."""
         self.last_sequence = self.rng.getrandbits(SEQUENCE_START_BITS)
 
     def next_sequence(self) -> int:
@@ -85,7 +86,7 @@
         self.health_multiplier = max(0, min(MAX_HEALTH_MULTIPLIER, multiplier))
 
     def next_target(self, view: MembershipView, own_name: str) -> Member | None:
-        """Returns the member whose turn it is, None where there is no other."""
+        """Returns the next member in the rotation, None if there is no other member."""
         self._insert_newcomers(view)
         if len(view.present) < 2:
             return None
@@ -97,7 +98,10 @@
                 return member
 
     def _insert_newcomers(self, view: MembershipView) -> None:
-        """Puts each at a random place (SWIM 4.3): at the end it would wait for all others."""
+        """Inserts new members at random positions (SWIM 4.3).
+
+        A new member that is only included in the next shuffle waits until all others are probed.
+        """
         if view.version == self.view_version:
             return
         self.view_version = view.version
@@ -128,18 +132,18 @@
         return probe
 
     def is_probing(self, name: str) -> bool:
-        """Whether a probe of this member is under way."""
+        """Whether a probe of this member is in progress."""
         return any(probe.name == name for probe in self.probes.values())
 
     def acknowledge(self, sequence: int) -> Probe | None:
-        """Ends the probe that an ack answers; None where it is unknown or too late."""
+        """Ends the probe that an ack answers; returns None if it is unknown or has failed."""
         probe = self.probes.pop(sequence, None)
         if probe is not None and not probe.out_of_turn:
             self.adjust_health_multiplier(-1)
         return probe
 
     def negative_acknowledge(self, sequence: int) -> None:
-        """Counts a nack of a helper."""
+        """Counts a nack from a helper."""
         probe = self.probes.get(sequence)
         if probe is not None and probe.nacks < probe.ping_requests:
             probe.nacks += 1
@@ -157,7 +161,7 @@
         return to_retry, failed
 
     def assess_failure(self, probe: Probe) -> None:
-        """Raises the health multiplier by the missing nacks, by one where no helper was asked."""
+        """Raises the health multiplier by the number of missing nacks, by one without helpers."""
         if not probe.out_of_turn:
             missing_nacks = probe.ping_requests - probe.nacks
             self.adjust_health_multiplier(missing_nacks if probe.ping_requests else 1)
@@ -165,7 +169,7 @@
     def relay_ping(
         self, requester: Address, requester_sequence: int, now: int, limit: int
     ) -> RelayedPing | None:
-        """Registers a ping for another member; None where `limit` of them are under way."""
+        """Registers a ping for another member; returns None if `limit` of them are in progress."""
         if len(self.relayed_pings) >= limit:
             return None
         relayed = RelayedPing(
@@ -179,7 +183,7 @@
         return relayed
 
     def take_due_nacks(self, now: int) -> list[RelayedPing]:
-        """Returns the relayed pings whose requester is to get a nack; drops those that are over."""
+        """Returns the relayed pings whose requester is due a nack; drops the expired ones."""
         due = []
         for relayed in list(self.relayed_pings.values()):
             if relayed.nack_at and now >= relayed.nack_at:
@@ -190,14 +194,14 @@
         return due
 
     def next_deadline(self) -> int:
-        """Returns when something is due."""
+        """Returns when the next round, probe or relayed ping is due."""
         times = [self.next_round_at]
         times += [probe.retry_at or probe.deadline for probe in self.probes.values()]
         times += [relayed.nack_at or relayed.deadline for relayed in self.relayed_pings.values()]
         return min(times)
 
     def shift_deadlines(self, stalled_for: int) -> None:
-        """Defers everything after a stall of this process: silence in that time was its own."""
+        """Defers all deadlines by a stall, in which the silence was this process's own fault."""
         self.next_round_at += stalled_for
         for probe in self.probes.values():
             probe.deadline += stalled_for
--- a/lilacwalk/membership/receiving.py
+++ b/lilacwalk/membership/receiving.py
@@ -1,10 +1,10 @@
-"""Handling of received datagrams: what the sender tells, and the reply."""
+"""Handling of received datagrams: the claims in them, and the reply."""
 
 from __future__ import annotations
 
 from lilacwalk.membership.claims import ClaimHandler, ClaimSource
 from lilacwalk.membership.failure_detector import FailureDetector
-from lilacwalk.membership.join import Joining
+from lilacwalk.membership.join import JoinProtocol
 from lilacwalk.membership.local_node import LocalNode
 from lilacwalk.membership.member import PRESENT_HEALTH, Member
 from lilacwalk.membership.messages import Datagram, GossipUpdate, Health, MessageType
@@ -14,17 +14,17 @@
 
 
 class DatagramReceiver:
-    """Hands a datagram's content to the parts of the machine; owns nothing."""
+    """Passes a datagram's content to the components of the state machine; owns no state."""
 
     def __init__(
         self,
         node: LocalNode,
         detector: FailureDetector,
         exchange: StateExchange,
-        joining: Joining,
+        joining: JoinProtocol,
         claims: ClaimHandler,
     ) -> None:
-        """Takes the parts that a datagram concerns."""
+        """Stores the components that handle the content."""
         self.node = node
         self.detector = detector
         self.exchange = exchange
@@ -46,7 +46,7 @@
             return
         self.detector.note_heard(now)
         if member is None or datagram.process > member.process:
-            self.exchange.request_from_stranger(datagram, now)
+            self.exchange.request_from_new_sender(datagram, now)
         else:
             self._note_sender_alive(datagram, member, now)
         source = ClaimSource(
@@ -66,7 +66,7 @@
             self.claims.apply(alive_claim(datagram), now, ClaimSource())
 
     def _answer_earlier_process(self, datagram: Datagram, member: Member) -> None:
-        """Tells the sender the newer claim: it is a replay, or its clock was set back."""
+        """Replies with the newer claim: this is a replay, or the sender's clock was set back."""
         self.node.counts["earlier_life"] += 1
         self.node.send(
             datagram.reply_address,
@@ -79,7 +79,7 @@
     def _reply(self, datagram: Datagram, member: Member | None, now: int) -> None:
         match datagram.message_type:
             case MessageType.PING:
-                # a member that is held dead and speaks is told so, and may refute it
+                # A sender that is considered dead receives this claim and can refute it.
                 notice = self.detector.suspicion_notice(member) if member else ()
                 self.node.send(
                     datagram.reply_address, MessageType.ACK, datagram.sequence, first=notice
@@ -101,7 +101,7 @@
                 pass
 
     def _handle_name_conflict(self, datagram: Datagram, now: int) -> None:
-        """A datagram under our own name: of another process, now or earlier."""
+        """Handles a datagram of another process, current or earlier, with this member's name."""
         if datagram.instance == self.node.identity.instance:
             return
         self.node.counts["twin"] += 1
--- a/lilacwalk/membership/state_exchange.py
+++ b/lilacwalk/membership/state_exchange.py
@@ -1,9 +1,9 @@
 """Exchange of full state between members whose views differ: it repairs what gossip missed.
 
-Each datagram carries the digest of its sender's view. A member whose digest differs for some
-intervals is asked for the rows of the buckets that differ; it answers in parts, and the first part
-is answered by the rows that it lacks. Each row stands for itself, so a lost part needs no
-repetition: the next exchange carries what is missing.
+Each datagram carries the digest of its sender's view. If a member's digest differs for several
+intervals, it is asked for the rows of the buckets that differ. It answers in parts, and the first
+part is answered with the rows that it lacks. Each row is independent of the others, so a lost part
+is not resent: the next exchange carries what is missing.
 """
 
 from __future__ import annotations
@@ -27,44 +27,44 @@
 from lilacwalk.membership.probing import ProbeScheduler
 
 MAX_PARTS_PER_INTERVAL = 256  # enough for 250 newcomers of a small fleet, or 4 of a large one
-MAX_STRANGERS_PER_INTERVAL = 16  # asked for their state; gossip and later datagrams tell the rest
-MAX_NOTICES_PER_INTERVAL = 64  # members told that others hold them dead
+MAX_NEW_SENDERS_PER_INTERVAL = 16  # asked for state; gossip and later datagrams supply the rest
+MAX_NOTICES_PER_INTERVAL = 64  # members notified that others consider them dead
 MAX_PARTS = 64  # of one exchange
-DIFFERENCE_INTERVALS = 3  # before another's state is requested: most differences pass by gossip
-AGREEING_PEERS = 4  # heard last, whose digests must equal ours
+DIFFERENCE_INTERVALS = 3  # before a peer's state is requested: gossip resolves most differences
+AGREEING_PEERS = 4  # peers heard from last, all of whose digests must equal the local one
 MIN_AGREEING_PEERS = 2
-AGREEMENT_INTERVALS = 6  # in which they must have been heard
+AGREEMENT_INTERVALS = 6  # within which these peers must have been heard from
 
 
 @dataclass(frozen=True, slots=True)
 class PeerDigest:
-    """The digest of a peer's view, and when it was heard."""
+    """The digest of a peer's view, and when it was received."""
 
     digest: int
     at: int
 
 
 class StateExchange:
-    """Compares views and requests, sends and limits the exchange of state.
+    """Compares views, requests and sends state, and limits the cost of the exchange.
 
-    Owns the digests heard of others, since when they differ, and the budgets of the current
-    interval.
+    Owns the digests of the peers' views, the times since which they differ, and the budgets of the
+    current interval.
     """
 
     def __init__(self, node: LocalNode, probes: ProbeScheduler, now: int) -> None:
-        """Starts with full budgets; `probes` gives sequence numbers and the health multiplier."""
+        """Starts with full budgets; `probes` supplies sequence numbers and health multiplier."""
         self.node = node
         self.probes = probes
         self.digests: dict[str, PeerDigest] = {}
         self.differs_since: dict[str, int] = {}
         self.last_request_at = now - DIFFERENCE_INTERVALS * node.interval
         self.parts_left = MAX_PARTS_PER_INTERVAL
-        self.strangers_left = MAX_STRANGERS_PER_INTERVAL
+        self.new_senders_left = MAX_NEW_SENDERS_PER_INTERVAL
         self.notices_left = MAX_NOTICES_PER_INTERVAL
         self.budget_until = now
 
     def compare_digest(self, member: Member, digest: int, now: int) -> None:
-        """Notes the digest that a member sent."""
+        """Records the digest of a member's view, and since when it differs from this view."""
         self.digests[member.name] = PeerDigest(digest, now)
         if digest == self.node.view.digest:
             self.differs_since.pop(member.name, None)
@@ -72,7 +72,7 @@
             self.differs_since.setdefault(member.name, now)
 
     def peers_agree(self, now: int) -> bool:
-        """Whether the peers heard last hold the same view; true for a member that is alone."""
+        """Whether the peers heard from last hold the same view; true if there are no peers."""
         peers = self.node.peers()
         if not peers:
             return True
@@ -89,7 +89,7 @@
         self.digests.pop(name, None)
 
     def forget_unknown(self) -> None:
-        """Drops what was noted of members that the view has forgotten."""
+        """Drops the digests of members that the view has forgotten."""
         view = self.node.view
         for name in [name for name in self.digests if view.get(name) is None]:
             del self.digests[name]
@@ -97,7 +97,7 @@
             del self.differs_since[name]
 
     def request(self, address: Address, now: int) -> None:
-        """Asks a member for the rows in which its view differs."""
+        """Requests the rows in which a member's view differs."""
         self.last_request_at = now
         self.node.counts["syncs"] += 1
         self.node.send(
@@ -108,15 +108,15 @@
             bucket_digests=self.node.view.packed_bucket_digests(),
         )
 
-    def request_from_stranger(self, datagram: Datagram, now: int) -> None:
-        """Asks an unknown sender for its state, within the budget."""
+    def request_from_new_sender(self, datagram: Datagram, now: int) -> None:
+        """Requests the state of an unknown member or new process, within the budget."""
         self._renew_budget(now)
-        if datagram.message_type is not MessageType.STATE_REQUEST and self.strangers_left > 0:
-            self.strangers_left -= 1
+        if datagram.message_type is not MessageType.STATE_REQUEST and self.new_senders_left > 0:
+            self.new_senders_left -= 1
             self.request(datagram.reply_address, now)
 
     def request_from_differing(self, now: int) -> None:
-        """Asks one of the members whose views have differed for long."""
+        """Requests the state of one of the members whose views have differed for long."""
         min_age = DIFFERENCE_INTERVALS * self.node.interval
         if now - self.last_request_at < min_age:
             return
@@ -131,7 +131,7 @@
             self.request(self.node.view.members[name].address, now)
 
     def notify_of_reported_death(self, member: Member, update: GossipUpdate, now: int) -> None:
-        """Tells a member, within the budget, that others hold it dead; it can refute this."""
+        """Notifies a member, within the budget, that others consider it dead, so it can refute."""
         self._renew_budget(now)
         if self.notices_left > 0:
             self.notices_left -= 1
@@ -141,7 +141,7 @@
     def handle_request(self, datagram: Datagram, now: int, *, view_is_outdated: bool) -> None:
         """Answers with the rows of the buckets that differ, within the budget.
 
-        An outdated view is not spread: the answer then asks for the requester's rows only.
+        An outdated view is not sent: the answer then only asks for the requester's rows.
         """
         self._renew_budget(now)
         if self.parts_left <= 0:
@@ -184,7 +184,7 @@
             )
 
     def _pack_buckets(self, buckets: list[int]) -> list[list[GossipUpdate]]:
-        """Returns the claims of these buckets in parts of a datagram each, our own first."""
+        """Returns the claims of these buckets in parts of one datagram, the local member first."""
         members = [
             member
             for bucket in buckets
@@ -205,9 +205,9 @@
         return parts[:MAX_PARTS]
 
     def _renew_budget(self, now: int) -> None:
-        """What strangers and requesters may cost in one interval, however many they are."""
+        """Resets the budgets once per interval; they limit the cost of any number of requests."""
         if now >= self.budget_until:
             self.parts_left = MAX_PARTS_PER_INTERVAL
-            self.strangers_left = MAX_STRANGERS_PER_INTERVAL
+            self.new_senders_left = MAX_NEW_SENDERS_PER_INTERVAL
             self.notices_left = MAX_NOTICES_PER_INTERVAL
             self.budget_until = now + self.node.interval
--- a/lilacwalk/membership/suspicion.py
+++ b/lilacwalk/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""How long a suspicion lasts before the member is declared dead (Lifeguard III.B).
+"""The timeout of a suspicion, after which the member is declared dead (Lifeguard III.B).
 
-While one member alone suspects, the timeout is long, since that member may be at fault itself.
-Each independent confirmation shortens it, down to a time in which a refutation still arrives.
+While only one member suspects, the timeout is long, because that member may be at fault itself.
+Each independent confirmation shortens it, down to a minimum in which a refutation still arrives.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from lilacwalk.membership.messages import Precedence
 
-MIN_TIMEOUT_INTERVALS = 2.0  # probe intervals, times log10 of the members from ten on
+MIN_TIMEOUT_INTERVALS = 2.0  # probe intervals; from ten members on, times log10 of their number
 MAX_TIMEOUT_RATIO = 4.0  # of the minimum timeout
-MAX_TIMEOUT_RATIO_UNCONFIRMED = 2.0  # where nobody is there to confirm
-MAX_CONFIRMATIONS = 3  # Lifeguard's K: after so many the timeout is at its minimum
-NOT_CONFIRMING = 3  # this member, the first reporter and the suspected one
+MAX_TIMEOUT_RATIO_UNCONFIRMED = 2.0  # if no other member can confirm the suspicion
+MAX_CONFIRMATIONS = 3  # Lifeguard's K: with this many the timeout is at its minimum
+NON_CONFIRMING_MEMBERS = 3  # this member, the first reporter and the suspected one
 
 
 @dataclass(eq=False, slots=True)
@@ -34,7 +34,7 @@
     reporters: set[str] = field(default_factory=set)
 
     def confirm(self, reporter: str) -> bool:
-        """Adds a reporter; returns whether the timeout took it into account."""
+        """Adds a reporter; returns whether it was new and could shorten the timeout."""
         if reporter in self.reporters or len(self.reporters) > self.expected_confirmations:
             return False
         self.reporters.add(reporter)
@@ -46,7 +46,7 @@
 
     @property
     def deadline(self) -> int:
-        """When the member is to be declared dead."""
+        """The time at which the member is declared dead."""
         confirmations = len(self.reporters) - 1
         if confirmations <= 0 or self.expected_confirmations == 0:
             return self.started_at + self.max_timeout
@@ -56,16 +56,16 @@
 
 
 def min_suspicion_timeout(interval: int, members: int) -> int:
-    """Returns the shortest timeout among so many present members, in the interval's unit."""
+    """Returns the shortest timeout, in the unit of `interval`, with `members` present members."""
     return int(MIN_TIMEOUT_INTERVALS * max(1.0, math.log10(max(1, members))) * interval)
 
 
 def start_suspicion(
     name: str, precedence: Precedence, reporter: str, now: int, interval: int, members: int
 ) -> Suspicion:
-    """Returns a suspicion with its first reporter, in a fleet of so many present members."""
+    """Returns a suspicion with its first reporter; `members` is the number of present members."""
     min_timeout = min_suspicion_timeout(interval, members)
-    confirmations = max(0, min(MAX_CONFIRMATIONS, members - NOT_CONFIRMING))
+    confirmations = max(0, min(MAX_CONFIRMATIONS, members - NON_CONFIRMING_MEMBERS))
     ratio = MAX_TIMEOUT_RATIO if confirmations else MAX_TIMEOUT_RATIO_UNCONFIRMED
     return Suspicion(
         name, precedence, now, min_timeout, int(min_timeout * ratio), confirmations, {reporter}
--- a/lilacwalk/membership/swim.py
+++ b/lilacwalk/membership/swim.py
@@ -1,6 +1,7 @@
-"""The membership machine: datagrams and the time in; datagrams to send, events and conclusions out.
+"""The membership state machine: takes datagrams and the time, produces datagrams and events.
 
-It coordinates the parts of the protocol and does no I/O. All times are in tenths of a millisecond.
+It coordinates the components of the protocol and does no I/O. All times are in tenths of a
+millisecond.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from lilacwalk.membership.conclusions import Conclusion, Verdict, ViewStatistics
 from lilacwalk.membership.config import MemberConfig
 from lilacwalk.membership.failure_detector import FailureDetector
-from lilacwalk.membership.join import Joining
+from lilacwalk.membership.join import JoinProtocol
 from lilacwalk.membership.local_node import LocalNode
 from lilacwalk.membership.member import Member
 from lilacwalk.membership.messages import (
@@ -31,15 +32,15 @@
 from lilacwalk.membership.receiving import DatagramReceiver
 from lilacwalk.membership.state_exchange import StateExchange
 
-LEAVE_NOTICES = 2 * INDIRECT_PROBES + 2  # members told directly of a leave
-FORGET_CHECKS = 20  # within the time after which a gone member is forgotten
+LEAVE_NOTICES = 2 * INDIRECT_PROBES + 2  # members notified directly of a leave
+FORGET_CHECKS_PER_PERIOD = 20  # within the time after which a dead or left member is forgotten
 
 
 class Membership:
     """One member of the fleet.
 
-    Owns its parts, and the times of the last tick and of the next check for members to be
-    forgotten. One thread calls it.
+    Owns its components, and the times of the last tick and of the next check for members to
+    forget. All calls come from one thread.
     """
 
     failure_detector_type = FailureDetector
@@ -58,13 +59,13 @@
         """Creates a member that knows only itself.
 
         Args:
-            config: of this member.
+            config: configuration of this member.
             rng: the only source of randomness.
             now: elapsed time.
             wall_ms: the Unix clock in milliseconds.
-            stored_incarnation: of the last process, 0 where none was stored.
+            stored_incarnation: incarnation of the last process, 0 if none was stored.
             stored_members: members that the last process knew.
-            revision: of the program, told to others.
+            revision: of the program, published to other members.
         """
         self.node = LocalNode(config, rng, now, wall_ms, stored_incarnation, revision)
         self.view = self.node.view
@@ -74,11 +75,11 @@
         self.failure_detector = self.failure_detector_type(self.node, now, self._apply_update)
         self.probes = self.failure_detector.probes
         self.exchange = self.state_exchange_type(self.node, self.probes, now)
-        self.joining = Joining(self.node, self.exchange, now, stored_members)
-        parts = (self.node, self.failure_detector, self.exchange, self.joining)
-        self.claims = ClaimHandler(*parts)
-        self.assessment = ViewAssessment(*parts)
-        self.receiver = DatagramReceiver(*parts, self.claims)
+        self.joining = JoinProtocol(self.node, self.exchange, now, stored_members)
+        components = (self.node, self.failure_detector, self.exchange, self.joining)
+        self.claims = ClaimHandler(*components)
+        self.assessment = ViewAssessment(*components)
+        self.receiver = DatagramReceiver(*components, self.claims)
         self.last_tick = now
         self.next_forget_at = now
 
@@ -99,12 +100,12 @@
 
     @property
     def metadata(self) -> MemberMetadata:
-        """What this member has published of itself."""
+        """The metadata that this member has published."""
         return self.node.metadata
 
     @property
     def latest_metadata(self) -> MemberMetadata:
-        """What this member tells of itself, published or not."""
+        """The latest metadata of this member, published or not."""
         return self.node.pending_metadata or self.node.metadata
 
     @property
@@ -115,40 +116,40 @@
     # Conclusions
 
     def settled(self, now: int) -> bool:
-        """Whether nothing in the view is in doubt."""
+        """Whether no suspicion, stall, name conflict or join is pending, and peers agree."""
         return self.assessment.is_settled(now)
 
     def conclusion(self, now: int) -> Conclusion:
-        """Returns what this node may conclude from its view."""
+        """Returns the conclusion that this node may draw from its view."""
         return self.assessment.conclusion(now)
 
     def statistics(self, now: int) -> ViewStatistics:
-        """Returns the figures behind the conclusion."""
+        """Returns the statistics from which the conclusion is drawn."""
         return self.assessment.statistics(now)
 
     def may_withdraw(self, now: int, verdict: Verdict | None = None) -> bool:
-        """Returns whether this node may withdraw; `verdict` where it was concluded already."""
+        """Returns whether this node may withdraw; see ViewAssessment.may_withdraw."""
         return self.assessment.may_withdraw(now, verdict)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions of the last ten intervals, and how many ten usually see."""
+        """Returns the suspicions of the last ten intervals, and the mean per ten before."""
         return self.failure_detector.suspicion_rate(now)
 
-    # What the host carries out
+    # Output for the host
 
     def next_deadline(self) -> int:
         """Returns when `tick` is due."""
         return min(self.failure_detector.next_deadline(), self.next_forget_at)
 
     def take_datagrams(self) -> list[SendDatagram]:
-        """Returns the datagrams to send since the last call."""
+        """Returns the datagrams queued since the last call."""
         return self.node.take_datagrams()
 
     def take_events(self) -> list[MembershipEvent]:
-        """Returns the events since the last call."""
+        """Returns the events recorded since the last call."""
         return self.node.take_events()
 
-    # What this member tells of itself
+    # Metadata, configuration and leave of this member
 
     def update_metadata(
         self,
@@ -157,27 +158,27 @@
         withdrawn: bool | None = None,
         **metrics: object,
     ) -> None:
-        """Changes what this member tells of itself; see LocalNode.update_metadata."""
+        """Changes the metadata that this member publishes; see LocalNode.update_metadata."""
         self.node.update_metadata(now, state, withdrawn, **metrics)
 
     def restore_incarnation(self, stored_incarnation: int, now: int) -> None:
-        """Takes the incarnation of the last process, read from disk after the start."""
+        """Applies the incarnation of the last process, read from disk after the start."""
         if self.identity.incarnation <= stored_incarnation:
             self.identity.incarnation = stored_incarnation + 1
             self.node.publish_own_update(now)
 
     def reconfigure(self, config: MemberConfig, now: int) -> None:
-        """Applies a changed configuration; a changed name is for the next start."""
-        before = self.config
-        self.node.config = replace_config(config, name=before.name)
+        """Applies a changed configuration; a changed name takes effect at the next start."""
+        previous = self.config
+        self.node.config = replace_config(config, name=previous.name)
         self.probes.interval = config.probe_interval
-        if (config.site, config.address) != (before.site, before.address):
+        if (config.site, config.address) != (previous.site, previous.address):
             host, port = config.address
             metadata = replace(self.metadata, site=config.site, host=host, port=port)
             self.node.publish_metadata(metadata, now, membership_change=True)
 
     def leave(self) -> None:
-        """Tells some members that this one leaves; they gossip it. Nothing is probed afterwards."""
+        """Notifies some members, which gossip it, that this one leaves; probing ends."""
         if self.identity.has_left:
             return
         self.identity.leave()
@@ -186,7 +187,7 @@
         self._announce_leave(peers[:LEAVE_NOTICES])
 
     def repeat_leave(self) -> None:
-        """Tells other members of the leave, since datagrams are lost."""
+        """Notifies further members of the leave, since datagrams may be lost."""
         self._announce_leave(self.node.sample_peers(LEAVE_NOTICES))
 
     def _announce_leave(self, peers: list[Member]) -> None:
@@ -202,7 +203,7 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Does what is due; to be called at `next_deadline`, more often without harm."""
+        """Handles all due deadlines; must be called at `next_deadline`, may be called earlier."""
         self._check_for_stall(now)
         self.last_tick = now
         if self.identity.has_left or self.identity.has_yielded:
@@ -215,13 +216,13 @@
             self._protocol_round(now)
         if now >= self.next_forget_at:
             self.next_forget_at = now + max(
-                self.interval, self.config.forget_after // FORGET_CHECKS
+                self.interval, self.config.forget_after // FORGET_CHECKS_PER_PERIOD
             )
             self.view.forget(now, self.config.forget_after)
             self.exchange.forget_unknown()
 
     def _check_for_stall(self, now: int) -> None:
-        """Compensates for a time in which this process did not run."""
+        """Defers deadlines by the time in which this process did not run."""
         expected_at = max(self.last_tick, min(self.next_deadline(), now))
         if now - expected_at <= self.interval // 2:
             return
@@ -231,7 +232,7 @@
         if not view_is_outdated:
             return
         self.identity.presumed_dead = True
-        reason = f"for {stalled_for / 10:.0f} ms"
+        reason = f"this process did not run for {stalled_for / 10:.0f} ms"
         self.node.record_event(now, "stood-still", self.name, reason, self.name)
         for peer in self.node.sample_peers(INDIRECT_PROBES):
             self.exchange.request(peer.address, now)
@@ -248,7 +249,7 @@
             self.identity.presumed_dead = False
 
     def _apply_update(self, update: GossipUpdate, now: int, reason: str) -> None:
-        """Applies a claim that this node makes itself."""
+        """Applies a claim made by this node."""
         self.claims.apply(update, now, ClaimSource(reason))
 
     def receive(self, datagram: Datagram, now: int) -> None:
--- a/lilacwalk/membership/transport.py
+++ b/lilacwalk/membership/transport.py
@@ -14,12 +14,12 @@
 from lilacwalk.membership.messages import DatagramError, seal
 
 log = logging.getLogger(__name__)
-MAX_QUEUED_DATAGRAMS = 2_000  # half a second of a flood; more are dropped
-SOCKET_BUFFER_BYTES = 1_048_576  # for what comes while this process stalls
+MAX_QUEUED_DATAGRAMS = 2_000  # half a second of a flood; further datagrams are dropped
+SOCKET_BUFFER_BYTES = 1_048_576  # holds datagrams that arrive while this process stalls
 
 
 class DatagramTransport:
-    """Owns the socket, the keys and the reader, and counts what could not be sent."""
+    """Owns the socket, the keys and the reader, and counts datagrams that could not be sent."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         on_datagram: DatagramHandler,
         stopped: threading.Event,
     ) -> None:
-        """Binds the socket; datagrams are queued as calls of `on_datagram`.
+        """Binds the socket; received datagrams are queued as calls of `on_datagram`.
 
         Raises:
             OSError: the address cannot be used.
@@ -56,14 +56,14 @@
             data = seal(action.datagram, self.keys[0])
             self.udp_socket.sendto(data, socket.MSG_DONTWAIT, action.address)
         except DatagramError as error:
-            self.reader.report_refused(f"own {error.kind}")
+            self.reader.report_refused(f"outgoing {error.kind}")
         except OSError as error:
             self.counts["unsent"] += 1
             log.debug("event=datagram_lost detail=%r", str(error))
 
     def close(self) -> None:
-        """Closes the socket; the reader ends where its `stopped` event is set."""
-        with contextlib.suppress(OSError):  # not connected; the call still wakes the reader
+        """Closes the socket; the reader ends if its `stopped` event is set."""
+        with contextlib.suppress(OSError):  # the socket is not connected; this wakes the reader
             self.udp_socket.shutdown(socket.SHUT_RDWR)
         self.udp_socket.close()
 
--- a/lilacwalk/membership/view.py
+++ b/lilacwalk/membership/view.py
@@ -1,14 +1,15 @@
-"""The table of members: a join of claims, in which the newer of two always wins.
-
-Claims about a member are ordered by (incarnation, instance, refutation, health): a restart is a
-new incarnation, a refutation a new number of the same incarnation, and in one refutation suspect
-overrides alive, dead overrides suspect, left overrides dead. Taking the larger of two is
-commutative, associative and idempotent: whoever has seen the same claims, in whatever order and
-however often, holds the same table. Metadata is ordered by (incarnation, instance, version) alike.
-
-Cost: a claim O(1), the digest kept as it changes; the list of present members is rebuilt after a
-change. A forgotten member stays for a while without metadata, so that an old update does not
-revive it.
+"""The table of members, built from claims: of two claims about a member the newer one wins.
+
+Claims about a member are ordered by (incarnation, instance, refutation, health): a restart has a
+new incarnation, a refutation a new refutation number in the same incarnation; within one refutation
+suspect overrides alive, dead overrides suspect, left overrides dead. Taking the larger of two
+claims is commutative, associative and idempotent: nodes that have received the same claims, in any
+order and any number of times, hold the same table. Metadata is likewise ordered by (incarnation,
+instance, version).
+
+Cost: applying a claim is O(1), as the digest is updated incrementally; the list of present members
+is rebuilt after a change. A forgotten member stays in the table for a while without metadata, so
+that an old update does not revive it.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
     NodeState,
 )
 
-DIGEST_MASK = (1 << 63) - 1  # digests fit a signed number of 64 bits
+DIGEST_MASK = (1 << 63) - 1  # digests fit a signed 64-bit integer
 
 
 class MembershipView:
-    """The members that this node knows; equal views have equal digests, in buckets.
+    """The members that this node knows; equal views have equal digests, in total and per bucket.
 
-    Owned by the local node. `version` counts changes, `rejected_updates` claims for which there
-    was no room.
+    Owned by the local node. `version` counts changes, `rejected_updates` claims that were dropped
+    because the table was full.
     """
 
     def __init__(self, max_members: int) -> None:
-        """Starts empty; `max_members` bounds known members and remembered names together."""
+        """Creates an empty view; `max_members` limits known and forgotten members together."""
         self.max_members = max_members
         self.members: dict[str, Member] = {}
         self.buckets: list[dict[str, Member]] = [{} for _ in range(DIGEST_BUCKETS)]
@@ -46,7 +47,7 @@
         self._present: list[Member] | None = None
 
     def get(self, name: str) -> Member | None:
-        """Returns a member that is known and not forgotten."""
+        """Returns a member, None if it is unknown or forgotten."""
         member = self.members.get(name)
         return member if member is not None and member.metadata is not None else None
 
@@ -62,7 +63,7 @@
         return self._present
 
     def with_health(self, health: Health) -> list[Member]:
-        """Returns the known members of this health."""
+        """Returns the members with this health that are not forgotten."""
         return [
             member
             for member in self.members.values()
@@ -74,7 +75,7 @@
         return [member for member in self.members.values() if member.metadata is not None]
 
     def draining(self) -> list[Member]:
-        """Returns the present members that say that they are draining."""
+        """Returns the present members that report that they are draining."""
         return [
             member
             for member in self.present
@@ -82,13 +83,13 @@
         ]
 
     def packed_bucket_digests(self) -> bytes:
-        """Returns the digests of all buckets as a state request carries them."""
+        """Returns the digests of all buckets in the format of a state request."""
         return b"".join(
             digest.to_bytes(BUCKET_DIGEST_BYTES, "big") for digest in self.bucket_digests
         )
 
     def differing_buckets(self, packed: bytes) -> list[int]:
-        """Returns the buckets whose digest is another one; all where `packed` holds none."""
+        """Returns the buckets whose digests differ; all if `packed` does not hold all digests."""
         if len(packed) != BUCKET_DIGEST_BYTES * DIGEST_BUCKETS:
             return list(range(DIGEST_BUCKETS))
         return [
@@ -98,7 +99,7 @@
         ]
 
     def apply(self, update: GossipUpdate, now: int) -> Change | None:
-        """Takes a claim into the table; returns what it changed, None where it is not newer."""
+        """Applies a claim to the table; returns the change, None if the claim is not newer."""
         member = self.members.get(update.name)
         if member is None:
             return self._add(update, now)
@@ -108,7 +109,7 @@
             return Change.CONFIRMED if member.is_confirmed_by(update) else None
         if member.metadata is None:
             if metadata is None or not is_newer:
-                return None  # forgotten: an old claim, or one without metadata, revives nobody
+                return None  # an old claim, or one without metadata, revives no forgotten member
             if update.health not in PRESENT_HEALTH:
                 member.set_precedence(update)
                 return None
@@ -122,7 +123,7 @@
         return change
 
     def forget(self, now: int, after: int) -> list[str]:
-        """Drops the metadata of who has been gone for `after`, and the name after as long again.
+        """Drops the metadata of members gone for `after`, and their names after twice that time.
 
         Returns:
             The names whose metadata was dropped.
@@ -162,7 +163,7 @@
         return Change.JOINED if update.health in PRESENT_HEALTH else Change.UPDATED
 
     def _make_room(self) -> bool:
-        """Drops the member that has been gone for longest; a present one is never dropped."""
+        """Drops the member that is gone for longest, forgotten ones first, but no present one."""
         gone = [member for member in self.members.values() if member.health not in PRESENT_HEALTH]
         if not gone:
             return False
@@ -175,7 +176,7 @@
         return True
 
     def _refresh(self, member: Member) -> None:
-        """Brings digest and cached lists up to date after a member changed."""
+        """Updates the digests and invalidates the cached list after a member changed."""
         digest = row_digest(member)
         if digest != member.row_digest:
             difference = digest ^ member.row_digest
@@ -191,9 +192,10 @@
 
 
 def row_digest(member: Member) -> int:
-    """Returns a hash of a present member's process, state and place; 0 for others.
+    """Returns a hash of a present member's process, state and address; 0 for others.
 
-    Refutations and suspicions are no part of it: they pass, and leave the same view behind.
+    Refutations and suspicions are not included: they are temporary and do not change which members
+    are present.
     """
     metadata = member.metadata
     if member.health not in PRESENT_HEALTH or metadata is None:
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and helpers: simulated fleets, claims, real processes behind a switch."""
+"""Fixtures and helpers: simulated fleets, claims, real processes behind a datagram switch."""
 
 import random
 
@@ -21,30 +21,31 @@
 KEY = bytes(range(32))
 
 
-def names(count):
-    return [f"n{at}" for at in range(count)]
+def member_names(count):
+    return [f"n{index}" for index in range(count)]
 
 
-def fleet(count, seed=1, sites=("recife", "natal", "caruaru"), settle=True, **more):
-    """A world of so many, joined through the first, in equal parts on the sites."""
-    world = World(seed, **more)
-    for at, name in enumerate(names(count)):
-        world.add(name, sites[at * len(sites) // count], seeds=["n0"] if at else [])
+def fleet(count, seed=1, sites=("recife", "natal", "caruaru"), settle=True, **options):
+    """Returns a simulated fleet, distributed evenly over the sites and joined through n0."""
+    world = World(seed, **options)
+    for index, name in enumerate(member_names(count)):
+        world.add(name, sites[index * len(sites) // count], seeds=["n0"] if index else [])
     if settle:
         assert world.run_until(world.all_settled, 60 * SECOND) is not None
         world.run(5 * SECOND)
     return world
 
 
-def counted(world, what):
-    return sum(node.machine.counts[what] for node in world.up())
+def total_count(world, key):
+    """Returns the sum of one counter over all running members."""
+    return sum(node.machine.counts[key] for node in world.up())
 
 
-def machine(name="n1", now=0, wall=1_000, stored=0, seeds=(("10.0.0.9", 9),), **more):
+def make_membership(name="n1", now=0, wall=1_000, stored=0, seeds=(("10.0.0.9", 9),), **options):
     config = MemberConfig(
         name, "recife", ("10.0.0.1", 1), tuple(seeds), SECOND, 3600 * SECOND, 0.34, 100
     )
-    return Membership(config, random.Random(1), now, wall, stored, **more)
+    return Membership(config, random.Random(1), now, wall, stored, **options)
 
 
 def gossip_update(
@@ -57,10 +58,10 @@
     version=1,
     metadata=True,
     port=2,
-    **more,
+    **fields,
 ):
     own_metadata = (
-        MemberMetadata("recife", "10.0.0.2", port, version, NodeState.READY, **more)
+        MemberMetadata("recife", "10.0.0.2", port, version, NodeState.READY, **fields)
         if metadata
         else None
     )
@@ -68,20 +69,22 @@
 
 
 def datagram(
-    message_type=MessageType.PING, sender="n2", incarnation=5, instance=1, refutation=0, **more
+    message_type=MessageType.PING, sender="n2", incarnation=5, instance=1, refutation=0, **fields
 ):
-    return Datagram(message_type, sender, incarnation, instance, refutation, "10.0.0.2", 2, **more)
+    return Datagram(
+        message_type, sender, incarnation, instance, refutation, "10.0.0.2", 2, **fields
+    )
 
 
 @pytest.fixture
 def make_rig():
     rigs = []
 
-    def make(count=0, sites=("recife",), seeds=1, **more):
-        rig = Rig(**({"interval_ms": 100} | more))
+    def make(count=0, sites=("recife",), seeds=1, **options):
+        rig = Rig(**({"interval_ms": 100} | options))
         rigs.append(rig)
-        for at, name in enumerate(names(count)):
-            rig.add(name, sites[at * len(sites) // count], names(count)[:seeds])
+        for index, name in enumerate(member_names(count)):
+            rig.add(name, sites[index * len(sites) // count], member_names(count)[:seeds])
         return rig
 
     yield make
@@ -90,11 +93,11 @@
 
 
 @pytest.fixture
-def running(make_rig):
-    """So many processes, started and settled."""
+def running_fleet(make_rig):
+    """Starts processes and waits until their views are settled."""
 
-    def make(count, **more):
-        rig = make_rig(count, **more)
+    def make(count, **options):
+        rig = make_rig(count, **options)
         rig.start(*rig.processes)
         rig.wait(rig.settled, 15, "settled after the start")
         return rig
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -1,4 +1,4 @@
-"""App servers with a fleet block: what the other members learn of them."""
+"""App servers as fleet members: what other members learn of them, and the fleet commands."""
 
 import signal
 import subprocess
@@ -10,9 +10,9 @@
 from lilacwalk.membership.messages import NODE_STATE_NAMES, NodeState
 from lilacwalk.testing.proxy_client import Till
 from tests.conftest import ROOT, Site
-from tests.membership.conftest import names
+from tests.membership.conftest import member_names
 
-SOON = 15.0
+TIMEOUT_SECONDS = 15.0  # limit of each wait; exceeding it fails the test
 
 
 def state_of(rig, name, by):
@@ -20,23 +20,23 @@
 
 
 @pytest.fixture
-def servers(make_rig):
-    """App servers, each with its executor, as members."""
+def server_fleet(make_rig):
+    """Starts app servers, each with its own executor, as members of one fleet."""
 
-    def make(count, **more):
-        rig = make_rig(count, kind="serve", **more)
-        rig.start(*names(count))
-        rig.wait(rig.settled, SOON, "settled")
+    def make(count, **options):
+        rig = make_rig(count, kind="serve", **options)
+        rig.start(*member_names(count))
+        rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
         return rig
 
     return make
 
 
-def test_app_servers_report_their_state_and_metrics_to_each_other(servers):
-    rig = servers(3)
+def test_app_servers_report_their_state_and_metrics_to_each_other(server_fleet):
+    rig = server_fleet(3)
     rig.wait(
-        lambda: all(state_of(rig, name, "n0") == "ready" for name in names(3)),
-        SOON,
+        lambda: all(state_of(rig, name, "n0") == "ready" for name in member_names(3)),
+        TIMEOUT_SECONDS,
         "all are ready",
     )
     row = next(row for row in rig.show("n1")["members"] if row["name"] == "n0")
@@ -45,153 +45,177 @@
     assert row["revision"]
 
 
-def test_a_lost_executor_is_reported_as_stalled_and_a_drain_as_draining_then_left(servers):
-    rig = servers(3)
-    rig.wait(lambda: state_of(rig, "n2", "n0") == "ready", SOON, "ready")
+def test_a_lost_executor_is_reported_as_stalled_and_a_drain_as_draining_then_left(server_fleet):
+    rig = server_fleet(3)
+    rig.wait(lambda: state_of(rig, "n2", "n0") == "ready", TIMEOUT_SECONDS, "ready")
     rig.processes["n2"].kernel.end()
-    rig.wait(lambda: state_of(rig, "n2", "n0") == "standing-still", SOON, "lost executor reported")
+    rig.wait(
+        lambda: state_of(rig, "n2", "n0") == "standing-still",
+        TIMEOUT_SECONDS,
+        "lost executor reported",
+    )
     rig.processes["n1"].popen.terminate()
     rig.wait(
-        lambda: state_of(rig, "n1", "n0") == "leaving", SOON, "reported before the listener closes"
+        lambda: state_of(rig, "n1", "n0") == "leaving",
+        TIMEOUT_SECONDS,
+        "reported before the listener closes",
+    )
+    assert rig.processes["n1"].popen.wait(TIMEOUT_SECONDS) == 0
+    rig.wait(
+        lambda: rig.healths("n1")["n0"] == "left", TIMEOUT_SECONDS, "recorded as left, not as dead"
     )
-    assert rig.processes["n1"].popen.wait(SOON) == 0
-    rig.wait(lambda: rig.healths("n1")["n0"] == "left", SOON, "left, not lost")
     assert "event=drain_started" in rig.log("n1")
     assert "draining_members=0" in rig.log("n1")
 
 
-def test_two_that_drain_together_know_of_each_other(servers):
-    rig = servers(3)
+def test_app_servers_that_drain_together_count_each_other(server_fleet):
+    rig = server_fleet(3)
     rig.processes["n1"].popen.terminate()
-    rig.wait(lambda: state_of(rig, "n1", "n2") == "leaving", SOON, "known")
+    rig.wait(lambda: state_of(rig, "n1", "n2") == "leaving", TIMEOUT_SECONDS, "n2 sees n1 drain")
     rig.processes["n2"].popen.terminate()
-    rig.wait(lambda: "draining_members=1" in rig.log("n2"), SOON, "logged")
+    rig.wait(
+        lambda: "draining_members=1" in rig.log("n2"), TIMEOUT_SECONDS, "n2 logs a draining member"
+    )
 
 
-def test_a_crashed_app_server_is_declared_dead_and_the_others_serve_on(servers):
-    rig = servers(3)
+def test_a_crashed_app_server_is_declared_dead_and_the_others_keep_serving(server_fleet):
+    rig = server_fleet(3)
     rig.kill("n1")
-    rig.wait(lambda: rig.settled(["n0", "n2"]), SOON, "known to all left")
+    rig.wait(lambda: rig.settled(["n0", "n2"]), TIMEOUT_SECONDS, "settled without n1")
     port = int(
         next(word for word in rig.log("n0").split() if word.startswith("listen=")).split(":")[1]
     )
-    till = Till(("127.0.0.1", port))
-    assert till.answer(till.ask("look"))[1] == "done"
-    till.end()
-
-
-def test_a_reload_adds_the_block_changes_its_seeds_and_removes_it(servers):
-    rig = servers(3)
-    last = rig.processes["n2"]
-    whole = last.file.read_text()
-    last.file.write_text("")
-    last.popen.send_signal(signal.SIGHUP)
-    rig.wait(lambda: rig.healths("n2", ["n0"])["n0"] == "left", SOON, "out of the view")
-    last.seeds = ("n1",)
-    rig.write(last)
-    last.popen.send_signal(signal.SIGHUP)
-    rig.wait(rig.settled, SOON, "in it again, by another seed")
-    last.file.write_text(whole)
-    last.popen.send_signal(signal.SIGHUP)
-    rig.wait(lambda: "event=fleet_reloaded" in rig.log("n2"), SOON, "seeds changed under way")
-    last.file.write_text(whole.replace("probe-interval 100ms", "probe-interval soon"))
-    last.popen.send_signal(signal.SIGHUP)
-    rig.wait(lambda: "event=reload_failed" in rig.log("n2"), SOON, "a bad file changes nothing")
+    client = Till(("127.0.0.1", port))
+    assert client.answer(client.ask("look"))[1] == "done"
+    client.end()
+
+
+def test_a_reload_removes_adds_and_changes_the_block_but_ignores_an_invalid_file(server_fleet):
+    rig = server_fleet(3)
+    member = rig.processes["n2"]
+    original_text = member.file.read_text()
+    member.file.write_text("")
+    member.popen.send_signal(signal.SIGHUP)
+    rig.wait(lambda: rig.healths("n2", ["n0"])["n0"] == "left", TIMEOUT_SECONDS, "n2 has left")
+    member.seeds = ("n1",)
+    rig.write(member)
+    member.popen.send_signal(signal.SIGHUP)
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "n2 has joined through another seed")
+    member.file.write_text(original_text)
+    member.popen.send_signal(signal.SIGHUP)
+    rig.wait(
+        lambda: "event=fleet_reloaded" in rig.log("n2"),
+        TIMEOUT_SECONDS,
+        "changed seeds are applied",
+    )
+    member.file.write_text(original_text.replace("probe-interval 100ms", "probe-interval soon"))
+    member.popen.send_signal(signal.SIGHUP)
+    rig.wait(
+        lambda: "event=reload_failed" in rig.log("n2"),
+        TIMEOUT_SECONDS,
+        "an invalid file is rejected",
+    )
     assert rig.settled()
 
 
-def test_without_the_block_no_thread_socket_or_module_of_membership_is_loaded(tmp_path):
+def test_without_a_fleet_block_no_membership_subsystem_or_module_is_loaded(tmp_path):
     site = Site(tmp_path).start()
     site.link()
     assert site.event_loop.subsystems.membership is None
     assert site.event_loop.subsystems.may_withdraw
     site.end()
-    code = (
+    script = (
         "import sys, lilacwalk.commands.serve;"
         "print([name for name in sys.modules if name.startswith(('lilacwalk.membership', "
         "'lilacwalk.failover',"
         " 'lilacwalk.storage', 'lilacwalk.retry_storms',"
         " 'lilacwalk.server.integrations.persistence'))])"
     )
-    found = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    result = subprocess.run(
+        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert found.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
 
 
-def test_only_nodes_that_may_withdraw_are_withdrawn_as_unhealthy():
-    """The announcement policy; the rule itself is in test_minimum_healthy."""
+def test_an_unhealthy_node_withdraws_only_with_permission():
+    """Covers the announcement policy; test_minimum_healthy covers who gets the permission."""
     from lilacwalk.bgp.announcement_policy import Announcing, Level, Node
     from tests.bgp.conftest import orders
 
-    made = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
-    made.told(Node.READY, 0)
-    assert made.decide(100_000).level is Level.NORMAL
-    made.floor(False)
-    made.told(Node.SICK, 100_000)
-    held = made.decide(500_000)
-    assert held.level is Level.LESS_WANTED
-    assert "may go" in held.reason
-    made.floor(True)
-    assert made.decide(500_001).level is Level.NONE
-    made.floor(False)
-    assert made.decide(600_000).level is Level.NONE  # gone stays gone until well
-    made.told(Node.LEAVING, 600_000)
-    assert made.decide(600_000).level is Level.NONE
-
-
-def test_a_drain_withdraws_without_regard_to_the_minimum_of_healthy_members():
+    policy = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    policy.told(Node.READY, 0)
+    assert policy.decide(100_000).level is Level.NORMAL
+    policy.floor(False)
+    policy.told(Node.SICK, 100_000)
+    decision = policy.decide(500_000)
+    assert decision.level is Level.LESS_WANTED
+    assert "may go" in decision.reason
+    policy.floor(True)
+    assert policy.decide(500_001).level is Level.NONE
+    policy.floor(False)
+    assert policy.decide(600_000).level is Level.NONE  # stays withdrawn until it is healthy
+    policy.told(Node.LEAVING, 600_000)
+    assert policy.decide(600_000).level is Level.NONE
+
+
+def test_a_drain_withdraws_regardless_of_the_withdrawal_limit():
     from lilacwalk.bgp.announcement_policy import Announcing, Level, Node
     from tests.bgp.conftest import orders
 
-    made = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
-    made.told(Node.READY, 0)
-    made.decide(100_000)
-    made.floor(False)
-    made.leave(100_000, None)
-    assert made.decide(200_000).level is Level.NONE
+    policy = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    policy.told(Node.READY, 0)
+    policy.decide(100_000)
+    policy.floor(False)
+    policy.leave(100_000, None)
+    assert policy.decide(200_000).level is Level.NONE
 
 
 # The command line
 
 
-def test_show_ping_events_and_watch_print_what_the_running_member_knows(running):
+def test_show_ping_events_and_watch_print_the_view_of_the_running_member(running_fleet):
     from click.testing import CliRunner
 
-    rig = running(3)
-    own = str(rig.processes["n0"].file)
+    rig = running_fleet(3)
+    operator_file = str(rig.processes["n0"].file)
 
-    def said(*words):
-        return CliRunner().invoke(commands, ["fleet", *words, "--file", own], standalone_mode=True)
+    def run_command(*words):
+        return CliRunner().invoke(
+            commands, ["fleet", *words, "--file", operator_file], standalone_mode=True
+        )
 
-    assert "n0 of recife: whole" in said("show").output
-    assert "health" in said("show").output
-    assert '"conclusion": "whole"' in said("show", "--json").output
-    assert "joined" in said("events").output
-    assert "answered=True" in said("ping", "n2").output
+    assert "n0 of recife: whole" in run_command("show").output
+    assert "health" in run_command("show").output
+    assert '"conclusion": "whole"' in run_command("show", "--json").output
+    assert "joined" in run_command("events").output
+    assert "answered=True" in run_command("ping", "n2").output
     rig.kill("n2")
-    assert said("ping", "n2").exit_code == 4
-    assert said("ping", "nobody").exit_code == 2
-    assert "n0 of recife" in said("watch", "--times", "1").output
+    assert run_command("ping", "n2").exit_code == 4
+    assert run_command("ping", "nobody").exit_code == 2
+    assert "n0 of recife" in run_command("watch", "--times", "1").output
 
 
-def test_check_reports_an_unusable_key_and_prints_what_the_block_means(tmp_path):
+def test_check_rejects_a_missing_key_file_and_prints_the_settings_of_a_valid_block(tmp_path):
     from click.testing import CliRunner
 
-    own = tmp_path / "own"
-    own.write_text(
+    operator_file = tmp_path / "own"
+    operator_file.write_text(
         f"fleet {{\n site recife\n listen 127.0.0.1:1\n key {tmp_path}/key\n"
         " seed 127.0.0.1:2\n}\n"
     )
-    found = CliRunner().invoke(commands, ["check", "--file", str(own)], env={"ROUTER_CONFIG": None})
-    assert found.exit_code == 2
+    result = CliRunner().invoke(
+        commands, ["check", "--file", str(operator_file)], env={"ROUTER_CONFIG": None}
+    )
+    assert result.exit_code == 2
     key = tmp_path / "key"
     key.write_text("00" * 32)
     key.chmod(0o600)
-    found = CliRunner().invoke(commands, ["check", "--file", str(own)], env={"ROUTER_CONFIG": None})
-    assert found.exit_code == 0
-    assert "keys=1" in found.output
-    assert "site=recife" in found.output
+    result = CliRunner().invoke(
+        commands, ["check", "--file", str(operator_file)], env={"ROUTER_CONFIG": None}
+    )
+    assert result.exit_code == 0
+    assert "keys=1" in result.output
+    assert "site=recife" in result.output
 
 
 def test_every_error_of_a_block_is_reported_with_its_line():
@@ -210,17 +234,17 @@
     assert "f:1: fleet: expected key" in text
 
 
-def test_member_states_have_the_words_of_the_node_states():
+def test_member_states_have_the_names_of_the_node_states():
     from lilacwalk.bgp.announcement_policy import Node
 
     assert [node.value for node in Node] == [NODE_STATE_NAMES[state] for state in NodeState]
 
 
-def test_a_process_that_gets_sigterm_ends_within_two_seconds(running):
+def test_a_member_ends_within_two_seconds_of_sigterm(running_fleet):
     import time
 
-    rig = running(4)
-    rig.kill("n1", "n2")  # nobody answers its leave but one
-    began = time.monotonic()
+    rig = running_fleet(4)
+    rig.kill("n1", "n2")  # only n0 is left to receive the leave
+    started_at = time.monotonic()
     assert rig.leave("n3") == [0]
-    assert time.monotonic() - began < 2.0
+    assert time.monotonic() - started_at < 2.0
--- a/tests/membership/test_conclusions.py
+++ b/tests/membership/test_conclusions.py
@@ -1,4 +1,4 @@
-"""What one node may conclude from its view."""
+"""Conclusions that one node draws from its view."""
 
 import pytest
 
@@ -33,7 +33,7 @@
         ({"peers_agree": False}, "unsure"),
         ({"recovering_from_stall": True, "lost": 5}, "unsure"),
         ({"name_conflict": True}, "unsure"),
-        ({"present": 1, "silent_intervals": 9}, "whole"),  # a fleet of one misses nobody
+        ({"present": 1, "silent_intervals": 9}, "whole"),  # a fleet of one expects no datagrams
     ],
 )
 def test_the_verdict_follows_from_the_statistics(figures, verdict):
@@ -53,5 +53,5 @@
         ({"present": 3_000, "name_conflict": True}, False),
     ],
 )
-def test_a_view_with_suspects_is_firm_where_the_rest_is_a_majority(figures, firm):
+def test_a_conclusion_is_firm_if_the_members_not_suspected_are_a_majority(figures, firm):
     assert conclude(ViewStatistics(**(STATISTICS | figures))).firm is firm
--- a/tests/membership/test_incarnation.py
+++ b/tests/membership/test_incarnation.py
@@ -8,7 +8,7 @@
 
 
 def claim(identity, **fields):
-    """A claim that equals the identity's own where no field says otherwise."""
+    """Returns a claim that equals the identity's own except for the given fields."""
     own = {
         "name": identity.name,
         "incarnation": identity.incarnation,
@@ -19,25 +19,25 @@
     return gossip_update(**(own | fields))
 
 
-def test_a_clock_that_was_set_back_gives_no_incarnation_below_the_stored_one():
+def test_with_the_clock_set_back_the_incarnation_still_exceeds_the_stored_one():
     assert LocalIdentity("n1", 5_000, 100, 1).incarnation == 5_001
 
 
-def test_without_a_disk_it_supersedes_what_the_others_remember():
+def test_without_a_stored_incarnation_the_one_known_to_others_is_superseded():
     identity = LocalIdentity("n1", 0, 100, 1)
     remembered = claim(identity, incarnation=9_000, instance=77, health=Health.DEAD)
     assert identity.handle_claim(remembered) is ClaimOutcome.SUPERSEDED
     assert identity.incarnation == 9_001
 
 
-def test_a_process_restarted_before_it_was_missed_supersedes_its_own_earlier_one():
-    identity = LocalIdentity("n1", 0, 100, 1)  # the clock was set back meanwhile
+def test_a_process_restarted_before_it_was_suspected_supersedes_its_earlier_process():
+    identity = LocalIdentity("n1", 0, 100, 1)  # the clock was set back before the restart
     earlier = claim(identity, incarnation=9_000, instance=77)
     assert identity.handle_claim(earlier) is ClaimOutcome.SUPERSEDED
-    assert identity.handle_claim(earlier) is ClaimOutcome.IGNORED  # made before: no sign of life
+    assert identity.handle_claim(earlier) is ClaimOutcome.IGNORED  # made before it was superseded
 
 
-def test_a_suspicion_is_refuted_and_one_of_an_earlier_refutation_is_ignored():
+def test_a_suspicion_is_refuted_and_one_from_before_the_refutation_is_ignored():
     identity = LocalIdentity("n1", 0, 100, 1)
     assert identity.handle_claim(claim(identity, health=Health.DEAD)) is ClaimOutcome.REFUTED
     assert identity.refutation == 1
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("newer", [True, False])
-def test_at_the_last_incarnation_the_instance_decides(newer):
+def test_at_the_maximum_incarnation_the_smaller_instance_yields(newer):
     identity = LocalIdentity("n1", 0, 100, 1)
     other = claim(
         identity,
@@ -72,12 +72,14 @@
 def test_of_two_processes_under_one_name_the_earlier_keeps_it_and_the_later_yields():
     first, second = LocalIdentity("n1", 0, 1_000, 1), LocalIdentity("n1", 0, 2_000, 1)
     first.established = True
-    assert second.handle_claim(claim(first)) is ClaimOutcome.IGNORED  # older
+    assert second.handle_claim(claim(first)) is ClaimOutcome.IGNORED  # the older claim
     assert first.handle_claim(claim(second)) is ClaimOutcome.SUPERSEDED
-    # it has just started: likely its own earlier process
+    # the second has just started and takes the first for its own earlier process
     assert second.handle_claim(claim(first)) is ClaimOutcome.SUPERSEDED
     assert first.handle_claim(claim(second)) is ClaimOutcome.SUPERSEDED
-    assert second.handle_claim(claim(first)) is ClaimOutcome.YIELDED  # it reacted, so it runs
+    assert (
+        second.handle_claim(claim(first)) is ClaimOutcome.YIELDED
+    )  # the first reacted, so it is running
     later = claim(first, incarnation=first.incarnation + 9)
     assert second.handle_claim(later) is ClaimOutcome.IGNORED
 
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""The datagram codec: authenticated, bounded, total over any bytes."""
+"""The datagram codec: authentication, size limits, decoding of arbitrary bytes."""
 
 import msgspec
 import pytest
@@ -19,10 +19,10 @@
 )
 from tests.membership.conftest import KEY, datagram, gossip_update
 
-OTHER = bytes(range(1, 33))
+OTHER_KEY = bytes(range(1, 33))
 
 
-def kind_of(data, *keys):
+def error_kind(data, *keys):
     with pytest.raises(DatagramError) as error:
         unseal(data, keys or (KEY,))
     return error.value.kind
@@ -34,39 +34,39 @@
         bucket_digests=bytes(256),
         sequence=7,
     )
-    assert unseal(seal(sent, KEY), (OTHER, KEY)) == sent
+    assert unseal(seal(sent, KEY), (OTHER_KEY, KEY)) == sent
 
 
-def test_a_wrong_key_a_flipped_bit_and_every_truncation_are_refused():
+def test_a_wrong_key_a_flipped_bit_and_every_truncation_are_rejected():
     data = seal(datagram(updates=(gossip_update(),)), KEY)
-    assert kind_of(data, OTHER) == "seal"
-    for at in range(len(data)):
-        assert kind_of(data[:at]) in ("short", "seal")
-        flipped = bytes([*data[:at], data[at] ^ 1, *data[at + 1 :]])
-        assert kind_of(flipped) in ("seal", "format")
+    assert error_kind(data, OTHER_KEY) == "seal"
+    for index in range(len(data)):
+        assert error_kind(data[:index]) in ("short", "seal")
+        flipped = bytes([*data[:index], data[index] ^ 1, *data[index + 1 :]])
+        assert error_kind(flipped) in ("seal", "format")
 
 
-def test_a_datagram_that_is_too_long_is_refused_before_its_tag_is_computed():
-    assert kind_of(bytes(65_507)) == "long"
+def test_a_datagram_that_is_too_long_is_rejected_before_its_tag_is_computed():
+    assert error_kind(bytes(65_507)) == "long"
     with pytest.raises(DatagramError):
-        seal(datagram(updates=tuple(gossip_update(f"n{at}") for at in range(64))), KEY)
+        seal(datagram(updates=tuple(gossip_update(f"n{index}") for index in range(64))), KEY)
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"\xc0", b"\x80", b"\x9d" + b"\x01" * 13, b"\xdd\xff\xff\xff\xff", b"\x91" * 600]
 )
-def test_a_sealed_body_of_another_shape_gives_a_typed_error(body):
-    assert kind_of(bytes([1]) + authentication_tag(body, KEY) + body) in ("shape", "short")
+def test_an_authenticated_body_that_is_not_a_datagram_raises_a_datagram_error(body):
+    assert error_kind(bytes([1]) + authentication_tag(body, KEY) + body) in ("shape", "short")
 
 
-def test_an_unknown_extra_field_is_refused():
+def test_an_unknown_extra_field_is_rejected():
     fields = list(msgspec.to_builtins(datagram()))
     body = msgspec.msgpack.encode([*fields, 1])
-    assert kind_of(bytes([1]) + authentication_tag(body, KEY) + body) == "shape"
+    assert error_kind(bytes([1]) + authentication_tag(body, KEY) + body) == "shape"
 
 
 @pytest.mark.parametrize(
-    "more",
+    "fields",
     [
         {"incarnation": MAX_INCARNATION + 1},
         {"refutation": MAX_REFUTATION + 1},
@@ -75,9 +75,9 @@
         {"sender": "x" * 41},
     ],
 )
-def test_fields_out_of_range_are_refused(more):
-    body = msgspec.msgpack.encode(datagram(**more))
-    assert kind_of(bytes([1]) + authentication_tag(body, KEY) + body) == "shape"
+def test_fields_out_of_range_are_rejected(fields):
+    body = msgspec.msgpack.encode(datagram(**fields))
+    assert error_kind(bytes([1]) + authentication_tag(body, KEY) + body) == "shape"
 
 
 def datagram_or_error_kind(data):
@@ -88,7 +88,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_give_a_datagram_or_a_typed_error(data):
+def test_any_bytes_decode_to_a_datagram_or_raise_a_datagram_error(data):
     for bytes_ in (data, bytes([1]) + authentication_tag(data, KEY) + data):
         result = datagram_or_error_kind(bytes_)
         if isinstance(result, str):
@@ -97,7 +97,7 @@
             assert isinstance(result, Datagram)
 
 
-def test_a_full_datagram_fits_a_frame():
+def test_a_datagram_with_all_bucket_digests_fits_an_ethernet_frame():
     assert MAX_DATAGRAM_BYTES <= 1_400
     assert (
         len(seal(datagram(MessageType.STATE_REQUEST, bucket_digests=bytes(256)), KEY))
--- a/tests/membership/test_minimum_healthy.py
+++ b/tests/membership/test_minimum_healthy.py
@@ -1,4 +1,4 @@
-"""How many unhealthy members may withdraw at once."""
+"""The limit on unhealthy members that withdraw at the same time."""
 
 from lilacwalk.membership.messages import NodeState
 from lilacwalk.membership.minimum_healthy import ServingMember, may_withdraw, withdrawal_limit
@@ -7,34 +7,34 @@
 def members(unhealthy, withdrawn=(), count=12):
     return [
         ServingMember(
-            f"n{at}",
+            f"n{index}",
             1,
-            NodeState.UNHEALTHY if at in unhealthy else NodeState.READY,
-            at in withdrawn,
+            NodeState.UNHEALTHY if index in unhealthy else NodeState.READY,
+            index in withdrawn,
         )
-        for at in range(count)
+        for index in range(count)
     ]
 
 
-def withdrawing(fleet, seen):
+def names_allowed_to_withdraw(fleet, view):
     return [
-        member.name for member in fleet if may_withdraw(member.name, seen, 0.34, view_is_whole=True)
+        member.name for member in fleet if may_withdraw(member.name, view, 0.34, view_is_whole=True)
     ]
 
 
-def test_no_more_than_the_share_withdraws_and_all_choose_the_same_members():
+def test_no_more_than_the_share_withdraws_and_all_nodes_select_the_same_members():
     fleet = members(range(8))
-    chosen = withdrawing(fleet, fleet)
-    assert len(chosen) == 4 == withdrawal_limit(12, 0.34)
-    assert chosen == withdrawing(fleet, list(reversed(fleet)))
+    selected = names_allowed_to_withdraw(fleet, fleet)
+    assert len(selected) == 4 == withdrawal_limit(12, 0.34)
+    assert selected == names_allowed_to_withdraw(fleet, list(reversed(fleet)))
 
 
-def test_members_that_have_withdrawn_count_first():
+def test_members_that_have_withdrawn_are_counted_first():
     fleet = members(range(8), withdrawn=(0, 1, 2, 3))
-    assert withdrawing(fleet, fleet) == ["n0", "n1", "n2", "n3"]
+    assert names_allowed_to_withdraw(fleet, fleet) == ["n0", "n1", "n2", "n3"]
 
 
-def test_nobody_withdraws_in_doubt_and_the_last_member_never_does():
+def test_no_member_withdraws_unless_the_view_is_whole_and_the_last_one_never_does():
     assert not may_withdraw("n0", members([0]), 0.34, view_is_whole=False)
     assert not may_withdraw("n0", members([0], count=1), 1.0, view_is_whole=True)
     assert may_withdraw("n0", members([0], count=2), 0.1, view_is_whole=True)
--- a/tests/membership/test_persistence.py
+++ b/tests/membership/test_persistence.py
@@ -1,4 +1,4 @@
-"""What is stored of the membership, and when."""
+"""Which membership data is stored, and when."""
 
 import msgspec
 import pytest
@@ -14,7 +14,7 @@
 from tests.membership.conftest import SECOND, gossip_update
 
 
-def test_an_incarnation_is_written_at_once_and_again_after_the_disk_refused_it():
+def test_an_incarnation_is_written_at_once_and_again_after_a_failed_write():
     schedule, view = PersistenceSchedule(True, 0), MembershipView(10)
     view.apply(gossip_update("n9"), 0)
     # nothing is written before the earlier incarnation has been read
@@ -26,7 +26,7 @@
     schedule.write_finished(INCARNATION_KEY, False, 0)
     schedule.write_finished(INCARNATION_KEY, False, 0)
     assert schedule.take_due_records(7, view, "n1", SECOND) == []
-    assert len(schedule.changes) == 1  # reported once
+    assert len(schedule.changes) == 1  # two failures are reported once
     schedule.take_due_records(7, view, "n1", 6 * SECOND)
     schedule.write_finished(INCARNATION_KEY, True, 6 * SECOND)
     assert schedule.state == "kept"
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("value", [None, b"", b"x", b"9" * 30])
-def test_unreadable_records_count_as_none(value):
+def test_unreadable_records_are_treated_as_missing(value):
     assert decode_incarnation(value) == 0
     assert decode_members(value) == []
     assert decode_members(msgspec.msgpack.encode([1, 2])) == []
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes behind a datagram switch, and faults between them."""
+"""Real processes behind a datagram switch, with faults between them."""
 
 import os
 import signal
@@ -9,195 +9,213 @@
 from lilacwalk.membership.messages import seal, unseal
 from lilacwalk.testing.scenario import BadScriptError, play, read
 from tests.conftest import ROOT
-from tests.membership.conftest import datagram, gossip_update, names
+from tests.membership.conftest import datagram, gossip_update, member_names
 
-SOON = 15.0  # seconds: a failure, never a wait
+TIMEOUT_SECONDS = 15.0  # limit of each wait; exceeding it fails the test
 
 
-def test_a_third_killed_at_once_is_declared_dead_by_all_and_rejoins(running):
-    rig = running(12, sites=("recife", "natal", "caruaru"), seeds=2)
-    gone = ["n1", "n4", "n7", "n10"]
-    rig.kill(*gone)
-    rig.wait(lambda: rig.settled(), SOON, "those left hold equal and true views")
-    assert {rig.healths(name)["n0"] for name in gone} == {"dead"}
-    shown = rig.show("n0")
-    assert shown["conclusion"] == "whole"
-    assert shown["lost"] == 4
-    rig.start(*gone)
-    rig.wait(rig.settled, SOON, "settled with those that are back")
+def test_a_third_of_the_fleet_killed_at_once_is_declared_dead_by_all_and_rejoins(running_fleet):
+    rig = running_fleet(12, sites=("recife", "natal", "caruaru"), seeds=2)
+    killed = ["n1", "n4", "n7", "n10"]
+    rig.kill(*killed)
+    rig.wait(lambda: rig.settled(), TIMEOUT_SECONDS, "the others hold equal and correct views")
+    assert {rig.healths(name)["n0"] for name in killed} == {"dead"}
+    report = rig.show("n0")
+    assert report["conclusion"] == "whole"
+    assert report["lost"] == 4
+    rig.start(*killed)
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with the restarted members")
 
 
-def test_a_leave_is_announced_before_the_end_and_is_no_crash(running):
-    rig = running(6)
+def test_a_member_that_leaves_is_recorded_as_left_and_not_as_dead(running_fleet):
+    rig = running_fleet(6)
     assert rig.leave("n4") == [0]
-    rig.wait(lambda: set(rig.healths("n4").values()) == {"left"}, SOON, "all know that it left")
+    rig.wait(
+        lambda: set(rig.healths("n4").values()) == {"left"},
+        TIMEOUT_SECONDS,
+        "recorded as left by all",
+    )
     assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in rig.up())
 
 
-def test_a_state_is_gossiped_to_all_and_draining_members_are_counted(running):
-    rig = running(5)
+def test_a_state_is_gossiped_to_all_and_draining_members_are_counted(running_fleet):
+    rig = running_fleet(5)
     rig.tell("n1", "leaving")
     rig.tell("n2", "leaving")
     rig.wait(
         lambda: all(rig.show(name)["leaving"] == 2 for name in rig.up()),
-        SOON,
-        "leaving are counted",
+        TIMEOUT_SECONDS,
+        "draining members are counted",
     )
 
 
-def test_a_process_stopped_for_longer_than_a_suspicion_refutes_and_declares_nobody_dead(running):
-    rig = running(6)
+def test_a_process_stopped_for_longer_than_a_suspicion_refutes_its_death(running_fleet):
+    rig = running_fleet(6)
     rig.stop("n2")
-    rig.wait(lambda: set(rig.healths("n2").values()) == {"dead"}, SOON, "given up")
+    rig.wait(
+        lambda: set(rig.healths("n2").values()) == {"dead"}, TIMEOUT_SECONDS, "n2 declared dead"
+    )
     rig.go_on("n2")
-    rig.wait(rig.settled, SOON, "back")
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with n2")
     assert rig.show("n2")["counts"].get("dead", 0) == 0
 
 
-def test_both_sides_of_a_partition_know_which_they_are_and_find_each_other(running):
-    rig = running(9, sites=("recife", "natal", "caruaru"))
-    recife, others = names(9)[:3], names(9)[3:]
+def test_both_sides_of_a_partition_identify_their_side_and_rejoin(running_fleet):
+    rig = running_fleet(9, sites=("recife", "natal", "caruaru"))
+    recife, others = member_names(9)[:3], member_names(9)[3:]
     rig.cut(recife, others)
     rig.wait(
-        lambda: all(rig.show(name)["conclusion"] == "minority" for name in recife), SOON, "minority"
+        lambda: all(rig.show(name)["conclusion"] == "minority" for name in recife),
+        TIMEOUT_SECONDS,
+        "minority",
+    )
+    rig.wait(
+        lambda: all(rig.show(name)["conclusion"] == "whole" for name in others),
+        TIMEOUT_SECONDS,
+        "whole",
     )
-    rig.wait(lambda: all(rig.show(name)["conclusion"] == "whole" for name in others), SOON, "whole")
     assert all(row["cut"] for row in rig.show("n8")["members"] if row["site"] == "recife")
     rig.heal()
-    rig.wait(rig.settled, SOON, "one fleet again")
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled as one fleet")
 
 
 def test_two_processes_under_one_name_are_reported_and_one_yields(make_rig):
     rig = make_rig(4)
     rig.add("twin", seeds=["n0"], called="n2")
-    rig.start(*names(4))
-    rig.wait(rig.settled, SOON, "settled")
+    rig.start(*member_names(4))
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
     rig.start("twin")
-    rig.wait(lambda: "change=yielded" in rig.log("twin"), SOON, "the later one yields")
+    rig.wait(lambda: "change=yielded" in rig.log("twin"), TIMEOUT_SECONDS, "the later one yields")
     assert rig.show("twin")["reason"] == "another process holds this name"
-    rig.wait(lambda: rig.settled(names(4)), SOON, "the others settle on the first")
+    rig.wait(
+        lambda: rig.settled(member_names(4)), TIMEOUT_SECONDS, "the others settled on the first one"
+    )
 
 
-def test_a_full_disk_takes_nothing_from_the_view_and_is_logged_once(running):
-    rig = running(4)
-    rig.wait(lambda: rig.show("n2")["store"] == "kept", SOON, "kept")
-    life = rig.show("n2")["life"]
+def test_a_full_disk_does_not_affect_the_view_and_is_logged_once(running_fleet):
+    rig = running_fleet(4)
+    rig.wait(lambda: rig.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "members stored")
+    incarnation = rig.show("n2")["life"]
     rig.kill("n2")
     rig.fill("n2")
     rig.start("n2")
-    rig.wait(rig.settled, SOON, "settled on a full disk")
-    rig.wait(lambda: rig.show("n2")["store"] == "not-kept", SOON, "named")
-    assert rig.show("n2")["life"] > life
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with a full disk")
+    rig.wait(lambda: rig.show("n2")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
+    assert rig.show("n2")["life"] > incarnation
     rig.fill("n2", False)
-    rig.wait(lambda: rig.show("n2")["store"] == "kept", SOON, "tried again")
+    rig.wait(lambda: rig.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "stored at a retry")
     assert rig.log("n2").count("state=not-kept") == 1
 
 
-def test_a_store_that_cannot_be_opened_takes_nothing_from_the_view(make_rig):
+def test_a_store_that_cannot_be_opened_does_not_affect_the_view(make_rig):
     rig = make_rig(3)
-    (rig.processes["n1"].place / "store").write_text("a file where a directory should be")
-    rig.start(*names(3))
-    rig.wait(rig.settled, SOON, "settled")
-    rig.wait(lambda: rig.show("n1")["store"] == "not-kept", SOON, "named")
+    (rig.processes["n1"].place / "store").write_text("a file instead of a directory")
+    rig.start(*member_names(3))
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
+    rig.wait(lambda: rig.show("n1")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
 
 
-def test_with_every_seed_down_the_stored_members_are_found(running):
-    rig = running(4)
+def test_with_every_seed_down_a_restarted_member_finds_the_stored_members(running_fleet):
+    rig = running_fleet(4)
     rig.wait(
         lambda: "members" in (rig.show("n2") or {}) and rig.show("n2")["store"] == "kept",
-        SOON,
+        TIMEOUT_SECONDS,
         "kept",
     )
-    rig.wait(lambda: has_kept_members(rig, "n2"), 20, "whom it knows is on the disk")
+    rig.wait(lambda: has_stored_members(rig, "n2"), 20, "the members that it knows are on disk")
     rig.kill("n0", "n2")
     rig.start("n2")
-    rig.wait(lambda: rig.settled(["n1", "n2", "n3"]), SOON, "found without the seed")
+    rig.wait(lambda: rig.settled(["n1", "n2", "n3"]), TIMEOUT_SECONDS, "settled without the seed")
 
 
-def has_kept_members(rig, name):
+def has_stored_members(rig, name):
     store = rig.processes[name].place / "store"
-    return any(b"members" in each.read_bytes() for each in store.iterdir())
+    return any(b"members" in file.read_bytes() for file in store.iterdir())
 
 
-def test_a_key_is_replaced_in_operation_without_a_lost_member(running):
-    rig = running(4)
-    old, new = rig.key.read_text().strip(), "ab" * 32
-    for keys in ((old, new), (new, old), (new,)):
+def test_a_key_is_replaced_at_run_time_without_a_lost_member(running_fleet):
+    rig = running_fleet(4)
+    old_key, new_key = rig.key.read_text().strip(), "ab" * 32
+    for keys in ((old_key, new_key), (new_key, old_key), (new_key,)):
         rig.write_keys(*keys)
-        for name in names(4):  # one after the other: in between, both keys are in use
+        for name in member_names(4):  # one at a time: meanwhile both keys are in use
             rig.processes[name].popen.send_signal(signal.SIGHUP)
             line = f"event=fleet_reloaded seeds={0 if name == 'n0' else 1} keys={len(keys)}"
             count = rig.log(name).count(line)
             rig.wait(
                 lambda name=name, line=line, count=count: rig.log(name).count(line) > count
                 or count,
-                SOON,
+                TIMEOUT_SECONDS,
                 "reloaded",
             )
-    rig.wait(rig.settled, SOON, "settled with the new key")
-    assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in names(4))
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with the new key")
+    assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in member_names(4))
 
 
-def test_foreign_datagrams_are_counted_and_change_nothing(running):
-    rig = running(3)
+def test_invalid_datagrams_are_logged_and_change_nothing(running_fleet):
+    rig = running_fleet(3)
     key = bytes.fromhex(rig.key.read_text().strip())
-    good = seal(datagram(sender="stranger", updates=(gossip_update("ghost", metadata=False),)), key)
-    assert unseal(good, (key,))
+    valid = seal(
+        datagram(sender="stranger", updates=(gossip_update("ghost", metadata=False),)), key
+    )
+    assert unseal(valid, (key,))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-        wrong = [
+        invalid = [
             b"",
             bytes(65_507),
             seal(datagram(), bytes(32)),
-            *(good[:at] for at in range(len(good))),
+            *(valid[:length] for length in range(len(valid))),
         ]
-        for data in wrong:
+        for data in invalid:
             sock.sendto(data, rig.processes["n1"].real)
         rig.wait(
             lambda: "why=long" in rig.log("n1") and "why=seal" in rig.log("n1"),
-            SOON,
+            TIMEOUT_SECONDS,
             "logged",
         )
     assert rig.settled()
     assert "ghost" not in str(rig.show("n1"))
 
 
-def test_a_key_file_that_others_may_read_ends_the_start_with_2(make_rig):
+def test_a_key_file_readable_by_other_users_fails_the_start_with_exit_code_2(make_rig):
     rig = make_rig(1)
     os.chmod(rig.key, 0o644)
     rig.start("n0", wait=False)
-    assert rig.processes["n0"].popen.wait(SOON) == 2
-    rig.wait(lambda: "expected mode 0600" in rig.log("n0"), SOON, "says why")
+    assert rig.processes["n0"].popen.wait(TIMEOUT_SECONDS) == 2
+    rig.wait(lambda: "expected mode 0600" in rig.log("n0"), TIMEOUT_SECONDS, "the reason is logged")
 
 
-def test_lost_duplicated_delayed_and_reordered_datagrams_lose_no_member(running):
-    rig = running(8)
-    for name in names(8):
+def test_lost_duplicated_delayed_and_reordered_datagrams_cause_no_false_death(running_fleet):
+    rig = running_fleet(8)
+    for name in member_names(8):
         rig.weather(name, loss=0.05, double=0.1, delay=0.002, jitter=0.02)
     rig.kill("n3")
-    rig.wait(lambda: set(rig.healths("n3").values()) == {"dead"}, SOON, "known to all")
+    rig.wait(
+        lambda: set(rig.healths("n3").values()) == {"dead"}, TIMEOUT_SECONDS, "declared dead by all"
+    )
     assert all(
-        healths == "alive"
-        for name in names(8)
+        health == "alive"
+        for name in member_names(8)
         if name != "n3"
-        for healths in rig.healths(name).values()
+        for health in rig.healths(name).values()
     )
     rig.heal()
-    rig.wait(rig.settled, SOON, "settled")
+    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
 
 
 # Scenarios
 
 
-def test_a_scenario_names_the_line_that_did_not_hold(tmp_path, capsys):
+def test_a_failed_expectation_of_a_scenario_is_reported_with_its_line(tmp_path, capsys):
     script = tmp_path / "x.drill"
     script.write_text(
         "members 3\nprobe-interval 100ms\nstart all\nexpect settled within 10s\n"
         "expect health dead n1 within 300ms\nexpect health alive n1 within 1s\n"
     )
     assert not play(read(str(script)), quiet=True)
-    out = capsys.readouterr().out
-    assert f"{script}:5: not held: expect health dead n1 within 300ms" in out
-    assert "2 of 3" in out
+    output = capsys.readouterr().out
+    assert f"{script}:5: not held: expect health dead n1 within 300ms" in output
+    assert "2 of 3" in output
 
 
 def test_all_errors_of_a_script_are_reported_at_once(tmp_path):
@@ -211,32 +229,32 @@
     assert lines == ["1", "2", "3", "4", "5", "6", "7"]
 
 
-def test_the_scenario_of_the_readme_holds():
+def test_the_crash_scenario_of_the_readme_succeeds():
     assert play(read(str(ROOT / "drills/crash.drill")), quiet=True)
 
 
-def test_a_member_with_a_wrong_or_jumping_clock_stays_and_declares_nobody_dead(make_rig):
+def test_members_with_a_wrong_or_jumping_clock_stay_in_the_fleet(make_rig):
     rig = make_rig(4)
     rig.set_clock("n1", -24 * 3600.0)
     rig.set_clock("n2", 0.0)
     rig.start(*rig.processes)
     rig.wait(rig.settled, 15, "settled")
-    lives = {row["name"]: row["life"] for row in rig.show("n0")["members"]}
+    incarnations = {row["name"]: row["life"] for row in rig.show("n0")["members"]}
     assert (
-        23 * 3_600_000 < lives["n3"] - lives["n1"] < 25 * 3_600_000
-    )  # milliseconds: it is off indeed
+        23 * 3_600_000 < incarnations["n3"] - incarnations["n1"] < 25 * 3_600_000
+    )  # ms: the clock of n1 is a day behind
     rig.set_clock("n2", 3600.0)
-    seen = rig.show("n0")["digest"]
+    previous_digest = rig.show("n0")["digest"]
     rig.kill("n1")
-    rig.wait(lambda: set(rig.healths("n1").values()) == {"dead"}, 15, "n1 known as lost")
+    rig.wait(lambda: set(rig.healths("n1").values()) == {"dead"}, 15, "n1 declared dead")
     rig.set_clock("n1", -48 * 3600.0)
     rig.start("n1")
-    rig.wait(rig.settled, 15, "settled with an older clock")
-    assert rig.show("n0")["digest"] != seen
+    rig.wait(rig.settled, 15, "settled with the clock of n1 two days behind")
+    assert rig.show("n0")["digest"] != previous_digest
     assert all(rig.show(name)["present"] == 4 for name in rig.up())
 
 
-def test_script_commands_that_need_users_or_routers_are_refused_without_them(tmp_path):
+def test_script_commands_that_need_users_or_routers_are_rejected_without_them(tmp_path):
     path = tmp_path / "a.drill"
     path.write_text(
         "members 4\nstart all\nexpect service 95% within 2s\nunplug n1\nslow n1 3\nclock 1x n1\n"
