--- a/tests/membership/test_simulated.py
+++ b/tests/membership/test_simulated.py
@@ -1,4 +1,4 @@
-"""Fleets in simulated time: joins, crashes, partitions and loss over many rounds."""
+"""Fleets in simulated time: joins, crashes, partitions and packet loss over many rounds."""
 
 import pytest
 from hypothesis import given, settings
@@ -6,7 +6,7 @@
 
 from lilacwalk.membership.messages import Health, NodeState
 from lilacwalk.membership.minimum_healthy import withdrawal_limit
-from tests.membership.conftest import SECOND, counted, fleet, names
+from tests.membership.conftest import SECOND, fleet, member_names, total_count
 
 
 @pytest.mark.parametrize("count", [2, 6, 12, 48])
@@ -15,39 +15,39 @@
     assert world.run_until(world.all_settled, 30 * SECOND) is not None
 
 
-def test_all_join_although_the_seed_dies_meanwhile():
+def test_all_join_although_the_seed_crashes_meanwhile():
     world = fleet(12, settle=False)
-    world.run(SECOND)  # some have been told of the others, some have not
+    world.run(SECOND)  # by now some members know the others and some do not
     world.kill("n0")
     assert world.run_until(world.all_settled, 60 * SECOND) is not None
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.15])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_third_killed_at_one_instant_is_declared_dead_by_all_and_nobody_else_is(seed, loss):
+def test_a_third_killed_at_once_is_declared_dead_by_all_and_no_other_member_is(seed, loss):
     world = fleet(12, seed, loss=loss)
-    gone = ["n1", "n4", "n7", "n10"]
+    killed = ["n1", "n4", "n7", "n10"]
     world.kill("n1"), world.kill("n4"), world.kill("n7"), world.kill("n10")
-    took = world.run_until(lambda: world.known_gone(*gone), 40 * SECOND)
-    assert took is not None
-    assert took <= 20 * SECOND
-    assert all(world.believed(node) == set(names(12)) - set(gone) for node in world.up())
+    duration = world.run_until(lambda: world.known_gone(*killed), 40 * SECOND)
+    assert duration is not None
+    assert duration <= 20 * SECOND
+    assert all(world.believed(node) == set(member_names(12)) - set(killed) for node in world.up())
 
 
-@pytest.mark.parametrize("elsewhere", [None, ("10.0.0.2", 5)])
-def test_a_member_restarted_within_a_probe_interval_is_found_at_its_address(elsewhere):
+@pytest.mark.parametrize("new_address", [None, ("10.0.0.2", 5)])
+def test_a_member_restarted_within_a_probe_interval_is_found_at_its_address(new_address):
     world = fleet(8)
     world.kill("n3")
     world.run(SECOND // 5)
-    world.add("n3", "natal", ["n0"], address=elsewhere)
+    world.add("n3", "natal", ["n0"], address=new_address)
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
     assert all(
         node.machine.view.get("n3").address == world.nodes["n3"].address for node in world.up()
     )
-    assert counted(world, "dead") == 0
+    assert total_count(world, "dead") == 0
 
 
-def test_a_clock_set_back_by_years_without_a_disk_brings_back_no_old_incarnation():
+def test_a_clock_set_back_by_years_without_a_disk_does_not_lower_the_incarnation():
     world = fleet(6)
     before = world.nodes["n2"].machine.identity.incarnation
     world.kill("n2")
@@ -57,21 +57,21 @@
     assert world.nodes["n2"].machine.identity.incarnation > before
 
 
-def test_a_member_paused_for_longer_than_a_suspicion_refutes_and_declares_nobody_dead():
+def test_a_member_paused_for_longer_than_a_suspicion_refutes_and_declares_no_member_dead():
     world = fleet(12)
     world.pause("n5")
     assert world.run_until(lambda: world.known_gone("n5"), 30 * SECOND) is not None
     world.run(60 * SECOND)
-    before = counted(world, "dead")
+    before = total_count(world, "dead")
     world.resume("n5")
     assert world.run_until(world.all_settled, 15 * SECOND) is not None
     world.run(30 * SECOND)
-    assert counted(world, "dead") == before + world.nodes["n5"].machine.counts["dead"]
+    assert total_count(world, "dead") == before + world.nodes["n5"].machine.counts["dead"]
     assert world.nodes["n5"].machine.counts["dead"] == 0
 
 
-def test_a_stall_of_the_own_process_is_no_silence_of_others():
-    """As long as three probes: each would have failed."""
+def test_a_stall_of_the_local_process_causes_no_death():
+    """The stall lasts as long as three probes, which would fail if deadlines were not deferred."""
     world = fleet(6)
     world.pause("n1")
     world.run(int(1.4 * SECOND))
@@ -83,7 +83,7 @@
 
 def test_a_site_partitioned_and_healed_twice_in_ten_seconds_settles():
     world = fleet(12)
-    recife, others = names(12)[:4], names(12)[4:]
+    recife, others = member_names(12)[:4], member_names(12)[4:]
     for _ in range(2):
         world.cut(recife, others)
         world.run(3 * SECOND)
@@ -92,13 +92,15 @@
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
 
 
-def test_both_sides_of_a_partition_know_which_they_are_and_report_a_partition():
+def test_both_sides_of_a_partition_identify_their_side_and_the_majority_reports_it():
     world = fleet(12)
-    world.cut(names(12)[:4], names(12)[4:])
+    world.cut(member_names(12)[:4], member_names(12)[4:])
     world.run(40 * SECOND)
-    words = {name: world.nodes[name].machine.conclusion(world.now).verdict for name in names(12)}
-    assert [words[name] for name in names(12)] == ["minority"] * 4 + ["whole"] * 8
-    for name in names(12)[4:]:
+    verdicts = {
+        name: world.nodes[name].machine.conclusion(world.now).verdict for name in member_names(12)
+    }
+    assert [verdicts[name] for name in member_names(12)] == ["minority"] * 4 + ["whole"] * 8
+    for name in member_names(12)[4:]:
         assert any(
             event.change == "cut" and event.member == "recife" for event in world.nodes[name].events
         )
@@ -107,20 +109,20 @@
 @pytest.mark.parametrize("seeds_down", [False, True])
 def test_two_halves_find_each_other_after_a_minute_whichever_seeds_are_down(seeds_down):
     world = fleet(12)
-    world.cut(names(12)[:6], names(12)[6:])
+    world.cut(member_names(12)[:6], member_names(12)[6:])
     world.run(60 * SECOND)
     if seeds_down:
         world.kill("n0")
     world.heal()
-    took = world.run_until(world.all_settled, 30 * SECOND)
-    assert took is not None
-    assert took <= 10 * SECOND
+    duration = world.run_until(world.all_settled, 30 * SECOND)
+    assert duration is not None
+    assert duration <= 10 * SECOND
 
 
 @pytest.mark.parametrize(
-    "first", [("recife", "natal"), ("natal", "caruaru"), ("recife", "caruaru")]
+    "healed_first", [("recife", "natal"), ("natal", "caruaru"), ("recife", "caruaru")]
 )
-def test_a_partition_in_three_heals_in_any_order(first):
+def test_a_partition_in_three_heals_in_any_order(healed_first):
     world = fleet(9)
     sites = {
         site: [name for name, node in world.nodes.items() if node.site == site]
@@ -129,7 +131,7 @@
     for one, other in (("recife", "natal"), ("natal", "caruaru"), ("recife", "caruaru")):
         world.cut(sites[one], sites[other])
     world.run(30 * SECOND)
-    together = set(sites[first[0]] + sites[first[1]])
+    together = set(sites[healed_first[0]] + sites[healed_first[1]])
     world.cuts = {(one, other) for one, other in world.cuts if not {one, other} <= together}
     world.run(15 * SECOND)
     assert all(world.believed(world.nodes[name]) == together for name in together)
@@ -137,17 +139,17 @@
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
 
 
-def test_a_link_that_is_cut_in_one_direction_loses_neither_member():
+def test_a_link_cut_in_one_direction_causes_no_death():
     world = fleet(8)
     world.cut(["n1"], ["n2"], both=False)
     world.run(120 * SECOND)
-    assert counted(world, "dead") == 0
+    assert total_count(world, "dead") == 0
     assert world.nodes["n1"].machine.view.get("n2").reached_via
 
 
-def test_a_member_that_hears_but_is_not_heard_says_so_and_declares_nobody_dead():
+def test_a_member_that_receives_but_cannot_send_is_unsure_and_declares_no_member_dead():
     world = fleet(8)
-    world.cut(["n3"], [name for name in names(8) if name != "n3"], both=False)
+    world.cut(["n3"], [name for name in member_names(8) if name != "n3"], both=False)
     world.run(30 * SECOND)
     machine = world.nodes["n3"].machine
     assert machine.conclusion(world.now).verdict == "unsure"
@@ -157,26 +159,26 @@
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
 
 
-def test_a_member_that_hears_nobody_suspects_nobody_at_first():
+def test_a_member_that_receives_nothing_concludes_alone_and_suspects_no_member_at_first():
     world = fleet(8)
-    world.cut(names(8)[1:], ["n0"])
+    world.cut(member_names(8)[1:], ["n0"])
     world.run(5 * SECOND)
     machine = world.nodes["n0"].machine
     assert machine.conclusion(world.now).verdict == "alone"
     assert machine.counts["suspect"] == 0
 
 
-def test_a_member_with_thirty_percent_loss_is_not_declared_dead_and_declares_nobody_dead():
+def test_a_member_with_thirty_percent_loss_neither_is_declared_dead_nor_declares_others_dead():
     world = fleet(12)
     world.lossy["n4"] = 0.3
     world.run(1_800 * SECOND)
-    assert counted(world, "dead") == 0
+    assert total_count(world, "dead") == 0
 
 
-def test_no_false_death_at_fifteen_percent_loss():
+def test_fifteen_percent_loss_causes_no_false_death():
     world = fleet(12, 5, loss=0.15)
-    world.run(1_200 * SECOND)  # four member-hours; the thousand are in benchmarks/membership.py
-    assert counted(world, "dead") == 0
+    world.run(1_200 * SECOND)  # four member-hours; benchmarks/membership.py simulates a thousand
+    assert total_count(world, "dead") == 0
 
 
 def test_a_member_that_flaps_every_second_causes_no_death_of_others():
@@ -194,16 +196,16 @@
     )
 
 
-def test_in_a_rolling_replacement_no_leave_reads_as_a_crash():
+def test_in_a_rolling_replacement_no_leave_is_taken_for_a_crash():
     world = fleet(8)
-    for at, name in enumerate(names(8)):
+    for index, name in enumerate(member_names(8)):
         world.leave(name)
         world.run(2 * SECOND)
         assert all(node.machine.view.get(name).health is Health.LEFT for node in world.up())
-        world.add(name, world.nodes[name].site, [names(8)[(at + 1) % 8]])
+        world.add(name, world.nodes[name].site, [member_names(8)[(index + 1) % 8]])
         world.run(3 * SECOND)
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
-    assert counted(world, "dead") == 0
+    assert total_count(world, "dead") == 0
 
 
 def test_of_two_processes_under_one_name_the_later_one_yields():
@@ -223,15 +225,15 @@
 
 def test_all_members_restarted_from_outdated_stores_settle():
     world = fleet(12)
-    for name in names(12):
+    for name in member_names(12):
         world.kill(name)
-    for name in names(12):
+    for name in member_names(12):
         world.add(name, world.nodes[name].site, ["n0"], clock_ms=-86_400_000, keep=True)
         world.run(5 * SECOND)
     assert world.run_until(world.all_settled, 30 * SECOND) is not None
 
 
-def test_with_every_seed_down_stored_members_are_asked():
+def test_with_every_seed_down_a_restarted_member_joins_through_stored_members():
     world = fleet(6)
     world.kill("n0")
     world.kill("n3")
@@ -240,34 +242,34 @@
     assert world.run_until(world.all_settled, 30 * SECOND) is not None
 
 
-def test_on_both_sides_of_a_partition_together_no_more_than_the_share_withdraws():
+def test_both_sides_of_a_partition_together_withdraw_no_more_than_the_share():
     world = fleet(12)
-    world.cut(names(12)[:6], names(12)[6:])
+    world.cut(member_names(12)[:6], member_names(12)[6:])
     world.run(40 * SECOND)
     for node in world.up():
         node.machine.update_metadata(world.now, state=NodeState.UNHEALTHY)
-    out = set()
+    withdrawn = set()
     for _ in range(100):
         world.run(SECOND // 10)
         for node in world.up():
-            if node.machine.may_withdraw(world.now) and node.name not in out:
-                out.add(node.name)
+            if node.machine.may_withdraw(world.now) and node.name not in withdrawn:
+                withdrawn.add(node.name)
                 node.machine.update_metadata(world.now, withdrawn=True)
-    assert len(out) <= withdrawal_limit(12, 0.34)
+    assert len(withdrawn) <= withdrawal_limit(12, 0.34)
 
 
-def test_when_all_are_unhealthy_at_once_the_share_withdraws_and_no_more():
+def test_when_all_members_are_unhealthy_exactly_the_share_withdraws():
     world = fleet(12)
-    out = set()
+    withdrawn = set()
     for node in world.up():
         node.machine.update_metadata(world.now, state=NodeState.UNHEALTHY)
     for _ in range(300):
         world.run(SECOND // 10)
         for node in world.up():
-            if node.machine.may_withdraw(world.now) and node.name not in out:
-                out.add(node.name)
+            if node.machine.may_withdraw(world.now) and node.name not in withdrawn:
+                withdrawn.add(node.name)
                 node.machine.update_metadata(world.now, withdrawn=True)
-    assert len(out) == withdrawal_limit(12, 0.34)
+    assert len(withdrawn) == withdrawal_limit(12, 0.34)
 
 
 def test_every_table_stays_bounded_in_a_fleet_larger_than_the_view():
@@ -286,27 +288,27 @@
     st.integers(0, 1_000_000),
     st.lists(
         st.tuples(
-            st.sampled_from(["kill", "back", "cut", "heal", "leave", "pause"]),
+            st.sampled_from(["kill", "restore", "cut", "heal", "leave", "pause"]),
             st.integers(0, 6),
             st.integers(1, 40),
         ),
         max_size=8,
     ),
 )
-def test_after_any_faults_the_views_of_connected_members_become_equal_and_true(seed, faults):
+def test_after_any_faults_the_views_of_connected_members_converge_to_the_truth(seed, faults):
     world = fleet(7, seed, settle=False, loss=0.1, double=0.1)
-    for what, at, tenths in faults:
-        name = f"n{at}"
+    for fault, index, tenths in faults:
+        name = f"n{index}"
         node = world.nodes[name]
-        if what in ("kill", "leave", "pause") and node.machine is not None and not node.paused:
-            getattr(world, what)(name)
-        elif what == "back" and (node.machine is None or node.paused):
+        if fault in ("kill", "leave", "pause") and node.machine is not None and not node.paused:
+            getattr(world, fault)(name)
+        elif fault == "restore" and (node.machine is None or node.paused):
             world.resume(name) if node.machine is not None else world.add(
                 name, node.site, ["n0", "n1"]
             )
-        elif what == "cut":
-            world.cut(names(7)[:at], names(7)[at:])
-        elif what == "heal":
+        elif fault == "cut":
+            world.cut(member_names(7)[:index], member_names(7)[index:])
+        elif fault == "heal":
             world.heal()
         world.run(tenths * SECOND // 10)
     world.heal()
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -1,11 +1,11 @@
-"""One membership machine, datagram by datagram."""
+"""One membership state machine, datagram by datagram."""
 
 from lilacwalk.membership.messages import Health, MessageType, NodeState
-from tests.membership.conftest import SECOND, datagram, gossip_update, machine
+from tests.membership.conftest import SECOND, datagram, gossip_update, make_membership
 
 
-def test_a_datagram_of_an_earlier_process_changes_nothing_and_gets_the_newer_claim():
-    member = machine()
+def test_a_datagram_of_an_earlier_process_changes_nothing_and_is_answered_with_the_newer_claim():
+    member = make_membership()
     state = datagram(MessageType.STATE_REPLY, updates=(gossip_update(incarnation=6),))
     member.receive(state, 10)
     member.take_datagrams()
@@ -18,8 +18,8 @@
     assert action.datagram.updates[0].incarnation == 6
 
 
-def test_an_ack_to_no_ping_of_ours_ends_no_probe():
-    member = machine()
+def test_an_ack_with_an_unknown_sequence_number_ends_no_probe():
+    member = make_membership()
     member.receive(datagram(MessageType.STATE_REPLY, updates=(gossip_update(),)), 10)
     member.tick(SECOND)
     member.receive(datagram(MessageType.ACK, sequence=123), SECOND + 1)
@@ -27,7 +27,7 @@
 
 
 def test_relayed_pings_and_state_replies_are_bounded():
-    member = machine()
+    member = make_membership()
     updates = (gossip_update(), gossip_update("n3", port=3))
     member.receive(datagram(MessageType.STATE_REPLY, updates=updates), 10)
     for sequence in range(500):
@@ -39,12 +39,12 @@
     assert member.counts["syncs_not_answered"] == 244
 
 
-def test_a_state_is_published_at_once_and_metrics_only_from_time_to_time():
-    member = machine()
+def test_a_state_change_is_published_at_once_and_metrics_only_periodically():
+    member = make_membership()
     member.update_metadata(0, load_permille=100)
     before = member.metadata.version
-    for at in range(100):
-        member.update_metadata(at * 100, load_permille=at)
+    for index in range(100):
+        member.update_metadata(index * 100, load_permille=index)
     assert member.metadata.version == before
     member.update_metadata(10_000, state=NodeState.UNHEALTHY)
     assert member.metadata.version == before + 1
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The table of claims: the same claims give the same table, in any order and number."""
+"""The member table: order of claims, digests, forgotten members and the limit on members."""
 
 import pytest
 from hypothesis import given
@@ -25,21 +25,21 @@
 
 
 @given(st.lists(claims, max_size=12), st.randoms())
-def test_claims_in_any_order_and_duplicated_give_the_same_table(updates, random):
-    one, other = MembershipView(10), MembershipView(10)
+def test_the_same_claims_in_any_order_and_duplicated_give_the_same_table(updates, random):
+    first, second = MembershipView(10), MembershipView(10)
     for update in updates:
-        one.apply(update, 0)
-    again = updates + random.choices(updates, k=3) if updates else []
-    random.shuffle(again)
-    for update in again:
-        other.apply(update, 0)
-    assert table(one) == table(other)
-    assert one.digest == other.digest
-    assert one.bucket_digests == other.bucket_digests
+        first.apply(update, 0)
+    duplicated = updates + random.choices(updates, k=3) if updates else []
+    random.shuffle(duplicated)
+    for update in duplicated:
+        second.apply(update, 0)
+    assert table(first) == table(second)
+    assert first.digest == second.digest
+    assert first.bucket_digests == second.bucket_digests
 
 
 @given(st.lists(claims, max_size=20))
-def test_precedence_never_decreases_and_the_digest_is_that_of_the_rows(updates):
+def test_precedence_never_decreases_and_the_digest_combines_the_row_digests(updates):
     view, before = MembershipView(10), {}
     for update in updates:
         view.apply(update, 0)
@@ -67,7 +67,7 @@
     assert view.apply(gossip_update(refutation=1, metadata=False), 3) is Change.REFUTED
     assert (
         view.apply(gossip_update(health=Health.DEAD, reported_by="x", metadata=False), 4) is None
-    )  # of the turn before
+    )  # of the previous refutation
 
 
 def test_older_metadata_never_replaces_newer():
@@ -77,7 +77,7 @@
     assert view.get("n2").metadata.load_permille == 700
 
 
-def test_a_restart_is_a_new_incarnation_and_its_metadata_versions_start_again():
+def test_a_new_incarnation_is_a_restart_with_metadata_versions_counted_anew():
     view = MembershipView(10)
     view.apply(gossip_update(version=9, load_permille=700), 0)
     assert (
@@ -95,7 +95,7 @@
     assert view.digest != before
 
 
-def test_a_forgotten_member_is_revived_by_a_new_incarnation_only():
+def test_a_forgotten_member_is_revived_only_by_a_new_incarnation():
     view, after = MembershipView(10), 60 * SECOND
     view.apply(gossip_update(), 0)
     view.apply(gossip_update(health=Health.DEAD, reported_by="x", metadata=False), 0)
@@ -103,7 +103,9 @@
     assert view.get("n2") is None
     assert view.apply(gossip_update(), after) is None
     assert view.get("n2") is None
-    assert view.apply(gossip_update(incarnation=6), after) is Change.JOINED  # it is back itself
+    assert (
+        view.apply(gossip_update(incarnation=6), after) is Change.JOINED
+    )  # the member has restarted
     view.apply(
         gossip_update(incarnation=6, health=Health.DEAD, reported_by="x", metadata=False), after
     )
@@ -112,7 +114,7 @@
     assert not view.members
 
 
-def test_a_full_table_replaces_members_that_are_gone_and_never_present_ones():
+def test_a_full_table_replaces_dead_members_but_never_present_ones():
     view = MembershipView(2)
     view.apply(gossip_update("a"), 0)
     view.apply(gossip_update("b"), 0)
@@ -123,13 +125,13 @@
     assert set(view.members) == {"a", "c"}
 
 
-@pytest.mark.parametrize("more", [{"state": NodeState.UNHEALTHY}, {"withdrawn": True}])
-def test_states_and_withdrawals_are_part_of_the_digest(more):
+@pytest.mark.parametrize("changes", [{"state": NodeState.UNHEALTHY}, {"withdrawn": True}])
+def test_states_and_withdrawals_are_part_of_the_digest(changes):
     from msgspec.structs import replace
 
     view = MembershipView(10)
     view.apply(gossip_update(), 0)
     before = view.digest
     update = gossip_update(version=2)
-    view.apply(replace(update, metadata=replace(update.metadata, **more)), 1)
+    view.apply(replace(update, metadata=replace(update.metadata, **changes)), 1)
     assert view.digest != before
