--- a/lilacwalk/membership/conclusions.py
+++ b/lilacwalk/membership/conclusions.py
@@ -1,13 +1,14 @@
 """Conclusions that one node may draw from its view.
 
 alone      no other member is heard from, though some are expected: the fault is likely local
-minority   fewer than half of the expected members are present: likely the smaller side of a
-           partition
+minority   fewer than half of the expected members are present: this is likely the smaller side of
+           a partition
 unsure     the view is not reliable at the moment; the reason says why
 whole      more than half of the expected members are present, none is suspected, peers agree
 
-Expected are all present members, and all lost members that did not leave and are not yet forgotten.
-With exactly half of them the conclusion is `unsure`, because the other half concludes the same.
+The expected members are all present ones, and all lost ones that did not leave and are not yet
+forgotten. If exactly half are present, the conclusion is `unsure`: the other half concludes the
+same.
 
 In a large fleet some member is suspected at any time, so a view would rarely be `whole`. A
 conclusion therefore also states whether it is firm: more than half of the expected members are
@@ -20,7 +21,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_SILENT_INTERVALS = 4  # at 30% packet loss, reached by chance once in a thousand cases
+MAX_SILENT_INTERVALS = 4  # at 30% packet loss the chance of so long a silence is 1 in a thousand
 MAX_UNANSWERED_PROBES = 6  # consecutive, while datagrams of other members arrive
 
 
@@ -75,7 +76,7 @@
     if statistics.joining:
         return Conclusion(Verdict.ALONE, "no other member has answered yet")
     if statistics.expected > 1 and silent_intervals >= MAX_SILENT_INTERVALS:
-        return Conclusion(Verdict.ALONE, f"no datagram received for {silent_intervals} intervals")
+        return Conclusion(Verdict.ALONE, f"no datagram for {silent_intervals} probe intervals")
     if statistics.present == 1 and statistics.lost:
         return Conclusion(Verdict.ALONE, f"all {statistics.lost} other members are lost")
     return None
@@ -102,6 +103,6 @@
     if statistics.suspects:
         return Conclusion(Verdict.UNSURE, f"{counts}, {statistics.suspects} suspected", firm)
     if not statistics.peers_agree:
-        return Conclusion(Verdict.UNSURE, f"{counts}, views of recent peers differ", firm)
+        return Conclusion(Verdict.UNSURE, f"{counts}, not confirmed by peers yet", firm)
     reason = f"{counts}, {statistics.lost} lost" if statistics.lost else counts
     return Conclusion(Verdict.WHOLE, reason, firm)
--- a/lilacwalk/membership/dissemination.py
+++ b/lilacwalk/membership/dissemination.py
@@ -41,8 +41,8 @@
     def enqueue(self, update: GossipUpdate, membership_change: bool) -> None:
         """Queues an update in place of an earlier one about the same member.
 
-        If a metadata update replaces a membership change that was not sent yet, it takes over its
-        priority. A full queue drops updates about members that it does not hold yet.
+        A metadata update that replaces an unsent membership change takes over its priority. A full
+        queue drops updates about members that it does not hold yet.
         """
         previous = self.items.pop(update.name, None)
         if previous is None and len(self.items) >= MAX_QUEUED_UPDATES:
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: failed probes start suspicions, and unrefuted suspects are declared dead.
+"""Failure detection: a failed probe starts a suspicion; if not refuted, it ends in a death.
 
 It differs from SWIM and Lifeguard, as docs/design/membership.md explains: a failed probe starts no
 suspicion if a datagram of its target arrived after the probe began; a node that receives no
@@ -48,7 +48,7 @@
         self.suspicions: dict[str, Suspicion] = {}
         self.started_at = now
         self.last_heard = now
-        self.unanswered_probes = 0  # consecutive, without those out of turn
+        self.unanswered_probes = 0  # consecutive; probes out of turn are not counted
         self.silent_probes = 0  # failed since a datagram of another member arrived
         self.stall_recovery_until = now
         self._suspected_at: deque[int] = deque(maxlen=MAX_REMEMBERED_SUSPICIONS)
@@ -185,7 +185,7 @@
         self._suspected_at.append(now)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions of the last ten intervals, and the mean per ten before."""
+        """Returns the suspicions in the last ten intervals, and the mean per ten earlier ones."""
         span = SUSPICION_RATE_INTERVALS * self.node.interval
         recent = sum(now - at <= span for at in self._suspected_at)
         earlier_span = max(span, now - self.started_at - span)
--- a/lilacwalk/membership/local_node.py
+++ b/lilacwalk/membership/local_node.py
@@ -25,7 +25,7 @@
 
 MAX_EVENTS = 256  # kept for queries by operators
 METRICS_INTERVALS = 4  # probe intervals between two updates of metrics
-MEMBERS_PER_METRICS_SPACING = 50  # above this, updates of metrics are rarer in proportion
+MEMBERS_PER_METRICS_SPACING = 50  # a fleet n times this size publishes metrics n times less often
 
 
 class LocalNode:
--- a/lilacwalk/membership/probing.py
+++ b/lilacwalk/membership/probing.py
@@ -22,8 +22,8 @@
 
 INDIRECT_PROBES = 3  # SWIM's k: helpers that receive a ping-req
 MAX_HEALTH_MULTIPLIER = 8  # as in the Lifeguard paper
-RETRY_DIVISOR = 4  # the retry follows after timeout / 4; a round trip takes milliseconds
-OUT_OF_TURN_DIVISOR = 2  # a probe out of turn has timeout / 2
+RETRY_DIVISOR = 4  # retry after a quarter of the timeout: a round trip takes milliseconds
+OUT_OF_TURN_DIVISOR = 2  # probes out of turn have half the timeout
 SEQUENCE_MASK = 0xFFFF_FFFF
 SEQUENCE_START_BITS = 30
 
@@ -100,7 +100,7 @@
     def _insert_newcomers(self, view: MembershipView) -> None:
         """Inserts new members at random positions (SWIM 4.3).
 
-        A new member that is only included in the next shuffle waits until all others are probed.
+        Otherwise a new member would not be probed until all others have been.
         """
         if view.version == self.view_version:
             return
--- a/lilacwalk/membership/state_exchange.py
+++ b/lilacwalk/membership/state_exchange.py
@@ -131,7 +131,7 @@
             self.request(self.node.view.members[name].address, now)
 
     def notify_of_reported_death(self, member: Member, update: GossipUpdate, now: int) -> None:
-        """Notifies a member, within the budget, that others consider it dead, so it can refute."""
+        """Sends a member the claim that it is dead, within the budget, so that it can refute it."""
         self._renew_budget(now)
         if self.notices_left > 0:
             self.notices_left -= 1
@@ -184,7 +184,7 @@
             )
 
     def _pack_buckets(self, buckets: list[int]) -> list[list[GossipUpdate]]:
-        """Returns the claims of these buckets in parts of one datagram, the local member first."""
+        """Returns the claims in these buckets, split into datagrams, the local member's first."""
         members = [
             member
             for bucket in buckets
--- a/lilacwalk/membership/swim.py
+++ b/lilacwalk/membership/swim.py
@@ -132,7 +132,7 @@
         return self.assessment.may_withdraw(now, verdict)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions of the last ten intervals, and the mean per ten before."""
+        """Returns the suspicions in the last ten intervals, and the mean per ten earlier ones."""
         return self.failure_detector.suspicion_rate(now)
 
     # Output for the host
@@ -178,7 +178,7 @@
             self.node.publish_metadata(metadata, now, membership_change=True)
 
     def leave(self) -> None:
-        """Notifies some members, which gossip it, that this one leaves; probing ends."""
+        """Notifies some members that this one leaves; they gossip the leave. Probing stops."""
         if self.identity.has_left:
             return
         self.identity.leave()
@@ -203,7 +203,7 @@
     # Time
 
     def tick(self, now: int) -> None:
-        """Handles all due deadlines; must be called at `next_deadline`, may be called earlier."""
+        """Handles all due deadlines. Call it at `next_deadline`; earlier calls do no harm."""
         self._check_for_stall(now)
         self.last_tick = now
         if self.identity.has_left or self.identity.has_yielded:
--- a/lilacwalk/membership/view.py
+++ b/lilacwalk/membership/view.py
@@ -1,11 +1,11 @@
 """The table of members, built from claims: of two claims about a member the newer one wins.
 
 Claims about a member are ordered by (incarnation, instance, refutation, health): a restart has a
-new incarnation, a refutation a new refutation number in the same incarnation; within one refutation
-suspect overrides alive, dead overrides suspect, left overrides dead. Taking the larger of two
-claims is commutative, associative and idempotent: nodes that have received the same claims, in any
-order and any number of times, hold the same table. Metadata is likewise ordered by (incarnation,
-instance, version).
+new incarnation, and a refutation has a new refutation number in the same incarnation. With equal
+numbers, suspect overrides alive, dead overrides suspect, and left overrides dead. Taking the larger
+of two claims is commutative, associative and idempotent: nodes that have received the same claims,
+in any order and any number of times, hold the same table. Metadata is likewise ordered by
+(incarnation, instance, version).
 
 Cost: applying a claim is O(1), as the digest is updated incrementally; the list of present members
 is rebuilt after a change. A forgotten member stays in the table for a while without metadata, so
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -49,7 +49,9 @@
     )
 
 
-def test_a_process_stopped_for_longer_than_a_suspicion_refutes_its_death(running_fleet):
+def test_a_process_stopped_for_longer_than_a_suspicion_refutes_and_declares_none_dead(
+    running_fleet,
+):
     rig = running_fleet(6)
     rig.stop("n2")
     rig.wait(
