--- a/lilacwalk/membership/actions.py
+++ b/lilacwalk/membership/actions.py
@@ -17,9 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """A change that is reported to operators; `at` in tenths of a millisecond.
+    """An event that is reported to operators; `at` in tenths of a millisecond.
 
-    `change` is a value of `member.Change`, or another word for an event of the local member.
+    `change` is a value of `member.Change`. Events without a change of a member have values of their
+    own, such as `stood-still` (a stall of the local process) and `cut` (a partitioned site).
     """
 
     at: int
--- a/lilacwalk/membership/admin.py
+++ b/lilacwalk/membership/admin.py
@@ -17,10 +17,10 @@
 from lilacwalk.membership.swim import Membership
 from lilacwalk.protocols.admin_socket import AdminSocket
 
-POLL_INTERVAL_SECONDS = 0.002  # between two checks for the answer to a requested probe
+POLL_INTERVAL_SECONDS = 0.002  # pause between two checks for the answer to a probe
 
 SiteCommandHandler: TypeAlias = Callable[[list[str]], object]
-"""Handles a query that begins with `sites`, given as its words."""
+"""Answers a query whose first word is `sites`; the argument is the list of its words."""
 
 
 def admin_socket(
@@ -52,7 +52,7 @@
 
 
 def view_report(machine: Membership, now: int, store: str = "off") -> dict[str, object]:
-    """Returns the member's view and its conclusion; `store` is the state of its storage."""
+    """Returns the member's view and the verdict on it; `store` is the state of its storage."""
     conclusion, statistics = machine.conclusion(now), machine.statistics(now)
     members = sorted(machine.view.known(), key=lambda member: member.name)
     recent_suspicions, usual_suspicions = machine.suspicion_rate(now)
@@ -123,7 +123,7 @@
 
 
 def ping(name: str, host: FleetHost) -> dict[str, object]:
-    """Probes a member immediately and waits up to one probe interval for a datagram from it."""
+    """Probes a member and returns whether it sent a datagram within one probe interval."""
     heard_before = host.query(lambda machine, now: _start_ping(name, machine, now))
     if heard_before is None:
         return {"error": f"unknown member {name}"}
@@ -146,7 +146,7 @@
 
 
 def _start_ping(name: str, machine: Membership, now: int) -> int | None:
-    """Starts a probe; returns when the member was last heard from, None for an unknown name."""
+    """Starts a probe; returns when the member was last heard from before, None if unknown."""
     member = machine.view.get(name)
     if member is None:
         return None
--- a/lilacwalk/membership/assessment.py
+++ b/lilacwalk/membership/assessment.py
@@ -1,4 +1,4 @@
-"""Assessment of the local view: statistics, conclusion, permission to withdraw."""
+"""Assessment of the local view: statistics, verdict, and whether this node may withdraw."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from lilacwalk.membership.join import JoinProtocol
 from lilacwalk.membership.local_node import LocalNode
 from lilacwalk.membership.messages import Health
-from lilacwalk.membership.minimum_healthy import ServingMember, may_withdraw
+from lilacwalk.membership.minimum_healthy import WithdrawalCandidate, may_withdraw
 from lilacwalk.membership.state_exchange import StateExchange
 
 
 class ViewAssessment:
-    """Evaluates the components of the state machine; owns no state."""
+    """Evaluates the view and the state of the other components; owns no state."""
 
     def __init__(
         self,
@@ -38,20 +38,20 @@
         )
 
     def conclusion(self, now: int) -> Conclusion:
-        """Returns what this node may conclude from its view."""
+        """Returns the verdict on the reliability of this node's view, with its reason."""
         return conclude(self.statistics(now))
 
     def statistics(self, now: int) -> ViewStatistics:
-        """Returns the statistics from which the conclusion is drawn."""
+        """Returns the statistics that determine the verdict."""
         view = self.node.view
         present = view.present
-        silence = (now - self.detector.last_heard) // self.node.interval
+        silent_intervals = (now - self.detector.last_heard) // self.node.interval
         return ViewStatistics(
             present=len(present),
             suspects=sum(member.health is Health.SUSPECT for member in present),
             lost=len(view.with_health(Health.DEAD)),
             left=len(view.with_health(Health.LEFT)),
-            silent_intervals=silence if len(present) > 1 else 0,
+            silent_intervals=silent_intervals if len(present) > 1 else 0,
             unanswered_probes=self.detector.unanswered_probes,
             joining=self.joining.is_waiting,
             recovering_from_stall=self.detector.is_recovering(now),
@@ -64,12 +64,12 @@
 
         Args:
             now: the current time.
-            verdict: verdict of the current conclusion; computed if omitted.
+            verdict: the current verdict; computed if omitted.
         """
         view = self.node.view
         verdict = verdict or self.conclusion(now).verdict
         members = [
-            ServingMember(
+            WithdrawalCandidate(
                 member.name,
                 member.incarnation,
                 member.metadata.state,
@@ -82,5 +82,5 @@
             self.node.name,
             members,
             self.node.config.withdraw_share,
-            view_is_whole=verdict is Verdict.WHOLE or len(view.known()) == 1,
+            view_is_complete=verdict is Verdict.WHOLE or len(view.known()) == 1,
         )
--- a/lilacwalk/membership/claims.py
+++ b/lilacwalk/membership/claims.py
@@ -1,4 +1,4 @@
-"""Applies claims about members to the view, gossips them on and notifies other components."""
+"""Merges claims about members into the view and passes the changes to the other components."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """The origin of a claim.
 
     `reason` goes into the event. `sender` is the member whose datagram carried the claim, empty for
-    a claim of this node. `from_exchange` marks a claim from an exchange of full state.
+    a claim by this node. `from_exchange` is true for a claim in a state reply or push.
     """
 
     reason: str = DEFAULT_REASON
@@ -31,7 +31,7 @@
 
 
 class ClaimHandler:
-    """Applies claims; owns no state."""
+    """Merges claims into the view and triggers the reactions to changes; owns no state."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self.joining = joining
 
     def apply(self, update: GossipUpdate, now: int, source: ClaimSource) -> None:
-        """Applies a claim to the view and reacts to the change that it makes."""
+        """Merges a claim into the view; gossips, reports and follows up on the change, if any."""
         if update.name == self.node.name:
             self.apply_to_self(update, now)
             return
@@ -69,7 +69,7 @@
             self._follow_up(change, member, update, now, source)
 
     def apply_to_self(self, claim: GossipUpdate, now: int) -> None:
-        """Handles a claim by another member about this member's name."""
+        """Answers a claim about the local name: refutes it, supersedes it, or yields the name."""
         match self.node.identity.handle_claim(claim):
             case ClaimOutcome.IGNORED:
                 return
@@ -96,7 +96,7 @@
         the claim. If it is dead, this node's own probes detect it.
 
         Returns:
-            Whether the claim was such a report.
+            Whether the claim reported the death of a member that is alive in this view.
         """
         if update.health is not Health.DEAD:
             return False
@@ -114,7 +114,7 @@
             self.detector.count_suspicion(now)
         self.detector.handle_health_change(member, update, now, source.sender)
         if change is Change.DEAD:
-            self.joining.note_loss(now)
+            self.joining.record_loss(now)
             self.exchange.forget_peer(member.name)
             self._report_partitions(now)
         self.node.record_event(now, change.value, member.name, source.reason, update.reported_by)
--- a/lilacwalk/membership/conclusions.py
+++ b/lilacwalk/membership/conclusions.py
@@ -1,10 +1,10 @@
-"""Conclusions that one node may draw from its view.
+"""Verdicts of one node on the reliability of its view.
 
 alone      no other member is heard from, though some are expected: the fault is likely local
 minority   fewer than half of the expected members are present: this is likely the smaller side of
            a partition
 unsure     the view is not reliable at the moment; the reason says why
-whole      more than half of the expected members are present, none is suspected, peers agree
+whole      more than half of the expected members are present, none suspected, and peers agree
 
 The expected members are all present ones, and all lost ones that did not leave and are not yet
 forgotten. If exactly half are present, the conclusion is `unsure`: the other half concludes the
@@ -22,7 +22,7 @@
 from enum import StrEnum
 
 MAX_SILENT_INTERVALS = 4  # at 30% packet loss the chance of so long a silence is 1 in a thousand
-MAX_UNANSWERED_PROBES = 6  # consecutive, while datagrams of other members arrive
+MAX_UNANSWERED_PROBES = 6  # consecutive; checked only after isolation is ruled out
 
 
 class Verdict(StrEnum):
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewStatistics:
-    """The figures from which a conclusion is drawn."""
+    """The figures that determine a conclusion."""
 
     present: int  # including this node
     suspects: int
     lost: int
     left: int
-    silent_intervals: int  # probe intervals since a datagram of another member arrived
-    unanswered_probes: int  # consecutive, while datagrams of other members arrive
+    silent_intervals: int  # probe intervals since the last datagram from another member
+    unanswered_probes: int  # consecutive probes without an ack; those out of turn do not count
     joining: bool  # seeds are configured, but no other member has answered yet
     recovering_from_stall: bool
     name_conflict: bool
-    peers_agree: bool  # the members heard from last hold the same view
+    peers_agree: bool  # the peers heard from last hold the same view as this node
 
     @property
     def expected(self) -> int:
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conclusion:
-    """A verdict with its reason; `firm`: a majority is present even without the suspects."""
+    """A verdict and its reason; `firm` is true if the unsuspected members are a majority."""
 
     verdict: Verdict
     reason: str
@@ -65,7 +65,7 @@
 
 
 def conclude(statistics: ViewStatistics) -> Conclusion:
-    """Returns the conclusion that one node may draw."""
+    """Returns the verdict on the reliability of the local view, from its statistics alone."""
     if statistics.name_conflict:
         return Conclusion(Verdict.UNSURE, "another process holds this name")
     return _isolation(statistics) or _own_fault(statistics) or _majority(statistics)
--- a/lilacwalk/membership/config.py
+++ b/lilacwalk/membership/config.py
@@ -13,7 +13,7 @@
 from msgspec import Meta, Struct
 
 SECOND = 10_000
-NAME = "^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$"  # short, so that several updates fit into a datagram
+NAME = "^[A-Za-z0-9][A-Za-z0-9._-]{0,39}$"  # short names let several updates fit into a datagram
 
 
 def unit(name: str, **limits) -> Meta:
@@ -39,7 +39,7 @@
     site: Name
     listen: Endpoint
     advertise: Endpoint | None = None  # address at which others reach this member; default: listen
-    key: str  # path of a file, one key in hexadecimal digits per line: the first seals, all open
+    key: str  # path; one hexadecimal key per line: the first seals datagrams, any opens them
     seed: tuple[Seed, ...] = ()
     probe_interval: Annotated[int, unit("duration", ge=SECOND // 20, le=60 * SECOND)] = SECOND
     forget: Annotated[int, unit("duration", ge=60 * SECOND, le=7 * 24 * 3600 * SECOND)] = (
@@ -53,7 +53,7 @@
     store: str | None = None  # path of a directory; None: nothing is stored
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the errors that concern several fields, as (field, what was expected)."""
+        """Returns errors that involve several fields, as pairs of a field and what was expected."""
         errors = [
             ("seed", f"{host}:{port} once, not twice")
             for (host, port), times in Counter(seed.address for seed in self.seed).items()
--- a/lilacwalk/membership/datagram_reader.py
+++ b/lilacwalk/membership/datagram_reader.py
@@ -40,9 +40,9 @@
         max_queued: int,
         stopped: threading.Event,
     ) -> None:
-        """Creates the thread; at most `max_queued` events wait in the queue."""
+        """Creates the thread; datagrams are dropped while `max_queued` events are queued."""
         self.udp_socket = udp_socket
-        self.keys = keys  # replaced as a whole on a reload
+        self.keys = keys  # a reload assigns a new tuple
         self.event_queue = event_queue
         self.on_datagram = on_datagram
         self.max_queued = max_queued
--- a/lilacwalk/membership/dissemination.py
+++ b/lilacwalk/membership/dissemination.py
@@ -15,17 +15,17 @@
 RETRANSMIT_MULTIPLIER = 3  # SWIM's λ
 MAX_QUEUED_UPDATES = 4_000  # twice the default limit on members
 MAX_UPDATES_PER_DATAGRAM = 24
-SMALLEST_UPDATE_BYTES = 24  # no update fits into less room
+MIN_UPDATE_BYTES = 24  # no update fits into fewer bytes
 
 
 @dataclass(eq=False, slots=True)
 class QueuedUpdate:
-    """An update that is being sent; a larger `order` was queued later."""
+    """An update in the queue; updates with a larger `order` were queued later."""
 
     update: GossipUpdate
     size: int
     order: int
-    is_membership_change: bool  # otherwise it only refreshes metadata
+    is_membership_change: bool  # false if the update only refreshes metadata
     transmissions: int = 0
 
 
@@ -42,7 +42,7 @@
         """Queues an update in place of an earlier one about the same member.
 
         A metadata update that replaces an unsent membership change takes over its priority. A full
-        queue drops updates about members that it does not hold yet.
+        queue drops updates about members without a queued update.
         """
         previous = self.items.pop(update.name, None)
         if previous is None and len(self.items) >= MAX_QUEUED_UPDATES:
@@ -56,23 +56,23 @@
         )
 
     def piggyback(
-        self, room: int, members: int, first: tuple[GossipUpdate, ...] = ()
+        self, room: int, members: int, first_updates: tuple[GossipUpdate, ...] = ()
     ) -> tuple[GossipUpdate, ...]:
         """Returns the updates for one datagram and counts them as sent.
 
         Args:
             room: bytes available for all updates.
             members: number of present members, which determines how often an update is sent.
-            first: updates that are always included and not counted as sent.
+            first_updates: updates that are always included and not counted as sent.
         """
         if not self.items:
-            return first
-        selected = list(first)
-        names = {update.name for update in first}
-        room -= sum(len(encode(update)) for update in first)
+            return first_updates
+        selected = list(first_updates)
+        names = {update.name for update in first_updates}
+        room -= sum(len(encode(update)) for update in first_updates)
         max_transmissions = math.ceil(RETRANSMIT_MULTIPLIER * math.log(members + 1))
         for item in self._by_priority():
-            if len(selected) >= MAX_UPDATES_PER_DATAGRAM or room < SMALLEST_UPDATE_BYTES:
+            if len(selected) >= MAX_UPDATES_PER_DATAGRAM or room < MIN_UPDATE_BYTES:
                 break
             if item.size > room or item.update.name in names:
                 continue
@@ -84,7 +84,7 @@
         return tuple(selected)
 
     def _by_priority(self) -> list[QueuedUpdate]:
-        """Returns membership changes first; among equals the least sent, then the newest."""
+        """Returns membership changes first, then the least sent updates, then the newest."""
         return sorted(
             self.items.values(),
             key=lambda item: (not item.is_membership_change, item.transmissions, -item.order),
--- a/lilacwalk/membership/errors.py
+++ b/lilacwalk/membership/errors.py
@@ -21,7 +21,7 @@
     """The key file cannot be used."""
 
     def __init__(self, path: str, detail: str, line: int | None = None) -> None:
-        """Stores file and line, if any; `detail` says what is wrong or was expected."""
+        """Stores path and line; `detail` says what is wrong or was expected."""
         place = path if line is None else f"{path}:{line}"
         super().__init__(f"key file {place}: {detail}")
         self.path = path
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: a failed probe starts a suspicion; if not refuted, it ends in a death.
+"""Failure detection: failed probes start suspicions; those not refuted end in a death.
 
 It differs from SWIM and Lifeguard, as docs/design/membership.md explains: a failed probe starts no
 suspicion if a datagram of its target arrived after the probe began; a node that receives no
@@ -20,23 +20,23 @@
 
 MAX_RELAYED_PINGS = 64
 MAX_REMEMBERED_SUSPICIONS = 256
-MAX_SILENT_PROBES = 4  # failed while no datagram arrives, before their targets are suspected
+MAX_SILENT_PROBES = 4  # while no datagrams arrive, this many may fail without a suspicion
 STALL_RECOVERY_INTERVALS = 4
 SUSPICION_RATE_INTERVALS = 10
 
 
 class ApplyUpdate(Protocol):
-    """Applies a claim to the view and reacts to the change that it makes."""
+    """Merges a claim into the view and follows up on the change, if any."""
 
     def __call__(self, update: GossipUpdate, now: int, reason: str) -> None:
-        """Applies the claim; `reason` goes into the event."""
+        """Merges the claim; `reason` goes into the event."""
 
 
 class FailureDetector:
     """Probes members, suspects those that do not answer, and declares them dead.
 
-    Owns the probes, the suspicions, and the signs of a fault of this node itself: unanswered
-    probes, silence, the time until which it recovers from a stall. Times are in tenths of a
+    Owns the probes, the suspicions, and the indications of a local fault: unanswered probes,
+    silence, the time until which this node recovers from a stall. Times are in tenths of a
     millisecond.
     """
 
@@ -49,7 +49,7 @@
         self.started_at = now
         self.last_heard = now
         self.unanswered_probes = 0  # consecutive; probes out of turn are not counted
-        self.silent_probes = 0  # failed since a datagram of another member arrived
+        self.silent_probes = 0  # failed since the last datagram from another member
         self.stall_recovery_until = now
         self._suspected_at: deque[int] = deque(maxlen=MAX_REMEMBERED_SUSPICIONS)
 
@@ -62,13 +62,13 @@
         deadlines = [suspicion.deadline for suspicion in self.suspicions.values()]
         return min([self.probes.next_deadline(), *deadlines])
 
-    def note_heard(self, now: int) -> None:
-        """Records that a datagram of another member arrived."""
+    def record_contact(self, now: int) -> None:
+        """Records that a datagram from another member arrived."""
         self.last_heard = now
         self.silent_probes = 0
 
     def advance(self, now: int) -> None:
-        """Retries and fails probes, sends nacks, declares members dead whose suspicion expired."""
+        """Retries or fails overdue probes, sends nacks, declares suspects dead after a timeout."""
         self.advance_probes(now)
         for relayed in self.probes.take_due_nacks(now):
             self.node.send(relayed.requester, MessageType.NACK, relayed.requester_sequence)
@@ -77,7 +77,7 @@
             self._declare_dead(suspicion, now)
 
     def advance_probes(self, now: int) -> None:
-        """Retries probes through other members, and handles those that failed."""
+        """Retries unanswered probes through other members, and handles those that expired."""
         to_retry, failed = self.probes.take_due_probes(now)
         for probe in to_retry:
             self._retry(probe)
@@ -96,11 +96,10 @@
         self._send_ping(member, probe.sequence)
 
     def probe_suspects(self, now: int) -> None:
-        """Probes some of the members that this node suspects, or whose suspicion is half over.
+        """Probes some suspects of this node, and some whose suspicion timeout is half over.
 
-        A member that has not received a suspicion cannot refute it. A node that only received the
-        suspicion from others checks it before it expires, because the refutation may have been
-        lost.
+        A member cannot refute a suspicion that it has not received. A node that did not start a
+        suspicion checks it before the timeout, because the refutation may have been lost.
         """
         name = self.node.name
         candidates = sorted(
@@ -113,7 +112,7 @@
                 self.ping(self.node.view.members[suspect], now, out_of_turn=True)
 
     def suspicion_notice(self, member: Member) -> tuple[GossipUpdate, ...]:
-        """Returns the claim that a suspected member receives, to let it refute it (Lifeguard)."""
+        """Returns the claim for a suspected or dead member to refute (Lifeguard), else nothing."""
         return (member.update(False),) if member.health is not Health.ALIVE else ()
 
     def handle_ack(self, datagram: Datagram) -> None:
@@ -157,8 +156,8 @@
     ) -> None:
         """Starts or ends a suspicion after a claim changed the view.
 
-        A newly suspected member is probed at once by the members that received the claim from its
-        reporter directly, and by a random few of the others.
+        Newly suspected members are probed at once by all nodes that received the suspicion directly
+        from its reporter, and by a few random others.
         """
         if member.health is not Health.SUSPECT:
             self.suspicions.pop(member.name, None)
@@ -185,7 +184,7 @@
         self._suspected_at.append(now)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions in the last ten intervals, and the mean per ten earlier ones."""
+        """Returns the suspicions in the last ten intervals, and the earlier mean in ten."""
         span = SUSPICION_RATE_INTERVALS * self.node.interval
         recent = sum(now - at <= span for at in self._suspected_at)
         earlier_span = max(span, now - self.started_at - span)
@@ -217,22 +216,22 @@
         self.probes.cancel_all()
 
     def send_update_to_sample(self, update: GossipUpdate) -> None:
-        """Sends a claim to a few random members at once, which then check a suspicion themselves.
+        """Sends a claim to a few random members at once, so that they probe a suspect themselves.
 
-        With gossip alone, confirmations would take as long to arrive as a claim to reach all
+        Gossip alone would delay the confirmations by the time that a claim takes to reach all
         members.
         """
         peers = [member for member in self._alive_peers() if member.name != update.name]
         for peer in self.node.rng.sample(peers, min(len(peers), INDIRECT_PROBES)):
             sequence = self.probes.next_sequence()
-            self.node.send(peer.address, MessageType.PING, sequence, first=(update,))
+            self.node.send(peer.address, MessageType.PING, sequence, first_updates=(update,))
 
     def _alive_peers(self) -> list[Member]:
         return [member for member in self.node.peers() if member.health is Health.ALIVE]
 
     def _send_ping(self, member: Member, sequence: int) -> None:
         notice = self.suspicion_notice(member)
-        self.node.send(member.address, MessageType.PING, sequence, first=notice)
+        self.node.send(member.address, MessageType.PING, sequence, first_updates=notice)
 
     def _retry(self, probe: Probe) -> None:
         member = self.node.view.get(probe.name)
@@ -288,5 +287,5 @@
 
 
 def with_report(update: GossipUpdate, reported_by: str, health: Health) -> GossipUpdate:
-    """Returns the claim with another health and reporter."""
+    """Returns a copy of the claim with another health and reporter."""
     return replace(update, reported_by=reported_by, health=health)
--- a/lilacwalk/membership/host.py
+++ b/lilacwalk/membership/host.py
@@ -41,9 +41,9 @@
 Result = TypeVar("Result")
 
 EVALUATION_INTERVAL = 2_000  # tenths of a millisecond between two periodic evaluations
-EVENTS_PER_ITERATION = 64  # handled between two readings of the clock
-LEAVE_ROUNDS = 3  # repeated, so that packet loss does not make a leave look like a crash
-LEAVE_PAUSE_SECONDS = 0.05  # between these rounds
+EVENTS_PER_ITERATION = 64  # events handled between two readings of the clock
+LEAVE_ROUNDS = 3  # announcements of a leave, so that packet loss does not make it look like a crash
+LEAVE_PAUSE_SECONDS = 0.05  # between two announcements
 SEED_BYTES = 8
 NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
@@ -185,7 +185,7 @@
     # Run in the state machine's thread
 
     def _machine(self) -> Membership:
-        assert self.machine is not None, "the thread creates it before it handles events"
+        assert self.machine is not None, "created before the thread handles events"
         return self.machine
 
     def _run(self) -> None:
--- a/lilacwalk/membership/incarnation.py
+++ b/lilacwalk/membership/incarnation.py
@@ -35,7 +35,7 @@
 
 INSTANCE_RANDOM_BITS = 20
 INSTANCE_CLOCK_BITS = 42
-MAX_SUPERSEDED = 16  # instances remembered; claims of older ones are no longer expected
+MAX_SUPERSEDED_INSTANCES = 16  # kept; claims about earlier ones are no longer expected
 
 
 class ClaimOutcome(Enum):
@@ -43,7 +43,7 @@
 
     IGNORED = auto()
     REFUTED = auto()  # a suspicion or death, answered by a higher refutation
-    SUPERSEDED = auto()  # a claim of another process, answered by a higher incarnation
+    SUPERSEDED = auto()  # a claim by another process, answered by a higher incarnation
     YIELDED = auto()  # the name belongs to another process
 
 
@@ -71,7 +71,7 @@
         self.health = Health.ALIVE
         self.established = False
         self.presumed_dead = False
-        self.superseded: dict[int, int] = {}  # by instance: the incarnation that superseded it
+        self.superseded: dict[int, int] = {}  # instance -> incarnation that superseded it
         self.yielded_to: GossipUpdate | None = None
 
     @property
@@ -94,7 +94,7 @@
         self.health = Health.LEFT
 
     def handle_claim(self, claim: GossipUpdate) -> ClaimOutcome:
-        """Handles a claim of others about this name; the identity changes as the outcome says."""
+        """Decides on a claim about this name by another member, and changes the identity."""
         if self.has_yielded:
             return ClaimOutcome.IGNORED
         if claim.instance == self.instance:
@@ -132,7 +132,7 @@
             return ClaimOutcome.SUPERSEDED
         self.incarnation = claim.incarnation + 1
         self.refutation = 0
-        if len(self.superseded) >= MAX_SUPERSEDED:
+        if len(self.superseded) >= MAX_SUPERSEDED_INSTANCES:
             self.superseded.pop(next(iter(self.superseded)))
         self.superseded[claim.instance] = self.incarnation
         return ClaimOutcome.SUPERSEDED
--- a/lilacwalk/membership/join.py
+++ b/lilacwalk/membership/join.py
@@ -16,7 +16,7 @@
 REJOIN_INTERVALS = 2  # probe intervals between two attempts after a recent loss
 LATE_REJOIN_INTERVALS = 10  # probe intervals between two attempts otherwise
 RECENT_LOSS_INTERVALS = 120  # probe intervals during which a loss is recent
-ESTABLISHED_INTERVALS = 3  # probe intervals after the start; a later answer sets `established`
+ESTABLISHED_INTERVALS = 3  # probe intervals after the start; only later answers set `established`
 
 
 class JoinProtocol:
@@ -55,7 +55,7 @@
         if now - self.started_at > ESTABLISHED_INTERVALS * self.node.interval:
             self.node.identity.established = True
 
-    def note_loss(self, now: int) -> None:
+    def record_loss(self, now: int) -> None:
         """Records that a member was declared dead."""
         self.last_loss_at = now
 
--- a/lilacwalk/membership/keys.py
+++ b/lilacwalk/membership/keys.py
@@ -8,7 +8,7 @@
 
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64  # the limit of BLAKE2b
-MAX_KEYS = 4  # two are in use while a key is replaced
+MAX_KEYS = 4  # more than the two that the replacement of a key needs
 MAX_FILE_CHARACTERS = 4_096
 ACCESS_BY_OTHERS = 0o077
 
@@ -37,14 +37,20 @@
     except OSError as error:
         raise KeyFileError(path, error.strerror or str(error)) from error
     except UnicodeDecodeError as error:
-        raise KeyFileError(path, "expected hexadecimal digits") from error
+        raise KeyFileError(
+            path, f"expected hexadecimal digits, got a byte outside ASCII at offset {error.start}"
+        ) from error
 
 
 def _parse_key(path: str, number: int, line: str) -> bytes:
     try:
         key = bytes.fromhex(line)
     except ValueError as error:
-        raise KeyFileError(path, "expected hexadecimal digits", number) from error
+        raise KeyFileError(
+            path,
+            f"expected an even number of hexadecimal digits, got {len(line)} characters",
+            number,
+        ) from error
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         expected = f"expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes"
         raise KeyFileError(path, f"{expected}, got {len(key)}", number)
--- a/lilacwalk/membership/local_node.py
+++ b/lilacwalk/membership/local_node.py
@@ -23,7 +23,7 @@
 )
 from lilacwalk.membership.view import MembershipView
 
-MAX_EVENTS = 256  # kept for queries by operators
+MAX_EVENTS = 256  # recent events kept for operators
 METRICS_INTERVALS = 4  # probe intervals between two updates of metrics
 MEMBERS_PER_METRICS_SPACING = 50  # a fleet n times this size publishes metrics n times less often
 
@@ -51,7 +51,7 @@
         random_bits = rng.getrandbits(INSTANCE_RANDOM_BITS)
         self.identity = LocalIdentity(config.name, stored_incarnation, wall_ms, random_bits)
         self.metadata = MemberMetadata(config.site, *config.address, version=1, revision=revision)
-        self.pending_metadata: MemberMetadata | None = None  # changed, and not published yet
+        self.pending_metadata: MemberMetadata | None = None  # changed metadata, not published yet
         self.next_metrics_at = now
         self.view = MembershipView(config.max_members)
         self.gossip = GossipQueue()
@@ -175,23 +175,23 @@
         sequence: int,
         *,
         target: str = "",
-        first: tuple[GossipUpdate, ...] = (),
+        first_updates: tuple[GossipUpdate, ...] = (),
         with_gossip: bool = True,
         bucket_digests: bytes = b"",
         part: int = 0,
         parts: int = 0,
     ) -> None:
-        """Queues a datagram for the host, with the updates `first` and as much gossip as fits.
+        """Queues a datagram for the host, with `first_updates` and as much gossip as fits.
 
         Nothing is sent once the name belongs to another process.
         """
         identity = self.identity
         if identity.has_yielded:
             return
-        updates = first
+        updates = first_updates
         if with_gossip:
             room = MAX_UPDATE_BYTES - len(bucket_digests)
-            updates = self.gossip.piggyback(room, len(self.view.present), first)
+            updates = self.gossip.piggyback(room, len(self.view.present), first_updates)
         datagram = Datagram(
             message_type,
             identity.name,
--- a/lilacwalk/membership/member.py
+++ b/lilacwalk/membership/member.py
@@ -29,7 +29,7 @@
     LEFT = "left"
     MOVED = "moved"
     UPDATED = "told"  # newer metadata or a newer refutation: no change of membership
-    CONFIRMED = "confirmed"  # a suspicion that another member reported too
+    CONFIRMED = "confirmed"  # another member has reported the same suspicion
 
 
 CHANGE_BY_HEALTH = {
@@ -43,8 +43,8 @@
 class Member:
     """One row of the view; times in tenths of a millisecond.
 
-    Owned by the view. The datagram receiver records when the member was heard from, the failure
-    detector through which member it answers, `partitions` whether it is partitioned.
+    Owned by the view. The datagram receiver sets `last_heard`, the failure detector `reached_via`,
+    and `partitions` sets `partitioned`.
     """
 
     name: str
@@ -52,14 +52,14 @@
     instance: int
     refutation: int
     health: Health
-    metadata: MemberMetadata | None  # None: forgotten
+    metadata: MemberMetadata | None  # None if the member is forgotten
     health_since: int
-    reported_by: str  # the member that made the claim in force
+    reported_by: str  # the member that made the current claim
     metadata_at: int
-    last_heard: int = 0  # when its last datagram arrived; 0: never
-    reached_via: str = ""  # the member that relayed its last answer to a probe; empty: direct
+    last_heard: int = 0  # time of the last datagram from this member, 0 if none
+    reached_via: str = ""  # member that relayed its last answer to a probe, empty if none did
     partitioned: bool = False  # lost together with most of its site
-    row_digest: int = 0  # its contribution to the view's digest
+    row_digest: int = 0  # contribution of this row to the view's digest
 
     @property
     def process(self) -> Process:
@@ -68,7 +68,7 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The precedence of the claim in force about this member."""
+        """The precedence of the current claim about this member."""
         return self.incarnation, self.instance, self.refutation, self.health
 
     @property
@@ -78,7 +78,7 @@
         return self.metadata.host, self.metadata.port
 
     def update(self, with_metadata: bool = True) -> GossipUpdate:
-        """Returns the claim in force about this member."""
+        """Returns the current claim about this member."""
         return GossipUpdate(
             self.name,
             self.incarnation,
@@ -103,7 +103,7 @@
         return metadata
 
     def is_confirmed_by(self, update: GossipUpdate) -> bool:
-        """Whether the claim is the suspicion in force here, reported by another member."""
+        """Whether the claim is the current suspicion, reported by another member."""
         return (
             update.health is Health.SUSPECT
             and update.precedence == self.precedence
--- a/lilacwalk/membership/member_store.py
+++ b/lilacwalk/membership/member_store.py
@@ -1,4 +1,4 @@
-"""Storage of the membership on disk: opens the store in a thread of its own, writes due records.
+"""Storage of the membership on disk: opens the store in its own thread and writes due records.
 
 The membership never waits for the disk, however slow it is, except for a short time at the start.
 """
--- a/lilacwalk/membership/messages.py
+++ b/lilacwalk/membership/messages.py
@@ -1,7 +1,7 @@
 """The datagram codec: one record in MessagePack, authenticated with a shared key.
 
     1 byte     format version, 1
-    16 bytes   keyed BLAKE2b of the body (RFC 7693), personalised with SEAL_PERSONALISATION
+    16 bytes   keyed BLAKE2b of the body (RFC 7693), personalised with TAG_PERSONALISATION
     body       a Datagram in MessagePack, its fields in the order of their declaration
 
 All records are encoded as arrays, so the order of the fields is part of the wire format and their
@@ -22,14 +22,14 @@
 from lilacwalk.errors import LilacwalkError
 
 FORMAT_VERSION = 1
-SEAL_BYTES = 16
-HEADER_BYTES = 1 + SEAL_BYTES
+TAG_BYTES = 16
+HEADER_BYTES = 1 + TAG_BYTES
 MAX_DATAGRAM_BYTES = 1_400  # fits an Ethernet frame with room for two tunnels' headers
 FIXED_FIELDS_BYTES = 170  # reserved for the fields other than updates: names, address, numbers
 MAX_UPDATE_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - FIXED_FIELDS_BYTES  # all updates together
 MAX_INCARNATION = 1 << 62  # incarnations are milliseconds of the Unix clock: 2^41 today
 MAX_REFUTATION = 1 << 31
-SEAL_PERSONALISATION = b"lilacwalk-fleet"
+TAG_PERSONALISATION = b"lilacwalk-fleet"
 DIGEST_BUCKETS = 32
 BUCKET_DIGEST_BYTES = 8
 
@@ -100,20 +100,20 @@
     port: Port
     version: Unsigned32
     state: NodeState = NodeState.COLD
-    withdrawn: bool = False  # whether its announcements are withdrawn because it is unhealthy
+    withdrawn: bool = False  # the member has withdrawn its announcements as unhealthy
     cores: Unsigned32 = 0
     completed_per_second: Unsigned32 = 0  # requests
-    load_permille: Permille = 0  # share of its cores' capacity in use
+    load_permille: Permille = 0  # utilisation of the cores
     admission_permille: Permille = 1_000
     rejected_classes: Annotated[
         tuple[Annotated[str, Meta(max_length=24)], ...], Meta(max_length=6)
     ] = ()
     revision: Annotated[str, Meta(max_length=16)] = ""
-    # operators' commands that it passes on, and an identification of its failover plan
+    # operator commands that the member relays, and the fingerprint of its failover plan
     operator_commands: Annotated[
         tuple[Annotated[str, Meta(max_length=80)], ...], Meta(max_length=5)
     ] = ()
-    # recovery stages of unhealthy sites in its view
+    # recovery stages of unhealthy sites, as this member sees them
     site_stages: Annotated[tuple[Annotated[str, Meta(max_length=48)], ...], Meta(max_length=4)] = ()
     # why effects are not stored as configured; empty if they are, or without a store
     storage_state: Annotated[str, Meta(max_length=12)] = ""
@@ -152,10 +152,10 @@
     PING = 1
     ACK = 2  # answers a ping and repeats its sequence number
     PING_REQ = 3  # asks the receiver to ping `target`
-    NACK = 4  # answers a ping-req: the target has not answered yet, but the helper is running
+    NACK = 4  # answers a ping-req: the helper runs, but its target has not answered yet
     STATE_REQUEST = 5  # carries bucket digests; asks for the members in buckets that differ
-    STATE_REPLY = 6  # one part of these members
-    STATE_PUSH = 7  # members that the sender of a state reply lacks; not answered
+    STATE_REPLY = 6  # carries a part of the requested members
+    STATE_PUSH = 7  # carries members that the sender of a state reply lacks; not answered
 
 
 class Datagram(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -234,4 +234,4 @@
 
 def authentication_tag(body: bytes | memoryview, key: bytes) -> bytes:
     """Returns the keyed hash that precedes a body."""
-    return blake2b(body, digest_size=SEAL_BYTES, key=key, person=SEAL_PERSONALISATION).digest()
+    return blake2b(body, digest_size=TAG_BYTES, key=key, person=TAG_PERSONALISATION).digest()
--- a/lilacwalk/membership/minimum_healthy.py
+++ b/lilacwalk/membership/minimum_healthy.py
@@ -25,8 +25,8 @@
 SERVING_STATES = (NodeState.READY, *UNHEALTHY_STATES)
 
 
-class ServingMember(NamedTuple):
-    """The properties of a present member on which the limit depends."""
+class WithdrawalCandidate(NamedTuple):
+    """A present member, with the properties that decide whether it may withdraw."""
 
     name: str
     incarnation: int
@@ -42,17 +42,17 @@
 def withdrawal_limit(serving: int, share: float) -> int:
     """Returns how many of the serving members may withdraw.
 
-    Never all of them, and at least one of two or more: otherwise a single unhealthy member among
-    many healthy ones could not withdraw under a small share.
+    The limit is below the number of serving members. With two or more of them it is at least one,
+    so that a single unhealthy member can withdraw even if the share rounds down to zero.
     """
     return min(max(0, serving - 1), max(1, math.floor(serving * share)))
 
 
 def may_withdraw(
-    own_name: str, members: Iterable[ServingMember], share: float, *, view_is_whole: bool
+    own_name: str, members: Iterable[WithdrawalCandidate], share: float, *, view_is_complete: bool
 ) -> bool:
     """Returns whether this node may withdraw; `members` are all present ones, including itself."""
-    if not view_is_whole:
+    if not view_is_complete:
         return False
     serving = [member for member in members if member.state in SERVING_STATES]
     unhealthy = [member for member in serving if member.state in UNHEALTHY_STATES]
--- a/lilacwalk/membership/partitions.py
+++ b/lilacwalk/membership/partitions.py
@@ -12,14 +12,14 @@
 from lilacwalk.membership.messages import Health
 from lilacwalk.membership.view import MembershipView
 
-MIN_LOSSES = 2  # of one site: a single loss is a crash
-MIN_LOST_SHARE = 2 / 3  # of the site's members, present and lost
+MIN_LOSSES = 2  # a single loss in a site is a crash
+MIN_LOST_SHARE = 2 / 3  # lost members over present and lost members of the site
 LOSS_WINDOW_INTERVALS = 12  # probe intervals within which all losses of one cause are detected
 
 
 @dataclass(frozen=True, slots=True)
 class MemberLoss:
-    """A member of a site that was declared dead at this time."""
+    """The loss of a member of `site` that was declared dead at time `at`."""
 
     site: str
     at: int
--- a/lilacwalk/membership/persistence.py
+++ b/lilacwalk/membership/persistence.py
@@ -17,9 +17,9 @@
 from lilacwalk.membership.messages import GossipUpdate, Health
 from lilacwalk.membership.view import MembershipView
 
-RETRY_INTERVAL = 5 * SECOND  # the store itself retries a full disk at this interval
+RETRY_INTERVAL = 5 * SECOND  # equal to the store's own retry interval on a full disk
 MEMBERS_WRITE_INTERVAL = 10 * SECOND  # an outdated list is still useful
-MAX_STORED_MEMBERS = 64  # enough to find one that is up
+MAX_STORED_MEMBERS = 64  # enough that one of them is likely to be running
 INCARNATION_KEY, MEMBERS_KEY = b"life", b"members"
 MAX_INCARNATION_DIGITS = 19
 
@@ -53,14 +53,14 @@
 class StoredMembership:
     """Data of an earlier process; its members serve as addresses to try, not as claims."""
 
-    incarnation: int = 0  # 0: none
+    incarnation: int = 0  # 0 if none was stored
     members: tuple[GossipUpdate, ...] = ()
 
 
 class PersistenceSchedule:
     """Decides which records to write and when, and tracks the results.
 
-    Owned by the member store; used in the state machine's thread. The owner takes the `changes`.
+    Owned by the member store; used in the state machine's thread. The owner collects `changes`.
     """
 
     def __init__(self, enabled: bool, now: int) -> None:
@@ -104,7 +104,7 @@
         return [Record(MEMBERS_KEY, data)]
 
     def write_finished(self, key: bytes, succeeded: bool, now: int) -> None:
-        """Handles the result of a write."""
+        """Records the result of a write; a failed write is retried."""
         if succeeded:
             if key == INCARNATION_KEY:
                 self.stored_incarnation = self.pending_incarnation
--- a/lilacwalk/membership/probing.py
+++ b/lilacwalk/membership/probing.py
@@ -35,7 +35,7 @@
     sequence: int
     name: str
     started_at: int
-    retry_at: int  # 0: already retried
+    retry_at: int  # 0 after the retry
     deadline: int
     ping_requests: int = 0
     nacks: int = 0
@@ -49,7 +49,7 @@
     sequence: int
     requester: Address
     requester_sequence: int
-    nack_at: int  # 0: nack already sent
+    nack_at: int  # 0 after the nack
     deadline: int
 
 
@@ -63,7 +63,7 @@
     rng: random.Random
     interval: int
     rotation: list[str] = field(default_factory=list)  # the next target is the last element
-    rotation_members: set[str] = field(default_factory=set)  # all since the last shuffle
+    rotation_members: set[str] = field(default_factory=set)  # all names since the last shuffle
     view_version: int = -1  # version of the view when newcomers were last inserted
     probes: dict[int, Probe] = field(default_factory=dict)
     relayed_pings: dict[int, RelayedPing] = field(default_factory=dict)
@@ -161,7 +161,7 @@
         return to_retry, failed
 
     def assess_failure(self, probe: Probe) -> None:
-        """Raises the health multiplier by the number of missing nacks, by one without helpers."""
+        """Raises the health multiplier by the missing nacks, or by one if no helper was asked."""
         if not probe.out_of_turn:
             missing_nacks = probe.ping_requests - probe.nacks
             self.adjust_health_multiplier(missing_nacks if probe.ping_requests else 1)
@@ -169,7 +169,7 @@
     def relay_ping(
         self, requester: Address, requester_sequence: int, now: int, limit: int
     ) -> RelayedPing | None:
-        """Registers a ping for another member; returns None if `limit` of them are in progress."""
+        """Registers a ping on behalf of a requester; returns None if `limit` are in progress."""
         if len(self.relayed_pings) >= limit:
             return None
         relayed = RelayedPing(
@@ -183,7 +183,7 @@
         return relayed
 
     def take_due_nacks(self, now: int) -> list[RelayedPing]:
-        """Returns the relayed pings whose requester is due a nack; drops the expired ones."""
+        """Returns the relayed pings for which a nack is due; drops the expired ones."""
         due = []
         for relayed in list(self.relayed_pings.values()):
             if relayed.nack_at and now >= relayed.nack_at:
@@ -201,7 +201,7 @@
         return min(times)
 
     def shift_deadlines(self, stalled_for: int) -> None:
-        """Defers all deadlines by a stall, in which the silence was this process's own fault."""
+        """Defers all deadlines by a stall, during which this process could not read answers."""
         self.next_round_at += stalled_for
         for probe in self.probes.values():
             probe.deadline += stalled_for
--- a/lilacwalk/membership/receiving.py
+++ b/lilacwalk/membership/receiving.py
@@ -32,7 +32,7 @@
         self.claims = claims
 
     def receive(self, datagram: Datagram, now: int) -> None:
-        """Handles a datagram of another member."""
+        """Handles a datagram from another member."""
         if self.node.identity.has_yielded:
             return
         if datagram.sender == self.node.name:
@@ -44,11 +44,11 @@
             return
         if self.node.identity.has_left:
             return
-        self.detector.note_heard(now)
+        self.detector.record_contact(now)
         if member is None or datagram.process > member.process:
             self.exchange.request_from_new_sender(datagram, now)
         else:
-            self._note_sender_alive(datagram, member, now)
+            self._record_sender_alive(datagram, member, now)
         source = ClaimSource(
             sender=datagram.sender,
             from_exchange=datagram.message_type in EXCHANGE_MESSAGES,
@@ -60,29 +60,32 @@
             self.exchange.compare_digest(member, datagram.view_digest, now)
         self._reply(datagram, member, now)
 
-    def _note_sender_alive(self, datagram: Datagram, member: Member, now: int) -> None:
+    def _record_sender_alive(self, datagram: Datagram, member: Member, now: int) -> None:
         member.last_heard = now
         if datagram.refutation > member.refutation and member.health is not Health.LEFT:
             self.claims.apply(alive_claim(datagram), now, ClaimSource())
 
     def _answer_earlier_process(self, datagram: Datagram, member: Member) -> None:
-        """Replies with the newer claim: this is a replay, or the sender's clock was set back."""
+        """Answers a datagram from an earlier process with the newer claim about the sender's name.
+
+        Such a datagram is a replay, or the sender's clock was set back.
+        """
         self.node.counts["earlier_life"] += 1
         self.node.send(
             datagram.reply_address,
             MessageType.ACK,
             datagram.sequence,
-            first=(member.update(False),),
+            first_updates=(member.update(False),),
             with_gossip=False,
         )
 
     def _reply(self, datagram: Datagram, member: Member | None, now: int) -> None:
         match datagram.message_type:
             case MessageType.PING:
-                # A sender that is considered dead receives this claim and can refute it.
+                # A suspected or dead sender receives the claim about it and can refute it.
                 notice = self.detector.suspicion_notice(member) if member else ()
                 self.node.send(
-                    datagram.reply_address, MessageType.ACK, datagram.sequence, first=notice
+                    datagram.reply_address, MessageType.ACK, datagram.sequence, first_updates=notice
                 )
             case MessageType.ACK:
                 self.joining.confirm(now)
@@ -101,7 +104,7 @@
                 pass
 
     def _handle_name_conflict(self, datagram: Datagram, now: int) -> None:
-        """Handles a datagram of another process, current or earlier, with this member's name."""
+        """Handles a datagram from another process, current or earlier, with this member's name."""
         if datagram.instance == self.node.identity.instance:
             return
         self.node.counts["twin"] += 1
@@ -111,7 +114,7 @@
                 datagram.reply_address,
                 MessageType.ACK,
                 datagram.sequence,
-                first=(self.node.own_update(),),
+                first_updates=(self.node.own_update(),),
                 with_gossip=False,
             )
 
--- a/lilacwalk/membership/state_exchange.py
+++ b/lilacwalk/membership/state_exchange.py
@@ -26,14 +26,14 @@
 )
 from lilacwalk.membership.probing import ProbeScheduler
 
-MAX_PARTS_PER_INTERVAL = 256  # enough for 250 newcomers of a small fleet, or 4 of a large one
-MAX_NEW_SENDERS_PER_INTERVAL = 16  # asked for state; gossip and later datagrams supply the rest
+MAX_PARTS_PER_INTERVAL = 256  # serves 250 newcomers to a small fleet, or 4 to a large one
+MAX_NEW_SENDERS_PER_INTERVAL = 16  # asked for state; the rest follow by gossip or later
 MAX_NOTICES_PER_INTERVAL = 64  # members notified that others consider them dead
-MAX_PARTS = 64  # of one exchange
-DIFFERENCE_INTERVALS = 3  # before a peer's state is requested: gossip resolves most differences
-AGREEING_PEERS = 4  # peers heard from last, all of whose digests must equal the local one
+MAX_PARTS = 64  # datagrams of one state reply or push
+DIFFERENCE_INTERVALS = 3  # probe intervals before a request: gossip resolves most differences
+AGREEING_PEERS = 4  # number of peers, heard from last, whose digests must equal the local one
 MIN_AGREEING_PEERS = 2
-AGREEMENT_INTERVALS = 6  # within which these peers must have been heard from
+AGREEMENT_INTERVALS = 6  # probe intervals for which a peer's digest is considered
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
             address,
             MessageType.STATE_REQUEST,
             self.probes.next_sequence(),
-            first=(self.node.own_update(),),
+            first_updates=(self.node.own_update(),),
             bucket_digests=self.node.view.packed_bucket_digests(),
         )
 
@@ -116,7 +116,7 @@
             self.request(datagram.reply_address, now)
 
     def request_from_differing(self, now: int) -> None:
-        """Requests the state of one of the members whose views have differed for long."""
+        """Requests the state of a member whose view has differed for several intervals."""
         min_age = DIFFERENCE_INTERVALS * self.node.interval
         if now - self.last_request_at < min_age:
             return
@@ -136,7 +136,7 @@
         if self.notices_left > 0:
             self.notices_left -= 1
             sequence = self.probes.next_sequence()
-            self.node.send(member.address, MessageType.PING, sequence, first=(update,))
+            self.node.send(member.address, MessageType.PING, sequence, first_updates=(update,))
 
     def handle_request(self, datagram: Datagram, now: int, *, view_is_outdated: bool) -> None:
         """Answers with the rows of the buckets that differ, within the budget.
@@ -153,7 +153,7 @@
                 datagram.reply_address,
                 MessageType.STATE_REPLY,
                 datagram.sequence,
-                first=(self.node.own_update(),),
+                first_updates=(self.node.own_update(),),
                 bucket_digests=self.node.view.packed_bucket_digests(),
                 part=1,
                 parts=1,
@@ -176,7 +176,7 @@
                 datagram.reply_address,
                 message_type,
                 datagram.sequence,
-                first=tuple(part),
+                first_updates=tuple(part),
                 with_gossip=False,
                 bucket_digests=digests,
                 part=number,
--- a/lilacwalk/membership/suspicion.py
+++ b/lilacwalk/membership/suspicion.py
@@ -12,21 +12,21 @@
 from lilacwalk.membership.messages import Precedence
 
 MIN_TIMEOUT_INTERVALS = 2.0  # probe intervals; from ten members on, times log10 of their number
-MAX_TIMEOUT_RATIO = 4.0  # of the minimum timeout
-MAX_TIMEOUT_RATIO_UNCONFIRMED = 2.0  # if no other member can confirm the suspicion
+MAX_TIMEOUT_RATIO = 4.0  # maximum timeout over minimum timeout
+MAX_TIMEOUT_RATIO_UNCONFIRMED = 2.0  # the same ratio if no other member can confirm the suspicion
 MAX_CONFIRMATIONS = 3  # Lifeguard's K: with this many the timeout is at its minimum
-NON_CONFIRMING_MEMBERS = 3  # this member, the first reporter and the suspected one
+NON_CONFIRMING_MEMBERS = 3  # this member, the first reporter and the suspect
 
 
 @dataclass(eq=False, slots=True)
 class Suspicion:
     """A member under suspicion; times in tenths of a millisecond.
 
-    Owned by the failure detector, which ends it by a refutation or by declaring the member dead.
+    Owned by the failure detector, which drops it after a refutation or declares the member dead.
     """
 
     name: str
-    precedence: Precedence  # of the suspected claim: a newer one ends the suspicion
+    precedence: Precedence  # precedence of the suspected claim; a newer claim ends the suspicion
     started_at: int
     min_timeout: int
     max_timeout: int
@@ -34,7 +34,7 @@
     reporters: set[str] = field(default_factory=set)
 
     def confirm(self, reporter: str) -> bool:
-        """Adds a reporter; returns whether it was new and could shorten the timeout."""
+        """Adds a reporter; returns False if it is known or the timeout is at its minimum."""
         if reporter in self.reporters or len(self.reporters) > self.expected_confirmations:
             return False
         self.reporters.add(reporter)
--- a/lilacwalk/membership/swim.py
+++ b/lilacwalk/membership/swim.py
@@ -33,7 +33,7 @@
 from lilacwalk.membership.state_exchange import StateExchange
 
 LEAVE_NOTICES = 2 * INDIRECT_PROBES + 2  # members notified directly of a leave
-FORGET_CHECKS_PER_PERIOD = 20  # within the time after which a dead or left member is forgotten
+FORGET_CHECKS_PER_RETENTION = 20  # the retention is `forget_after`
 
 
 class Membership:
@@ -56,7 +56,7 @@
         stored_members: Iterable[GossipUpdate] = (),
         revision: str = "",
     ) -> None:
-        """Creates a member that knows only itself.
+        """Creates a member with only itself in its view.
 
         Args:
             config: configuration of this member.
@@ -120,11 +120,11 @@
         return self.assessment.is_settled(now)
 
     def conclusion(self, now: int) -> Conclusion:
-        """Returns the conclusion that this node may draw from its view."""
+        """Returns the verdict on the reliability of this node's view, with its reason."""
         return self.assessment.conclusion(now)
 
     def statistics(self, now: int) -> ViewStatistics:
-        """Returns the statistics from which the conclusion is drawn."""
+        """Returns the statistics that determine the verdict."""
         return self.assessment.statistics(now)
 
     def may_withdraw(self, now: int, verdict: Verdict | None = None) -> bool:
@@ -132,7 +132,7 @@
         return self.assessment.may_withdraw(now, verdict)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions in the last ten intervals, and the mean per ten earlier ones."""
+        """Returns the suspicions in the last ten intervals, and the earlier mean in ten."""
         return self.failure_detector.suspicion_rate(now)
 
     # Output for the host
@@ -162,7 +162,7 @@
         self.node.update_metadata(now, state, withdrawn, **metrics)
 
     def restore_incarnation(self, stored_incarnation: int, now: int) -> None:
-        """Applies the incarnation of the last process, read from disk after the start."""
+        """Raises the incarnation above the stored one, which was read from disk after the start."""
         if self.identity.incarnation <= stored_incarnation:
             self.identity.incarnation = stored_incarnation + 1
             self.node.publish_own_update(now)
@@ -193,14 +193,14 @@
     def _announce_leave(self, peers: list[Member]) -> None:
         for peer in peers:
             sequence = self.probes.next_sequence()
-            first = (self.node.own_update(),)
-            self.node.send(peer.address, MessageType.PING, sequence, first=first)
+            updates = (self.node.own_update(),)
+            self.node.send(peer.address, MessageType.PING, sequence, first_updates=updates)
 
     def ping(self, member: Member, now: int, out_of_turn: bool = False) -> None:
         """Starts a probe of a member."""
         self.failure_detector.ping(member, now, out_of_turn)
 
-    # Time
+    # Events: the passing of time and datagrams
 
     def tick(self, now: int) -> None:
         """Handles all due deadlines. Call it at `next_deadline`; earlier calls do no harm."""
@@ -216,7 +216,7 @@
             self._protocol_round(now)
         if now >= self.next_forget_at:
             self.next_forget_at = now + max(
-                self.interval, self.config.forget_after // FORGET_CHECKS_PER_PERIOD
+                self.interval, self.config.forget_after // FORGET_CHECKS_PER_RETENTION
             )
             self.view.forget(now, self.config.forget_after)
             self.exchange.forget_unknown()
@@ -249,9 +249,9 @@
             self.identity.presumed_dead = False
 
     def _apply_update(self, update: GossipUpdate, now: int, reason: str) -> None:
-        """Applies a claim made by this node."""
+        """Merges a claim made by this node into the view."""
         self.claims.apply(update, now, ClaimSource(reason))
 
     def receive(self, datagram: Datagram, now: int) -> None:
-        """Handles a datagram of another member."""
+        """Handles a datagram from another member."""
         self.receiver.receive(datagram, now)
--- a/lilacwalk/membership/transport.py
+++ b/lilacwalk/membership/transport.py
@@ -14,7 +14,7 @@
 from lilacwalk.membership.messages import DatagramError, seal
 
 log = logging.getLogger(__name__)
-MAX_QUEUED_DATAGRAMS = 2_000  # half a second of a flood; further datagrams are dropped
+MAX_QUEUED_DATAGRAMS = 2_000  # half a second of a flood; the excess is dropped
 SOCKET_BUFFER_BYTES = 1_048_576  # holds datagrams that arrive while this process stalls
 
 
--- a/lilacwalk/membership/view.py
+++ b/lilacwalk/membership/view.py
@@ -8,8 +8,8 @@
 (incarnation, instance, version).
 
 Cost: applying a claim is O(1), as the digest is updated incrementally; the list of present members
-is rebuilt after a change. A forgotten member stays in the table for a while without metadata, so
-that an old update does not revive it.
+is rebuilt after a change. Members that have been gone for the retention time are forgotten: they
+stay in the table without metadata for as long again, so that an old update does not revive them.
 """
 
 from __future__ import annotations
@@ -99,7 +99,12 @@
         ]
 
     def apply(self, update: GossipUpdate, now: int) -> Change | None:
-        """Applies a claim to the table; returns the change, None if the claim is not newer."""
+        """Merges a claim into the table.
+
+        Returns:
+            The change, also for newer metadata or a second report of a suspicion; None if the claim
+            changes nothing, or does not revive a forgotten member.
+        """
         member = self.members.get(update.name)
         if member is None:
             return self._add(update, now)
@@ -163,7 +168,7 @@
         return Change.JOINED if update.health in PRESENT_HEALTH else Change.UPDATED
 
     def _make_room(self) -> bool:
-        """Drops the member that is gone for longest, forgotten ones first, but no present one."""
+        """Drops the member gone for longest, forgotten ones first; False if all are present."""
         gone = [member for member in self.members.values() if member.health not in PRESENT_HEALTH]
         if not gone:
             return False
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -1,4 +1,4 @@
-"""App servers as fleet members: what other members learn of them, and the fleet commands."""
+"""Tests of app servers as fleet members: their gossiped state, and the fleet commands."""
 
 import signal
 import subprocess
--- a/tests/membership/test_conclusions.py
+++ b/tests/membership/test_conclusions.py
@@ -1,4 +1,4 @@
-"""Conclusions that one node draws from its view."""
+"""Tests of the verdict of one node on its view."""
 
 import pytest
 
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""The queue of gossip updates."""
+"""Tests of the queue of gossip updates."""
 
 from lilacwalk.membership.dissemination import MAX_QUEUED_UPDATES, GossipQueue
 from tests.membership.conftest import gossip_update
--- a/tests/membership/test_incarnation.py
+++ b/tests/membership/test_incarnation.py
@@ -1,4 +1,4 @@
-"""The identity of the local member: incarnations, refutations and name conflicts."""
+"""Tests of the identity of the local member: incarnations, refutations and name conflicts."""
 
 import pytest
 
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""The datagram codec: authentication, size limits, decoding of arbitrary bytes."""
+"""Tests of the datagram codec: authentication, size limits, decoding of arbitrary bytes."""
 
 import msgspec
 import pytest
--- a/tests/membership/test_minimum_healthy.py
+++ b/tests/membership/test_minimum_healthy.py
@@ -1,12 +1,12 @@
-"""The limit on unhealthy members that withdraw at the same time."""
+"""Tests of the limit on unhealthy members that withdraw at the same time."""
 
 from lilacwalk.membership.messages import NodeState
-from lilacwalk.membership.minimum_healthy import ServingMember, may_withdraw, withdrawal_limit
+from lilacwalk.membership.minimum_healthy import WithdrawalCandidate, may_withdraw, withdrawal_limit
 
 
 def members(unhealthy, withdrawn=(), count=12):
     return [
-        ServingMember(
+        WithdrawalCandidate(
             f"n{index}",
             1,
             NodeState.UNHEALTHY if index in unhealthy else NodeState.READY,
@@ -18,7 +18,9 @@
 
 def names_allowed_to_withdraw(fleet, view):
     return [
-        member.name for member in fleet if may_withdraw(member.name, view, 0.34, view_is_whole=True)
+        member.name
+        for member in fleet
+        if may_withdraw(member.name, view, 0.34, view_is_complete=True)
     ]
 
 
@@ -34,7 +36,7 @@
     assert names_allowed_to_withdraw(fleet, fleet) == ["n0", "n1", "n2", "n3"]
 
 
-def test_no_member_withdraws_unless_the_view_is_whole_and_the_last_one_never_does():
-    assert not may_withdraw("n0", members([0]), 0.34, view_is_whole=False)
-    assert not may_withdraw("n0", members([0], count=1), 1.0, view_is_whole=True)
-    assert may_withdraw("n0", members([0], count=2), 0.1, view_is_whole=True)
+def test_withdrawal_needs_a_complete_view_and_another_serving_member():
+    assert not may_withdraw("n0", members([0]), 0.34, view_is_complete=False)
+    assert not may_withdraw("n0", members([0], count=1), 1.0, view_is_complete=True)
+    assert may_withdraw("n0", members([0], count=2), 0.1, view_is_complete=True)
--- a/tests/membership/test_partitions.py
+++ b/tests/membership/test_partitions.py
@@ -1,4 +1,4 @@
-"""Distinguishing the partition of a site from single crashes."""
+"""Tests that the partition of a site is distinguished from single crashes."""
 
 from collections import Counter
 
--- a/tests/membership/test_persistence.py
+++ b/tests/membership/test_persistence.py
@@ -1,4 +1,4 @@
-"""Which membership data is stored, and when."""
+"""Tests of which membership data is stored, and when."""
 
 import msgspec
 import pytest
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes behind a datagram switch, with faults between them."""
+"""Tests with real processes behind a datagram switch, with faults between them."""
 
 import os
 import signal
--- a/tests/membership/test_simulated.py
+++ b/tests/membership/test_simulated.py
@@ -1,4 +1,4 @@
-"""Fleets in simulated time: joins, crashes, partitions and packet loss over many rounds."""
+"""Tests with fleets in simulated time: joins, crashes, partitions and packet loss."""
 
 import pytest
 from hypothesis import given, settings
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""The timeout of a suspicion."""
+"""Tests of the timeout of a suspicion."""
 
 from lilacwalk.membership.suspicion import start_suspicion
 from tests.membership.conftest import SECOND
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""One membership state machine, datagram by datagram."""
+"""Tests of the datagram handling of a single membership state machine."""
 
 from lilacwalk.membership.messages import Health, MessageType, NodeState
 from tests.membership.conftest import SECOND, datagram, gossip_update, make_membership
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The member table: order of claims, digests, forgotten members and the limit on members."""
+"""Tests of the member table: order of claims, digests, forgotten members, size limit."""
 
 import pytest
 from hypothesis import given
