--- a/lilacwalk/membership/assessment.py
+++ b/lilacwalk/membership/assessment.py
@@ -1,34 +1,34 @@
-"""What a node holds of its own view: statistics, conclusion, whether it may withdraw."""
+"""Assessment of the local view: statistics, verdict, and whether this node may withdraw."""
 
 from __future__ import annotations
 
 from lilacwalk.membership.conclusions import Conclusion, Verdict, ViewStatistics, conclude
 from lilacwalk.membership.failure_detector import FailureDetector
-from lilacwalk.membership.join import Joining
+from lilacwalk.membership.join import JoinProtocol
 from lilacwalk.membership.local_node import LocalNode
 from lilacwalk.membership.messages import Health
-from lilacwalk.membership.minimum_healthy import ServingMember, may_withdraw
+from lilacwalk.membership.minimum_healthy import WithdrawalCandidate, may_withdraw
 from lilacwalk.membership.state_exchange import StateExchange
 
 
 class ViewAssessment:
-    """Reads the parts of the machine; owns nothing."""
+    """Evaluates the view and the state of the other components; owns no state."""
 
     def __init__(
         self,
         node: LocalNode,
         detector: FailureDetector,
         exchange: StateExchange,
-        joining: Joining,
+        joining: JoinProtocol,
     ) -> None:
-        """Takes the parts to read."""
+        """Stores the components to evaluate."""
         self.node = node
         self.detector = detector
         self.exchange = exchange
         self.joining = joining
 
     def is_settled(self, now: int) -> bool:
-        """Whether no suspicion, stall or name conflict is left, and peers agree."""
+        """Whether no suspicion, stall, name conflict or join is pending, and peers agree."""
         return (
             not self.detector.suspicions
             and not self.detector.is_recovering(now)
@@ -38,20 +38,20 @@
         )
 
     def conclusion(self, now: int) -> Conclusion:
-        """Returns what this node may conclude from its view."""
+        """Returns the verdict on the reliability of this node's view, with its reason."""
         return conclude(self.statistics(now))
 
     def statistics(self, now: int) -> ViewStatistics:
-        """Returns the figures behind the conclusion."""
+        """Returns the statistics that determine the verdict."""
         view = self.node.view
         present = view.present
-        silence = (now - self.detector.last_heard) // self.node.interval
+        silent_intervals = (now - self.detector.last_heard) // self.node.interval
         return ViewStatistics(
             present=len(present),
             suspects=sum(member.health is Health.SUSPECT for member in present),
             lost=len(view.with_health(Health.DEAD)),
             left=len(view.with_health(Health.LEFT)),
-            silent_intervals=silence if len(present) > 1 else 0,
+            silent_intervals=silent_intervals if len(present) > 1 else 0,
             unanswered_probes=self.detector.unanswered_probes,
             joining=self.joining.is_waiting,
             recovering_from_stall=self.detector.is_recovering(now),
@@ -60,16 +60,16 @@
         )
 
     def may_withdraw(self, now: int, verdict: Verdict | None = None) -> bool:
-        """Returns whether this node may withdraw as unhealthy.
+        """Returns whether this node may withdraw its announcements as unhealthy.
 
         Args:
-            now: the time.
-            verdict: of the conclusion, where the caller has drawn it already.
+            now: the current time.
+            verdict: the current verdict; computed if omitted.
         """
         view = self.node.view
         verdict = verdict or self.conclusion(now).verdict
         members = [
-            ServingMember(
+            WithdrawalCandidate(
                 member.name,
                 member.incarnation,
                 member.metadata.state,
@@ -82,5 +82,5 @@
             self.node.name,
             members,
             self.node.config.withdraw_share,
-            view_is_whole=verdict is Verdict.WHOLE or len(view.known()) == 1,
+            view_is_complete=verdict is Verdict.WHOLE or len(view.known()) == 1,
         )
