--- a/benchmarks/site_forms.py
+++ b/benchmarks/site_forms.py
@@ -44,7 +44,7 @@
     form, sys.argv[1:] = sys.argv[1], sys.argv[at + 1 :]
     if form == "proportional":
         planning.place_load = by_cores
-        LocalPriority.reject_if_over = lambda *arguments: None  # type: ignore[method-assign]
+        LocalPriority.reject_if_overloaded = lambda *arguments: None  # type: ignore[method-assign]
     else:
         SiteRecovery._in_lost = SiteRecovery._in_probing = at_once  # type: ignore[method-assign]
     runpy.run_module("lilacwalk", run_name="__main__")
--- a/lilacwalk/failover/local_priority.py
+++ b/lilacwalk/failover/local_priority.py
@@ -125,7 +125,9 @@
     offered_load: float = 0.0  # cores
     admitted_load: float = 0.0  # cores
 
-    def reject_if_over(self, class_name: str, source: str, is_busy: bool) -> LocalRejection | None:
+    def reject_if_overloaded(
+        self, class_name: str, source: str, is_busy: bool
+    ) -> LocalRejection | None:
         """Counts a request and decides whether it is rejected here; None passes it on.
 
         Args:
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -81,7 +81,7 @@
         self.rejected = dict.fromkeys(RejectionReason, 0)
         self.passed = 0
         self.changes: list[StageChange] = []
-        self._fleet_strain = 1.0
+        self._fleet_load_factor = 1.0
         self._queue_delay = 0  # tenths of a ms until a request that comes now would be answered
         self._attempts_in_step = 0
         self._completions_in_step = 0
@@ -133,7 +133,7 @@
         if not retry_after or is_normal or not self.config.spreads_retry_after:
             return retry_after
         completion_rate = max(self.collector.means.completions, self.stage_machine.peak_rate)
-        return self.spreader.retry_after(client, completion_rate, self._fleet_strain, now)
+        return self.spreader.retry_after(client, completion_rate, self._fleet_load_factor, now)
 
     # Time
 
@@ -145,16 +145,16 @@
         if change is not None:
             self.changes.append(change)
 
-    def tick(self, now: int, queue_delay: int, fleet_strain: float = 1.0) -> None:
+    def tick(self, now: int, queue_delay: int, fleet_load_factor: float = 1.0) -> None:
         """Ends a step where it is over.
 
         Args:
             now: elapsed time in tenths of a ms.
             queue_delay: tenths of a ms until a request that comes now would be answered.
-            fleet_strain: members known over members up; 1 without a view.
+            fleet_load_factor: members known over members up; 1 without a view.
         """
         self._queue_delay = queue_delay
-        self._fleet_strain = fleet_strain
+        self._fleet_load_factor = fleet_load_factor
         self._detect_stall(now)
         if self.collector.tick(now, self.stage_machine.is_normal):
             self._end_step(now)
@@ -193,7 +193,7 @@
             "completed": round(metrics.completion_rate, 1),
             "bunched": round(metrics.periodicity, 2),
             "line_ms": self._queue_delay // 10,
-            "fleet": round(self._fleet_strain, 2),
+            "fleet": round(self._fleet_load_factor, 2),
             "passed": self.passed,
             "shed_budget": self.rejected[RejectionReason.BUDGET],
             "shed_late": self.rejected[RejectionReason.LATE],
--- a/lilacwalk/retry_storms/retry_after.py
+++ b/lilacwalk/retry_storms/retry_after.py
@@ -38,20 +38,20 @@
         self._backlog_end = 0  # when all rejected requests would have been served
 
     def retry_after(
-        self, client: Hashable, completion_rate: float, fleet_strain: float, now: int
+        self, client: Hashable, completion_rate: float, fleet_load_factor: float, now: int
     ) -> int:
         """Returns a time in tenths of a ms from now.
 
         Args:
             client: whom the request came from.
             completion_rate: requests a second that this node completes.
-            fleet_strain: nodes whose clients come here, for each node that is up (1: its own).
+            fleet_load_factor: nodes whose clients come here, for each node that is up (1: its own).
             now: elapsed time in tenths of a ms.
         """
         if not self.max_retry_after:
             return 0
         earlier_count = self._count_rejection(client, now)
-        service_time = int(SECOND * max(1.0, fleet_strain) / max(1.0, completion_rate))
+        service_time = int(SECOND * max(1.0, fleet_load_factor) / max(1.0, completion_rate))
         self._backlog_end = max(self._backlog_end, now) + service_time
         # The whole backlog, not its length so far: a time drawn now may be before earlier ones.
         longest = (self._backlog_end - now) << min(earlier_count, MAX_DOUBLINGS)
--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -157,12 +157,12 @@
         """The class as the controller is to know it for a request of this site's clients."""
         return self.failover_classes.get((source, request_class.name), request_class)
 
-    def reject_if_over(
+    def reject_if_overloaded(
         self, class_name: str, source: str, controller: Controller
     ) -> LocalRejection | None:
         """Whether a request is rejected before the controller sees it; None passes it on."""
         is_busy = bool(controller.queue) or controller.running >= self.server.cores
-        return self.local_priority.reject_if_over(class_name, source or self.site, is_busy)
+        return self.local_priority.reject_if_overloaded(class_name, source or self.site, is_busy)
 
     def request_completed(self) -> None:
         """Counts a request that was completed."""
--- a/lilacwalk/server/integrations/retry_storms.py
+++ b/lilacwalk/server/integrations/retry_storms.py
@@ -91,13 +91,13 @@
         """Returns what a rejection says in place of `retry_after`, in tenths of a ms."""
         return self.damper.spread_retry_after(request.client, retry_after, now)
 
-    def evaluate(self, controller: Controller, now: int, fleet_strain: float) -> None:
+    def evaluate(self, controller: Controller, now: int, fleet_load_factor: float) -> None:
         """Tells the damper the queue's delay and reports a change of its stage."""
         self._now = now
         # Idle cores have no queue, whatever executions are expected to take: that may be what a
         # standstill taught.
         queue_delay = _queue_delay(controller) if controller.running else 0
-        self.damper.tick(now, queue_delay, fleet_strain)
+        self.damper.tick(now, queue_delay, fleet_load_factor)
         for change in self.damper.changes:
             log.warning(
                 {
--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -182,7 +182,7 @@
                 return FinalResponse(FinalStatus.REJECTED, retry_after=shed.retry_after)
         failover_traffic = self._subsystems.failover_traffic
         if failover_traffic is not None:
-            shed = failover_traffic.reject_if_over(
+            shed = failover_traffic.reject_if_overloaded(
                 submission.request_class.name,
                 submission.client.frontend.source_site,
                 self._event_loop.controller,
--- a/tests/failover/test_local_priority.py
+++ b/tests/failover/test_local_priority.py
@@ -57,7 +57,9 @@
             admitted = 0
             for (request_class, source), rate in rates.items():
                 for _ in range(int(rate * STEP_INTERVAL / SECOND)):
-                    rejection = self.local_priority.reject_if_over(request_class, source, busy)
+                    rejection = self.local_priority.reject_if_overloaded(
+                        request_class, source, busy
+                    )
                     if rejection is not None:
                         self.retry_after_times.append(rejection.retry_after)
                         continue
@@ -224,5 +226,5 @@
 
 def test_an_unknown_class_is_left_to_the_frontend():
     node = LoadedNode()
-    assert node.local_priority.reject_if_over("no-such", "recife", True) is None
+    assert node.local_priority.reject_if_overloaded("no-such", "recife", True) is None
     assert not node.local_priority.flows
