--- a/lilacwalk/failover/__init__.py
+++ b/lilacwalk/failover/__init__.py
@@ -1,9 +1,13 @@
-"""Failover of a whole site: a plan that the command line and every running node compute alike.
+"""Failover of a whole site, by a plan that the command line and every running node compute alike.
 
-What decides: `capacity` (where the load of failed sites is placed), `shedding` (what is rejected
-first), `planner` (both for a given failure, with what binds and what is lacking), `sizing` (how
-many cores are lacking), `detector` (failure, partition or degradation), `recovery` (how a site
-takes its load again), `node_plan` and `node_selection` (all of it on a running node, from its
-membership view) and `local_priority` (what such a node rejects). `plan_agreement` and
-`operator_commands` are gossiped with the member metadata.
+`capacity` places the load of failed sites on other sites, and `shedding` chooses the work to reject
+where capacity is short. `planner` combines both for a given failure and names the binding
+constraint; `sizing` computes how many cores are missing, and `plan_report` describes the plan.
+
+`detector` distinguishes failure, partition and degradation of a site, and `recovery` returns load
+to a site in stages. `node_plan` and `node_selection` apply all of this on a running node, from its
+membership view; `local_priority` rejects requests on a node that takes failover traffic.
+
+`plan_agreement` and `operator_commands` define texts that are gossiped with the member metadata.
+`config` is the operator's block.
 """
--- a/lilacwalk/failover/capacity.py
+++ b/lilacwalk/failover/capacity.py
@@ -1,11 +1,13 @@
-"""Where the load of failed sites is placed: on failover targets by their spare capacity.
+"""Places the load of failed sites on failover targets by their spare capacity.
 
-Nearer targets get more, and none more than its spare capacity. All members compute the same from
-the same figures: there is no random draw and no clock, and names are taken in order.
+Nearer targets receive more, and no target receives more than its spare capacity. All members
+compute the same placement from the same figures: the computation uses neither random numbers nor a
+clock, and processes sites in sorted order.
 
 A share in proportion to spare capacity changes little when one site's capacity changes a little,
-unlike nearest-first or consistent hashing (docs/design/sites.md compares them). Figures are rounded
-to a step before they count, so that two members whose views differ by less compute the same.
+unlike nearest-first placement or consistent hashing (docs/design/sites.md compares them). Figures
+are rounded to `CAPACITY_STEP` first, so that two members whose views differ by less compute the
+same placement.
 """
 
 from __future__ import annotations
@@ -13,53 +15,53 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-HALF_WEIGHT_PATH_COST = 200  # tenths of a ms of path that halve a target's weight
-CAPACITY_STEP = 0.25  # cores: figures of members are gossiped now and then, and lag by less
-MAX_PLACEMENT_ROUNDS = 64  # a guard: each round fills at least one target
+HALF_WEIGHT_PATH_COST = 200  # tenths of a ms: the path cost that halves a target's weight
+CAPACITY_STEP = 0.25  # cores; gossip delays the figures of members, and they lag by less than this
+MAX_PLACEMENT_ROUNDS = 64  # bounds the loop; each round fills at least one target
 EPSILON = 1e-9  # cores
 
 
 @dataclass(frozen=True, slots=True)
 class SiteCapacity:
-    """Capacity and own load of a site, in cores."""
+    """Capacity and local load of a site, in cores."""
 
     name: str
     cores: float
     load: float
-    failover_targets: tuple[tuple[str, int], ...] = ()  # (site, path cost), in the file's order
+    failover_targets: tuple[tuple[str, int], ...] = ()  # (site, path cost), as configured
 
     def spare_capacity(self, headroom: float) -> float:
-        """Cores that the site can take on; `headroom` is the share of its cores left unused."""
+        """Returns the cores free for failover load; `headroom` is the share kept unused."""
         return max(0.0, self.cores * (1 - headroom) - self.load)
 
 
 @dataclass(slots=True)
 class LoadPlacement:
-    """Where the load of failed sites goes, in cores."""
+    """The load of failed sites by the targets that take it, in cores."""
 
     placed: dict[tuple[str, str], float] = field(default_factory=dict)  # by (failed site, target)
     unplaced: dict[str, float] = field(default_factory=dict)  # by failed site
 
     def placed_on(self, site: str) -> float:
-        """What a target takes on."""
+        """Returns the load that a target takes from all failed sites."""
         return sum(work for (_, target), work in self.placed.items() if target == site)
 
     def placed_from(self, site: str) -> dict[str, float]:
-        """What goes from a failed site to each of its targets."""
+        """Returns the load that each target takes from a failed site."""
         return {target: work for (source, target), work in self.placed.items() if source == site}
 
     def add(self, source: str, target: str, work: float) -> None:
-        """Places `work` of a failed site on a target, beside what is there already."""
+        """Adds `work` of a failed site to the load placed on a target."""
         self.placed[source, target] = self.placed.get((source, target), 0.0) + work
 
 
 def round_to_step(cores: float) -> float:
-    """The figure as it counts for a placement."""
+    """Rounds a capacity or load to the step that placements use."""
     return round(cores / CAPACITY_STEP) * CAPACITY_STEP
 
 
 def target_weight(spare: float, path_cost: int) -> float:
-    """How much a target attracts; `path_cost` is in tenths of a millisecond."""
+    """Returns the weight of a target in a placement; `path_cost` is in tenths of a millisecond."""
     return spare * 0.5 ** (path_cost / HALF_WEIGHT_PATH_COST)
 
 
@@ -70,12 +72,12 @@
 
     Args:
         sites: all sites by name.
-        failed: the share of each failed site that is gone, over 0 up to 1. What a partly failed
+        failed: the failed share of each failed site, above 0 and up to 1. Load that a partly failed
             site can still carry stays there.
-        headroom: the share of each target's cores that stays unused.
+        headroom: the share of each target's cores that is kept unused.
 
     Raises:
-        KeyError: a failed site is not among the sites.
+        KeyError: a failed site is not in `sites`.
     """
     placement = LoadPlacement()
     spare = {
@@ -85,10 +87,10 @@
     }
     unplaced = _load_to_place(sites, failed, headroom)
     for _ in range(MAX_PLACEMENT_ROUNDS):
-        requests = _requests(sites, unplaced, spare)
-        if not requests:
+        demands = _divide_by_weight(sites, unplaced, spare)
+        if not demands:
             break
-        _grant(requests, spare, placement, unplaced)
+        _place_demands(demands, spare, placement, unplaced)
         if all(work <= EPSILON for work in unplaced.values()):
             break
     placement.unplaced = {name: max(0.0, work) for name, work in unplaced.items()}
@@ -109,11 +111,11 @@
     return unplaced
 
 
-def _requests(
+def _divide_by_weight(
     sites: Mapping[str, SiteCapacity], unplaced: Mapping[str, float], spare: Mapping[str, float]
 ) -> dict[tuple[str, str], float]:
-    """What each failed site asks of each target that has spare capacity, by weight."""
-    requests: dict[tuple[str, str], float] = {}
+    """Divides each failed site's unplaced load by weight among its targets with spare capacity."""
+    demands: dict[tuple[str, str], float] = {}
     for source, work in unplaced.items():
         if work <= EPSILON:
             continue
@@ -124,32 +126,33 @@
         ]
         total = sum(weight for _, weight in weights)
         for target, weight in weights:
-            requests[source, target] = work * weight / total
-    return requests
+            demands[source, target] = work * weight / total
+    return demands
 
 
-def _grant(
-    requests: Mapping[tuple[str, str], float],
+def _place_demands(
+    demands: Mapping[tuple[str, str], float],
     spare: dict[str, float],
     placement: LoadPlacement,
     unplaced: dict[str, float],
 ) -> None:
-    """Grants requests up to each target's spare capacity, in proportion where it is short."""
-    requested: dict[str, float] = {}
-    for (_, target), work in requests.items():
-        requested[target] = requested.get(target, 0.0) + work
-    for (source, target), work in requests.items():
-        granted = work * min(1.0, spare[target] / requested[target])
-        placement.add(source, target, granted)
-        unplaced[source] -= granted
-    for target, work in requested.items():
+    """Places the demanded load; scales it down on a target whose spare capacity is too small."""
+    total_demand: dict[str, float] = {}
+    for (_, target), work in demands.items():
+        total_demand[target] = total_demand.get(target, 0.0) + work
+    for (source, target), work in demands.items():
+        placed = work * min(1.0, spare[target] / total_demand[target])
+        placement.add(source, target, placed)
+        unplaced[source] -= placed
+    for target, work in total_demand.items():
         spare[target] -= min(work, spare[target])
 
 
 def place_overflow(sites: Mapping[str, SiteCapacity], placement: LoadPlacement) -> LoadPlacement:
-    """Also places what found no spare capacity, on the targets in proportion to their cores.
+    """Also places the load that found no spare capacity, on targets in proportion to their cores.
 
-    It is then rejected there by weight, rather than all of it for having come from another site.
+    The excess is then rejected at the targets by weight. Otherwise all of this load would be
+    rejected merely because it comes from a failed site.
     """
     overflowed = LoadPlacement(dict(placement.placed), dict(placement.unplaced))
     failed = set(placement.unplaced)
--- a/lilacwalk/failover/config.py
+++ b/lilacwalk/failover/config.py
@@ -1,8 +1,8 @@
-"""The operator's `sites` block as frozen records, checked where they are read (`operator/`).
+"""The operator's `sites` block as frozen records, validated by `operator/` when the file is read.
 
-The field names are the words of the operator's file. The text form of these records is part of the
-gossiped plan fingerprint (`plan_agreement`), so names of classes and fields stay. Times are tenths
-of a millisecond, loads and capacities cores.
+The field names are keywords of the operator's file. The gossiped plan fingerprint
+(`plan_agreement`) is a digest of the text form of these records, so the names of classes and fields
+must not change. Times are in tenths of a millisecond, loads and capacities in cores.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def unit(name: str, **limits: float) -> Meta:
-    """Metadata of a field that the operator's file writes with a unit."""
+    """Returns metadata for a field whose value is read as `name`, such as a duration."""
     return Meta(extra={"unit": name}, **limits)
 
 
@@ -33,7 +33,7 @@
 
     ARGUMENTS: ClassVar = ("site", "cost")
     site: Name
-    # what the path there and back adds
+    # round-trip time that the path to the target adds
     cost: Annotated[int, unit("duration", ge=0, le=10 * SECOND)]
 
 
@@ -47,73 +47,73 @@
     stand_in: tuple[StandIn, ...] = ()
     # addresses that its failover targets may announce
     service: Annotated[tuple[object, ...], unit("prefix")] = ()
-    # where nodes of other sites take this site's requests; None: they come in as local traffic
+    # where nodes of other sites accept this site's requests; None: they arrive as local traffic
     guests: Annotated[tuple[str, int], unit("endpoint")] | None = None
 
     def faults(self) -> list[tuple[str, str]]:
-        """What is wrong between the fields: the keyword, and what was expected."""
+        """Returns errors that involve several fields, as pairs of keyword and expected value."""
         found = _repeated("stand-in", (each.site for each in self.stand_in))
         if any(each.site == self.name for each in self.stand_in):
-            found.append(("stand-in", "another site than itself"))
+            found.append(("stand-in", f"a site other than {self.name} itself"))
         return found
 
 
 class Shared(Struct, frozen=True, kw_only=True):
-    """A dependency that all sites use."""
+    """A dependency that all sites share."""
 
     ARGUMENTS: ClassVar = ("name", "limit")
     name: Name
-    limit: Annotated[float, Meta(gt=0.0)]  # calls a second that it survives
+    limit: Annotated[float, Meta(gt=0.0)]  # calls a second that it can serve
 
 
 class Class(Struct, frozen=True, kw_only=True):
-    """A request class as far as the plan needs it."""
+    """The properties of a request class that the plan uses."""
 
     ARGUMENTS: ClassVar = ("name",)
     name: Name
     benefit: Annotated[float, Meta(ge=0.0)] = 1.0
-    share: Share  # of the work
-    # to each shared dependency, a request
+    share: Share  # of the total work
+    # calls that one request makes to each shared dependency
     calls: Annotated[float, Meta(ge=0.0, le=1_000.0)] = 0.0
-    # of one request, on one core
+    # core time of one request
     work: Annotated[int, unit("duration", ge=1, le=600 * SECOND)] = SECOND // 100
     slo: Annotated[int, unit("duration", ge=1, le=600 * SECOND)] | None = None
     effect: Annotated[str, Meta(pattern="^(repeatable|deduplicated|mutating)$")] = "repeatable"
 
 
 class Pace(Struct, frozen=True, kw_only=True):
-    """How a site recovers. Each stage lasts for several evaluations of the view."""
+    """Times of a site's recovery. Each stage lasts for several evaluations of the view."""
 
-    # reachable again for so long
+    # how long a site must be reachable before it is probed; also the first exclusion time
     steady: Annotated[int, unit("duration", ge=SECOND // 10, le=3600 * SECOND)] = 2 * SECOND
-    # between two raises of its share
+    # minimum time between two increases of a site's share
     step: Annotated[int, unit("duration", ge=SECOND // 10, le=600 * SECOND)] = 5 * SECOND
-    # the longest exclusion of a site that fails again and again
+    # maximum exclusion time of a site that fails repeatedly
     longest: Annotated[int, unit("duration", ge=SECOND, le=24 * 3600 * SECOND)] = 300 * SECOND
 
 
 class FailoverConfig(Struct, frozen=True, kw_only=True):
-    """The whole block."""
+    """The whole `sites` block."""
 
     site: tuple[Site, ...]
-    # of this block: where two members' blocks differ, the older one is outdated
+    # of this block: where the blocks of two members differ, the lower revision is outdated
     revision: Annotated[int, Meta(ge=0, le=1 << 31)] = 0
     shared: tuple[Shared, ...] = ()
     class_: Annotated[tuple[Class, ...], Meta(extra={"keyword": "class"})] = ()
     bear: Annotated[tuple[str, ...], unit("words")] = ("any-one",)
     headroom: Annotated[float, Meta(ge=0.0, lt=1.0)] = 0.1
     least_share: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.2
-    # of a failover request against the same of local traffic: 1 serves the most weight in all
+    # weight of a failover request relative to the same local request; 1 maximises the total weight
     guest_worth: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0
     pace: Pace = Pace()
 
     @property
     def classes(self) -> tuple[Class, ...]:
-        """The request classes; one for all work where the file names none."""
+        """The request classes; a single class for all work where the file names none."""
         return self.class_ or (Class(name="all", share=1.0),)
 
     def faults(self) -> list[tuple[str, str]]:
-        """What is wrong between the fields: the keyword, and what was expected."""
+        """Returns errors that involve several fields, as pairs of keyword and expected value."""
         known = {each.name for each in self.site}
         found = [
             *_repeated("site", (each.name for each in self.site)),
@@ -121,13 +121,13 @@
             *_repeated("class", (each.name for each in self.class_)),
         ]
         found += [
-            ("site", f"a site {each.site} in this block, which stands in for {site.name}")
+            ("site", f"a block for site {each.site}, which is a stand-in of {site.name}")
             for site in self.site
             for each in site.stand_in
             if each.site not in known
         ]
         found += [
-            ("bear", f"any-one, any-two or names of sites, not {word}")
+            ("bear", f"any-one, any-two or names of sites in this block, not {word}")
             for word in self.bear
             if word not in known | {"any-one", "any-two"}
         ]
@@ -139,5 +139,7 @@
 
 def _repeated(keyword: str, names: Iterable[str]) -> list[tuple[str, str]]:
     return [
-        (keyword, f"{name} once, not twice") for name, times in Counter(names).items() if times > 1
+        (keyword, f"{name} only once, not {times} times")
+        for name, times in Counter(names).items()
+        if times > 1
     ]
--- a/lilacwalk/failover/detector.py
+++ b/lilacwalk/failover/detector.py
@@ -1,8 +1,8 @@
-"""Tells the failure of a site from a partition and from degradation, as far as one node can know.
+"""Distinguishes the failure of a site from a partition and from degradation.
 
-That a site has failed is never certain: it may be partitioned and still serve its own clients. So
-only new work is drawn to the failover targets, by announcing the site's addresses there; nothing
-that the failed site may have begun is taken over or begun again.
+A node can never be certain that a site has failed: the site may be partitioned and still serve its
+own clients. Therefore only new requests are routed to the failover targets, by announcing the
+site's addresses there. Work that the failed site may have begun is neither taken over nor repeated.
 """
 
 from __future__ import annotations
@@ -14,45 +14,45 @@
 from lilacwalk.membership.conclusions import Verdict
 from lilacwalk.membership.messages import Health, NodeState
 
-HEALTHY_VIEW = Verdict.WHOLE  # the membership's conclusion that this node is on the majority side
-SATURATED_SHARE = 0.9  # of the cores in use: a slow site is busy, an idle one is not
+HEALTHY_VIEW = Verdict.WHOLE  # the membership view shows this node on the majority side
+SATURATED_SHARE = 0.9  # of the cores in use: distinguishes a slow site from an idle one
 REACHABLE = (Health.ALIVE, Health.SUSPECT)
 SERVING = (NodeState.READY, NodeState.WARMING)
 UNHEALTHY = (NodeState.UNHEALTHY, NodeState.STALLED)
 
 
 class SiteCondition(Enum):
-    """What a site looks like from this node; the values are shown to operators."""
+    """The condition of a site as seen from this node; the values are shown to operators."""
 
     HEALTHY = "present"  # most of its members serve
-    DEGRADED = "brown-out"  # half of its members are unhealthy, or they finish half of the baseline
+    DEGRADED = "brown-out"  # half of its members are unhealthy, or it completes half its baseline
     FAILED = "lost"  # no member is reachable, and this node is on the majority side
-    UNCLEAR = "unclear"  # the same, but this node may be the one that is partitioned
-    DRAINING = "leaving"  # all of its members drain: planned
+    UNCLEAR = "unclear"  # no member is reachable, but this node may be the partitioned one
+    DRAINING = "leaving"  # all of its reachable members are draining, as planned
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """A member as the membership view holds it."""
+    """The state of a member in the membership view."""
 
     site: str
     health: Health
     state: NodeState
     cores: int
-    utilisation: float  # of its cores, 0 to 1
+    utilisation: float  # share of its cores in use, 0 to 1
     completed_per_second: int
 
 
 @dataclass(frozen=True, slots=True)
 class SiteStatus:
-    """A site as it is assessed at one moment."""
+    """The assessment of a site at one moment."""
 
     condition: SiteCondition
     reachable_members: int
     known_members: int
     cores: float  # of the members that serve
     load: float  # cores in use
-    failed_share: float  # of its members
+    failed_share: float  # share of its known members that do not serve
 
 
 def assess_site(
@@ -64,10 +64,10 @@
     """Assesses one site.
 
     Args:
-        site: its name.
-        members: the whole fleet's members.
-        conclusion: what the membership view concludes of this node's side of a partition.
-        baseline_rate: requests a second that the site completed before; 0 where not known.
+        site: name of the site.
+        members: all members of the fleet.
+        conclusion: the membership view's conclusion on which side of a partition this node is.
+        baseline_rate: requests a second that the site completes when healthy; 0: not known.
     """
     known = [each for each in members if each.site == site and each.health is not Health.LEFT]
     reachable = [each for each in known if each.health in REACHABLE]
--- a/lilacwalk/failover/local_priority.py
+++ b/lilacwalk/failover/local_priority.py
@@ -1,20 +1,25 @@
-"""What one node rejects while it carries more than its own site's load.
-
-The controller's own ranking comes first: it knows what each failover request is worth
-(`as_failover_class`), queues none that would be late, and dispatches the best first. What it does
-not rank is its admission probability, which rejects all alike. While a node takes a failed site's
-load more is known: whose clients ask, at what weight, and that there will be too much for a while.
-So what the draw would reject is rejected before the controller sees it, in the order of `shedding`
-(least weight for its work first, failover traffic before local traffic at equal weight, neither
-under its minimum share), as if those clients had gone elsewhere, until the controller admits all
-that is passed on. Only while the cores are busy: a request that is rejected before an idle core is
-lost for nothing. Without failover traffic and without a failed site nothing is rejected here.
-
-Where calls to a shared dependency are scarce, what makes them is rejected by the plan's price for a
-call, whatever the admission probability: it does not see them.
-
-Failover traffic is told from local traffic by the listener that it comes in by. Where the file
-names none, all is local traffic, and only the order by weight is left.
+"""Sheds load on a node that carries more than its own site's load.
+
+The controller already ranks requests: it has a weight for each failover class
+(`as_failover_class`), does not queue requests that would be late, and dispatches the most valuable
+first. Its admission probability, however, rejects requests of all classes alike. While a node takes
+a failed site's load, more is known: the site and the weight of each request, and that the overload
+will last. Requests that the admission probability would reject are therefore rejected here, before
+they reach the controller, in the order of `shedding`: lowest weight for its work first, failover
+traffic before local traffic at equal weight, neither below its minimum share. The rejected shares
+grow until the controller admits all requests that are passed on; to the controller it is as if the
+other clients had sent their requests elsewhere.
+
+Requests are rejected only while the cores are busy, since rejecting a request while a core is idle
+frees no capacity for another. Without failover traffic and without a failed site, nothing is
+rejected here.
+
+Where calls to a shared dependency are scarce, requests that make such calls are rejected by the
+plan's price for a call, whatever the admission probability, which does not depend on these calls.
+
+Failover traffic is distinguished from local traffic by the listener that accepts it. Where the
+operator's file names no such listener, all traffic counts as local and only the order by weight
+applies.
 """
 
 from __future__ import annotations
@@ -31,36 +36,36 @@
 from lilacwalk.overload.model import RequestClass
 from lilacwalk.settings import EFFECT_NAMES
 
-STEP_INTERVAL = SECOND // 2  # as the controller's own tick
-RATE_SMOOTHING = 0.4  # weight of one step in a flow's rate
-IDLE_STEPS_BEFORE_STOP = 10  # without failover traffic and without a failed site
+STEP_INTERVAL = SECOND // 2  # equal to the controller's tick interval
+RATE_SMOOTHING = 0.4  # weight of one step in a flow's mean rate
+IDLE_STEPS_BEFORE_STOP = 10  # steps without failover traffic and without a failed site
 MIN_FAILOVER_RATE = 0.05  # requests a second from another site that count as failover traffic
-FULL_ADMISSION = 0.97  # admission probability from which all that is passed on counts as admitted
-CAPACITY_DECREASE = 0.1  # of the admission probability's distance, taken off the capacity a step
-CAPACITY_INCREASE = 0.01  # of the cores, given back a step
-MIN_CAPACITY_SHARE = 0.85  # of the cores: a larger error of the costs is left to the controller
-COST_SMOOTHING = 0.1  # weight of one step: costs change with caches, not with bursts
-MIN_COMPLETION_RATE = 2.0  # a second: below it the cost is taken from the expected execution time
+FULL_ADMISSION = 0.97  # admission probability from which all requests count as admitted
+CAPACITY_DECREASE = 0.1  # of the admission probability's distance from FULL_ADMISSION, per step
+CAPACITY_INCREASE = 0.01  # share of the cores, per step
+MIN_CAPACITY_SHARE = 0.85  # of the cores: larger errors of the costs are left to the controller
+COST_SMOOTHING = 0.1  # weight of one step: costs change as caches fill, not with bursts
+MIN_COMPLETION_RATE = 2.0  # a second: below it, the expected execution time is taken as the cost
 RETRY_AFTER_JITTER = 0.5  # share of the expected time over which retry-after times are drawn
 MIN_RETRY_AFTER = SECOND // 10
-FULL_SHARE_EPSILON = 1e-6  # an admitted share this near to all of it is rounding
+FULL_SHARE_EPSILON = 1e-6  # an admitted share this close to 1 counts as 1
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficPlan:
-    """What the node plan tells the local priorities; equal where nothing has changed."""
+    """The part of the node plan that the local priorities use; equal while nothing changes."""
 
-    failover_sites: tuple[str, ...] = ()  # whose load this node takes
-    # by failed site: tenths of ms until it is expected to take more of its own load
+    failover_sites: tuple[str, ...] = ()  # failed sites whose load this node takes
+    # by failed site: tenths of a ms until it is expected to take more of its own load
     recovery_times: tuple[tuple[str, int], ...] = ()
-    call_limit: float | None = None  # this node's part of the shared calls a second; None: any
+    call_limit: float | None = None  # shared calls a second that this node may make; None: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class LocalRejection:
-    """A request is rejected before the controller sees it."""
+    """The rejection of a request before it reaches the controller."""
 
-    retry_after: int  # tenths of a millisecond; 0: none may be told
+    retry_after: int  # tenths of a millisecond; 0: the response must not carry a time
 
 
 @dataclass(slots=True)
@@ -68,13 +73,13 @@
     """The requests of one class from one site."""
 
     arrivals: int = 0  # since the last step
-    rate: float = 0.0  # a second
+    rate: float = 0.0  # mean, requests a second
     rejected_share: float = 0.0
     rejected_count: int = 0
 
 
 def plan_class(request_class: RequestClass, config: FailoverConfig) -> Class:
-    """The file's class of this name, or one made of the server's settings."""
+    """Returns the operator file's class of this name, or one made from the server's settings."""
     for each in config.class_:
         if each.name == request_class.name:
             return each
@@ -91,11 +96,11 @@
 def as_failover_class(
     request_class: RequestClass, path_cost: int, failover_weight: float = 1.0
 ) -> RequestClass:
-    """The class as the controller is to know it for failover traffic.
+    """Returns the class that the controller uses for failover traffic.
 
-    Its latency objective is what the path leaves of it, and its weight is less by the part that
-    the path takes and by the operator's weight for failover traffic, so that the controller's
-    ranking prefers local traffic. `path_cost` is in tenths of a millisecond.
+    The path cost is subtracted from the latency objective. The weight is reduced by the same
+    proportion and multiplied by the operator's weight for failover traffic, so that the controller
+    ranks local traffic higher. `path_cost` is in tenths of a millisecond.
     """
     objective = max(1, request_class.latency_objective - path_cost)
     weight = request_class.weight * failover_weight * objective / request_class.latency_objective
@@ -104,19 +109,19 @@
 
 @dataclass(slots=True)
 class LocalPriority:
-    """Flows of requests and the share of each that is rejected. Owned by the event loop."""
+    """Tracks request flows and decides the share of each to reject. Owned by the event loop."""
 
     config: FailoverConfig
-    site: str  # this node's own
-    cores: float  # this node's own
+    site: str  # this node's site
+    cores: float  # this node's cores
     classes: Mapping[str, Class]
-    path_costs: Mapping[str, int]  # by site, tenths of ms that its path adds
-    max_retry_after: int  # 0: none may be told
+    path_costs: Mapping[str, int]  # by site, tenths of a ms that its path adds
+    max_retry_after: int  # tenths of a ms; 0: rejections must not carry a time
     rng: random.Random
     next_step_at: int
     traffic_plan: TrafficPlan = field(default_factory=TrafficPlan)
     flows: dict[tuple[str, str], TrafficFlow] = field(default_factory=dict)  # by class and site
-    capacity_share: float = math.inf  # of the cores: that much of what is offered is passed on
+    capacity_share: float = math.inf  # of the cores: load up to this share is passed on
     idle_steps: int = IDLE_STEPS_BEFORE_STOP
     busy_cores: float = 0.0  # mean
     completion_rate: float = 0.0  # mean, requests a second
@@ -128,12 +133,12 @@
     def reject_if_overloaded(
         self, class_name: str, source: str, is_busy: bool
     ) -> LocalRejection | None:
-        """Counts a request and decides whether it is rejected here; None passes it on.
+        """Counts a request; returns its rejection, or None to pass it on to the controller.
 
         Args:
-            class_name: of its request class; an unknown one is passed on.
-            source: the site whose client asks; this node's own for local traffic.
-            is_busy: no core is free.
+            class_name: name of its request class; requests of unknown classes are passed on.
+            source: the site of the client; this node's own site for local traffic.
+            is_busy: whether no core is free.
         """
         flow = self.flows.get((class_name, source))
         if flow is None:
@@ -149,10 +154,10 @@
         return LocalRejection(self.draw_retry_after(source))
 
     def draw_retry_after(self, source: str) -> int:
-        """Drawn over the time until capacity is expected.
+        """Returns a random retry-after time, up to the time until capacity is expected.
 
-        That is when the site whose client asks takes its load again, or the first of those that
-        have failed.
+        Capacity is expected when the client's site takes its load again, or if that site has not
+        failed, when the first of the failed sites does.
         """
         times = dict(self.traffic_plan.recovery_times)
         expected = times.get(source, min(times.values(), default=SECOND))
@@ -170,16 +175,16 @@
         busy_cores: float,
         completed: int,
     ) -> None:
-        """Takes the figures since the last step, once `next_step_at` is reached.
+        """Updates the rejected shares from the last step; to be called from `next_step_at` on.
 
         Args:
-            now: the time.
-            admission_probability: the controller's.
-            execution_times: expected, by class and site. Only their ratio to the mean counts:
-                under load an execution waits for its core, and would look like work.
-            mean_execution_time: expected of all classes.
-            busy_cores: since the last step.
-            completed: requests since the last step.
+            now: the current time.
+            admission_probability: the controller's current value.
+            execution_times: expected times by class and site. Only their ratio to the mean is used:
+                under load they include the wait for a core, which is not work.
+            mean_execution_time: expected over all classes.
+            busy_cores: mean number of busy cores since the last step.
+            completed: requests completed since the last step.
         """
         elapsed = now - self.next_step_at + STEP_INTERVAL
         self.next_step_at = now + STEP_INTERVAL
@@ -200,7 +205,7 @@
             self._stop_rejecting()
 
     def describe(self) -> dict:
-        """As the admin socket shows it."""
+        """Returns the state that the admin socket shows."""
         return {
             "active": self.active,
             "wanted": round(self.offered_load, 2),
@@ -233,13 +238,13 @@
         for flow in self.flows.values():
             flow.rejected_share = 0.0
 
-    def _cost_of(
+    def _request_cost(
         self,
         flow_key: tuple[str, str],
         execution_times: Mapping[tuple[str, str], int],
         mean_execution_time: float,
     ) -> int:
-        """Core time of one request of a flow, tenths of a millisecond."""
+        """Returns the core time of one request of a flow, in tenths of a millisecond."""
         execution_time = execution_times.get(flow_key, 0) or mean_execution_time
         if self.completion_rate < MIN_COMPLETION_RATE or not mean_execution_time:
             return max(1, int(execution_time) or self.classes[flow_key[0]].work)
@@ -251,7 +256,7 @@
     ) -> list[WorkShare]:
         shares = []
         for (class_name, source), flow in sorted(self.flows.items()):
-            cost = self._cost_of((class_name, source), execution_times, mean_execution_time)
+            cost = self._request_cost((class_name, source), execution_times, mean_execution_time)
             shares.append(
                 value_work(
                     structs.replace(self.classes[class_name], work=cost),
@@ -265,13 +270,13 @@
         return shares
 
     def _update_capacity_share(self, admission_probability: float) -> None:
-        all_of_it = max(1.0, self.offered_load / self.cores)  # nothing is rejected from here on
+        full_share = max(1.0, self.offered_load / self.cores)  # all offered load fits
         if admission_probability < FULL_ADMISSION:
             decrease = CAPACITY_DECREASE * (FULL_ADMISSION - admission_probability)
-            reduced = min(all_of_it, self.capacity_share) - decrease
+            reduced = min(full_share, self.capacity_share) - decrease
             self.capacity_share = max(MIN_CAPACITY_SHARE, reduced)
         else:
-            self.capacity_share = min(all_of_it, self.capacity_share + CAPACITY_INCREASE)
+            self.capacity_share = min(full_share, self.capacity_share + CAPACITY_INCREASE)
 
     def _update_rejected_shares(
         self,
@@ -279,7 +284,7 @@
         execution_times: Mapping[tuple[str, str], int],
         mean_execution_time: float,
     ) -> None:
-        """What does not fit the capacity is rejected, the least valuable first."""
+        """Rejects the offered load that exceeds the capacity, the least valuable first."""
         offered = self._offered_shares(execution_times, mean_execution_time)
         self.offered_load = sum(each.work for each in offered)
         self._update_capacity_share(admission_probability)
@@ -295,5 +300,5 @@
         for each in offered:
             flow_key = (each.request_class.name, each.source)
             share = admitted.get(flow_key, 0.0) / each.work if each.work > 0 else 1.0
-            is_all = share > 1 - FULL_SHARE_EPSILON
-            self.flows[flow_key].rejected_share = 0.0 if is_all else 1 - share
+            is_fully_admitted = share > 1 - FULL_SHARE_EPSILON
+            self.flows[flow_key].rejected_share = 0.0 if is_fully_admitted else 1 - share
--- a/lilacwalk/failover/node_plan.py
+++ b/lilacwalk/failover/node_plan.py
@@ -1,12 +1,12 @@
-"""The failover plan of one running node, from its membership view.
+"""The failover plan of one running node, computed from its membership view.
 
-Every node with the same view computes the same: which sites have failed and at which stage of
-recovery they are, how much of their load is wanted where, and whether this node takes a part.
+All nodes with the same view compute the same plan: which sites have failed, the recovery stage of
+each, how much of its load is placed where, and which nodes take a part of it.
 
-Nodes that take a failed site's load are chosen by rank among the target sites' ready nodes: as many
-as the plan needs. A node leaves that set in the order of the recovery, the last rank first. Nodes
-whose views differ err by the nodes on which the rankings differ and never by more than one target's
-share, since each node decides for itself alone.
+Nodes that take a failed site's load are chosen by rank among the ready nodes of the target sites,
+as many as the plan needs. As the site recovers, nodes leave that set, the last rank first. The
+plans of nodes whose views differ deviate by the nodes at which the rankings differ, and never by
+more than one target's share, since each node decides only for itself.
 """
 
 from __future__ import annotations
@@ -48,46 +48,46 @@
 from lilacwalk.membership.conclusions import Verdict
 from lilacwalk.membership.messages import Health
 
-BASELINE_LEARNING_RATE = 0.05  # weight of one evaluation: a mean over some four seconds
-BASELINE_DECAY = 0.98  # by which a completion rate's baseline may fall in one evaluation
+BASELINE_LEARNING_RATE = 0.05  # weight of one evaluation: a mean over about four seconds
+BASELINE_DECAY = 0.98  # factor by which a baseline completion rate may fall in one evaluation
 MIN_READY_SHARE = 0.5  # of a site's members that must serve before it takes load again
-MAX_REPORTED_STAGES = 4  # sites that a node's metadata has room for
-UNSETTLED_VIEW = Verdict.UNSURE  # the membership's conclusion while its view changes
+MAX_REPORTED_STAGES = 4  # sites, as many as fit into a node's metadata
+UNSETTLED_VIEW = Verdict.UNSURE  # the membership's conclusion while its view is unreliable
 
 
 @dataclass(slots=True)
 class NodePlan:
-    """What one evaluation has decided."""
+    """The result of one evaluation."""
 
     site_status: dict[str, SiteStatus] = field(default_factory=dict)
     plan: FailoverPlan | None = None
     failover_nodes: dict[str, list[str]] = field(default_factory=dict)  # by failed site
-    failover_sites: tuple[str, ...] = ()  # whose load this node takes
-    own_site_share: float = 1.0  # of its own site's load that is wanted there
-    serves_own_site: bool = True  # by its rank among its site's nodes
+    failover_sites: tuple[str, ...] = ()  # failed sites whose load this node takes
+    own_site_share: float = 1.0  # share of its own site's load to be served at that site
+    serves_own_site: bool = True  # whether its rank is among those that this share needs
 
 
 class FailoverPlanner:
-    """Recoveries of all sites and the plan of this node. Owned by the membership thread.
+    """Tracks the recovery of all sites and computes the plan. Owned by the membership thread.
 
-    Times are tenths of a millisecond, loads cores.
+    Times are in tenths of a millisecond, loads in cores.
     """
 
     def __init__(self, config: FailoverConfig, name: str, site: str, now: int) -> None:
-        """`name` and `site` are this node's own."""
+        """`name` and `site` are those of this node."""
         self.config = config
         self.name = name
         self.site = site
         self.recoveries = {
             each.name: SiteRecovery(each.name, config.pace, now) for each in config.site
         }
-        self.baseline_rates: dict[str, float] = {}  # requests a second of a healthy site
-        self.baseline_loads: dict[str, float] = {}  # cores used by a healthy site
+        self.baseline_rates: dict[str, float] = {}  # requests a second completed by a healthy site
+        self.baseline_loads: dict[str, float] = {}  # cores in use at a healthy site
         self.node_plan = NodePlan()
-        self.stage_changes: list[tuple[str, str, str]] = []  # site, stage, reason: to be logged
+        self.stage_changes: list[tuple[str, str, str]] = []  # site, stage, reason; not yet logged
 
     def reconfigure(self, config: FailoverConfig, now: int) -> None:
-        """Takes a new block; sites that stay keep their recovery."""
+        """Applies a new `sites` block; sites that it still contains keep their recovery state."""
         before = self.recoveries
         self.config = config
         self.recoveries = {
@@ -98,7 +98,7 @@
     # Persistence
 
     def failure_history(self, now: int) -> dict[str, tuple[int, int]]:
-        """What is persisted, by site: failures, and for how much longer it is excluded."""
+        """Returns the persisted state by site: number of failures and remaining exclusion time."""
         return {
             name: recovery.failure_history(now)
             for name, recovery in sorted(self.recoveries.items())
@@ -108,7 +108,7 @@
     def restore_failure_history(
         self, history: Mapping[str, tuple[int, int]], age: int, now: int
     ) -> None:
-        """Takes over what was persisted `age` ago, unless the longest exclusion is over."""
+        """Restores state persisted `age` ago, unless the maximum exclusion time has passed."""
         for name, (failure_count, exclusion) in history.items():
             if name in self.recoveries and age < self.config.pace.longest:
                 remaining = max(0, exclusion - age)
@@ -117,7 +117,7 @@
     # Operator commands
 
     def hold(self, site: str, until: int, now: int, drain: bool = False) -> bool:
-        """Holds or drains a site; False where there is no such site."""
+        """Holds or drains a site; returns False where the site is not configured."""
         recovery = self.recoveries.get(site)
         if recovery is None:
             return False
@@ -128,7 +128,7 @@
         return True
 
     def release(self, site: str, now: int) -> bool:
-        """Ends a hold or drain; False where there is no such site."""
+        """Ends a hold or drain; returns False where the site is not configured."""
         recovery = self.recoveries.get(site)
         if recovery is None:
             return False
@@ -144,13 +144,13 @@
         now: int,
         responses: Mapping[str, float] | None = None,
     ) -> NodePlan:
-        """Takes the view as it is now and returns the new plan.
+        """Evaluates the current membership view and returns the new plan.
 
         Args:
-            members: all members that the view knows.
-            conclusion: what the view concludes of this node's side of a partition.
-            now: the time.
-            responses: by site, response time over its baseline; by default from the members.
+            members: all members in the view.
+            conclusion: the view's conclusion on which side of a partition this node is.
+            now: the current time.
+            responses: by site, response time over its baseline; by default derived from `members`.
         """
         nodes = list(members)
         status = {
@@ -168,7 +168,7 @@
         }
         may_ramp = sites_allowed_to_ramp(list(self.recoveries.values()), survives)
         for name, recovery in self.recoveries.items():
-            if _is_known(status[name], conclusion):
+            if _allows_stage_change(status[name], conclusion):
                 ratio = ratios.get(name, 0.0)
                 self._update_recovery(recovery, status[name], name in may_ramp, now, ratio)
         self._learn_baselines(status, nodes)
@@ -176,20 +176,20 @@
         return self.node_plan
 
     def current_capacities(self, status: Mapping[str, SiteStatus]) -> dict[str, SiteCapacity]:
-        """The sites as the view has them; what it does not know, as the file does."""
+        """Returns the sites with figures from the view, or as configured where it has none."""
         capacities = {}
         for name, site in configured_capacities(self.config).items():
             known_cores = status[name].cores
             cores = round_to_step(known_cores) if known_cores else site.cores
             baseline = self.baseline_loads.get(name)
             load = site.load if baseline is None else round_to_step(baseline)
-            # At least a step: an idle site has clients, too, and they must find a node.
+            # At least one step: an idle site has clients too, and they need a failover node.
             load = max(CAPACITY_STEP, load)
             capacities[name] = SiteCapacity(name, cores, load, site.failover_targets)
         return capacities
 
     def failed_shares(self) -> dict[str, float]:
-        """By site, the share of its load that is not wanted there."""
+        """Returns, by site, the share of its load that other sites are to serve."""
         return {
             name: 1 - recovery.share
             for name, recovery in self.recoveries.items()
@@ -197,14 +197,14 @@
         }
 
     def traffic_plan(self, failover_sites: tuple[str, ...], cores: float, now: int) -> TrafficPlan:
-        """What the node's local priorities need to know.
+        """Returns the part of the plan that this node's local priorities use.
 
         Args:
-            failover_sites: whose load this node takes, as its host has carried it out.
-            cores: this node's own; its part of the shared call limit goes by them.
-            now: the time.
+            failover_sites: failed sites whose load this node takes, as applied by its host.
+            cores: this node's cores; its part of the shared call limit is in proportion to them.
+            now: the current time.
 
-        Recovery times are in whole seconds, so that the plan seldom changes.
+        Recovery times are rounded to whole seconds, so that the plan changes rarely.
         """
         if not failover_sites:
             return TrafficPlan()
@@ -216,7 +216,7 @@
         return TrafficPlan(failover_sites, times, round(call_limit * cores / all_cores, 1))
 
     def stages_to_report(self) -> tuple[str, ...]:
-        """What this node gossips of other sites: name and wanted share in thousandths."""
+        """Returns the texts to gossip on other sites: name, and share to serve in thousandths."""
         reports = [
             f"{name} {round(1_000 * recovery.share)}"
             for name, recovery in sorted(self.recoveries.items())
@@ -234,21 +234,23 @@
     ) -> None:
         is_reachable = status.condition in (SiteCondition.HEALTHY, SiteCondition.DEGRADED)
         serving_share = 1 - status.failed_share
-        has_enough = (
+        has_enough_members = (
             status.known_members > 0
             and status.reachable_members > 0
             and serving_share >= MIN_READY_SHARE
         )
         is_failing = status.condition is SiteCondition.DEGRADED
         before = recovery.stage
-        recovery.evaluate(SiteProbe(is_reachable, has_enough, ratio, is_failing), now, may_ramp)
+        recovery.evaluate(
+            SiteProbe(is_reachable, has_enough_members, ratio, is_failing), now, may_ramp
+        )
         if recovery.stage is not before:
             self.stage_changes.append((recovery.site, recovery.stage.value, recovery.reason))
 
     def _learn_baselines(self, status: Mapping[str, SiteStatus], nodes: list[NodeView]) -> None:
-        """What a site carries and completes while all sites are healthy.
+        """Learns the load and the completion rate of each site, while all sites are healthy.
 
-        Not learned otherwise, since failover traffic is no load of the site's own.
+        Otherwise they include failover traffic, which is not part of a site's own load.
         """
         recoveries = self.recoveries.values()
         if any(recovery.stage is not RecoveryStage.HEALTHY for recovery in recoveries):
@@ -264,12 +266,13 @@
             )
             decayed = BASELINE_DECAY * self.baseline_rates.get(name, 0.0)
             self.baseline_rates[name] = max(completed, decayed)
-            # Starts at the file's load: the first metadata knows nothing yet, or an idle start.
+            # Starts at the configured load: the first metadata reports none, or that of an idle
+            # node that has just started.
             before = self.baseline_loads.get(name, site.load)
             self.baseline_loads[name] = before + BASELINE_LEARNING_RATE * (found.load - before)
 
     def _survives_repeated_failure(self, status: Mapping[str, SiteStatus]) -> bool:
-        """Whether all sites that are not healthy could fail again together."""
+        """Returns whether the fleet survives if all unhealthy sites fail again together."""
         recovering = [
             name
             for name, recovery in self.recoveries.items()
@@ -288,7 +291,7 @@
         failed = self.failed_shares()
         before = self.node_plan
         if conclusion == UNSETTLED_VIEW and before.plan is not None:
-            # What was decided on a settled view stands until the view is settled again.
+            # The decisions made on a settled view apply until the view is settled again.
             return NodePlan(
                 status,
                 before.plan,
@@ -312,7 +315,10 @@
         return NodePlan(status, plan, failover_nodes, failover_sites, own_share, serves_own_site)
 
     def _recovery_time(self, site: str, now: int) -> int:
-        """Until a site is expected to take more of its load, in whole seconds, at least one."""
+        """Returns the time until a site is expected to take more load, at least one second.
+
+        The time is rounded down to whole seconds.
+        """
         recovery = self.recoveries[site]
         steady = self.config.pace.steady
         if recovery.is_ramping:
@@ -325,10 +331,11 @@
         return max(1, expected // SECOND) * SECOND
 
     def _own_site_share(self, nodes: list[NodeView], conclusion: str) -> float:
-        """The share of this site's load that the others want here.
+        """Returns the share of this site's load that it is to serve, by the reports of other sites.
 
-        The median of what they report, so that one that is wrong moves nothing. In doubt all of
-        it: a site that is needed must not hold itself back.
+        The share is the median of the reports, so that a single wrong report has no effect. It is 1
+        without reports, and where this node is alone or on the smaller side of a partition: a site
+        that is needed must not withdraw its service.
         """
         if conclusion not in (HEALTHY_VIEW, UNSETTLED_VIEW):
             return 1.0
@@ -343,7 +350,7 @@
         return min(own, reported[len(reported) // 2])
 
     def _serves_own_site(self, share: float, nodes: list[NodeView]) -> bool:
-        """Whether this node is among as many of the site's nodes as its share needs, by rank."""
+        """Returns whether this node's rank is among as many nodes as the site's share needs."""
         if share >= 1:
             return True
         ranked = sorted(
@@ -356,7 +363,7 @@
         return self.name in ranked[:needed]
 
 
-def _is_known(status: SiteStatus, conclusion: str) -> bool:
-    """Whether anything may be moved: what is not known is no failure, and no recovery either."""
+def _allows_stage_change(status: SiteStatus, conclusion: str) -> bool:
+    """Returns whether the status is known; an unknown one is neither a failure nor a recovery."""
     is_unclear = status.condition is SiteCondition.UNCLEAR
     return not (is_unclear and (conclusion != HEALTHY_VIEW or not status.known_members))
--- a/lilacwalk/failover/node_selection.py
+++ b/lilacwalk/failover/node_selection.py
@@ -1,4 +1,7 @@
-"""Which nodes take a failed site's load: as many as the work needs, by rank, alike on all nodes."""
+"""Selects the nodes that take a failed site's load: as many as the work needs, by rank.
+
+All nodes compute the same ranks.
+"""
 
 from __future__ import annotations
 
@@ -10,24 +13,24 @@
 from lilacwalk.failover.detector import REACHABLE, MemberStatus
 from lilacwalk.membership.messages import Health, NodeState
 
-NODE_LOAD_MARGIN = 1.1  # of its site's mean load that a node may carry
+NODE_LOAD_MARGIN = 1.1  # times its site's mean utilisation, up to which a node is loaded
 MIN_ADMISSION_PROBABILITY = 0.05  # bounds the response ratio derived from it
 EPSILON = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class NodeView:
-    """A member as the failover plan needs it."""
+    """The properties of a member that the failover plan uses."""
 
     name: str
     status: MemberStatus
-    admission_probability: float = 1.0  # under 1 its response time is over the objective
-    reported_stages: tuple[str, ...] = ()  # what it gossips of sites that are not healthy
-    has_durable_storage: bool = True  # one without is the last to take a failed site's load
+    admission_probability: float = 1.0  # below 1 its response time exceeds the objective
+    reported_stages: tuple[str, ...] = ()  # its gossiped texts about sites that are not healthy
+    has_durable_storage: bool = True  # members without it are the last to take a failed site's load
 
 
 def reported_share(site: str, stages: tuple[str, ...]) -> float:
-    """The share of a site's load that a member reports as wanted there; 1 where it reports none."""
+    """Returns the share of its load that a site is to serve by a member's report; 1 without one."""
     for text in stages:
         name, _, share = text.rpartition(" ")
         if name == site and share.isdecimal():
@@ -36,10 +39,10 @@
 
 
 def response_ratio(site: str, nodes: list[NodeView]) -> float:
-    """A site's response time over its objective, derived from what its members admit.
+    """Returns a site's response time over its objective; 0 where no member of the site is ready.
 
-    Controllers lower their admission probability as far as their response time is over the
-    objective. 0 where no member of the site serves.
+    The ratio is derived from the members' admission probabilities, which their controllers lower in
+    proportion as the response time exceeds the objective.
     """
     admitted = [
         node.admission_probability
@@ -54,15 +57,16 @@
 
 
 def rendezvous_rank(site: str, node: str) -> bytes:
-    """The rank of a node for a site: alike on all nodes, and unrelated between sites."""
+    """Returns the rank of a node for a site: equal on all nodes, and independent between sites."""
     return blake2b(f"{site} {node}".encode(), digest_size=8).digest()
 
 
 def select_failover_nodes(
     failed_site: str, target: str, work: float, nodes: list[NodeView], capacity: SiteCapacity
 ) -> list[str]:
-    """As many of a target's nodes as the work needs, by rank."""
-    # Suspected nodes count: in a large fleet some node always is suspected, and comes back.
+    """Returns the names of as many nodes of a target site as the work needs, by rank."""
+    # Suspected nodes count: in a large fleet some nodes are suspected at any time, and most of
+    # them prove to be alive.
     ready = sorted(
         (
             node
@@ -78,10 +82,10 @@
     )
     if not ready or work <= 0:
         return []
-    # A node keeps its share of its site's load. On top it takes what brings it a little over
-    # the mean of all: filled to its capacity it would reject half of it.
+    # A node keeps its share of its site's load, and takes failover load until it is slightly above
+    # the site's mean utilisation. Filled to its full capacity it would reject half of that load.
     mean_utilisation = (capacity.load + work) / capacity.cores if capacity.cores else 1.0
-    filled = min(1.0, NODE_LOAD_MARGIN * mean_utilisation) * capacity.cores
-    per_node = max(EPSILON, (filled - capacity.load) / len(ready))
+    target_load = min(1.0, NODE_LOAD_MARGIN * mean_utilisation) * capacity.cores
+    per_node = max(EPSILON, (target_load - capacity.load) / len(ready))
     needed = max(1, math.ceil(work / per_node - EPSILON))
     return [node.name for node in ready[:needed]]
--- a/lilacwalk/failover/operator_commands.py
+++ b/lilacwalk/failover/operator_commands.py
@@ -1,7 +1,7 @@
-"""What an operator commands of a site, gossiped to all members with the member metadata.
+"""Operator commands for sites, gossiped to all members with the member metadata.
 
-The newest command for a site counts and expires by itself. It counts from whichever member it is
-heard, so the member that was asked need not live on.
+The newest command for a site applies until it expires. It applies whichever member gossips it, so
+it stays valid if the member that accepted it from the operator stops.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 
 VERBS = ("hold", "drain", "release")
-MAX_COMMANDS = 4  # in one member's metadata, beside the plan's fingerprint
-MAX_DURATION_SECONDS = 24 * 3600  # a longer evacuation is a change of the file
+MAX_COMMANDS = 4  # in one member's metadata, which also holds the plan's fingerprint
+MAX_DURATION_SECONDS = 24 * 3600  # a longer evacuation belongs in the operator's file
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """One command for a site. Times are milliseconds of the Unix clock."""
+    """One command for a site. Times are in milliseconds since the Unix epoch."""
 
     verb: str
     site: str
@@ -24,12 +24,12 @@
     expires_at: int
 
     def __str__(self) -> str:
-        """The form in which it is gossiped."""
+        """Returns the text form that is gossiped."""
         return f"{self.verb} {self.site} {self.issued_at} {self.expires_at}"
 
 
 def read_command(text: str) -> OperatorCommand | None:
-    """The command in a gossiped text; None where the text is none."""
+    """Parses a gossiped text; returns None where it is not a valid command."""
     words = text.split(" ")
     if len(words) != 4 or words[0] not in VERBS:
         return None
@@ -44,10 +44,10 @@
 
 
 def newest_commands(gossiped: Iterable[tuple[str, ...]], now: int) -> dict[str, OperatorCommand]:
-    """The newest unexpired command of each site, from all members' texts.
+    """Returns the newest command of each site from all members' texts, unless it has expired.
 
-    Of two issued in the same millisecond the one that is larger as text counts, on all members
-    alike. `now` is in milliseconds of the Unix clock.
+    Of two commands issued in the same millisecond, all members choose the one whose text sorts
+    last. `now` is in milliseconds since the Unix epoch.
     """
     newest: dict[str, OperatorCommand] = {}
     for texts in gossiped:
@@ -55,14 +55,17 @@
             command = read_command(text)
             if command is None:
                 continue
-            before = newest.get(command.site)
-            if before is None or _order(command) > _order(before):
+            newest_so_far = newest.get(command.site)
+            if newest_so_far is None or _order(command) > _order(newest_so_far):
                 newest[command.site] = command
     return {site: command for site, command in newest.items() if command.expires_at > now}
 
 
 def put_command(texts: tuple[str, ...], command: OperatorCommand, now: int) -> tuple[str, ...]:
-    """The gossiped commands with this one added: one for a site, the oldest dropped first."""
+    """Returns the gossiped texts with a command added: one for each site, and only the latest.
+
+    Expired commands are removed. Where there are too many, the first ones are dropped.
+    """
     others = []
     for text in texts:
         other = read_command(text)
--- a/lilacwalk/failover/plan_agreement.py
+++ b/lilacwalk/failover/plan_agreement.py
@@ -1,8 +1,8 @@
-"""Whether all members plan from the same sites block.
+"""Detects members whose `sites` blocks differ.
 
 Each member gossips the revision that its operator gave the block and a digest of its content. A
-member whose block is outdated stands in for nobody until the files agree: what it computes is not
-what the others count on.
+member whose block is outdated takes no failover traffic until the files agree, since the other
+members do not expect the plan that it computes.
 """
 
 from __future__ import annotations
@@ -13,40 +13,41 @@
 
 from lilacwalk.failover.config import FailoverConfig
 
-VERB = "plan"
-GOSSIPED_NAME = "Sites"  # of the block's record in the text that the digest covers
+FINGERPRINT_KEYWORD = "plan"
+GOSSIPED_NAME = "Sites"  # name of the block's record in the digested text
 DIGEST_BYTES = 6
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class PlanFingerprint:
-    """Revision and digest of a sites block.
+    """Revision and digest of a `sites` block.
 
-    Of two that differ under one revision the one with the larger digest is taken for the newer,
-    so that all members decide alike.
+    Where two blocks with the same revision differ, the one with the larger digest counts as the
+    newer, so that all members decide alike.
     """
 
     revision: int
     digest: str
 
     def __str__(self) -> str:
-        """The form in which it is gossiped."""
-        return f"{VERB} {self.revision} {self.digest}"
+        """Returns the text form that is gossiped."""
+        return f"{FINGERPRINT_KEYWORD} {self.revision} {self.digest}"
 
 
 @dataclass(frozen=True, slots=True)
 class PlanAgreement:
-    """How this member's block compares with those of the others."""
+    """The result of comparing this member's block with those of other members."""
 
     differing_members: tuple[str, ...] = ()
     is_outdated: bool = False
 
 
 def plan_fingerprint(config: FailoverConfig) -> PlanFingerprint:
-    """Equal for equal files in every version: members gossip it.
+    """Returns the fingerprint of a block; equal blocks have the same one in every version.
 
-    The digest is over the record's text form, whose outermost name is part of the protocol, as are
-    the names of the classes and fields inside it.
+    Members of different versions compare it. The digest covers the record's text form. The
+    outermost name in that text is part of the protocol, and so are the names of the classes and
+    fields within it.
     """
     text = GOSSIPED_NAME + repr(config).removeprefix(type(config).__name__)
     digest = blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
@@ -54,26 +55,27 @@
 
 
 def read_fingerprint(texts: tuple[str, ...]) -> PlanFingerprint | None:
-    """The fingerprint among the texts that a member gossips; None where there is none."""
+    """Returns the fingerprint among a member's gossiped texts; None where there is none."""
     for text in texts:
         words = text.split(" ")
-        if len(words) == 3 and words[0] == VERB and words[1].isdecimal():
+        if len(words) == 3 and words[0] == FINGERPRINT_KEYWORD and words[1].isdecimal():
             return PlanFingerprint(int(words[1]), words[2])
     return None
 
 
 def put_fingerprint(texts: tuple[str, ...], own: PlanFingerprint) -> tuple[str, ...]:
-    """The gossiped texts with this fingerprint in place of an older one."""
-    others = (text for text in texts if not text.startswith(VERB + " "))
+    """Returns the gossiped texts with `own` in place of an older fingerprint."""
+    others = (text for text in texts if not text.startswith(FINGERPRINT_KEYWORD + " "))
     return (str(own), *others)
 
 
 def compare_fingerprints(
     own: PlanFingerprint, others: Iterable[tuple[str, tuple[str, ...]]]
 ) -> PlanAgreement:
-    """Compares with the members that are present, given by name with their gossiped texts.
+    """Compares the own fingerprint with those of the members present.
 
-    A member that gossips no fingerprint has no sites block and does not count as differing.
+    `others` holds the name and the gossiped texts of each. A member that gossips no fingerprint has
+    no `sites` block and does not count as differing.
     """
     differing = {}
     for name, texts in others:
--- a/lilacwalk/failover/plan_report.py
+++ b/lilacwalk/failover/plan_report.py
@@ -1,4 +1,4 @@
-"""A failover plan as the command line and the admin socket show it."""
+"""The report of a failover plan that the command line prints."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def describe_plan(
     config: FailoverConfig, capacities: Mapping[str, SiteCapacity], plan: FailoverPlan
 ) -> dict:
-    """The plan as the command line and the admin socket show it."""
+    """Returns the report of a plan, with the keys that `lilacwalk sites plan --json` prints."""
     return {
         "lost": sorted(plan.failed),
         "holds": plan.is_sufficient,
--- a/lilacwalk/failover/planner.py
+++ b/lilacwalk/failover/planner.py
@@ -1,6 +1,6 @@
-"""Plans one failure: where the load goes, what is rejected, what binds first, and what is lacking.
+"""Plans for one failure: the placement of load, the rejected work and the binding constraint.
 
-Pure functions, used alike by the command line and by a running node. Loads and capacities are in
+Pure functions, used both by the command line and by a running node. Loads and capacities are in
 cores, times in tenths of a millisecond.
 """
 
@@ -19,27 +19,27 @@
 from lilacwalk.failover.config import SECOND, FailoverConfig
 from lilacwalk.failover.shedding import AdmissionPlan, WorkShare, choose_admitted, value_work
 
-REJECTED_EPSILON = 1e-6  # a rejected share below this is rounding
-NO_TARGET = "no stand-in"  # shown where no target binds, since there is none
+REJECTED_EPSILON = 1e-6  # a smaller rejected share is a rounding error
+NO_TARGET = "no stand-in"  # the binding constraint where a failed site has no failover target left
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverPlan:
-    """What becomes of a failure."""
+    """The plan for one failure."""
 
-    failed: dict[str, float]  # by site, the share that is gone
+    failed: dict[str, float]  # by site, the failed share
     placement: LoadPlacement
     admission: AdmissionPlan
     utilisation: dict[str, float]  # by site that has cores left
-    rejected_by_class: dict[str, float]  # share of the whole fleet's offered work of the class
-    rejected_by_source: dict[str, float]  # share of what the site's own clients offered
+    rejected_by_class: dict[str, float]  # share of the work of the class offered to the whole fleet
+    rejected_by_source: dict[str, float]  # share of the work offered by the site's own clients
     binding_constraint: str
-    calls: dict[str, tuple[float, float]]  # by shared dependency: calls made, and the limit
+    calls: dict[str, tuple[float, float]]  # by shared dependency: calls made a second, and limit
     is_sufficient: bool  # nothing is rejected
-    weight_share: float  # admitted weight, of what all that is offered is worth
+    weight_share: float  # weight of the admitted work over that of all offered work
 
     def shares(self) -> dict[str, float]:
-        """The share of the displaced load that goes to each site."""
+        """Returns the share of the displaced load that each site receives."""
         placed = self.placement.placed
         total = sum(placed.values()) + sum(self.placement.unplaced.values())
         found: dict[str, float] = {}
@@ -51,7 +51,7 @@
 def configured_capacities(
     config: FailoverConfig, load_factor: float = 1.0
 ) -> dict[str, SiteCapacity]:
-    """The sites as the file has them, with their loads multiplied by `load_factor`."""
+    """Returns the sites as configured, with their loads multiplied by `load_factor`."""
     return {
         site.name: SiteCapacity(
             site.name,
@@ -64,7 +64,7 @@
 
 
 def shared_call_limit(config: FailoverConfig) -> float | None:
-    """Calls a second that the scarcest shared dependency survives; None where there is none."""
+    """Returns the lowest limit of calls a second among shared dependencies; None without any."""
     return min((each.limit for each in config.shared), default=None)
 
 
@@ -74,7 +74,7 @@
     failed: Mapping[str, float],
     placement: LoadPlacement,
 ) -> list[WorkShare]:
-    """All work that is offered once the load is placed: local work first, then failover traffic."""
+    """Returns the work offered after placement; by class, local work before failover traffic."""
     path_cost = {
         (site.name, target): cost
         for site in capacities.values()
@@ -97,19 +97,21 @@
 def plan_failover(
     config: FailoverConfig, capacities: Mapping[str, SiteCapacity], failed: Mapping[str, float]
 ) -> FailoverPlan:
-    """Plans the failure of sites.
+    """Plans for the failure of sites.
 
     Args:
         config: the operator's block.
-        capacities: the sites as they are now.
-        failed: the share of each failed site that is gone, over 0 up to 1.
+        capacities: the sites with their current capacities and loads.
+        failed: the failed share of each failed site, above 0 and up to 1.
 
     Raises:
-        KeyError: a failed site is not in the file.
+        KeyError: a failed site is not in `capacities`.
     """
     placement = place_load(capacities, failed, config.headroom)
-    lacking = sum(placement.unplaced.values())
-    planned = place_overflow(capacities, placement) if lacking > REJECTED_EPSILON else placement
+    unplaced_load = sum(placement.unplaced.values())
+    planned = (
+        place_overflow(capacities, placement) if unplaced_load > REJECTED_EPSILON else placement
+    )
     usable = {
         name: site.cores * (1 - config.headroom) * (1 - min(1.0, failed.get(name, 0.0)))
         for name, site in capacities.items()
@@ -125,9 +127,9 @@
         capacities,
         failed,
         sum(each.work * each.calls for each in offered),
-        lacking,
+        unplaced_load,
     )
-    best = _offered_weight(config, capacities)
+    offered_weight = _offered_weight(config, capacities)
     return FailoverPlan(
         failed=dict(failed),
         placement=planned,
@@ -138,7 +140,7 @@
         binding_constraint=binding_constraint,
         calls={each.name: (admission.calls, each.limit) for each in config.shared},
         is_sufficient=all(share <= REJECTED_EPSILON for share in rejected_by_class.values()),
-        weight_share=admission.total_value / best if best else 1.0,
+        weight_share=admission.total_value / offered_weight if offered_weight else 1.0,
     )
 
 
@@ -149,9 +151,9 @@
     capacities: Mapping[str, SiteCapacity],
     failed: Mapping[str, float],
     calls: float,
-    lacking: float,
+    unplaced_load: float,
 ) -> str:
-    """What is nearest to its limit, over it or not, as it is shown to operators."""
+    """Returns the constraint with the highest ratio of load to limit, as shown to operators."""
     ratios: list[tuple[float, str]] = []
     for name, cores in usable.items():
         if cores > 0:
@@ -161,13 +163,13 @@
     if config.shared:
         scarcest = min(config.shared, key=lambda each: each.limit)
         ratios.append((calls / scarcest.limit, f"calls to {scarcest.name}"))
-    if lacking > REJECTED_EPSILON and not any(ratio > 1 for ratio, _ in ratios):
+    if unplaced_load > REJECTED_EPSILON and not any(ratio > 1 for ratio, _ in ratios):
         return NO_TARGET
     return max(ratios)[1] if ratios else NO_TARGET
 
 
 def required_failures(config: FailoverConfig) -> Iterator[tuple[str, ...]]:
-    """The failures that the file says must be survived, each once."""
+    """Yields the failures that the operator's file requires to be survivable, each once."""
     names = [each.name for each in config.site]
     seen: set[tuple[str, ...]] = set()
     for word in config.bear:
@@ -184,12 +186,12 @@
 
 
 def without_rounding(share: float) -> float:
-    """The share, or 0 where it is rounding alone."""
+    """Returns the share, or 0 where it is only a rounding error."""
     return 0.0 if share < REJECTED_EPSILON else share
 
 
 def _local_load(site: SiteCapacity, failed: Mapping[str, float], placement: LoadPlacement) -> float:
-    """What of a site's own load stays there."""
+    """Returns the part of a site's own load that stays there."""
     if failed.get(site.name, 0.0) <= 0:
         return site.load
     placed = sum(placement.placed_from(site.name).values())
@@ -233,7 +235,7 @@
 
 
 def _offered_weight(config: FailoverConfig, capacities: Mapping[str, SiteCapacity]) -> float:
-    """Weight a second of all that is offered."""
+    """Returns the weight a second of all offered work."""
     return sum(
         site.load * request_class.share * request_class.benefit * SECOND / request_class.work
         for site in capacities.values()
--- a/lilacwalk/failover/recovery.py
+++ b/lilacwalk/failover/recovery.py
@@ -1,8 +1,8 @@
-"""How a failed site takes its load again: stages with hysteresis, moved by what its responses show.
+"""Returns load to a failed site in stages with hysteresis, depending on its response time.
 
-A site that fails again is excluded for longer each time, up to a maximum, and the time is halved
-again while it stays healthy. Two sites ramp at once only where the remaining capacity survives
-the failure of both; otherwise the one that came back first goes on.
+A site that fails again is excluded for twice as long each time, up to a maximum; the time is halved
+again while it stays healthy. Two sites ramp at the same time only where the remaining capacity
+survives the failure of both; otherwise the one that entered its stage first goes on.
 """
 
 from __future__ import annotations
@@ -12,40 +12,40 @@
 
 from lilacwalk.failover.config import SECOND, Pace
 
-CANARY_SHARE = 0.05  # of its load: enough to see its response time, too little to hurt a cold cache
+CANARY_SHARE = 0.05  # of its load: enough to measure response times, safe for cold caches
 RAMP_FACTOR = 1.5  # by which the share grows with each step
-MAX_RESPONSE_RATIO = 1.25  # of the baseline response time: above it the site has too much load
-GOOD_PROBES_REQUIRED = 3  # in a row before anything is raised
-FORGIVENESS_FACTOR = 10  # exclusion times that a site stays healthy until one failure is forgotten
-MAX_EXCLUSION_DOUBLINGS = 30  # keeps the shift bounded; the configured maximum is reached before
+MAX_RESPONSE_RATIO = 1.25  # times the baseline response time; above it the site is overloaded
+GOOD_PROBES_REQUIRED = 3  # in a row before the share is raised
+FAILURE_EXPIRY_FACTOR = 10  # exclusion times in good health after which one failure is forgotten
+MAX_EXCLUSION_DOUBLINGS = 30  # bounds the shift; the configured maximum is reached earlier
 
 
 class RecoveryStage(Enum):
     """Stages of recovery; the values are gossiped, stored and shown to operators."""
 
-    FAILED = "lost"  # no load; it is probed
-    PROBING = "probing"  # reachable for long enough: probed, still without load
-    CANARY = "trickle"  # the canary share of its load
-    RAMPING = "ramp"  # more with each step; half at once when its response time does not hold
+    FAILED = "lost"  # no load; excluded, or not yet reachable for long enough
+    PROBING = "probing"  # no load; its probes are evaluated
+    CANARY = "trickle"  # `CANARY_SHARE` of its load
+    RAMPING = "ramp"  # the share grows with each step, and is halved when response times rise
     HEALTHY = "whole"  # all of its load
     HELD = "held"  # no load until an operator releases it or the hold expires
 
 
 @dataclass(frozen=True, slots=True)
 class SiteProbe:
-    """What is seen of a site at one moment."""
+    """The observed state of a site at one moment."""
 
     is_reachable: bool
-    has_enough_members: bool  # for the load it would get
+    has_enough_members: bool  # to take load
     response_ratio: float  # response time over its baseline; 0: not known
-    is_failing: bool = False  # it responds with failures
+    is_failing: bool = False  # its members are unhealthy or slow
 
 
 class SiteRecovery:
-    """Stage and load share of one site. Owned by the node's failover planner; times in 0.1 ms."""
+    """Recovery stage and load share of one site. Owned by the failover planner; times in 0.1 ms."""
 
     def __init__(self, site: str, pace: Pace, now: int, is_reachable: bool = True) -> None:
-        """A site starts healthy where it is reachable, else failed."""
+        """Starts in the stage HEALTHY where the site is reachable, otherwise in FAILED."""
         self.site = site
         self.pace = pace
         self.stage = RecoveryStage.HEALTHY if is_reachable else RecoveryStage.FAILED
@@ -57,23 +57,23 @@
         self.failure_count = 0
         self.excluded_until = now
         self.held_until = 0
-        self.reason = "there from the start" if is_reachable else "not there at the start"
+        self.reason = "reachable at start" if is_reachable else "not reachable at start"
 
     @property
     def is_ramping(self) -> bool:
-        """Whether it takes a part of its load."""
+        """Whether the site takes a part of its load."""
         return self.stage in (RecoveryStage.CANARY, RecoveryStage.RAMPING)
 
     # Persistence
 
     def failure_history(self, now: int) -> tuple[int, int]:
-        """What is persisted: the number of failures, and for how much longer it is excluded."""
+        """Returns the persisted state: number of failures and remaining exclusion time."""
         return self.failure_count, max(0, self.excluded_until - now)
 
     def restore_failure_history(self, failure_count: int, exclusion: int, now: int) -> None:
-        """Takes over what was persisted before a restart.
+        """Restores the state persisted before a restart.
 
-        Without it a restarted node would take a site back that the others still exclude.
+        Without it a restarted node would return load to a site that the other nodes still exclude.
         """
         self.failure_count = max(self.failure_count, failure_count)
         self.excluded_until = max(self.excluded_until, now + min(exclusion, self.pace.longest))
@@ -81,13 +81,13 @@
     # Operator commands
 
     def hold(self, until: int, now: int) -> None:
-        """Keeps a site that is not healthy without load."""
+        """Stops the recovery of a site that is not healthy: it receives no load."""
         self.held_until = until
         if self.stage is not RecoveryStage.HEALTHY:
             self._enter(RecoveryStage.HELD, 0.0, "held by the operator", now)
 
     def drain(self, until: int, now: int) -> None:
-        """Takes the load off a site, healthy or not."""
+        """Moves all load off a site, whether it is healthy or not."""
         self.held_until = until
         self._enter(RecoveryStage.HELD, 0.0, "drained by the operator", now)
 
@@ -95,16 +95,16 @@
         """Ends a hold or a drain."""
         self.held_until = 0
         if self.stage is RecoveryStage.HELD:
-            self._enter(RecoveryStage.PROBING, 0.0, "released", now)
+            self._enter(RecoveryStage.PROBING, 0.0, "released by the operator", now)
 
     # Probes
 
     def evaluate(self, probe: SiteProbe, now: int, may_ramp: bool = True) -> None:
-        """Moves the stage by one probe. `may_ramp`: no other site's recovery goes first."""
+        """Evaluates one probe. `may_ramp`: whether no other site's recovery takes precedence."""
         if self.stage is RecoveryStage.HELD:
             if now < self.held_until:
                 return
-            self._enter(RecoveryStage.PROBING, 0.0, "the hold is over", now)
+            self._enter(RecoveryStage.PROBING, 0.0, "hold expired", now)
         if not probe.is_reachable:
             self._site_failed(now)
             return
@@ -143,23 +143,23 @@
             self.failure_count += 1
         exclusion = self._exclusion_time()
         self.excluded_until = now + exclusion
-        reason = f"lost, the {self.failure_count}. time: away for {exclusion / SECOND:g} s at least"
+        reason = f"failure {self.failure_count}: excluded for at least {exclusion / SECOND:g} s"
         self._enter(RecoveryStage.FAILED, 0.0, reason, now)
 
     def _evaluate_failed(self, now: int) -> None:
         assert self.reachable_since is not None
-        is_steady = now - self.reachable_since >= self.pace.steady
-        if now >= self.excluded_until and is_steady:
-            self._enter(RecoveryStage.PROBING, 0.0, "seen again, and steady", now)
+        is_stable = now - self.reachable_since >= self.pace.steady
+        if now >= self.excluded_until and is_stable:
+            self._enter(RecoveryStage.PROBING, 0.0, "reachable again for the required time", now)
 
     def _evaluate_probing(self, now: int, may_ramp: bool) -> None:
         if self.good_probes < GOOD_PROBES_REQUIRED:
             return
         if may_ramp:
-            self._enter(RecoveryStage.CANARY, CANARY_SHARE, "its looks are good", now)
+            self._enter(RecoveryStage.CANARY, CANARY_SHARE, "probes within limits", now)
         else:
             self.reason = (
-                "waits: another site is being taken back, and both could not be lost again"
+                "waiting for another site's recovery: the fleet would not survive the loss of both"
             )
 
     def _evaluate_ramping(self, probe: SiteProbe, is_good: bool, now: int) -> None:
@@ -170,30 +170,30 @@
         if self.good_probes >= GOOD_PROBES_REQUIRED and is_due and probe.has_enough_members:
             share = min(1.0, self.share * RAMP_FACTOR)
             stage = RecoveryStage.RAMPING if share < 1 else RecoveryStage.HEALTHY
-            self._enter(stage, share, "response time holds", now)
+            self._enter(stage, share, "response time within its limit", now)
 
     def _reduce_share(self, now: int) -> None:
         if self.share > CANARY_SHARE:
             share = max(CANARY_SHARE, self.share / 2)
-            reason = "response time over the usual: halved"
+            reason = "degraded or response time above its limit: share halved"
             self._enter(RecoveryStage.RAMPING, share, reason, now)
         else:
-            reason = "response time over the usual at the least share"
+            reason = "degraded or response time above its limit at the canary share"
             self._enter(RecoveryStage.PROBING, 0.0, reason, now)
 
     def _evaluate_healthy(self, now: int) -> None:
-        is_calm = now - self.stage_since >= FORGIVENESS_FACTOR * self._exclusion_time()
-        if self.failure_count and is_calm:
+        is_expired = now - self.stage_since >= FAILURE_EXPIRY_FACTOR * self._exclusion_time()
+        if self.failure_count and is_expired:
             self.failure_count -= 1
             self.stage_since = now
 
 
 def sites_allowed_to_ramp(recoveries: list[SiteRecovery], survives_both: bool) -> set[str]:
-    """The sites that may take more load now.
+    """Returns the sites that may take more load now.
 
     Args:
-        recoveries: all sites'.
-        survives_both: the remaining capacity survives another failure of all that recover.
+        recoveries: those of all sites.
+        survives_both: whether the fleet survives another failure of all recovering sites.
     """
     candidates = [
         each for each in recoveries if each.stage is RecoveryStage.PROBING or each.is_ramping
--- a/lilacwalk/failover/shedding.py
+++ b/lilacwalk/failover/shedding.py
@@ -1,15 +1,16 @@
-"""Which work is rejected first when there is not enough capacity for all.
-
-Scarce are a site's cores and, for all sites together, the calls that a shared dependency survives.
-Each share of work (a request class, from local clients or from those of a failed site) has a value
-for a core-second and makes calls for it. With a price on a call, the best at each site are those
-with the highest value less the price of their calls, none below zero. The price is the least at
-which the calls fit; between the plans just above and just below it the call limit is met exactly.
-That is the optimum of the linear programme (by its Lagrangian), minimum shares apart.
-
-The rules of admission hold: what has begun is never rejected half way (the plan is for what comes
-next); at equal value what can be retried (idempotent) is rejected before what cannot; failover
-traffic and local traffic have a minimum share each.
+"""Chooses the work to reject when there is not enough capacity for all.
+
+Two resources are scarce: the cores of each site and, for all sites together, the calls that a
+shared dependency can serve. Each share of work (a request class, from local clients or from those
+of a failed site) has a value per core-second and makes calls per core-second. Given a price for a
+call, each site admits the shares with the highest value less the price of their calls, and none for
+which that is below zero. The price is the lowest at which the calls fit their limit; interpolating
+between the plans just above and just below this price meets the limit exactly. By the Lagrangian
+this is the optimum of the linear programme, except for the minimum shares.
+
+The rules of admission apply here too: work that has begun is never rejected (the plan is for future
+requests); at equal value, work that can be retried (idempotent) is rejected before work that
+cannot; failover traffic and local traffic have a minimum share each.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
 from lilacwalk.failover.config import SECOND, Class
 
-# By the file's names of effects; decides between equal values alone.
+# By the effect names of the operator's file; so small that it only decides between equal values.
 RETRY_PREFERENCE = {"repeatable": 0.0, "deduplicated": 1e-6, "mutating": 2e-6}
-PRICE_BISECTION_STEPS = 60  # halve the price's range below any figure that is known
+PRICE_BISECTION_STEPS = 60  # narrow the price's range below the precision of any input
 EPSILON = 1e-9  # cores
 
 
@@ -30,32 +31,32 @@
 
     request_class: Class
     site: str  # where it would run
-    source: str  # whose clients it serves
+    source: str  # the site whose clients it serves
     work: float  # cores
-    value: float  # weight of a core-second
-    calls: float  # to the shared dependency, in a core-second
+    value: float  # weight per core-second
+    calls: float  # to the shared dependency, per core-second
 
     @property
     def is_failover_traffic(self) -> bool:
-        """Whether it comes from another site's clients."""
+        """Whether it comes from clients of another site."""
         return self.site != self.source
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionPlan:
-    """What is admitted, and the price of a call at which that was decided."""
+    """The admitted work, and the price of a call at which it was chosen."""
 
     admitted: list[WorkShare]
     price: float  # 0: calls are not scarce
 
     @property
     def calls(self) -> float:
-        """Calls a second that the admitted work makes."""
+        """Calls a second made by the admitted work."""
         return sum(each.work * each.calls for each in self.admitted)
 
     @property
     def total_value(self) -> float:
-        """Weight a second of the admitted work."""
+        """Weight per second of the admitted work."""
         return sum(each.work * each.value for each in self.admitted)
 
 
@@ -67,18 +68,18 @@
     cost: int,
     failover_weight: float = 1.0,
 ) -> WorkShare:
-    """Values work of a class at a site.
+    """Returns the work of a class at a site with its value.
 
-    Work that cannot end within its latency objective over the path is worth nothing; before that
-    it is worth less by the part of its slack that the path takes.
+    The value decreases by the part of the class's slack that the path takes. Work that the path
+    makes too late for its latency objective has no value.
 
     Args:
-        request_class: the plan's class.
+        request_class: the class in the operator's block.
         site: where the work would run.
-        source: whose clients it serves.
+        source: the site whose clients it serves.
         work: cores.
-        cost: what the path from the source adds, tenths of a millisecond.
-        failover_weight: of a failover request against the same of local traffic.
+        cost: time that the path from the source adds, in tenths of a millisecond.
+        failover_weight: weight of a failover request relative to the same local request.
     """
     seconds = request_class.work / SECOND
     is_failover_traffic = site != source
@@ -90,7 +91,7 @@
 
 
 def rank_by_value(shares: list[WorkShare], price: float) -> list[WorkShare]:
-    """The most valuable first, at this price of a call."""
+    """Returns the shares sorted by value less the price of their calls, the highest first."""
 
     def key(share: WorkShare) -> tuple[float, bool, str, str]:
         preference = RETRY_PREFERENCE[share.request_class.effect]
@@ -103,10 +104,10 @@
 def admit_at_site(
     shares: list[WorkShare], capacity: float, least_share: float, price: float
 ) -> list[WorkShare]:
-    """What is admitted at one site of `capacity` cores.
+    """Returns the work admitted at one site of `capacity` cores.
 
-    `least_share` is the share of the capacity that failover traffic, and local traffic, may have
-    in any case.
+    `least_share` is the share of the capacity that is guaranteed to failover traffic, and the same
+    share to local traffic.
     """
     ranked = rank_by_value(shares, price)
     admitted = [0.0] * len(ranked)
@@ -135,12 +136,12 @@
     calls: float | None,
     least_share: float,
 ) -> AdmissionPlan:
-    """The most valuable work that fits the capacities and the call limit.
+    """Returns the most valuable work that fits the capacities and the call limit.
 
     Args:
-        shares: all work that is offered.
+        shares: all offered work.
         capacities: cores by site.
-        calls: how many may be made a second in all; None: any number.
+        calls: limit of calls a second over all sites; None: no limit.
         least_share: as for `admit_at_site`.
     """
     without_price = _admit_at_price(shares, capacities, least_share, 0.0)
@@ -150,8 +151,8 @@
         max((each.value / each.calls for each in shares if each.calls), default=0.0) + 1.0
     )
     fitting = _admit_at_price(shares, capacities, least_share, highest_price)
-    if fitting.calls > calls:  # the minimum shares alone make too many calls
-        return _scale_callers(fitting, calls / fitting.calls)
+    if fitting.calls > calls:  # the minimum shares alone exceed the call limit
+        return _scale_work_with_calls(fitting, calls / fitting.calls)
     low, high, exceeding = 0.0, highest_price, without_price
     for _ in range(PRICE_BISECTION_STEPS):
         middle = (low + high) / 2
@@ -177,8 +178,8 @@
     return AdmissionPlan(admitted, price)
 
 
-def _scale_callers(plan: AdmissionPlan, part: float) -> AdmissionPlan:
-    """Reduces all work that makes calls alike."""
+def _scale_work_with_calls(plan: AdmissionPlan, part: float) -> AdmissionPlan:
+    """Scales all work that makes calls by the same factor."""
     scaled = [
         replace(each, work=each.work * (part if each.calls else 1.0)) for each in plan.admitted
     ]
@@ -188,7 +189,7 @@
 def _interpolate(
     exceeding: AdmissionPlan, fitting: AdmissionPlan, part: float, price: float
 ) -> AdmissionPlan:
-    """Both plans fit the capacities, and so does what lies between them."""
+    """Returns a mix of two plans; as both fit the capacities, every mix of them does."""
     mixed = [
         replace(one, work=one.work * part + other.work * (1 - part))
         for one, other in zip(exceeding.admitted, fitting.admitted, strict=True)
--- a/lilacwalk/failover/sizing.py
+++ b/lilacwalk/failover/sizing.py
@@ -1,4 +1,4 @@
-"""How many cores a failover plan lacks, and where they are best added."""
+"""Computes how many cores a failover plan lacks, and where to add them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,15 @@
 from lilacwalk.failover.config import FailoverConfig
 from lilacwalk.failover.planner import REJECTED_EPSILON, plan_failover
 
-MAX_ADDITIONAL_CORES = (
-    1 << 20
-)  # a search that needs more gives up  # a search that needs more gives up
+MAX_ADDITIONAL_CORES = 1 << 20  # the search gives up beyond this number
 
 
 def additional_cores_needed(
     config: FailoverConfig, capacities: Mapping[str, SiteCapacity], failed: Mapping[str, float]
 ) -> int | None:
-    """The fewest cores to add at the binding targets so that nothing is rejected.
+    """Returns the fewest cores to add so that nothing is rejected.
 
-    None where no number of them helps.
+    The cores are added where they are missing, see `add_cores`. None where no number suffices.
     """
 
     def is_enough(cores: int) -> bool:
@@ -49,18 +47,19 @@
     failed: Mapping[str, float],
     cores: int,
 ) -> dict[str, SiteCapacity]:
-    """Adds cores where the most is lacking.
+    """Returns the capacities with cores added where the shortage is largest.
 
-    First what a site lacks for its own load, then at the nearest target of what finds no capacity.
-    Added in whole steps, so that a large number costs as little as a small one.
+    Sites that are short for their own load come first, then the first remaining target of load that
+    finds no capacity. Each step adds the cores of a whole shortage, so that a large number of cores
+    takes no more steps than a small one.
     """
     grown = dict(capacities)
     while cores > 0:
         shortage = _largest_shortage(config, grown, failed)
         if shortage is None:
             return grown
-        lacking, name = shortage
-        step = max(1, min(cores, int(lacking / (1 - config.headroom))))
+        missing_cores, name = shortage
+        step = max(1, min(cores, int(missing_cores / (1 - config.headroom))))
         grown[name] = replace(grown[name], cores=grown[name].cores + step)
         cores -= step
     return grown
@@ -71,15 +70,15 @@
     capacities: Mapping[str, SiteCapacity],
     failed: Mapping[str, float],
 ) -> tuple[float, str] | None:
-    """The cores that are lacking and the site that lacks them; None where more would not help."""
+    """Returns the missing cores and the site that lacks them; None where more would not help."""
     short = {
         name: site.load - site.cores * (1 - config.headroom)
         for name, site in capacities.items()
         if failed.get(name, 0.0) <= 0 and site.load > site.cores * (1 - config.headroom)
     }
     if short:
-        name, lacking = max(short.items(), key=lambda each: (each[1], each[0]))
-        return lacking, name
+        name, missing_cores = max(short.items(), key=lambda each: (each[1], each[0]))
+        return missing_cores, name
     placement = place_load(capacities, failed, config.headroom)
     for source, work in sorted(placement.unplaced.items()):
         for target, _ in capacities[source].failover_targets:
--- a/lilacwalk/retry_storms/__init__.py
+++ b/lilacwalk/retry_storms/__init__.py
@@ -1,6 +1,7 @@
-"""Retry storms: detected, told apart from plain overload, and damped before the controller.
+"""Detects retry storms, distinguishes them from plain overload and damps them.
 
-`metrics` measures attempts against their baseline, `stages` decides what is done about them,
-`retry_budget` which retries are admitted, `retry_after` when rejected clients come back; `damper`
-puts them together. None of them does I/O. `config` is the operator's block.
+Damping rejects attempts before they reach the controller. `metrics` measures attempts against their
+baseline, and `stages` decides whether there is a storm. `retry_budget` decides which retries are
+admitted and `retry_after` when rejected clients may return; `damper` combines all of them. None of
+them does I/O. `config` is the operator's block.
 """
--- a/lilacwalk/retry_storms/config.py
+++ b/lilacwalk/retry_storms/config.py
@@ -1,7 +1,6 @@
-"""The operator's settings for retry storms, checked by `operator/` when they are read.
+"""The operator's settings for retry storms, validated by `operator/` when the file is read.
 
-The operator's file has words of its own, which `keyword` gives where they differ from the field's
-name.
+`keyword` is the keyword in the operator's file, where it differs from the field's name.
 """
 
 from __future__ import annotations
@@ -12,15 +11,15 @@
 
 
 class RetryStormConfig(Struct, frozen=True, kw_only=True):
-    """The block `storms`; an empty one damps storms with these defaults.
+    """The `storms` block; an empty block damps storms with these defaults.
 
     Attributes:
-        retry_ratio: retries admitted for each completed request: at 0.1, retries add a tenth to
-            the load at most.
-        limits_retries: whether retries beyond that are rejected in a storm.
-        spreads_retry_after: whether retry-after times are drawn over the backlog.
+        retry_ratio: retries admitted for each completed request: at 0.1, retries add at most a
+            tenth to the load.
+        limits_retries: whether retries beyond this budget are rejected in a storm.
+        spreads_retry_after: whether retry-after times are spread over the backlog.
         sheds_late_first: whether requests that cannot be answered in time are rejected first.
-        socket: where `lilacwalk storms show` asks.
+        socket: path of the admin socket, which `lilacwalk storms show` queries.
     """
 
     retry_ratio: Annotated[float, Meta(ge=0.01, le=1.0, extra={"keyword": "retries"})] = 0.1
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -1,7 +1,8 @@
 """Damps retry storms on one node. No I/O.
 
-Attempts, connects and completions go in; what is rejected before the controller sees it, and when
-it may come back, comes out. In the normal stage nothing is rejected: admission is the controller's.
+The damper receives attempts, connects and completions. It decides which attempts are rejected
+before they reach the controller, and when their clients may retry. In the normal stage it rejects
+nothing and leaves admission to the controller.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from lilacwalk.retry_storms.retry_budget import RetryBudget
 from lilacwalk.retry_storms.stages import Stage, StageChange, StageMachine
 
-MAX_DELAY_RATIO = 1.0  # of the time left, that the queue may take before an attempt is too late
-MAX_IDLE_QUEUE = 2.0  # requests in a queue that is none: one running, and one more
-STALL_TIME = 2 * SECOND  # without a tick: many times what a busy event-loop iteration takes
+MAX_DELAY_RATIO = 1.0  # queue delay over the time left, above which an attempt is too late
+MAX_IDLE_QUEUE = 2.0  # requests that do not count as a queue: one running and one waiting
+STALL_TIME = 2 * SECOND  # without a tick: many times the length of a busy event loop iteration
 
 
 class RejectionReason(Enum):
-    """Why an attempt is rejected, with the words that operators see."""
+    """Why an attempt is rejected; the values are shown to operators."""
 
     BUDGET = "budget"  # a retry beyond the budget
     LATE = "late"  # it could not be answered in time
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """An attempt that the controller does not see; `retry_after` in tenths of a ms."""
+    """An attempt's rejection before it reaches the controller; `retry_after` in tenths of a ms."""
 
     retry_after: int
     reason: RejectionReason
@@ -44,11 +45,11 @@
     Attributes:
         fingerprint: equal for requests that look the same.
         request_class: name of its class.
-        client: whom it came from.
-        is_marked_retry: whether the client says that it retries.
+        client: the client that sent it.
+        is_marked_retry: whether the client marked it as a retry.
         time_left: tenths of a ms until its deadline.
-        is_duplicate: whether it is a duplicate of a request in flight or answered: it needs no
-            execution and is never rejected.
+        is_duplicate: whether it duplicates a request that is in flight or answered: a duplicate
+            needs no execution and is never rejected.
     """
 
     fingerprint: Hashable
@@ -60,19 +61,19 @@
 
 
 class RetryStormDamper:
-    """Puts metrics, stages, budget and retry-after times together. Owned by the event loop.
+    """Combines metrics, stages, budget and retry-after times. Owned by the event loop.
 
     Attributes:
         config: the operator's settings; may be replaced at any time.
         rejected: attempts rejected so far, by reason.
         passed: attempts passed on to the controller so far.
-        changes: changes of stage that the owner has not reported yet.
+        changes: changes of stage that the owner has not logged yet.
     """
 
     def __init__(
         self, config: RetryStormConfig, max_retry_after: int, rng: random.Random, now: int
     ) -> None:
-        """`max_retry_after`: tenths of a ms; 0: no retry-after time may be given."""
+        """`max_retry_after` is in tenths of a ms; 0: rejections must not carry a time."""
         self.config = config
         self.collector = MetricsCollector(now)
         self.stage_machine = StageMachine(now)
@@ -82,14 +83,14 @@
         self.passed = 0
         self.changes: list[StageChange] = []
         self._fleet_load_factor = 1.0
-        self._queue_delay = 0  # tenths of a ms until a request that comes now would be answered
+        self._queue_delay = 0  # tenths of a ms until a request that arrives now would be answered
         self._attempts_in_step = 0
         self._completions_in_step = 0
 
     # Requests
 
     def evaluate_request(self, attempt: Attempt, now: int) -> Rejection | None:
-        """Returns None where the attempt goes on to the controller."""
+        """Returns the rejection of an attempt, or None to pass it on to the controller."""
         is_retry = self.collector.attempt_received(
             attempt.fingerprint, attempt.is_marked_retry, now
         )
@@ -114,19 +115,20 @@
         return None if is_admitted else RejectionReason.BUDGET
 
     def connection_opened(self) -> None:
-        """A client has connected."""
+        """Counts a client's connect."""
         self.collector.connection_opened()
 
     def request_completed(self, fingerprint: Hashable, request_class: Hashable) -> None:
-        """A request was answered with its result."""
+        """Counts a request that was answered with its result."""
         self.collector.request_completed(fingerprint)
         self.budget.request_completed(request_class)
         self._completions_in_step += 1
 
     def spread_retry_after(self, client: Hashable, retry_after: int, now: int) -> int:
-        """Returns what a rejection says in place of `retry_after`, in tenths of a ms.
+        """Returns the time that a rejection carries in place of `retry_after`, in tenths of a ms.
 
-        In the normal stage, and where no time is to be given, that is `retry_after` itself.
+        It is `retry_after` itself in the normal stage, where this is 0, or where the operator has
+        disabled spreading.
         """
         self._detect_stall(now)
         is_normal = self.stage_machine.is_normal
@@ -138,7 +140,11 @@
     # Time
 
     def _detect_stall(self, now: int) -> None:
-        """After a standstill rejections come before the next tick, all with the same time."""
+        """Enters the recovering stage after a stall of the process.
+
+        Also called before each rejection: after a stall, rejections precede the next tick and would
+        all carry the same retry-after time.
+        """
         if now - self.collector.next_step_at <= STALL_TIME:
             return
         change = self.stage_machine.process_stalled(now)
@@ -146,12 +152,12 @@
             self.changes.append(change)
 
     def tick(self, now: int, queue_delay: int, fleet_load_factor: float = 1.0) -> None:
-        """Ends a step where it is over.
+        """Ends the current step if its time has passed.
 
         Args:
             now: elapsed time in tenths of a ms.
-            queue_delay: tenths of a ms until a request that comes now would be answered.
-            fleet_load_factor: members known over members up; 1 without a view.
+            queue_delay: tenths of a ms until a request that arrives now would be answered.
+            fleet_load_factor: members known over members up; 1 without a membership view.
         """
         self._queue_delay = queue_delay
         self._fleet_load_factor = fleet_load_factor
@@ -177,7 +183,7 @@
         self.spreader.tick(now)
 
     def status(self, now: int) -> dict:
-        """Returns what `lilacwalk storms show` prints."""
+        """Returns the state that `lilacwalk storms show` prints."""
         metrics = self.collector.metrics()
         return {
             "stage": self.stage_machine.stage.value,
--- a/lilacwalk/retry_storms/metrics.py
+++ b/lilacwalk/retry_storms/metrics.py
@@ -1,10 +1,10 @@
 """Measures attempts, retries and connects a second against their baseline. No I/O.
 
-A retry is marked by its client, or recognised by its fingerprint within a window. New requests that
-look alike (a poll with an empty body) count as retries, too: retries are therefore compared with
-their own baseline, and alone never make a storm.
+An attempt counts as a retry if its client marks it or if its fingerprint was seen within a window.
+New requests that look alike (such as polls with an empty body) therefore count as retries too. For
+this reason retries are compared with their own baseline, and alone never indicate a storm.
 
-The module holds figures only; `stages` decides what they mean.
+This module only measures; `stages` evaluates the metrics.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from dataclasses import dataclass
 
 SECOND = 10_000  # tenths of a ms
-STEP_TIME = SECOND // 2  # as the controller's own step
-RETRY_WINDOW = 20 * SECOND  # what comes later is a new request, more likely
-MAX_FINGERPRINTS = 20_000  # recognised at once, some 2 MB
-BASELINE_GAIN = 0.02  # of a step: a mean over some 25 s
-MEAN_GAIN = 0.3  # of a step: a mean over some 3 steps
+STEP_TIME = SECOND // 2  # equal to the controller's step
+RETRY_WINDOW = 20 * SECOND  # a later attempt is more likely a new request than a retry
+MAX_FINGERPRINTS = 20_000  # held at the same time: about 2 MB
+BASELINE_GAIN = 0.02  # weight of one step: a mean over about 25 s
+MEAN_GAIN = 0.3  # weight of one step: a mean over about 3 steps
 PERIODICITY_STEPS = 24  # twelve seconds
-MIN_ATTEMPTS = 8  # in a step, below which nothing is concluded
+MIN_ATTEMPTS = 8  # in a step; fewer are too few for a conclusion
 
 
 @dataclass(slots=True)
 class StepCounts:
-    """What came within the step."""
+    """Counts of the current step."""
 
     attempts: int = 0
     first_attempts: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Rates:
-    """Means over the last steps, a second."""
+    """Mean rates over the last steps, per second."""
 
     attempts: float = 0.0
     first_attempts: float = 0.0
@@ -43,7 +43,7 @@
     completions: float = 0.0
 
     def add(self, counts: StepCounts, steps: int) -> None:
-        """Takes the counts of so many steps into the means."""
+        """Updates the means with counts that were collected over `steps` steps."""
         gain = 1 - (1 - MEAN_GAIN) ** steps
         self.attempts += gain * (_rate(counts.attempts, steps) - self.attempts)
         self.first_attempts += gain * (_rate(counts.first_attempts, steps) - self.first_attempts)
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """What is normal: attempts a second, the ratio of retries among them, connects a second."""
+    """Normal rates: attempts a second, the share of retries among them, connects a second."""
 
     attempt_rate: float = 0.0
     retry_ratio: float = 0.0
     connect_rate: float = 0.0
 
-    def moved_to(self, other: Baseline, gain: float) -> Baseline:
-        """Returns the baseline moved by a part of the way to the other."""
+    def moved_towards(self, other: Baseline, gain: float) -> Baseline:
+        """Returns the baseline moved towards the other one by the fraction `gain`."""
         return Baseline(
             self.attempt_rate + gain * (other.attempt_rate - self.attempt_rate),
             self.retry_ratio + gain * (other.retry_ratio - self.retry_ratio),
@@ -74,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """A snapshot of the means; rates are a second.
+    """A snapshot of the means; rates are per second.
 
     Attributes:
-        periodicity: 0 where attempts come evenly, 1 where all fall into one step of a period.
+        periodicity: 0 if attempts arrive evenly, 1 if all of them arrive in one step of a period.
     """
 
     attempt_rate: float = 0.0
@@ -103,7 +103,7 @@
 
 
 class MetricsCollector:
-    """Counts of the step, means, the baseline and the fingerprints of recent attempts.
+    """Collects the counts of the current step, means, the baseline and recent fingerprints.
 
     Owned by the damper. Times are in tenths of a ms.
     """
@@ -112,7 +112,7 @@
         """Starts without a baseline; the first step begins now."""
         self.next_step_at = now + STEP_TIME
         self.means = Rates()
-        self.recent_attempts: dict[Hashable, int] = {}  # when last, in that order
+        self.recent_attempts: dict[Hashable, int] = {}  # time of the last attempt, oldest first
         self._counts = StepCounts()
         self._baseline: Baseline | None = None
         self._learned_steps = 0
@@ -137,14 +137,17 @@
         self._counts.connects += 1
 
     def request_completed(self, fingerprint: Hashable) -> None:
-        """Counts a completion; the same request after it is a new one."""
+        """Counts a completion; a later attempt with the same fingerprint is a new request."""
         self.recent_attempts.pop(fingerprint, None)
         self._counts.completions += 1
 
     # Time
 
     def tick(self, now: int, is_normal: bool) -> bool:
-        """Returns whether a step has ended; `is_normal`: the baseline may be learned from it."""
+        """Ends the step if its time has passed; returns whether it did.
+
+        `is_normal`: whether the baseline may be learned from this step.
+        """
         if now < self.next_step_at:
             return False
         steps = 1 + (now - self.next_step_at) // STEP_TIME
@@ -154,7 +157,7 @@
         self._counts = StepCounts()
         self._forget_old_attempts(now)
         if is_normal:
-            self._learn(steps)
+            self._update_baseline(steps)
         return True
 
     def _forget_old_attempts(self, now: int) -> None:
@@ -163,7 +166,7 @@
                 break
             del self.recent_attempts[fingerprint]
 
-    def _learn(self, steps: int) -> None:
+    def _update_baseline(self, steps: int) -> None:
         attempts = self.means.attempts
         retry_ratio = 1 - self.means.first_attempts / attempts if attempts else 0.0
         current = Baseline(attempts, retry_ratio, self.means.connects)
@@ -172,14 +175,14 @@
         if self._baseline is None:
             self._baseline = current if attempts else None
             return
-        mean_gain = min(1.0, steps / max(1, self._learned_steps))  # a plain mean, at first
+        mean_gain = min(1.0, steps / max(1, self._learned_steps))  # first a plain mean
         gain = max(1 - (1 - BASELINE_GAIN) ** steps, mean_gain)
-        self._baseline = self._baseline.moved_to(current, gain)
+        self._baseline = self._baseline.moved_towards(current, gain)
 
     # Results
 
     def metrics(self) -> Metrics:
-        """Returns the means as they are now."""
+        """Returns the current means."""
         baseline = self._baseline or Baseline()
         return Metrics(
             attempt_rate=self.means.attempts,
@@ -193,7 +196,7 @@
         )
 
     def periodicity(self) -> float:
-        """Returns how much attempts gather in one phase of a period, from 0 to 1."""
+        """Returns how strongly attempts concentrate in one phase of a period, from 0 to 1."""
         attempts = list(self._attempts_by_step)
         if len(attempts) < PERIODICITY_STEPS or sum(attempts) < MIN_ATTEMPTS * len(attempts):
             return 0.0
@@ -202,9 +205,9 @@
 
 
 def _phase_concentration(attempts: Sequence[int], period: int) -> float:
-    """Returns the part of the strongest phase beyond an even one, of what it could have at most.
+    """Returns the strongest phase's excess over an even share, relative to its maximum.
 
-    Clients that were all given the same retry-after time come back in one phase.
+    Clients that all received the same retry-after time return in one phase.
     """
     whole_periods = attempts[-(len(attempts) // period * period) :]
     phases = [sum(whole_periods[phase::period]) for phase in range(period)]
--- a/lilacwalk/retry_storms/retry_budget.py
+++ b/lilacwalk/retry_storms/retry_budget.py
@@ -1,14 +1,15 @@
 """Decides which retries are admitted in a storm. No I/O.
 
-Each completed request of a class adds a part of one to the class's budget, each admitted retry
-takes one: retries add that part to the load and no more, however many clients retry.
+Each completed request of a class adds a fraction of a retry to the class's budget, and each
+admitted retry takes one. Retries thus add no more than this fraction to the load, however many
+clients retry.
 
-Idle cores admit retries beyond the budget: while no queue stands before them, some more in each
-step than in the one before, and half as many as soon as one does. That adds nothing where there is
-no room; without it, a backlog of patient clients would wait before idle cores.
+Idle cores admit retries beyond the budget: their allowance grows in each step without a queue, and
+is halved as soon as there is one. This adds no load to busy cores. Without it, a backlog of clients
+that obey their retry-after times would wait while cores are idle.
 
-A budget is shared among clients: one that has spent more than twice the mean lately waits until the
-others had theirs, so that aggressive clients use up their own part only.
+Clients share a budget: a client that has recently spent more than twice the mean is refused until
+the others have spent their shares, so that aggressive clients use up only their own share.
 """
 
 from __future__ import annotations
@@ -16,27 +17,27 @@
 from collections.abc import Hashable
 
 SECOND = 10_000  # tenths of a ms
-BUDGET_TIME = 5.0  # seconds of completions that a budget holds: what a pause may save up
-MIN_BUDGET = 3.0  # retries that a budget holds at least, for classes with few requests
-MAX_CLIENTS = 4_096  # counted one by one; beyond, the least busy is forgotten
+BUDGET_TIME = 5.0  # seconds of completions: limits what a budget accumulates while unused
+MIN_BUDGET = 3.0  # retries: the least limit of a budget, for classes with few requests
+MAX_CLIENTS = 4_096  # whose spending is counted; beyond, the one with the least is removed
 SPENDING_HALF_LIFE = 5 * SECOND
-NEGLIGIBLE_SPENDING = 0.05  # of one retry, below which a client is forgotten
-IDLE_GROWTH = 0.02  # of a step's completions, besides one: from none to all in half a minute
-FAIR_SHARE_FACTOR = 2.0  # times the mean of clients
+NEGLIGIBLE_SPENDING = 0.05  # retries, below which a client is removed
+IDLE_GROWTH = 0.02  # of a step's completions, plus one retry: from none to all in half a minute
+FAIR_SHARE_FACTOR = 2.0  # times the mean spending of clients
 RATE_WINDOW = 5  # seconds over which completions are averaged
 
 
 class RetryBudget:
-    """Budgets of the request classes and spending of the clients. Owned by the damper.
+    """Tracks the budgets of request classes and the spending of clients. Owned by the damper.
 
     Attributes:
         admitted: retries admitted so far.
         refused: retries refused so far.
-        spent_by_client: retries admitted lately, decaying.
+        spent_by_client: retries admitted recently, with exponential decay.
     """
 
     def __init__(self, ratio: float, now: int) -> None:
-        """`ratio`: of a retry, for each completed request."""
+        """`ratio`: retries added to a budget for each completed request."""
         self.admitted = 0
         self.refused = 0
         self.spent_by_client: dict[Hashable, float] = {}
@@ -44,8 +45,8 @@
         self._decayed_at = now
         self._budgets: dict[Hashable, float] = {}  # by request class
         self._completion_rates: dict[Hashable, float] = {}  # a second, to bound the budget
-        self._idle_allowance = 0.0  # retries a step that idle cores admit
-        self._idle_left = 0.0  # what is left of them in this step
+        self._idle_allowance = 0.0  # retries a step that idle cores admit beyond the budget
+        self._idle_left = 0.0  # part of this allowance that is left in the current step
 
     def request_completed(self, request_class: Hashable) -> None:
         """Adds to the budget of the class."""
@@ -56,9 +57,9 @@
         self._completion_rates[request_class] = rate + 1 / RATE_WINDOW  # decays in `tick`
 
     def try_spend(self, request_class: Hashable, client: Hashable) -> bool:
-        """Returns whether a retry is admitted, and takes it from the budget or the idle cores."""
+        """Takes a retry from the budget or the idle allowance; returns whether it is admitted."""
         budget = self._budgets.get(request_class, MIN_BUDGET)
-        if budget >= 1 and (budget >= MIN_BUDGET or self._has_fair_share(client)):
+        if budget >= 1 and (budget >= MIN_BUDGET or self._is_below_fair_share(client)):
             self._budgets[request_class] = budget - 1
         elif self._idle_left >= 1:
             self._idle_left -= 1
@@ -69,8 +70,8 @@
         self.admitted += 1
         return True
 
-    def _has_fair_share(self, client: Hashable) -> bool:
-        """Whether the client has not spent its part yet."""
+    def _is_below_fair_share(self, client: Hashable) -> bool:
+        """Returns whether the client has spent less than its fair share."""
         spent = self.spent_by_client
         mean = sum(spent.values()) / max(1, len(spent))
         return spent.get(client, 0.0) < FAIR_SHARE_FACTOR * max(1.0, mean)
@@ -82,10 +83,10 @@
             del spent[min(spent, key=spent.__getitem__)]
 
     def end_step(self, has_queue: bool, completions: float) -> None:
-        """Sets what idle cores admit in the next step.
+        """Sets the allowance of idle cores for the next step.
 
         Args:
-            has_queue: whether requests wait before the cores.
+            has_queue: whether requests wait for a core.
             completions: requests that the cores complete in a step.
         """
         if has_queue:
@@ -96,14 +97,14 @@
         self._idle_left = self._idle_allowance
 
     def tick(self, now: int) -> None:
-        """Has spending and completion rates decay."""
+        """Decays the spending of clients and the completion rates."""
         elapsed = now - self._decayed_at
         self._decayed_at = now
         decay = 2.0 ** (-elapsed / SPENDING_HALF_LIFE)
         self.spent_by_client = {
-            client: left
+            client: remaining
             for client, count in self.spent_by_client.items()
-            if (left := count * decay) > NEGLIGIBLE_SPENDING
+            if (remaining := count * decay) > NEGLIGIBLE_SPENDING
         }
         rate_decay = max(0.0, 1 - elapsed / (RATE_WINDOW * SECOND))
         self._completion_rates = {
--- a/lilacwalk/retry_storms/stages.py
+++ b/lilacwalk/retry_storms/stages.py
@@ -1,9 +1,9 @@
-"""Decides what is done about the metrics, by stages with hysteresis. No I/O.
+"""Evaluates the metrics and selects a stage, with hysteresis. No I/O.
 
-Plain overload is more first attempts than the cores can complete: it is left to the controller. A
-retry storm feeds itself: the first attempts would fit, all attempts together do not. It may last
-for ever once its cause is gone, since each attempt that comes too late takes the place of one that
-would have been in time.
+In plain overload there are more first attempts than the cores can complete; this is left to the
+controller. A retry storm sustains itself: the first attempts alone would fit, but all attempts
+together do not. It may persist indefinitely after its cause is gone, since each attempt that is
+served too late takes the capacity of one that could still be answered in time.
 """
 
 from __future__ import annotations
@@ -13,44 +13,44 @@
 
 from lilacwalk.retry_storms.metrics import MIN_ATTEMPTS, Metrics
 
-STORM_LOAD = 1.5  # attempts over completions from which a storm is one
-NORMAL_LOAD = 1.15  # attempts over the baseline, below which a storm is over
-EXTRA_RETRY_RATIO = 0.15  # above the baseline: beyond what a few slow answers make
-ENTER_STEPS = 3  # in a row: one is chance
-LEAVE_STEPS = 6  # in a row: a storm that is left too soon comes back
-SILENT_STEPS = 4  # with attempts and no completion: longer than most executions
-PEAK_DECAY = 0.995  # of the best completion rate, a step
+STORM_LOAD = 1.5  # attempts over completions, above which a storm is possible
+NORMAL_LOAD = 1.15  # attempts over the baseline, up to which a storm has ended
+EXTRA_RETRY_RATIO = 0.15  # above the baseline: more than a few slow responses cause
+ENTER_STEPS = 3  # in a row: a single step may be chance
+LEAVE_STEPS = 6  # in a row: a storm that is left too early returns
+SILENT_STEPS = 4  # with attempts but without completions: longer than most executions
+PEAK_DECAY = 0.995  # factor of the peak completion rate per step
 
 
 class Stage(Enum):
-    """The stages, with the words that operators see."""
+    """Stages of damping; the values are shown to operators."""
 
-    NORMAL = "usual"  # nothing is done
-    SILENT = "silent"  # attempts come, nothing completes: the executor stands still or has begun
-    RECOVERING = "refilling"  # after silence, a standstill or a start: no baseline is learned yet
+    NORMAL = "usual"  # no damping
+    SILENT = "silent"  # attempts but no completions: the executor has stalled or just started
+    RECOVERING = "refilling"  # after SILENT, a stall or a start: the baseline is not learned yet
     DAMPED = "damped"  # a storm: retries are limited, retry-after times are spread
 
 
 @dataclass(frozen=True, slots=True)
 class StageChange:
-    """A new stage, and why."""
+    """A new stage and the reason for it."""
 
     stage: Stage
     reason: str
 
 
 class StageMachine:
-    """The stage and the steps in a row that speak for another. Owned by the damper.
+    """Tracks the stage and the consecutive steps that indicate another one. Owned by the damper.
 
     Attributes:
-        peak_rate: the best completion rate lately, a second.
+        peak_rate: the highest recent completion rate, per second.
     """
 
     def __init__(self, now: int) -> None:
-        """A process may start within the storm that the end of the last one made."""
+        """Starts in RECOVERING: the end of the previous process may have caused a storm."""
         self.stage = Stage.RECOVERING
         self.since = now
-        self.reason = "began"
+        self.reason = "process started"
         self.peak_rate = 0.0
         self._silent_steps = 0
         self._storm_steps = 0
@@ -58,20 +58,23 @@
 
     @property
     def is_normal(self) -> bool:
-        """Whether nothing is done, and the baseline may be learned."""
+        """Whether nothing is damped and the baseline may be learned."""
         return self.stage is Stage.NORMAL
 
     def process_stalled(self, now: int) -> StageChange | None:
-        """The whole process stood still: what waited comes at once and is no baseline."""
+        """Enters RECOVERING after a stall of the whole process.
+
+        Attempts that waited during the stall arrive at once and must not count for the baseline.
+        """
         if not self.is_normal:
             return None
         self._silent_steps = 0
-        return self._change_stage(Stage.RECOVERING, "stood still", now)
+        return self._change_stage(Stage.RECOVERING, "process stalled", now)
 
     def end_step(
         self, metrics: Metrics, *, completions: int, attempts: int, now: int
     ) -> StageChange | None:
-        """Evaluates a step with so many attempts and completions."""
+        """Evaluates a step with its counts; returns the change of stage, if any."""
         self.peak_rate = max(metrics.completion_rate, PEAK_DECAY * self.peak_rate)
         self._count_steps(metrics, completions, attempts)
         change = self._next_stage(metrics, completions)
@@ -84,10 +87,10 @@
             self._silent_steps = 0
         elif attempts >= MIN_ATTEMPTS // 2:
             self._silent_steps += 1
-        # Silence has a stage of its own.
+        # Steps without completions lead to SILENT instead.
         is_storm = not self._silent_steps and self._is_storm(metrics)
         self._storm_steps = self._storm_steps + 1 if is_storm else 0
-        self._normal_steps = self._normal_steps + 1 if self._is_over(metrics) else 0
+        self._normal_steps = self._normal_steps + 1 if self._has_storm_ended(metrics) else 0
 
     def _change_stage(self, stage: Stage, reason: str, now: int) -> StageChange:
         self.stage = stage
@@ -98,19 +101,19 @@
         return StageChange(stage, reason)
 
     def _next_stage(self, metrics: Metrics, completions: int) -> StageChange | None:
-        """Returns the stage that the steps speak for; None: no other."""
+        """Returns the stage that the counted steps indicate; None: no change."""
         if self._silent_steps >= SILENT_STEPS:
-            return StageChange(Stage.SILENT, "tries come and nothing is completed")
+            return StageChange(Stage.SILENT, "attempts arrive, but none completes")
         if self.stage is Stage.SILENT:
             if completions:
-                return StageChange(Stage.RECOVERING, "the first answers after a silence")
+                return StageChange(Stage.RECOVERING, "first completions after the silent stage")
             return None
         if self.stage is not Stage.DAMPED and self._storm_steps >= ENTER_STEPS:
             return StageChange(Stage.DAMPED, self._storm_reason(metrics))
         if not self.is_normal and self._normal_steps >= LEAVE_STEPS:
             reason = (
-                f"{metrics.retry_ratio:.0%} of {metrics.attempt_rate:.0f} tries a second "
-                "ask again, as usual"
+                f"{metrics.retry_ratio:.0%} of {metrics.attempt_rate:.0f} attempts a second "
+                "are retries, close to the baseline"
             )
             return StageChange(Stage.NORMAL, reason)
         return None
@@ -118,12 +121,12 @@
     def _storm_reason(self, metrics: Metrics) -> str:
         completed = max(metrics.completion_rate, self.peak_rate)
         return (
-            f"{metrics.attempt_rate:.0f} tries a second, {metrics.first_attempt_rate:.0f} "
-            f"of them first ones, where {completed:.0f} are completed"
+            f"{metrics.attempt_rate:.0f} attempts a second, {metrics.first_attempt_rate:.0f} "
+            f"of them first attempts, against {completed:.0f} completions a second"
         )
 
     def _is_storm(self, metrics: Metrics) -> bool:
-        """First attempts would fit, all together do not, and more are retries than normal."""
+        """Returns whether only the first attempts fit and retries exceed their baseline."""
         capacity = STORM_LOAD * max(self.peak_rate, metrics.completion_rate)
         retry_threshold = metrics.baseline_retry_ratio + EXTRA_RETRY_RATIO
         return (
@@ -132,7 +135,7 @@
             and metrics.retry_ratio > retry_threshold
         )
 
-    def _is_over(self, metrics: Metrics) -> bool:
+    def _has_storm_ended(self, metrics: Metrics) -> bool:
         baseline_rate = metrics.baseline_attempt_rate or self.peak_rate
         retry_threshold = metrics.baseline_retry_ratio + EXTRA_RETRY_RATIO / 2
         return (
--- a/tests/failover/conftest.py
+++ b/tests/failover/conftest.py
@@ -1,4 +1,4 @@
-"""Helpers for the failover tests: an operator file of three sites, and node views."""
+"""Helpers for the failover tests: an operator file with three sites, and node views."""
 
 import pytest
 
@@ -49,14 +49,14 @@
 """
 
 
-def operator_file_text(**more):
+def operator_file_text(**values):
     return OPERATOR_FILE.format(
-        **({"cores": 24, "load": 14, "index": 10_000, "bear": "any-one"} | more)
+        **({"cores": 24, "load": 14, "index": 10_000, "bear": "any-one"} | values)
     )
 
 
-def failover_config(**more):
-    return parse_operator_file(operator_file_text(**more), "file").sites
+def failover_config(**values):
+    return parse_operator_file(operator_file_text(**values), "file").sites
 
 
 def node_view(
@@ -74,7 +74,7 @@
 
 
 def node_views(failed_sites=(), states=None, count=4):
-    """Four members a site; those of the failed sites are dead."""
+    """Returns `count` members of each site; those of failed sites are dead."""
     return [
         node_view(
             f"{site[0]}{index}",
@@ -89,9 +89,9 @@
 
 @pytest.fixture
 def operator_file(tmp_path):
-    def make(**more):
-        path = tmp_path / "own"
-        path.write_text(operator_file_text(**more))
+    def make(**values):
+        path = tmp_path / "operator-file"
+        path.write_text(operator_file_text(**values))
         return str(path)
 
     return make
--- a/tests/failover/test_capacity.py
+++ b/tests/failover/test_capacity.py
@@ -1,4 +1,4 @@
-"""Placement of load on the remaining sites by spare capacity."""
+"""Placement of load on the remaining sites, by spare capacity."""
 
 import pytest
 from hypothesis import given
--- a/tests/failover/test_config.py
+++ b/tests/failover/test_config.py
@@ -1,4 +1,4 @@
-"""Checks across lines of the operator file's sites block."""
+"""Checks of the operator file's sites block that involve several lines."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from tests.failover.conftest import operator_file_text
 
 
-def test_errors_across_lines_name_the_site_and_the_sum_of_shares():
+def test_errors_involving_several_lines_name_the_site_and_the_sum_of_shares():
     with pytest.raises(UnusableFileError) as error:
         parse_operator_file(
             operator_file_text()
--- a/tests/failover/test_detector.py
+++ b/tests/failover/test_detector.py
@@ -1,4 +1,4 @@
-"""Site conditions: failure, network partition and degradation are told apart."""
+"""Site conditions: failure, network partition and degradation are distinguished."""
 
 import pytest
 
@@ -19,7 +19,7 @@
         ([], "whole", SiteCondition.UNCLEAR),
     ],
 )
-def test_failure_partition_and_degradation_are_told_apart(views, conclusion, condition):
+def test_failure_partition_and_degradation_are_distinguished(views, conclusion, condition):
     assert assess_site("recife", (each.status for each in views), conclusion).condition is condition
 
 
--- a/tests/failover/test_integration.py
+++ b/tests/failover/test_integration.py
@@ -1,4 +1,4 @@
-"""Failover between three sites of real app servers, with executors, BGP and clients."""
+"""Failover between three sites of real app server processes, with executors, BGP and clients."""
 
 import signal
 import time
@@ -50,7 +50,7 @@
     fleet.lose("recife")
     fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "failover nodes chosen")
     first_second = int(fleet.now) + 2
-    fleet.rig.wait(lambda: fleet.now > first_second + 2, MAX_WAIT, "two whole seconds")
+    fleet.rig.wait(lambda: fleet.now > first_second + 2, MAX_WAIT, "two full seconds measured")
     row = fleet.seconds["recife"][first_second]
     assert sum(row.completed.values()) > 0.8 * sum(row.offered.values())
     fleet.bring_back("recife")
@@ -59,7 +59,7 @@
         MAX_WAIT,
         "service restored",
     )
-    fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT, "whole")
+    fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT, "site healthy")
     assert fleet.twice() == 0
 
 
@@ -76,12 +76,12 @@
             seen.append(counts)
         return counts == 2 and stage(fleet, "c0", "recife") == "whole"
 
-    fleet.rig.wait(is_recovered, MAX_WAIT, "whole")
+    fleet.rig.wait(is_recovered, MAX_WAIT, "site healthy, all nodes announced")
     assert seen[:3] == [0, 1, 2]
 
 
 def test_a_partitioned_site_serves_its_clients_and_takes_over_nothing(outage):
-    """Only membership datagrams are cut; clients and announcements still get through."""
+    """Only membership datagrams are blocked; clients and BGP sessions are not affected."""
     fleet = outage()
     recife = [name for name in fleet.rig.processes if name[0] == "r"]
     others = [name for name in fleet.rig.processes if name[0] != "r"]
@@ -89,23 +89,25 @@
     fleet.rig.wait(
         lambda: all(fleet.rig.show(name)["conclusion"] in ("minority", "alone") for name in recife),
         MAX_WAIT,
-        "it knows which side it is",
+        "partition detected by the smaller side",
     )
     fleet.rig.wait(
-        lambda: stage(fleet, "c0", "recife") == "lost", MAX_WAIT, "failed for the others"
+        lambda: stage(fleet, "c0", "recife") == "lost", MAX_WAIT, "failure detected elsewhere"
     )
     assert all(describe_sites(fleet, name)["stands_in_for"] == [] for name in recife)
-    # Its routes are preferred over those of any failover node: its clients stay.
+    # Clients stay, since routes of the site's own nodes are preferred over those of failover nodes.
     assert announced_nodes(fleet, "recife") == set(recife)
     first_second = int(fleet.now) + 1
-    fleet.rig.wait(lambda: fleet.now > first_second + 2, MAX_WAIT, "whole seconds in the cut")
+    fleet.rig.wait(
+        lambda: fleet.now > first_second + 2, MAX_WAIT, "full seconds measured in the partition"
+    )
     row = fleet.seconds["recife"][first_second]
     assert sum(row.completed.values()) > 0.9 * sum(row.offered.values())
     assert fleet.twice() == 0
 
 
 def test_a_disconnected_site_fails_over_and_recovers_when_its_link_is_back(outage):
-    """Datagrams and BGP sessions stop; its routers drop its routes after their hold time."""
+    """Datagrams and BGP traffic stop; the routers remove its routes when the hold time expires."""
     fleet = outage()
     fleet.cut_off("recife")
     fleet.rig.wait(
@@ -124,7 +126,7 @@
         MAX_WAIT,
         "service restored",
     )
-    fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT, "whole")
+    fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT, "site healthy")
     assert fleet.twice() == 0
 
 
@@ -134,12 +136,12 @@
     fleet.rig.wait(
         lambda: fleet.stand_ins("recife") and not announced_nodes(fleet, "recife"),
         MAX_WAIT,
-        "moved away",
+        "service moved to failover nodes",
     )
     fleet.rig.wait(
         lambda: {stage(fleet, name, "recife") for name in fleet.rig.processes} == {"held"},
         MAX_WAIT,
-        "held on all nodes",
+        "site held in the view of all nodes",
     )
     query(fleet.rig.processes["c1"].socket, "sites release recife 60")
     fleet.rig.wait(
@@ -152,30 +154,32 @@
 def test_a_site_that_fails_repeatedly_is_excluded_longer(outage):
     fleet = outage()
     exclusion_times = []
-    for _ in range(3):  # doubled each time: the third is longer than any start of processes takes
+    for _ in range(3):  # the exclusion doubles: the third exceeds the start-up time of processes
         fleet.lose("recife")
-        fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "lost", MAX_WAIT, "lost")
-        began = time.monotonic()
+        fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "lost", MAX_WAIT, "failure detected")
+        restarted_at = time.monotonic()
         fleet.bring_back("recife")
         fleet.rig.wait(
             lambda: stage(fleet, "c0", "recife") not in ("lost", "probing"),
             MAX_WAIT,
-            "recovering",
+            "recovery started",
         )
-        exclusion_times.append(time.monotonic() - began)
+        exclusion_times.append(time.monotonic() - restarted_at)
     assert exclusion_times[2] > exclusion_times[0] + 0.5
 
 
-def test_without_a_sites_block_a_failure_moves_nothing(outage):
+def test_without_a_sites_block_a_failure_moves_no_traffic(outage):
     fleet = outage(plan=False)
     fleet.lose("recife")
-    fleet.rig.wait(lambda: set(fleet.rig.healths("r0").values()) == {"dead"}, MAX_WAIT, "known")
+    fleet.rig.wait(
+        lambda: set(fleet.rig.healths("r0").values()) == {"dead"}, MAX_WAIT, "failure detected"
+    )
     assert "error" in describe_sites(fleet, "c0")
     assert not fleet.stand_ins("recife")
     assert {site for site in SITES if announced_nodes(fleet, site)} == set(SITES[1:])
 
 
-def test_a_scenario_with_clients_plays_a_failure_and_a_recovery(tmp_path):
+def test_a_scenario_with_clients_runs_a_failure_and_a_recovery(tmp_path):
     script = tmp_path / "loss.drill"
     script.write_text(
         "members 6\nusers 20%\nprobe-interval 100ms\nstart all\nlose recife\n"
@@ -197,12 +201,14 @@
             fleet.rig.write(each)
             each.popen.send_signal(signal.SIGHUP)
     fleet.rig.start("c0")
-    fleet.rig.wait(lambda: "event=plan_differs" in fleet.rig.log("c0"), MAX_WAIT, "told")
+    fleet.rig.wait(
+        lambda: "event=plan_differs" in fleet.rig.log("c0"), MAX_WAIT, "difference logged"
+    )
     fleet.rig.wait(
         lambda: describe_sites(fleet, "c0").get("yields")
         and not describe_sites(fleet, "c1")["yields"],
         MAX_WAIT,
-        "yields",
+        "only the outdated node yields",
     )
     fleet.lose("recife")
     fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "other failover nodes chosen")
@@ -213,23 +219,28 @@
     fleet = outage(load=0.75)
     fleet.lose("recife")
     fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "failover nodes chosen")
-    begun = int(fleet.now) + 2
-    fleet.rig.wait(lambda: fleet.now > begun + 6, MAX_WAIT, "whole seconds with failover traffic")
-    failover_denied = fleet.denied(begun, begun + 5, "look", ("recife",))
-    local_denied = fleet.denied(begun, begun + 5, "look", ("caruaru", "natal"))
+    first_second = int(fleet.now) + 2
+    fleet.rig.wait(
+        lambda: fleet.now > first_second + 6,
+        MAX_WAIT,
+        "full seconds measured with failover traffic",
+    )
+    failover_denied = fleet.denied(first_second, first_second + 5, "look", ("recife",))
+    local_denied = fleet.denied(first_second, first_second + 5, "look", ("caruaru", "natal"))
     assert failover_denied > 0.1
-    assert failover_denied > 1.3 * local_denied  # less capacity is left for both
-    assert fleet.denied(begun, begun + 5, "swap", ("recife",)) < failover_denied / 2
+    # Only 1.3 times: local traffic is shed too, since less capacity is left for both.
+    assert failover_denied > 1.3 * local_denied
+    assert fleet.denied(first_second, first_second + 5, "swap", ("recife",)) < failover_denied / 2
     name = next(iter(fleet.stand_ins("recife")))
     failover_traffic = describe_sites(fleet, name)["guests"]
     assert failover_traffic["active"]
     assert any(flow["from"] == "recife" and flow["turned"] for flow in failover_traffic["flows"])
     fleet.bring_back("recife")
-    fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT + 10, "whole")
+    fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT + 10, "site healthy")
     fleet.rig.wait(
         lambda: not describe_sites(fleet, name)["guests"]["active"],
         MAX_WAIT,
-        "shedding has ended",
+        "shedding ended",
     )
 
 
@@ -247,5 +258,5 @@
     fleet.rig.wait(
         lambda: "listeners for guests end with the program" in fleet.rig.log("c0"),
         MAX_WAIT,
-        "told",
+        "notice logged",
     )
--- a/tests/failover/test_local_priority.py
+++ b/tests/failover/test_local_priority.py
@@ -1,4 +1,4 @@
-"""Shedding on a node that takes failover traffic: by weight, never beyond its excess load."""
+"""Shedding on a node that takes failover traffic: by weight, and only the load in excess."""
 
 import random
 
@@ -21,12 +21,12 @@
     RequestClass("swap-confirm", 6.0, 4_000, 40_000, Effect.NON_IDEMPOTENT),
     RequestClass("eligibility", 1.0, 2_000, 20_000),
 ]
-EXECUTION_TIME = 100  # tenths of a ms: a hundred a second on each core
+EXECUTION_TIME = 100  # tenths of a ms: a hundred requests a second on each core
 RECIFE_FAILED = TrafficPlan(("recife",), (("recife", 4 * SECOND),))
 
 
 class LoadedNode:
-    """Nine cores at caruaru, all of them busy, offered an even load a second."""
+    """A node of nine busy cores at caruaru, which is offered a constant load."""
 
     def __init__(self, traffic_plan=RECIFE_FAILED, max_retry_after=2 * SECOND, seed=1, **more):
         config = failover_config(**more)
@@ -39,7 +39,7 @@
         )
         self.local_priority.traffic_plan = traffic_plan
         self.now = 0
-        self.admission_probability = None  # None: what the controller would settle at
+        self.admission_probability = None  # None: the controller's steady state
         self.admitted: dict[tuple[str, str], float] = {}
         self.retry_after_times: list[int] = []
 
@@ -48,9 +48,9 @@
         return 9.0, int(9.0 * SECOND / EXECUTION_TIME * STEP_INTERVAL / SECOND)
 
     def run(self, rates, steps=80, busy=True):
-        """Offers requests at `rates`, a second by class and site.
+        """Offers requests at `rates`: requests a second by class and site.
 
-        Returns what was admitted a second in the second half of the steps.
+        Returns the admitted requests a second, in the second half of the steps.
         """
         half, counts = steps // 2, dict.fromkeys(rates, 0)
         for step in range(steps):
@@ -91,13 +91,14 @@
     }
 
 
-def test_load_within_capacity_is_admitted_whole():
+def test_load_within_capacity_is_admitted_in_full():
     rates = offered_rates(500, 300)
     assert LoadedNode().run(rates) == pytest.approx(rates, rel=0.02)
 
 
-def test_the_lowest_weight_failover_class_is_shed_first_and_local_traffic_is_whole():
-    rates = offered_rates(700, 300)  # load for ten of nine cores; 1.2 is failover eligibility
+def test_the_lowest_weight_failover_class_is_shed_first_and_local_traffic_is_not_shed():
+    # This load needs ten cores, 1.2 of them for failover eligibility; the node has nine.
+    rates = offered_rates(700, 300)
     admitted = LoadedNode().run(rates)
     for (request_class, site), rate in rates.items():
         if (request_class, site) != ("eligibility", "recife"):
@@ -106,13 +107,13 @@
     assert sum(admitted.values()) == pytest.approx(920, rel=0.04)
 
 
-def test_weight_counts_before_the_site_of_the_client():
+def test_weight_takes_precedence_over_the_site_of_the_client():
     admitted = LoadedNode().run(offered_rates(900, 500))
     assert admitted["swap-confirm", "recife"] == pytest.approx(125, rel=0.05)
     assert admitted["eligibility", "caruaru"] < 0.9 * 360
 
 
-def test_with_a_lower_failover_weight_local_traffic_is_whole_first():
+def test_with_a_lower_failover_weight_only_failover_traffic_is_shed():
     node, rates = LoadedNode(), offered_rates(700, 400)
     node.local_priority.config = structs.replace(node.local_priority.config, guest_worth=0.1)
     admitted = node.run(rates)
@@ -138,7 +139,7 @@
 def test_nothing_is_rejected_without_a_failed_site_under_any_load():
     rates = {("eligibility", "caruaru"): 3_000.0}
     node = LoadedNode(TrafficPlan())
-    node.admission_probability = 0.3  # plain overload: the controller's alone
+    node.admission_probability = 0.3  # plain overload is left to the controller
     node.run(rates, 12)
     assert node.run(rates) == rates
     assert not node.local_priority.active
@@ -165,14 +166,14 @@
     assert sum(node.admitted.values()) < 800
     node.admission_probability = 1.0
     node.run(rates, 120)
-    assert node.run(rates) == pytest.approx(rates, rel=0.02)  # the controller alone decides
+    assert node.run(rates) == pytest.approx(rates, rel=0.02)  # only the controller may reject
 
 
 def test_waiting_for_a_core_does_not_count_as_work(monkeypatch):
-    """Learned execution times include the wait for a core: here three times the work."""
+    """Measured execution times include the wait for a core: here they are three times the work."""
     node, rates = LoadedNode(), offered_rates(500, 300)
     monkeypatch.setattr("tests.failover.test_local_priority.EXECUTION_TIME", 300)
-    node.work = lambda: (8.0, 400)  # the cores' use shows 0.01 s for each
+    node.work = lambda: (8.0, 400)  # by core usage, a request takes 0.01 s
     node.run(rates)
     assert node.local_priority.offered_load == pytest.approx(8.0, rel=0.02)
 
@@ -196,12 +197,12 @@
     assert min(node.retry_after_times) >= SECOND
     assert max(node.retry_after_times) <= 2 * SECOND
     assert len(set(node.retry_after_times)) > 1_000
-    soon = LoadedNode(TrafficPlan(("recife",), (("recife", SECOND),)))
-    soon.run(offered_rates(900, 900))
-    assert max(soon.retry_after_times) <= SECOND
-    none = LoadedNode(max_retry_after=0)
-    none.run(offered_rates(900, 900))
-    assert set(none.retry_after_times) == {0}
+    short_recovery = LoadedNode(TrafficPlan(("recife",), (("recife", SECOND),)))
+    short_recovery.run(offered_rates(900, 900))
+    assert max(short_recovery.retry_after_times) <= SECOND
+    disabled = LoadedNode(max_retry_after=0)
+    disabled.run(offered_rates(900, 900))
+    assert set(disabled.retry_after_times) == {0}
 
 
 def test_nothing_is_rejected_with_an_idle_core_unless_calls_are_scarce():
@@ -220,7 +221,7 @@
     assert failover_class.weight == pytest.approx(5.4)
     assert failover_class.effect is Effect.NON_IDEMPOTENT
     assert failover_class.timeout == REQUEST_CLASSES[1].timeout
-    # The path alone takes longer than the objective.
+    # The path takes longer than the objective.
     assert as_failover_class(REQUEST_CLASSES[0], 5_000).latency_objective == 1
 
 
--- a/tests/failover/test_node_plan.py
+++ b/tests/failover/test_node_plan.py
@@ -1,4 +1,4 @@
-"""What one node decides: failover nodes, its own share, and its part in the plan."""
+"""The plan of one node: failover nodes, the share of its own site, and its part in the plan."""
 
 from itertools import pairwise
 
@@ -38,7 +38,7 @@
 def test_a_site_that_fails_while_idle_or_before_its_load_is_known_gets_failover_nodes(
     load, evaluations
 ):
-    """A node that starts sees metadata without a load first; an idle site has clients, too."""
+    """The first metadata after a start reports no load, and an idle site has clients too."""
     planner = FailoverPlanner(failover_config(cores=2, load=0.4), "c0", "caruaru", 0)
     idle = [
         node_view(f"{site[0]}{index}", site, utilisation=load, cores=1)
@@ -74,7 +74,7 @@
     after = counts[counts.index(peak) :]
     assert all(b <= a for a, b in pairwise(after))
     assert after[-1] == 0
-    assert len(set(after)) > 2  # not all at the same second
+    assert len(set(after)) > 2  # not all in the same evaluation
 
 
 def test_views_that_differ_by_one_node_give_plans_that_differ_by_that_node():
@@ -90,8 +90,10 @@
 
 
 def test_a_fleet_of_one_site_has_no_failover_nodes():
-    alone = parse_operator_file("sites {\n site recife {\n cores 4\n load 2\n }\n}\n", "f").sites
-    planner = FailoverPlanner(alone, "r0", "recife", 0)
+    single_site_config = parse_operator_file(
+        "sites {\n site recife {\n cores 4\n load 2\n }\n}\n", "f"
+    ).sites
+    planner = FailoverPlanner(single_site_config, "r0", "recife", 0)
     planner.evaluate(node_views()[:4], "whole", 0)
     node_plan = planner.evaluate(node_views(["recife"])[:4], "whole", 2_000)
     assert node_plan.failover_sites == ()
@@ -122,7 +124,7 @@
     assert {each.own_site_share for each in node_plans} == {share / 1_000}
 
 
-def test_one_wrong_report_holds_no_site_back_and_a_partitioned_node_keeps_serving():
+def test_one_wrong_report_has_no_effect_on_a_site_and_a_partitioned_node_keeps_serving():
     views = [
         NodeView(view.name, view.status, 1.0, ("recife 0",) if view.name == "c0" else ())
         for view in node_views()
@@ -174,10 +176,10 @@
 
 
 def test_a_fleet_of_one_site_takes_over_nothing_and_serves_all_its_load():
-    alone = parse_operator_file(
+    single_site_config = parse_operator_file(
         "sites {\n    site recife {\n        cores 8\n        load 4\n    }\n}\n", "file"
     ).sites
-    planner = FailoverPlanner(alone, "r0", "recife", 0)
+    planner = FailoverPlanner(single_site_config, "r0", "recife", 0)
     members = [node_view(f"r{index}", "recife") for index in range(4)]
     for now in range(0, 20 * SECOND, 2_000):
         with_dead_node = [
@@ -193,7 +195,7 @@
         assert not node_plan.failover_nodes
 
 
-def test_a_drain_outlives_the_death_of_a_member():
+def test_a_drain_remains_in_force_when_a_member_of_the_site_dies():
     planner = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
     planner.evaluate(node_views(), "whole", 0)
     assert planner.hold("recife", 60 * SECOND, 0, drain=True)
--- a/tests/failover/test_operator_commands.py
+++ b/tests/failover/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands in member metadata: the newest counts, and each expires."""
+"""Operator commands in member metadata: the newest applies, and each expires."""
 
 from lilacwalk.failover.operator_commands import (
     OperatorCommand,
@@ -8,7 +8,7 @@
 )
 
 
-def test_the_newest_command_for_a_site_counts_and_expires():
+def test_the_newest_command_for_a_site_applies_until_it_expires():
     first = OperatorCommand("hold", "recife", 1_000, 61_000)
     second = OperatorCommand("release", "recife", 2_000, 62_000)
     gossiped = [(str(first),), (str(second),), ("nonsense",), ("hold recife 1 99999999999",)]
--- a/tests/failover/test_plan_agreement.py
+++ b/tests/failover/test_plan_agreement.py
@@ -1,4 +1,4 @@
-"""Members whose operator files differ: the one with the older file is outdated."""
+"""Members whose sites blocks differ: the one with the lower revision is outdated."""
 
 from lilacwalk.failover.plan_agreement import (
     PlanFingerprint,
@@ -25,7 +25,7 @@
     assert agreement.differing_members == ("n1",)
     assert agreement.is_outdated
     assert not compare_fingerprints(newer, [("n0", put_fingerprint((), older))]).is_outdated
-    # One revision, two files: exactly one of them is outdated.
+    # Two different files with the same revision: exactly one of them is outdated.
     one = PlanFingerprint(3, "aa")
     other = PlanFingerprint(3, "ab")
     assert compare_fingerprints(one, [("n", put_fingerprint((), other))]).is_outdated
--- a/tests/failover/test_recovery.py
+++ b/tests/failover/test_recovery.py
@@ -21,7 +21,7 @@
 
 
 def evaluate_for(recovery, probe, duration, now, may_ramp=True, until=None):
-    """Evaluates every 0.2 s until the duration is over or a stage is reached; returns the time."""
+    """Evaluates every 0.2 s for a duration or until a stage is reached; returns the end time."""
     end = now + duration
     while now < end and recovery.stage is not until:
         now += 2_000
@@ -120,7 +120,7 @@
 def test_a_drain_takes_load_off_a_healthy_site_and_a_release_restores_it():
     recovery = SiteRecovery("recife", RECOVERY_PACE, 0)
     recovery.hold(SECOND, 0)
-    assert recovery.share == 1.0  # a hold stops a recovery, and this site is healthy
+    assert recovery.share == 1.0  # a hold only stops a recovery, and this site is healthy
     recovery.drain(600 * SECOND, 0)
     assert recovery.share == 0.0
     recovery.release(10)
--- a/tests/failover/test_shedding.py
+++ b/tests/failover/test_shedding.py
@@ -1,4 +1,4 @@
-"""What is admitted under a capacity limit and a call limit."""
+"""The work admitted under a capacity limit and a call limit."""
 
 import itertools
 
@@ -11,7 +11,7 @@
 
 
 def test_failover_and_local_traffic_have_a_minimum_share_each():
-    """Local traffic has a hundred times the value and wants all of the capacity."""
+    """Local traffic has a hundred times the value and could use all of the capacity."""
     local = Class(name="local", benefit=100, share=1.0)
     failover = Class(name="failover", benefit=1, share=1.0)
     work_shares = [WorkShare(local, "a", "a", 10, 100, 0), WorkShare(failover, "a", "b", 10, 1, 0)]
@@ -49,10 +49,13 @@
     st.integers(1, 60),
 )
 def test_the_admitted_work_is_as_valuable_as_the_best_of_all_mixes(classes, capacity, calls):
-    """Compares with the corners of the linear programme: all but two shares whole or rejected."""
+    """Compares with the corners of the linear programme.
+
+    In a corner, all but two shares are either admitted in full or rejected in full.
+    """
     work_shares = [
-        WorkShare(Class(name=str(index), share=0.1), "a", "a", work, value, need)
-        for index, (work, value, need) in enumerate(classes)
+        WorkShare(Class(name=str(index), share=0.1), "a", "a", work, value, calls_needed)
+        for index, (work, value, calls_needed) in enumerate(classes)
     ]
     selection = choose_admitted(work_shares, {"a": capacity}, calls, 0.0)
     assert sum(each.work for each in selection.admitted) <= capacity + 1e-6
@@ -85,7 +88,7 @@
 
 
 def best_value_of_two(one, other, is_same, remaining):
-    """Returns the best corner of two work shares under two limits."""
+    """Returns the highest value of two work shares under two limits, reached in a corner."""
     capacity, calls = (max(0.0, each) for each in remaining)
 
     def max_work(each, capacity, calls):
@@ -99,7 +102,7 @@
     corners.append(
         (max_work(one, capacity - second, max(0.0, calls - second * other.calls)), second)
     )
-    if one.calls != other.calls:  # where both limits are met
+    if one.calls != other.calls:  # the corner at which both limits are reached
         work = (calls - capacity * other.calls) / (one.calls - other.calls)
         if 0 <= work <= one.work and 0 <= capacity - work <= other.work:
             corners.append((work, capacity - work))
--- a/tests/failover/test_sites_command.py
+++ b/tests/failover/test_sites_command.py
@@ -1,4 +1,4 @@
-"""The command `sites plan`, and the warning of `check` for a failure that is not survived."""
+"""The command `sites plan`, and the warning of `check` for a failure that is not survivable."""
 
 import json
 
@@ -22,7 +22,7 @@
     assert {"shares", "utilisation", "refused", "binding"} <= report.keys()
 
 
-def test_sites_plan_exits_3_for_a_failure_not_survived_and_2_for_an_invalid_file(
+def test_sites_plan_exits_3_for_an_unsurvivable_failure_and_2_for_an_invalid_file(
     operator_file, tmp_path
 ):
     assert run_sites_plan(operator_file(load=24)).exit_code == 3
@@ -38,7 +38,7 @@
     assert result.exit_code == 2
 
 
-def test_captured_loads_replace_the_configured_ones(operator_file, tmp_path):
+def test_loads_from_a_capture_replace_the_configured_ones(operator_file, tmp_path):
     capture = tmp_path / "loads"
     capture.write_text("recife 10\nrecife 24  # the busiest\ncaruaru 2\n")
     report = json.loads(
@@ -49,7 +49,7 @@
     assert run_sites_plan(operator_file(), "--load", str(capture)).exit_code == 2
 
 
-def test_check_warns_with_the_line_of_a_failure_that_is_not_survived(operator_file):
+def test_check_warns_of_an_unsurvivable_failure_with_its_line(operator_file):
     path = operator_file(bear="any-two")
     result = CliRunner().invoke(lilacwalk, ["check", "--file", path], env={"ROUTER_CONFIG": None})
     assert result.exit_code == 0
--- a/tests/retry_storms/conftest.py
+++ b/tests/retry_storms/conftest.py
@@ -1,4 +1,4 @@
-"""A node in simulated steps, with a damper and cores that complete so many requests a second."""
+"""A simulated node: a damper, and cores that complete a fixed number of requests a second."""
 
 import random
 
@@ -18,18 +18,23 @@
         self.rejected = 0
 
     def step(self, first=0, retries=0, completed=None, queue_delay=None, clients=50, aggressive=0):
-        """Half a second with so many first attempts, retries and retries of one aggressive client.
-
-        `completed`: how many end, as many as the cores complete by default; `queue_delay`: by
-        default that of what was passed on and did not end.
+        """Simulates half a second with these counts of attempts; returns how many were passed on.
+
+        Args:
+            first: first attempts.
+            retries: retries, spread over `clients` clients.
+            completed: completed requests; by default as many as the cores can complete.
+            queue_delay: by default that of the requests passed on and not completed.
+            clients: number of clients.
+            aggressive: retries of one further client.
         """
         capacity = self.completion_rate // 2 if completed is None else completed
         passed = []
-        for at in range(first + retries + aggressive):
-            is_first = at < first
+        for index in range(first + retries + aggressive):
+            is_first = index < first
             self.request_count += is_first
-            fingerprint = self.request_count if is_first else at % 20 - 20
-            client = 999 if at >= first + retries else at % clients
+            fingerprint = self.request_count if is_first else index % 20 - 20
+            client = 999 if index >= first + retries else index % clients
             attempt = Attempt(fingerprint, "swap", client, not is_first, 2 * SECOND, False)
             if self.damper.evaluate_request(attempt, self.now) is None:
                 passed.append(fingerprint)
@@ -39,8 +44,8 @@
         for fingerprint in passed[:capacity]:
             self.damper.request_completed(fingerprint, "swap")
         self.now += STEP_TIME
-        left = int(max(0, len(passed) - capacity) * SECOND / self.completion_rate)
-        self.damper.tick(self.now, left if queue_delay is None else queue_delay)
+        backlog_delay = int(max(0, len(passed) - capacity) * SECOND / self.completion_rate)
+        self.damper.tick(self.now, backlog_delay if queue_delay is None else queue_delay)
         return len(passed)
 
     @property
@@ -49,7 +54,7 @@
 
 
 def normal_node(**config):
-    """Returns a node that has learned its baseline."""
+    """Returns a node in the normal stage that has learned its baseline."""
     node = Node(**config)
     for _ in range(30):
         node.step(first=40, retries=2)
--- a/tests/retry_storms/test_damper.py
+++ b/tests/retry_storms/test_damper.py
@@ -1,4 +1,4 @@
-"""The damper: storms, plain overload and what is rejected."""
+"""The damper: storms, plain overload and rejected attempts."""
 
 import random
 
@@ -13,7 +13,7 @@
 from tests.retry_storms.conftest import Node, normal_node
 
 
-def test_storm_at_the_start_of_a_process_is_not_learned_as_the_baseline():
+def test_a_storm_at_the_start_of_a_process_is_not_learned_as_the_baseline():
     node = Node()
     for _ in range(12):
         node.step(first=40, retries=150)
@@ -25,7 +25,7 @@
     assert node.damper.collector.metrics().baseline_retry_ratio < 0.2
 
 
-def test_idle_cores_admit_retries_beyond_the_budget_and_busy_ones_do_not():
+def test_idle_cores_admit_retries_beyond_the_budget_and_busy_cores_do_not():
     node = normal_node()
     for _ in range(6):
         node.step(first=20, retries=200)
@@ -35,18 +35,17 @@
     node.passed = 0
     for _ in range(10):
         node.step(first=20, retries=200)
-    assert node.passed / 10 > 45  # 50 fit a step; the purse alone would pay for some 24
+    assert node.passed / 10 > 45  # 50 fit a step; the budget alone would admit about 24
     node.passed = 0
     for _ in range(10):
         node.step(first=20, retries=200, queue_delay=SECOND)
     assert node.passed / 10 < 30
 
 
-def test_retry_after_times_are_spread_after_a_standstill_before_the_first_tick():
+def test_retry_after_times_are_spread_after_a_stall_before_the_first_tick():
     node = normal_node()
-    assert (
-        node.damper.spread_retry_after(1, 5_000, node.now) == 5_000
-    )  # in usual times the controller's own counts
+    # In the normal stage the controller's time is sent unchanged.
+    assert node.damper.spread_retry_after(1, 5_000, node.now) == 5_000
     node.now += 60 * STEP_TIME
     times = [node.damper.spread_retry_after(client, 5_000, node.now) for client in range(200)]
     assert node.stage is Stage.RECOVERING
@@ -66,7 +65,7 @@
     assert not node.rejected
 
 
-def test_self_sustaining_storm_is_detected_and_its_retries_limited_by_the_budget():
+def test_a_self_sustaining_storm_is_detected_and_its_retries_are_limited_by_the_budget():
     node = normal_node()
     for _ in range(6):
         node.step(first=40, retries=150)
@@ -75,13 +74,13 @@
     admitted = [node.step(first=40, retries=150) for _ in range(10)]
     assert node.rejected > before
     assert sum(admitted) / 10 < 60
-    assert all(each >= 40 for each in admitted)  # no first try is turned away for the others
+    assert all(each >= 40 for each in admitted)  # no first attempt is rejected
 
 
-def test_surge_of_new_requests_that_look_alike_is_no_storm():
+def test_a_surge_of_new_requests_that_look_alike_is_not_a_storm():
     node = Node()
     for _ in range(60):
-        node.step(first=0, retries=45, completed=50)  # a poll: all alike, all answered
+        node.step(first=0, retries=45, completed=50)  # polls with equal bodies, all answered
     for _ in range(10):
         node.step(first=0, retries=100, completed=50)
     assert node.stage is Stage.NORMAL
@@ -96,7 +95,7 @@
     assert node.damper.rejected[RejectionReason.LATE] > 0
 
 
-def test_duplicate_of_a_request_in_flight_is_never_rejected():
+def test_a_duplicate_of_a_request_in_flight_is_never_rejected():
     node = normal_node()
     for _ in range(6):
         node.step(first=40, retries=150)
@@ -105,15 +104,15 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.booleans(), st.integers(0, 5_000)), max_size=300))
-def test_all_tables_are_bounded_and_first_attempts_pass(attempts):
+def test_all_tables_are_bounded_and_first_attempts_are_passed_on(attempts):
     damper = RetryStormDamper(RetryStormConfig(), SECOND, random.Random(5), 0)
     now = 0
     for client, is_marked, gap in attempts:
         now += gap
-        found = damper.evaluate_request(
+        rejection = damper.evaluate_request(
             Attempt((client, now), "swap", client, is_marked, 2 * SECOND, False), now
         )
-        assert found is None or is_marked
+        assert rejection is None or is_marked
         damper.tick(now, 0)
     assert len(damper.collector.recent_attempts) <= MAX_FINGERPRINTS
     assert len(damper.budget.spent_by_client) <= 31
--- a/tests/retry_storms/test_integration.py
+++ b/tests/retry_storms/test_integration.py
@@ -1,4 +1,4 @@
-"""A real app server and clients that retry: a silence, a storm and its end; the command."""
+"""Retry storms at a real app server process with clients that retry, and `storms show`."""
 
 import subprocess
 import sys
@@ -11,8 +11,8 @@
 from lilacwalk.testing.retrying_clients import Crowd, Habits
 from tests.conftest import ROOT
 
-SOON = 25.0  # seconds: a failure, never a wait
-WORK = 0.02  # of a run on the one core: fifty a second
+MAX_WAIT = 25.0  # seconds: the test fails after it
+WORK = 0.02  # seconds of one execution: fifty a second on the single core
 
 
 @pytest.fixture
@@ -23,7 +23,7 @@
     server.extra = f"storms {{\n    socket {server.place}/storms\n}}\n"
     server.kernel = Kernel(1, lambda _group, _body: WORK)
     rig.start("n0")
-    rig.wait(lambda: "event=executor_up" in rig.log("n0"), SOON, "up")
+    rig.wait(lambda: "event=executor_up" in rig.log("n0"), MAX_WAIT, "executor up")
     yield rig
     rig.end()
 
@@ -33,23 +33,23 @@
 
 
 def stall(rig, crowd, seconds):
-    """Once its usual is known the node stands still for so long, and then goes on."""
-    rig.wait(lambda: status(rig)["usual_tries"] > 10, SOON, "the usual is known")
+    """Waits until the node has a baseline, then stops its process for a time and resumes it."""
+    rig.wait(lambda: status(rig)["usual_tries"] > 10, MAX_WAIT, "baseline learned")
     rig.stop("n0")
-    began = crowd.now
-    rig.wait(lambda: crowd.now > began + seconds, SOON, "silent for a while")
+    stopped_at = crowd.now
+    rig.wait(lambda: crowd.now > stopped_at + seconds, MAX_WAIT, "end of the stall")
     rig.go_on("n0")
 
 
-def test_storm_of_clients_that_ignore_retry_after_is_damped_and_ends_with_its_cause(node):
-    # Half of what the core completes: on a busy machine it completes less, and near its
-    # capacity there is no baseline.
+def test_a_storm_of_clients_that_ignore_retry_after_is_damped_and_ends_with_its_cause(node):
+    # Half of the core's capacity: a busy machine has less, and with a load near its capacity no
+    # baseline is learned.
     crowd = Crowd(lambda: node.address("n0"), 25.0, 20, Habits(heeds=False, marks=False), 1)
     try:
         stall(node, crowd, 6.0)
-        node.wait(lambda: "stage=damped" in node.log("n0"), SOON, "damped")
+        node.wait(lambda: "stage=damped" in node.log("n0"), MAX_WAIT, "storm detected")
         assert status(node)["first"] < status(node)["tries"]
-        node.wait(lambda: status(node)["stage"] == "usual", SOON, "over")
+        node.wait(lambda: status(node)["stage"] == "usual", MAX_WAIT, "end of the storm")
         assert status(node)["shed_budget"] + status(node)["shed_late"] > 0
     finally:
         crowd.end()
@@ -58,7 +58,7 @@
 def test_overload_by_first_attempts_alone_is_left_to_the_controller(node):
     crowd = Crowd(lambda: node.address("n0"), 100.0, 20, Habits(most=1), 2)
     try:
-        node.wait(lambda: crowd.now > 8.0, SOON, "overload for a while")
+        node.wait(lambda: crowd.now > 8.0, MAX_WAIT, "8 s of overload")
         assert status(node)["stage"] == "usual"
         assert not status(node)["shed_budget"]
         assert sum(crowd.got.completed.values()) > 100
@@ -75,25 +75,25 @@
     )
 
 
-def test_show_prints_the_stage_and_names_a_missing_block(node, tmp_path):
-    found = run_show(node.processes["n0"].file)
-    assert found.returncode == 0
-    assert found.stdout.startswith(("usual: ", "refilling: "))
-    (tmp_path / "own").write_text("")
-    found = run_show(tmp_path / "own")
-    assert found.returncode == 2
-    assert "expected a storms block" in found.stderr
+def test_show_prints_the_stage_and_reports_a_missing_block(node, tmp_path):
+    result = run_show(node.processes["n0"].file)
+    assert result.returncode == 0
+    assert result.stdout.startswith(("usual: ", "refilling: "))
+    (tmp_path / "operator-file").write_text("")
+    result = run_show(tmp_path / "operator-file")
+    assert result.returncode == 2
+    assert "expected a storms block" in result.stderr
 
 
 @pytest.fixture
 def node_with_store(node):
-    """The same node with a store of its own, started anew with it."""
+    """Returns the same node after a restart with a store."""
     server = node.processes["n0"]
     node.leave("n0")
     server.extra += f"store {{\n    directory {server.place}/kept\n}}\n"
     node.start("n0")
-    node.wait(lambda: node.log("n0").count("event=executor_up") == 2, SOON, "up with a store")
-    node.wait(lambda: disk_state(node) == "", SOON, "its disk keeps")
+    node.wait(lambda: node.log("n0").count("event=executor_up") == 2, MAX_WAIT, "executor up again")
+    node.wait(lambda: disk_state(node) == "", MAX_WAIT, "store in order")
     return node
 
 
@@ -104,7 +104,7 @@
     )
 
 
-def test_disk_that_fills_in_a_storm_rejects_effects_alone_and_the_storm_ends(node_with_store):
+def test_a_full_disk_in_a_storm_rejects_only_effects_and_the_storm_ends(node_with_store):
     crowd = Crowd(
         lambda: node_with_store.address("n0"), 20.0, 20, Habits(heeds=False, marks=False), 3
     )
@@ -112,22 +112,30 @@
     try:
         stall(node_with_store, crowd, 5.0)
         node_with_store.fill("n0")
-        node_with_store.wait(lambda: "stage=damped" in node_with_store.log("n0"), SOON, "damped")
-        node_with_store.wait(lambda: disk_state(node_with_store) == "full", SOON, "told")
         node_with_store.wait(
-            lambda: status(node_with_store)["stage"] == "usual", SOON, "over, with the disk full"
+            lambda: "stage=damped" in node_with_store.log("n0"), MAX_WAIT, "storm detected"
+        )
+        node_with_store.wait(
+            lambda: disk_state(node_with_store) == "full", MAX_WAIT, "full disk reported"
+        )
+        node_with_store.wait(
+            lambda: status(node_with_store)["stage"] == "usual",
+            MAX_WAIT,
+            "end of the storm with a full disk",
         )
         second = int(crowd.now) + 1
-        node_with_store.wait(lambda: crowd.now > second + 3, SOON, "two whole seconds")
+        node_with_store.wait(lambda: crowd.now > second + 3, MAX_WAIT, "two full seconds measured")
         assert sum(crowd.got.completed[at] for at in (second, second + 1)) > 10
         assert not sum(effects.got.completed[at] for at in (second, second + 1))
         node_with_store.fill("n0", False)
         node_with_store.wait(
-            lambda: disk_state(node_with_store) == "", SOON, "keeps again by itself"
+            lambda: disk_state(node_with_store) == "", MAX_WAIT, "store in order again"
         )
-        done = sum(effects.got.completed.values())
+        completed_before = sum(effects.got.completed.values())
         node_with_store.wait(
-            lambda: sum(effects.got.completed.values()) > done, SOON, "effects are had again"
+            lambda: sum(effects.got.completed.values()) > completed_before,
+            MAX_WAIT,
+            "effects completed again",
         )
         assert max(node_with_store.processes["n0"].kernel.ran.values()) == 1
     finally:
@@ -138,19 +146,23 @@
 def test_clients_are_served_after_each_of_ten_crashes(node):
     crowd = Crowd(lambda: node.address("n0"), 20.0, 20, Habits(timeout=0.5), 5)
     try:
-        for life in range(2, 12):
-            done = sum(crowd.got.completed.values())
+        for start_count in range(2, 12):
+            completed_before = sum(crowd.got.completed.values())
             node.wait(
-                lambda done=done: sum(crowd.got.completed.values()) > done + 5, SOON, "served"
+                lambda completed_before=completed_before: sum(crowd.got.completed.values())
+                > completed_before + 5,
+                MAX_WAIT,
+                "five more requests completed",
             )
             node.kill("n0")
             node.start("n0", wait=False)
             node.wait(
-                lambda life=life: node.log("n0").count("event=executor_up") == life,
-                SOON,
-                "up again",
+                lambda start_count=start_count: node.log("n0").count("event=executor_up")
+                == start_count,
+                MAX_WAIT,
+                "executor up again",
             )
-        node.wait(lambda: status(node)["stage"] == "usual", SOON, "no storm remains")
+        node.wait(lambda: status(node)["stage"] == "usual", MAX_WAIT, "normal stage")
     finally:
         crowd.end()
 
@@ -159,9 +171,10 @@
     crowd = Crowd(lambda: node.address("n0"), 30.0, 30, Habits(patience=20.0, timeout=4.0), 6)
     try:
         stall(node, crowd, 6.0)
-        node.wait(lambda: sum(crowd.got.told.values()) > 100, SOON, "many are told")
-        node.wait(lambda: status(node)["stage"] == "usual", SOON, "over")
-        told = crowd.got.told
-        assert max(told.values()) < 0.5 * sum(told.values())  # in the fullest tenth of a second
+        node.wait(lambda: sum(crowd.got.told.values()) > 100, MAX_WAIT, "100 rejections")
+        node.wait(lambda: status(node)["stage"] == "usual", MAX_WAIT, "end of the storm")
+        return_times = crowd.got.told
+        # Fewer than half of the clients are told to return within the same tenth of a second.
+        assert max(return_times.values()) < 0.5 * sum(return_times.values())
     finally:
         crowd.end()
--- a/tests/retry_storms/test_stages.py
+++ b/tests/retry_storms/test_stages.py
@@ -1,25 +1,25 @@
-"""The stages and their hysteresis."""
+"""The stages of damping and their hysteresis."""
 
 from lilacwalk.retry_storms.stages import Stage
 from tests.retry_storms.conftest import normal_node
 
 
-def test_stages_follow_silence_first_answers_a_storm_and_normal_load():
+def test_stages_follow_missing_completions_first_completions_a_storm_and_normal_load():
     node = normal_node()
     stages = []
-    for steps, plays in (
+    for steps, step_arguments in (
         (8, dict(first=40, retries=60, completed=0)),
         (4, dict(first=40, retries=150)),
         (30, dict(first=40, retries=2)),
     ):
         for _ in range(steps):
-            node.step(**plays)
+            node.step(**step_arguments)
             if not stages or stages[-1] is not node.stage:
                 stages.append(node.stage)
     assert stages == [Stage.NORMAL, Stage.SILENT, Stage.RECOVERING, Stage.DAMPED, Stage.NORMAL]
 
 
-def test_single_steps_neither_start_nor_end_a_storm():
+def test_single_steps_neither_start_nor_end_the_damped_stage():
     node = normal_node()
     node.step(first=40, retries=150)
     node.step(first=40, retries=2)
