--- a/lilacwalk/failover/node_plan.py
+++ b/lilacwalk/failover/node_plan.py
@@ -256,8 +256,8 @@
         if any(recovery.stage is not RecoveryStage.HEALTHY for recovery in recoveries):
             return
         for site in self.config.site:
-            name, found = site.name, status[site.name]
-            if found.condition is not SiteCondition.HEALTHY or found.failed_share:
+            name, site_status = site.name, status[site.name]
+            if site_status.condition is not SiteCondition.HEALTHY or site_status.failed_share:
                 continue
             completed = sum(
                 node.status.completed_per_second
@@ -269,7 +269,9 @@
             # Starts at the configured load: the first metadata reports none, or that of an idle
             # node that has just started.
             before = self.baseline_loads.get(name, site.load)
-            self.baseline_loads[name] = before + BASELINE_LEARNING_RATE * (found.load - before)
+            self.baseline_loads[name] = before + BASELINE_LEARNING_RATE * (
+                site_status.load - before
+            )
 
     def _survives_repeated_failure(self, status: Mapping[str, SiteStatus]) -> bool:
         """Returns whether the fleet survives if all unhealthy sites fail again together."""
@@ -331,7 +333,7 @@
         return max(1, expected // SECOND) * SECOND
 
     def _own_site_share(self, nodes: list[NodeView], conclusion: str) -> float:
-        """Returns the share of this site's load that it is to serve, by the reports of other sites.
+        """Returns the share of its own load that this site is to serve, as other sites report it.
 
         The share is the median of the reports, so that a single wrong report has no effect. It is 1
         without reports, and where this node is alone or on the smaller side of a partition: a site
@@ -350,7 +352,7 @@
         return min(own, reported[len(reported) // 2])
 
     def _serves_own_site(self, share: float, nodes: list[NodeView]) -> bool:
-        """Returns whether this node's rank is among as many nodes as the site's share needs."""
+        """Returns whether this node is among its site's first nodes by rank that `share` needs."""
         if share >= 1:
             return True
         ranked = sorted(
--- a/lilacwalk/failover/node_selection.py
+++ b/lilacwalk/failover/node_selection.py
@@ -13,7 +13,7 @@
 from lilacwalk.failover.detector import REACHABLE, MemberStatus
 from lilacwalk.membership.messages import Health, NodeState
 
-NODE_LOAD_MARGIN = 1.1  # times its site's mean utilisation, up to which a node is loaded
+NODE_LOAD_MARGIN = 1.1  # limit of a node's utilisation, over the mean of its site
 MIN_ADMISSION_PROBABILITY = 0.05  # bounds the response ratio derived from it
 EPSILON = 1e-9
 
@@ -30,7 +30,10 @@
 
 
 def reported_share(site: str, stages: tuple[str, ...]) -> float:
-    """Returns the share of its load that a site is to serve by a member's report; 1 without one."""
+    """Returns the share that a member reports for a site; 1 where it reports none.
+
+    The share is that of the site's own load which the site is to serve itself.
+    """
     for text in stages:
         name, _, share = text.rpartition(" ")
         if name == site and share.isdecimal():
@@ -64,7 +67,7 @@
 def select_failover_nodes(
     failed_site: str, target: str, work: float, nodes: list[NodeView], capacity: SiteCapacity
 ) -> list[str]:
-    """Returns the names of as many nodes of a target site as the work needs, by rank."""
+    """Returns the names of the target site's nodes that take `work`, the first by rank."""
     # Suspected nodes count: in a large fleet some nodes are suspected at any time, and most of
     # them prove to be alive.
     ready = sorted(
@@ -83,7 +86,7 @@
     if not ready or work <= 0:
         return []
     # A node keeps its share of its site's load, and takes failover load until it is slightly above
-    # the site's mean utilisation. Filled to its full capacity it would reject half of that load.
+    # the site's mean utilisation. A node filled to capacity would reject half of that load.
     mean_utilisation = (capacity.load + work) / capacity.cores if capacity.cores else 1.0
     target_load = min(1.0, NODE_LOAD_MARGIN * mean_utilisation) * capacity.cores
     per_node = max(EPSILON, (target_load - capacity.load) / len(ready))
--- a/lilacwalk/failover/shedding.py
+++ b/lilacwalk/failover/shedding.py
@@ -111,22 +111,22 @@
     """
     ranked = rank_by_value(shares, price)
     admitted = [0.0] * len(ranked)
-    left = capacity
+    remaining = capacity
     for is_failover_traffic in (False, True):
-        wanted = sum(
+        offered = sum(
             each.work for each in shares if each.is_failover_traffic is is_failover_traffic
         )
-        guaranteed = min(wanted, least_share * capacity)
+        guaranteed = min(offered, least_share * capacity)
         for index, each in enumerate(ranked):
             if each.is_failover_traffic is is_failover_traffic and guaranteed > EPSILON:
                 admitted[index] = min(each.work, guaranteed)
                 guaranteed -= admitted[index]
-                left -= admitted[index]
+                remaining -= admitted[index]
     for index, each in enumerate(ranked):
         if each.value > price * each.calls or not price:
-            taken = min(each.work - admitted[index], max(0.0, left))
-            admitted[index] += taken
-            left -= taken
+            added = min(each.work - admitted[index], max(0.0, remaining))
+            admitted[index] += added
+            remaining -= added
     return [replace(each, work=work) for each, work in zip(ranked, admitted, strict=True)]
 
 
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -24,7 +24,7 @@
 
 
 class RejectionReason(Enum):
-    """Why an attempt is rejected; the values are shown to operators."""
+    """Why an attempt is rejected; operators see the counts as `shed_budget` and `shed_late`."""
 
     BUDGET = "budget"  # a retry beyond the budget
     LATE = "late"  # it could not be answered in time
--- a/lilacwalk/retry_storms/retry_budget.py
+++ b/lilacwalk/retry_storms/retry_budget.py
@@ -18,8 +18,8 @@
 
 SECOND = 10_000  # tenths of a ms
 BUDGET_TIME = 5.0  # seconds of completions: limits what a budget accumulates while unused
-MIN_BUDGET = 3.0  # retries: the least limit of a budget, for classes with few requests
-MAX_CLIENTS = 4_096  # whose spending is counted; beyond, the one with the least is removed
+MIN_BUDGET = 3.0  # retries: lower bound of a budget's limit, for classes with few requests
+MAX_CLIENTS = 4_096  # clients whose spending is tracked; the one with the least is removed first
 SPENDING_HALF_LIFE = 5 * SECOND
 NEGLIGIBLE_SPENDING = 0.05  # retries, below which a client is removed
 IDLE_GROWTH = 0.02  # of a step's completions, plus one retry: from none to all in half a minute
