--- a/lilacwalk/failover/__init__.py
+++ b/lilacwalk/failover/__init__.py
@@ -8,6 +8,6 @@
 to a site in stages. `node_plan` and `node_selection` apply all of this on a running node, from its
 membership view; `local_priority` rejects requests on a node that takes failover traffic.
 
-`plan_agreement` and `operator_commands` define texts that are gossiped with the member metadata.
+`plan_agreement` and `operator_commands` define entries of the gossiped member metadata.
 `config` is the operator's block.
 """
--- a/lilacwalk/failover/capacity.py
+++ b/lilacwalk/failover/capacity.py
@@ -15,10 +15,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-HALF_WEIGHT_PATH_COST = 200  # tenths of a ms: the path cost that halves a target's weight
+HALF_WEIGHT_PATH_COST = 200  # tenths of a ms; a path of this cost halves a target's weight
 CAPACITY_STEP = 0.25  # cores; gossip delays the figures of members, and they lag by less than this
 MAX_PLACEMENT_ROUNDS = 64  # bounds the loop; each round fills at least one target
-EPSILON = 1e-9  # cores
+EPSILON = 1e-9  # cores; smaller amounts of load or capacity count as 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/lilacwalk/failover/config.py
+++ b/lilacwalk/failover/config.py
@@ -63,7 +63,7 @@
 
     ARGUMENTS: ClassVar = ("name", "limit")
     name: Name
-    limit: Annotated[float, Meta(gt=0.0)]  # calls a second that it can serve
+    limit: Annotated[float, Meta(gt=0.0)]  # calls per second that it can serve
 
 
 class Class(Struct, frozen=True, kw_only=True):
@@ -72,7 +72,7 @@
     ARGUMENTS: ClassVar = ("name",)
     name: Name
     benefit: Annotated[float, Meta(ge=0.0)] = 1.0
-    share: Share  # of the total work
+    share: Share  # share of the total work that this class makes up
     # calls that one request makes to each shared dependency
     calls: Annotated[float, Meta(ge=0.0, le=1_000.0)] = 0.0
     # core time of one request
@@ -96,7 +96,7 @@
     """The whole `sites` block."""
 
     site: tuple[Site, ...]
-    # of this block: where the blocks of two members differ, the lower revision is outdated
+    # revision of this block: if the blocks of two members differ, the lower revision is outdated
     revision: Annotated[int, Meta(ge=0, le=1 << 31)] = 0
     shared: tuple[Shared, ...] = ()
     class_: Annotated[tuple[Class, ...], Meta(extra={"keyword": "class"})] = ()
@@ -109,7 +109,7 @@
 
     @property
     def classes(self) -> tuple[Class, ...]:
-        """The request classes; a single class for all work where the file names none."""
+        """The request classes; a single class for all work if the file names none."""
         return self.class_ or (Class(name="all", share=1.0),)
 
     def faults(self) -> list[tuple[str, str]]:
--- a/lilacwalk/failover/detector.py
+++ b/lilacwalk/failover/detector.py
@@ -15,7 +15,7 @@
 from lilacwalk.membership.messages import Health, NodeState
 
 HEALTHY_VIEW = Verdict.WHOLE  # the membership view shows this node on the majority side
-SATURATED_SHARE = 0.9  # of the cores in use: distinguishes a slow site from an idle one
+SATURATED_SHARE = 0.9  # utilisation from which few completions mean a slow site, not an idle one
 REACHABLE = (Health.ALIVE, Health.SUSPECT)
 SERVING = (NodeState.READY, NodeState.WARMING)
 UNHEALTHY = (NodeState.UNHEALTHY, NodeState.STALLED)
@@ -25,7 +25,9 @@
     """The condition of a site as seen from this node; the values are shown to operators."""
 
     HEALTHY = "present"  # most of its members serve
-    DEGRADED = "brown-out"  # half of its members are unhealthy, or it completes half its baseline
+    # at least half of its reachable members are unhealthy, or it completes less than half of its
+    # baseline rate with its cores saturated
+    DEGRADED = "brown-out"
     FAILED = "lost"  # no member is reachable, and this node is on the majority side
     UNCLEAR = "unclear"  # no member is reachable, but this node may be the partitioned one
     DRAINING = "leaving"  # all of its reachable members are draining, as planned
@@ -50,8 +52,8 @@
     condition: SiteCondition
     reachable_members: int
     known_members: int
-    cores: float  # of the members that serve
-    load: float  # cores in use
+    cores: float  # cores of the members that serve
+    load: float  # cores in use at the members that serve
     failed_share: float  # share of its known members that do not serve
 
 
--- a/lilacwalk/failover/local_priority.py
+++ b/lilacwalk/failover/local_priority.py
@@ -37,16 +37,23 @@
 from lilacwalk.settings import EFFECT_NAMES
 
 STEP_INTERVAL = SECOND // 2  # equal to the controller's tick interval
-RATE_SMOOTHING = 0.4  # weight of one step in a flow's mean rate
-IDLE_STEPS_BEFORE_STOP = 10  # steps without failover traffic and without a failed site
-MIN_FAILOVER_RATE = 0.05  # requests a second from another site that count as failover traffic
+RATE_SMOOTHING = 0.4  # weight of one step in the mean request rate of a flow
+# steps without failover traffic and without a failed site, after which shedding stops
+IDLE_STEPS_BEFORE_STOP = 10
+MIN_FAILOVER_RATE = 0.05  # requests per second from another site; fewer do not start shedding
 FULL_ADMISSION = 0.97  # admission probability from which all requests count as admitted
-CAPACITY_DECREASE = 0.1  # of the admission probability's distance from FULL_ADMISSION, per step
-CAPACITY_INCREASE = 0.01  # share of the cores, per step
-MIN_CAPACITY_SHARE = 0.85  # of the cores: larger errors of the costs are left to the controller
-COST_SMOOTHING = 0.1  # weight of one step: costs change as caches fill, not with bursts
-MIN_COMPLETION_RATE = 2.0  # a second: below it, the expected execution time is taken as the cost
-RETRY_AFTER_JITTER = 0.5  # share of the expected time over which retry-after times are drawn
+# decrease of the capacity share per step, relative to how far the admission probability is below
+# FULL_ADMISSION
+CAPACITY_DECREASE = 0.1
+CAPACITY_INCREASE = 0.01  # increase of the capacity share per step
+# lower limit of the capacity share; the controller handles larger errors of the estimated costs
+MIN_CAPACITY_SHARE = 0.85
+# weight of one step in the means that the cost of a request is estimated from; costs change as
+# caches fill, not with bursts
+COST_SMOOTHING = 0.1
+# completions per second, below which the expected execution time is used as the cost of a request
+MIN_COMPLETION_RATE = 2.0
+RETRY_AFTER_JITTER = 0.5  # fraction of the longest retry-after time over which times are drawn
 MIN_RETRY_AFTER = SECOND // 10
 FULL_SHARE_EPSILON = 1e-6  # an admitted share this close to 1 counts as 1
 
@@ -58,7 +65,8 @@
     failover_sites: tuple[str, ...] = ()  # failed sites whose load this node takes
     # by failed site: tenths of a ms until it is expected to take more of its own load
     recovery_times: tuple[tuple[str, int], ...] = ()
-    call_limit: float | None = None  # shared calls a second that this node may make; None: no limit
+    # calls per second to shared dependencies that this node may make; None: no limit
+    call_limit: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,8 +80,8 @@
 class TrafficFlow:
     """The requests of one class from one site."""
 
-    arrivals: int = 0  # since the last step
-    rate: float = 0.0  # mean, requests a second
+    arrivals: int = 0  # requests since the last step
+    rate: float = 0.0  # mean requests per second
     rejected_share: float = 0.0
     rejected_count: int = 0
 
@@ -115,20 +123,20 @@
     site: str  # this node's site
     cores: float  # this node's cores
     classes: Mapping[str, Class]
-    path_costs: Mapping[str, int]  # by site, tenths of a ms that its path adds
+    path_costs: Mapping[str, int]  # by site, tenths of a ms that the path from it adds
     max_retry_after: int  # tenths of a ms; 0: rejections must not carry a time
     rng: random.Random
     next_step_at: int
     traffic_plan: TrafficPlan = field(default_factory=TrafficPlan)
     flows: dict[tuple[str, str], TrafficFlow] = field(default_factory=dict)  # by class and site
-    capacity_share: float = math.inf  # of the cores: load up to this share is passed on
+    capacity_share: float = math.inf  # load up to this share of the cores is passed on
     idle_steps: int = IDLE_STEPS_BEFORE_STOP
-    busy_cores: float = 0.0  # mean
-    completion_rate: float = 0.0  # mean, requests a second
+    busy_cores: float = 0.0  # mean number of busy cores
+    completion_rate: float = 0.0  # mean completions per second
     active: bool = False
     calls_are_scarce: bool = False
-    offered_load: float = 0.0  # cores
-    admitted_load: float = 0.0  # cores
+    offered_load: float = 0.0  # cores that all arriving requests need
+    admitted_load: float = 0.0  # cores whose load may be passed on
 
     def reject_if_overloaded(
         self, class_name: str, source: str, is_busy: bool
@@ -157,7 +165,7 @@
         """Returns a random retry-after time, up to the time until capacity is expected.
 
         Capacity is expected when the client's site takes its load again, or if that site has not
-        failed, when the first of the failed sites does.
+        failed, when the first of the failed sites takes its load again.
         """
         times = dict(self.traffic_plan.recovery_times)
         expected = times.get(source, min(times.values(), default=SECOND))
@@ -270,7 +278,7 @@
         return shares
 
     def _update_capacity_share(self, admission_probability: float) -> None:
-        full_share = max(1.0, self.offered_load / self.cores)  # all offered load fits
+        full_share = max(1.0, self.offered_load / self.cores)  # share that the offered load needs
         if admission_probability < FULL_ADMISSION:
             decrease = CAPACITY_DECREASE * (FULL_ADMISSION - admission_probability)
             reduced = min(full_share, self.capacity_share) - decrease
@@ -284,7 +292,10 @@
         execution_times: Mapping[tuple[str, str], int],
         mean_execution_time: float,
     ) -> None:
-        """Rejects the offered load that exceeds the capacity, the least valuable first."""
+        """Sets the share of each flow to reject so that the admitted load fits the capacity.
+
+        Flows with the lowest value, less the price of their calls, are rejected first.
+        """
         offered = self._offered_shares(execution_times, mean_execution_time)
         self.offered_load = sum(each.work for each in offered)
         self._update_capacity_share(admission_probability)
--- a/lilacwalk/failover/node_plan.py
+++ b/lilacwalk/failover/node_plan.py
@@ -48,10 +48,10 @@
 from lilacwalk.membership.conclusions import Verdict
 from lilacwalk.membership.messages import Health
 
-BASELINE_LEARNING_RATE = 0.05  # weight of one evaluation: a mean over about four seconds
-BASELINE_DECAY = 0.98  # factor by which a baseline completion rate may fall in one evaluation
-MIN_READY_SHARE = 0.5  # of a site's members that must serve before it takes load again
-MAX_REPORTED_STAGES = 4  # sites, as many as fit into a node's metadata
+BASELINE_LEARNING_RATE = 0.05  # weight of one evaluation in a mean load over about four seconds
+BASELINE_DECAY = 0.98  # a baseline completion rate falls at most by this factor per evaluation
+MIN_READY_SHARE = 0.5  # share of a site's members that must serve before it takes load again
+MAX_REPORTED_STAGES = 4  # sites that a node reports: as many as fit into its metadata
 UNSETTLED_VIEW = Verdict.UNSURE  # the membership's conclusion while its view is unreliable
 
 
@@ -64,7 +64,7 @@
     failover_nodes: dict[str, list[str]] = field(default_factory=dict)  # by failed site
     failover_sites: tuple[str, ...] = ()  # failed sites whose load this node takes
     own_site_share: float = 1.0  # share of its own site's load to be served at that site
-    serves_own_site: bool = True  # whether its rank is among those that this share needs
+    serves_own_site: bool = True  # whether this node is among the nodes that serve this share
 
 
 class FailoverPlanner:
@@ -84,7 +84,7 @@
         self.baseline_rates: dict[str, float] = {}  # requests a second completed by a healthy site
         self.baseline_loads: dict[str, float] = {}  # cores in use at a healthy site
         self.node_plan = NodePlan()
-        self.stage_changes: list[tuple[str, str, str]] = []  # site, stage, reason; not yet logged
+        self.stage_changes: list[tuple[str, str, str]] = []  # (site, stage, reason), not yet logged
 
     def reconfigure(self, config: FailoverConfig, now: int) -> None:
         """Applies a new `sites` block; sites that it still contains keep their recovery state."""
@@ -216,7 +216,11 @@
         return TrafficPlan(failover_sites, times, round(call_limit * cores / all_cores, 1))
 
     def stages_to_report(self) -> tuple[str, ...]:
-        """Returns the texts to gossip on other sites: name, and share to serve in thousandths."""
+        """Returns the metadata entries that report sites which do not serve all of their load.
+
+        An entry holds the site's name and the share of its load that the site is to serve, in
+        thousandths. This node's own site is left out.
+        """
         reports = [
             f"{name} {round(1_000 * recovery.share)}"
             for name, recovery in sorted(self.recoveries.items())
--- a/lilacwalk/failover/node_selection.py
+++ b/lilacwalk/failover/node_selection.py
@@ -13,8 +13,8 @@
 from lilacwalk.failover.detector import REACHABLE, MemberStatus
 from lilacwalk.membership.messages import Health, NodeState
 
-NODE_LOAD_MARGIN = 1.1  # limit of a node's utilisation, over the mean of its site
-MIN_ADMISSION_PROBABILITY = 0.05  # bounds the response ratio derived from it
+NODE_LOAD_MARGIN = 1.1  # highest utilisation of a node, relative to the mean of its site
+MIN_ADMISSION_PROBABILITY = 0.05  # lower values count as this one, which bounds the response ratio
 EPSILON = 1e-9
 
 
@@ -24,25 +24,27 @@
 
     name: str
     status: MemberStatus
-    admission_probability: float = 1.0  # below 1 its response time exceeds the objective
-    reported_stages: tuple[str, ...] = ()  # its gossiped texts about sites that are not healthy
+    admission_probability: float = 1.0  # below 1 if its response time exceeds the objective
+    # metadata entries of the member, as `FailoverPlanner.stages_to_report` returns them: name of an
+    # unhealthy site and the share of its load that the site is to serve
+    reported_stages: tuple[str, ...] = ()
     has_durable_storage: bool = True  # members without it are the last to take a failed site's load
 
 
 def reported_share(site: str, stages: tuple[str, ...]) -> float:
-    """Returns the share that a member reports for a site; 1 where it reports none.
+    """Returns the share of its load that a site is to serve, from a member's metadata entries.
 
-    The share is that of the site's own load which the site is to serve itself.
+    The share is 1 if the member does not report the site.
     """
-    for text in stages:
-        name, _, share = text.rpartition(" ")
+    for entry in stages:
+        name, _, share = entry.rpartition(" ")
         if name == site and share.isdecimal():
             return min(1.0, int(share) / 1_000)
     return 1.0
 
 
 def response_ratio(site: str, nodes: list[NodeView]) -> float:
-    """Returns a site's response time over its objective; 0 where no member of the site is ready.
+    """Returns a site's response time over its objective; 0 if no member of the site is ready.
 
     The ratio is derived from the members' admission probabilities, which their controllers lower in
     proportion as the response time exceeds the objective.
--- a/lilacwalk/failover/operator_commands.py
+++ b/lilacwalk/failover/operator_commands.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 VERBS = ("hold", "drain", "release")
-MAX_COMMANDS = 4  # in one member's metadata, which also holds the plan's fingerprint
+MAX_COMMANDS = 4  # commands in one member's metadata, which also holds a plan fingerprint
 MAX_DURATION_SECONDS = 24 * 3600  # a longer evacuation belongs in the operator's file
 
 
@@ -24,13 +24,13 @@
     expires_at: int
 
     def __str__(self) -> str:
-        """Returns the text form that is gossiped."""
+        """Returns the metadata entry that is gossiped."""
         return f"{self.verb} {self.site} {self.issued_at} {self.expires_at}"
 
 
-def read_command(text: str) -> OperatorCommand | None:
-    """Parses a gossiped text; returns None where it is not a valid command."""
-    words = text.split(" ")
+def read_command(entry: str) -> OperatorCommand | None:
+    """Parses a metadata entry; returns None if it is not a valid command."""
+    words = entry.split(" ")
     if len(words) != 4 or words[0] not in VERBS:
         return None
     verb, site, issued_text, expires_text = words
@@ -44,15 +44,16 @@
 
 
 def newest_commands(gossiped: Iterable[tuple[str, ...]], now: int) -> dict[str, OperatorCommand]:
-    """Returns the newest command of each site from all members' texts, unless it has expired.
+    """Returns the newest command for each site, unless it has expired.
 
-    Of two commands issued in the same millisecond, all members choose the one whose text sorts
-    last. `now` is in milliseconds since the Unix epoch.
+    `gossiped` holds the metadata entries of each member. If two commands were issued in the same
+    millisecond, all members choose the one whose entry sorts last. `now` is in milliseconds since
+    the Unix epoch.
     """
     newest: dict[str, OperatorCommand] = {}
-    for texts in gossiped:
-        for text in texts:
-            command = read_command(text)
+    for entries in gossiped:
+        for entry in entries:
+            command = read_command(entry)
             if command is None:
                 continue
             newest_so_far = newest.get(command.site)
@@ -61,14 +62,15 @@
     return {site: command for site, command in newest.items() if command.expires_at > now}
 
 
-def put_command(texts: tuple[str, ...], command: OperatorCommand, now: int) -> tuple[str, ...]:
-    """Returns the gossiped texts with a command added: one for each site, and only the latest.
+def put_command(entries: tuple[str, ...], command: OperatorCommand, now: int) -> tuple[str, ...]:
+    """Returns a member's metadata entries with a command added.
 
-    Expired commands are removed. Where there are too many, the first ones are dropped.
+    The command replaces an earlier one for the same site. Expired commands are removed, and the
+    first entries are removed if there are more than `MAX_COMMANDS`.
     """
     others = []
-    for text in texts:
-        other = read_command(text)
+    for entry in entries:
+        other = read_command(entry)
         if other is not None and other.site != command.site and other.expires_at > now:
             others.append(other)
     latest = others[-(MAX_COMMANDS - 1) :]
--- a/lilacwalk/failover/plan_agreement.py
+++ b/lilacwalk/failover/plan_agreement.py
@@ -14,7 +14,7 @@
 from lilacwalk.failover.config import FailoverConfig
 
 FINGERPRINT_KEYWORD = "plan"
-GOSSIPED_NAME = "Sites"  # name of the block's record in the digested text
+GOSSIPED_NAME = "Sites"  # replaces the name of the record class in the digested `repr`
 DIGEST_BYTES = 6
 
 
@@ -22,15 +22,15 @@
 class PlanFingerprint:
     """Revision and digest of a `sites` block.
 
-    Where two blocks with the same revision differ, the one with the larger digest counts as the
-    newer, so that all members decide alike.
+    If two blocks with the same revision differ, the one with the larger digest counts as newer, so
+    that all members make the same decision.
     """
 
     revision: int
     digest: str
 
     def __str__(self) -> str:
-        """Returns the text form that is gossiped."""
+        """Returns the metadata entry that is gossiped."""
         return f"{FINGERPRINT_KEYWORD} {self.revision} {self.digest}"
 
 
@@ -43,11 +43,12 @@
 
 
 def plan_fingerprint(config: FailoverConfig) -> PlanFingerprint:
-    """Returns the fingerprint of a block; equal blocks have the same one in every version.
+    """Returns the fingerprint of a `sites` block.
 
-    Members of different versions compare it. The digest covers the record's text form. The
-    outermost name in that text is part of the protocol, and so are the names of the classes and
-    fields within it.
+    Equal blocks must have equal fingerprints in all software versions, because members of different
+    versions compare their fingerprints. The digest covers the `repr` of the configuration. The
+    outermost name in this `repr` and the names of the classes and fields within it are therefore
+    part of the protocol.
     """
     text = GOSSIPED_NAME + repr(config).removeprefix(type(config).__name__)
     digest = blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
@@ -55,7 +56,7 @@
 
 
 def read_fingerprint(texts: tuple[str, ...]) -> PlanFingerprint | None:
-    """Returns the fingerprint among a member's gossiped texts; None where there is none."""
+    """Returns the fingerprint among a member's metadata entries; None if there is none."""
     for text in texts:
         words = text.split(" ")
         if len(words) == 3 and words[0] == FINGERPRINT_KEYWORD and words[1].isdecimal():
@@ -64,7 +65,7 @@
 
 
 def put_fingerprint(texts: tuple[str, ...], own: PlanFingerprint) -> tuple[str, ...]:
-    """Returns the gossiped texts with `own` in place of an older fingerprint."""
+    """Returns this member's metadata entries with `own` in place of an older fingerprint."""
     others = (text for text in texts if not text.startswith(FINGERPRINT_KEYWORD + " "))
     return (str(own), *others)
 
@@ -72,10 +73,10 @@
 def compare_fingerprints(
     own: PlanFingerprint, others: Iterable[tuple[str, tuple[str, ...]]]
 ) -> PlanAgreement:
-    """Compares the own fingerprint with those of the members present.
+    """Compares this member's fingerprint with those of the members present.
 
-    `others` holds the name and the gossiped texts of each. A member that gossips no fingerprint has
-    no `sites` block and does not count as differing.
+    `others` holds the name and the metadata entries of each present member. A member that gossips
+    no fingerprint has no `sites` block and does not count as differing.
     """
     differing = {}
     for name, texts in others:
--- a/lilacwalk/failover/planner.py
+++ b/lilacwalk/failover/planner.py
@@ -27,16 +27,16 @@
 class FailoverPlan:
     """The plan for one failure."""
 
-    failed: dict[str, float]  # by site, the failed share
+    failed: dict[str, float]  # failed share of each failed site
     placement: LoadPlacement
     admission: AdmissionPlan
     utilisation: dict[str, float]  # by site that has cores left
-    rejected_by_class: dict[str, float]  # share of the work of the class offered to the whole fleet
-    rejected_by_source: dict[str, float]  # share of the work offered by the site's own clients
+    rejected_by_class: dict[str, float]  # rejected share of the class's work in the whole fleet
+    rejected_by_source: dict[str, float]  # rejected share of the work from each site's clients
     binding_constraint: str
-    calls: dict[str, tuple[float, float]]  # by shared dependency: calls made a second, and limit
-    is_sufficient: bool  # nothing is rejected
-    weight_share: float  # weight of the admitted work over that of all offered work
+    calls: dict[str, tuple[float, float]]  # by shared dependency: (calls per second, limit)
+    is_sufficient: bool  # whether no work is rejected
+    weight_share: float  # weight of the admitted work, relative to that of all offered work
 
     def shares(self) -> dict[str, float]:
         """Returns the share of the displaced load that each site receives."""
@@ -64,7 +64,7 @@
 
 
 def shared_call_limit(config: FailoverConfig) -> float | None:
-    """Returns the lowest limit of calls a second among shared dependencies; None without any."""
+    """Returns the lowest limit of calls per second of a shared dependency; None without one."""
     return min((each.limit for each in config.shared), default=None)
 
 
@@ -186,7 +186,7 @@
 
 
 def without_rounding(share: float) -> float:
-    """Returns the share, or 0 where it is only a rounding error."""
+    """Returns the share, or 0 if it is only a rounding error."""
     return 0.0 if share < REJECTED_EPSILON else share
 
 
@@ -235,7 +235,7 @@
 
 
 def _offered_weight(config: FailoverConfig, capacities: Mapping[str, SiteCapacity]) -> float:
-    """Returns the weight a second of all offered work."""
+    """Returns the weight per second of all offered work."""
     return sum(
         site.load * request_class.share * request_class.benefit * SECOND / request_class.work
         for site in capacities.values()
--- a/lilacwalk/failover/recovery.py
+++ b/lilacwalk/failover/recovery.py
@@ -12,12 +12,12 @@
 
 from lilacwalk.failover.config import SECOND, Pace
 
-CANARY_SHARE = 0.05  # of its load: enough to measure response times, safe for cold caches
-RAMP_FACTOR = 1.5  # by which the share grows with each step
-MAX_RESPONSE_RATIO = 1.25  # times the baseline response time; above it the site is overloaded
-GOOD_PROBES_REQUIRED = 3  # in a row before the share is raised
-FAILURE_EXPIRY_FACTOR = 10  # exclusion times in good health after which one failure is forgotten
-MAX_EXCLUSION_DOUBLINGS = 30  # bounds the shift; the configured maximum is reached earlier
+CANARY_SHARE = 0.05  # of a site's load: enough to measure response times, safe for cold caches
+RAMP_FACTOR = 1.5  # factor by which each step raises a site's share of its load
+MAX_RESPONSE_RATIO = 1.25  # response time over its baseline, above which a site is overloaded
+GOOD_PROBES_REQUIRED = 3  # consecutive good probes before a site's share is raised
+FAILURE_EXPIRY_FACTOR = 10  # a failure is forgotten after this many exclusion times in HEALTHY
+MAX_EXCLUSION_DOUBLINGS = 30  # bounds the shift; the maximum of `Pace.longest` is reached earlier
 
 
 class RecoveryStage(Enum):
@@ -36,7 +36,7 @@
     """The observed state of a site at one moment."""
 
     is_reachable: bool
-    has_enough_members: bool  # to take load
+    has_enough_members: bool  # whether enough of its members serve for it to take load
     response_ratio: float  # response time over its baseline; 0: not known
     is_failing: bool = False  # its members are unhealthy or slow
 
@@ -45,7 +45,7 @@
     """Recovery stage and load share of one site. Owned by the failover planner; times in 0.1 ms."""
 
     def __init__(self, site: str, pace: Pace, now: int, is_reachable: bool = True) -> None:
-        """Starts in the stage HEALTHY where the site is reachable, otherwise in FAILED."""
+        """Sets the first stage: HEALTHY if the site is reachable, otherwise FAILED."""
         self.site = site
         self.pace = pace
         self.stage = RecoveryStage.HEALTHY if is_reachable else RecoveryStage.FAILED
@@ -188,17 +188,23 @@
             self.stage_since = now
 
 
-def sites_allowed_to_ramp(recoveries: list[SiteRecovery], survives_both: bool) -> set[str]:
-    """Returns the sites that may take more load now.
+def sites_allowed_to_ramp(
+    recoveries: list[SiteRecovery], survives_repeated_failure: bool
+) -> set[str]:
+    """Returns the sites whose share of their load may be raised now.
+
+    These are all candidates if the fleet survives a repeated failure. Otherwise it is the one that
+    entered its stage first; sites that are ramping take precedence over those in PROBING.
 
     Args:
-        recoveries: those of all sites.
-        survives_both: whether the fleet survives another failure of all recovering sites.
+        recoveries: recovery states of all sites.
+        survives_repeated_failure: whether the fleet has enough capacity if all recovering sites
+            fail again together.
     """
     candidates = [
         each for each in recoveries if each.stage is RecoveryStage.PROBING or each.is_ramping
     ]
-    if survives_both:
+    if survives_repeated_failure:
         return {each.site for each in candidates}
     ramping = [each for each in candidates if each.is_ramping]
     first = min(ramping or candidates, key=lambda each: (each.stage_since, each.site), default=None)
--- a/lilacwalk/failover/shedding.py
+++ b/lilacwalk/failover/shedding.py
@@ -30,11 +30,11 @@
     """Work of one request class at one site."""
 
     request_class: Class
-    site: str  # where it would run
+    site: str  # site at which the work would run
     source: str  # the site whose clients it serves
     work: float  # cores
     value: float  # weight per core-second
-    calls: float  # to the shared dependency, per core-second
+    calls: float  # calls to the shared dependency per core-second
 
     @property
     def is_failover_traffic(self) -> bool:
@@ -47,11 +47,11 @@
     """The admitted work, and the price of a call at which it was chosen."""
 
     admitted: list[WorkShare]
-    price: float  # 0: calls are not scarce
+    price: float  # price of a call, in weight; 0 if calls are not scarce
 
     @property
     def calls(self) -> float:
-        """Calls a second made by the admitted work."""
+        """Calls to the shared dependency, per second, made by the admitted work."""
         return sum(each.work * each.calls for each in self.admitted)
 
     @property
@@ -75,7 +75,7 @@
 
     Args:
         request_class: the class in the operator's block.
-        site: where the work would run.
+        site: site at which the work would run.
         source: the site whose clients it serves.
         work: cores.
         cost: time that the path from the source adds, in tenths of a millisecond.
@@ -141,7 +141,7 @@
     Args:
         shares: all offered work.
         capacities: cores by site.
-        calls: limit of calls a second over all sites; None: no limit.
+        calls: limit of calls to the shared dependency, per second over all sites; None: no limit.
         least_share: as for `admit_at_site`.
     """
     without_price = _admit_at_price(shares, capacities, least_share, 0.0)
--- a/lilacwalk/failover/sizing.py
+++ b/lilacwalk/failover/sizing.py
@@ -17,7 +17,7 @@
 ) -> int | None:
     """Returns the fewest cores to add so that nothing is rejected.
 
-    The cores are added where they are missing, see `add_cores`. None where no number suffices.
+    `add_cores` chooses the sites that get them. The result is None if no number suffices.
     """
 
     def is_enough(cores: int) -> bool:
@@ -70,7 +70,7 @@
     capacities: Mapping[str, SiteCapacity],
     failed: Mapping[str, float],
 ) -> tuple[float, str] | None:
-    """Returns the missing cores and the site that lacks them; None where more would not help."""
+    """Returns the missing cores and the site that lacks them; None if more cores do not help."""
     short = {
         name: site.load - site.cores * (1 - config.headroom)
         for name, site in capacities.items()
--- a/lilacwalk/retry_storms/config.py
+++ b/lilacwalk/retry_storms/config.py
@@ -1,6 +1,6 @@
 """The operator's settings for retry storms, validated by `operator/` when the file is read.
 
-`keyword` is the keyword in the operator's file, where it differs from the field's name.
+`keyword` is the keyword in the operator's file, if it differs from the field's name.
 """
 
 from __future__ import annotations
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -20,7 +20,7 @@
 
 MAX_DELAY_RATIO = 1.0  # queue delay over the time left, above which an attempt is too late
 MAX_IDLE_QUEUE = 2.0  # requests that do not count as a queue: one running and one waiting
-STALL_TIME = 2 * SECOND  # without a tick: many times the length of a busy event loop iteration
+STALL_TIME = 2 * SECOND  # time without a tick that is a stall: many busy event loop iterations
 
 
 class RejectionReason(Enum):
@@ -43,7 +43,7 @@
     """One attempt of a client.
 
     Attributes:
-        fingerprint: equal for requests that look the same.
+        fingerprint: equal for attempts with the same content, such as retries of one request.
         request_class: name of its class.
         client: the client that sent it.
         is_marked_retry: whether the client marked it as a retry.
@@ -127,8 +127,8 @@
     def spread_retry_after(self, client: Hashable, retry_after: int, now: int) -> int:
         """Returns the time that a rejection carries in place of `retry_after`, in tenths of a ms.
 
-        It is `retry_after` itself in the normal stage, where this is 0, or where the operator has
-        disabled spreading.
+        It is `retry_after` itself in the normal stage, if `retry_after` is 0, or if the operator
+        has disabled spreading.
         """
         self._detect_stall(now)
         is_normal = self.stage_machine.is_normal
--- a/lilacwalk/retry_storms/metrics.py
+++ b/lilacwalk/retry_storms/metrics.py
@@ -16,11 +16,11 @@
 SECOND = 10_000  # tenths of a ms
 STEP_TIME = SECOND // 2  # equal to the controller's step
 RETRY_WINDOW = 20 * SECOND  # a later attempt is more likely a new request than a retry
-MAX_FINGERPRINTS = 20_000  # held at the same time: about 2 MB
-BASELINE_GAIN = 0.02  # weight of one step: a mean over about 25 s
-MEAN_GAIN = 0.3  # weight of one step: a mean over about 3 steps
-PERIODICITY_STEPS = 24  # twelve seconds
-MIN_ATTEMPTS = 8  # in a step; fewer are too few for a conclusion
+MAX_FINGERPRINTS = 20_000  # fingerprints held at the same time: about 2 MB
+BASELINE_GAIN = 0.02  # weight of one step in the baseline: a mean over about 25 s
+MEAN_GAIN = 0.3  # weight of one step in the mean rates: a mean over about 3 steps
+PERIODICITY_STEPS = 24  # steps that are searched for a period: twelve seconds
+MIN_ATTEMPTS = 8  # attempts below which neither a storm nor a period is detected
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
 
     @property
     def attempts_over_baseline(self) -> float:
-        """Attempts over their baseline; 1 where no baseline is known yet."""
+        """Attempts over their baseline; 1 if no baseline is known yet."""
         if not self.baseline_attempt_rate:
             return 1.0
         return self.attempt_rate / self.baseline_attempt_rate
@@ -112,7 +112,8 @@
         """Starts without a baseline; the first step begins now."""
         self.next_step_at = now + STEP_TIME
         self.means = Rates()
-        self.recent_attempts: dict[Hashable, int] = {}  # time of the last attempt, oldest first
+        # time of the last attempt by fingerprint, oldest first
+        self.recent_attempts: dict[Hashable, int] = {}
         self._counts = StepCounts()
         self._baseline: Baseline | None = None
         self._learned_steps = 0
@@ -175,7 +176,7 @@
         if self._baseline is None:
             self._baseline = current if attempts else None
             return
-        mean_gain = min(1.0, steps / max(1, self._learned_steps))  # first a plain mean
+        mean_gain = min(1.0, steps / max(1, self._learned_steps))  # plain mean of the first steps
         gain = max(1 - (1 - BASELINE_GAIN) ** steps, mean_gain)
         self._baseline = self._baseline.moved_towards(current, gain)
 
--- a/lilacwalk/retry_storms/retry_after.py
+++ b/lilacwalk/retry_storms/retry_after.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 
 SECOND = 10_000  # tenths of a ms
-MIN_RETRY_AFTER = SECOND // 20  # the load does not change in a shorter time
+MIN_RETRY_AFTER = SECOND // 20  # the load does not change within a shorter time
 MAX_CLIENTS = 8_192  # clients whose rejections are counted
-CLIENT_RETENTION = 30 * SECOND  # since the last rejection
-MAX_DOUBLINGS = 3  # of the time, for a client that is rejected repeatedly
-MIN_TIME_DIVISOR = 4  # longest time over shortest time
+CLIENT_RETENTION = 30 * SECOND  # time since its last rejection after which a client is removed
+MAX_DOUBLINGS = 3  # doublings of the longest time for a client that is rejected repeatedly
+MIN_TIME_DIVISOR = 4  # the shortest time that is drawn is the longest one divided by this
 
 
 @dataclass(frozen=True, slots=True)
--- a/lilacwalk/retry_storms/retry_budget.py
+++ b/lilacwalk/retry_storms/retry_budget.py
@@ -17,13 +17,15 @@
 from collections.abc import Hashable
 
 SECOND = 10_000  # tenths of a ms
-BUDGET_TIME = 5.0  # seconds of completions: limits what a budget accumulates while unused
-MIN_BUDGET = 3.0  # retries: lower bound of a budget's limit, for classes with few requests
+BUDGET_TIME = 5.0  # seconds of completions whose retries an unused budget holds at most
+MIN_BUDGET = 3.0  # retries that every budget can hold, for classes with few requests
 MAX_CLIENTS = 4_096  # clients whose spending is tracked; the one with the least is removed first
 SPENDING_HALF_LIFE = 5 * SECOND
-NEGLIGIBLE_SPENDING = 0.05  # retries, below which a client is removed
-IDLE_GROWTH = 0.02  # of a step's completions, plus one retry: from none to all in half a minute
-FAIR_SHARE_FACTOR = 2.0  # times the mean spending of clients
+NEGLIGIBLE_SPENDING = 0.05  # retries; clients that spent fewer are removed
+# Growth of the idle allowance per step without a queue, as a fraction of the step's completions and
+# in addition to one retry. The allowance grows from 0 to all completions in half a minute.
+IDLE_GROWTH = 0.02
+FAIR_SHARE_FACTOR = 2.0  # fair share of a client, relative to the mean spending of clients
 RATE_WINDOW = 5  # seconds over which completions are averaged
 
 
@@ -44,7 +46,9 @@
         self._ratio = ratio
         self._decayed_at = now
         self._budgets: dict[Hashable, float] = {}  # by request class
-        self._completion_rates: dict[Hashable, float] = {}  # a second, to bound the budget
+        self._completion_rates: dict[
+            Hashable, float
+        ] = {}  # completions per second, which limit a budget
         self._idle_allowance = 0.0  # retries a step that idle cores admit beyond the budget
         self._idle_left = 0.0  # part of this allowance that is left in the current step
 
@@ -57,7 +61,10 @@
         self._completion_rates[request_class] = rate + 1 / RATE_WINDOW  # decays in `tick`
 
     def try_spend(self, request_class: Hashable, client: Hashable) -> bool:
-        """Takes a retry from the budget or the idle allowance; returns whether it is admitted."""
+        """Takes one retry from the class's budget, or else from those that idle cores admit.
+
+        Returns whether the retry is admitted.
+        """
         budget = self._budgets.get(request_class, MIN_BUDGET)
         if budget >= 1 and (budget >= MIN_BUDGET or self._is_below_fair_share(client)):
             self._budgets[request_class] = budget - 1
--- a/lilacwalk/retry_storms/stages.py
+++ b/lilacwalk/retry_storms/stages.py
@@ -2,8 +2,8 @@
 
 In plain overload there are more first attempts than the cores can complete; this is left to the
 controller. A retry storm sustains itself: the first attempts alone would fit, but all attempts
-together do not. It may persist indefinitely after its cause is gone, since each attempt that is
-served too late takes the capacity of one that could still be answered in time.
+together do not. A storm may persist indefinitely after its cause is gone, since each attempt that
+is served too late takes the capacity of one that could still be answered in time.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 
 from lilacwalk.retry_storms.metrics import MIN_ATTEMPTS, Metrics
 
-STORM_LOAD = 1.5  # attempts over completions, above which a storm is possible
-NORMAL_LOAD = 1.15  # attempts over the baseline, up to which a storm has ended
-EXTRA_RETRY_RATIO = 0.15  # above the baseline: more than a few slow responses cause
-ENTER_STEPS = 3  # in a row: a single step may be chance
-LEAVE_STEPS = 6  # in a row: a storm that is left too early returns
-SILENT_STEPS = 4  # with attempts but without completions: longer than most executions
-PEAK_DECAY = 0.995  # factor of the peak completion rate per step
+STORM_LOAD = 1.5  # attempts per completion, above which there may be a storm
+NORMAL_LOAD = 1.15  # attempts relative to their baseline, up to which a storm has ended
+# retries per attempt, above their baseline, that indicate a storm: slow responses cause fewer
+EXTRA_RETRY_RATIO = 0.15
+ENTER_STEPS = 3  # consecutive storm steps until damping starts: a single one may be chance
+LEAVE_STEPS = 6  # consecutive normal steps until damping ends: ended too early, a storm returns
+SILENT_STEPS = 4  # steps with attempts but no completion until SILENT: longer than most executions
+PEAK_DECAY = 0.995  # factor by which the peak completion rate decays per step
 
 
 class Stage(Enum):
@@ -47,7 +48,7 @@
     """
 
     def __init__(self, now: int) -> None:
-        """Starts in RECOVERING: the end of the previous process may have caused a storm."""
+        """Sets the first stage, RECOVERING: the last process's end may have caused a storm."""
         self.stage = Stage.RECOVERING
         self.since = now
         self.reason = "process started"
--- a/tests/failover/test_integration.py
+++ b/tests/failover/test_integration.py
@@ -80,7 +80,7 @@
     assert seen[:3] == [0, 1, 2]
 
 
-def test_a_partitioned_site_serves_its_clients_and_takes_over_nothing(outage):
+def test_a_partitioned_site_serves_its_clients_and_takes_no_failover_traffic(outage):
     """Only membership datagrams are blocked; clients and BGP sessions are not affected."""
     fleet = outage()
     recife = [name for name in fleet.rig.processes if name[0] == "r"]
@@ -190,7 +190,7 @@
     assert play(read(str(script)), quiet=True)
 
 
-def test_a_node_with_an_outdated_file_logs_it_and_takes_over_nothing(outage):
+def test_a_node_with_an_outdated_file_logs_it_and_takes_no_failover_traffic(outage):
     fleet = outage()
     outdated_node = fleet.rig.processes["c0"]
     fleet.rig.leave("c0")
--- a/tests/failover/test_local_priority.py
+++ b/tests/failover/test_local_priority.py
@@ -97,7 +97,8 @@
 
 
 def test_the_lowest_weight_failover_class_is_shed_first_and_local_traffic_is_not_shed():
-    # This load needs ten cores, 1.2 of them for failover eligibility; the node has nine.
+    # The load needs ten cores, 1.2 of them for `eligibility` requests from the failed site; the
+    # node has nine.
     rates = offered_rates(700, 300)
     admitted = LoadedNode().run(rates)
     for (request_class, site), rate in rates.items():
@@ -158,7 +159,7 @@
     assert node.admitted["eligibility", "caruaru"] == 600.0
 
 
-def test_slower_executions_lower_the_capacity_share_which_recovers():
+def test_a_low_admission_probability_lowers_the_capacity_share_until_it_rises_again():
     node, rates = LoadedNode(), offered_rates(700, 300)
     node.admission_probability = 0.5
     node.run(rates, 40)
@@ -191,7 +192,7 @@
             assert admitted[key] == pytest.approx(rates[key], rel=0.02)
 
 
-def test_retry_after_is_drawn_up_to_the_recovery_time_within_its_maximum():
+def test_retry_after_is_random_and_at_most_the_recovery_time_and_the_configured_maximum():
     node = LoadedNode()
     node.run(offered_rates(900, 900))
     assert min(node.retry_after_times) >= SECOND
@@ -225,7 +226,7 @@
     assert as_failover_class(REQUEST_CLASSES[0], 5_000).latency_objective == 1
 
 
-def test_an_unknown_class_is_left_to_the_frontend():
+def test_requests_of_an_unknown_class_are_passed_on_and_not_counted():
     node = LoadedNode()
     assert node.local_priority.reject_if_overloaded("no-such", "recife", True) is None
     assert not node.local_priority.flows
--- a/tests/failover/test_node_plan.py
+++ b/tests/failover/test_node_plan.py
@@ -54,7 +54,7 @@
     assert planner.evaluate(after_failure, "whole", 2_000 * evaluations).failover_nodes["recife"]
 
 
-def test_a_node_without_a_quorum_takes_over_nothing():
+def test_a_node_without_a_quorum_takes_no_failover_traffic():
     planners = planners_of_all_nodes()
     evaluate_all(planners, node_views(), 0)
     for conclusion in ("minority", "alone", "unsure"):
@@ -77,7 +77,7 @@
     assert len(set(after)) > 2  # not all in the same evaluation
 
 
-def test_views_that_differ_by_one_node_give_plans_that_differ_by_that_node():
+def test_views_that_differ_by_one_node_give_plans_that_differ_by_two_nodes_at_most():
     one = planners_of_all_nodes()
     other = planners_of_all_nodes()
     evaluate_all(one, node_views(), 0)
@@ -175,7 +175,7 @@
     )
 
 
-def test_a_fleet_of_one_site_takes_over_nothing_and_serves_all_its_load():
+def test_a_fleet_of_one_site_takes_no_failover_traffic_and_serves_all_its_load():
     single_site_config = parse_operator_file(
         "sites {\n    site recife {\n        cores 8\n        load 4\n    }\n}\n", "file"
     ).sites
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -71,7 +71,7 @@
     assert plan.is_sufficient
 
 
-def test_two_failed_sites_share_the_last_and_without_any_site_all_is_rejected():
+def test_the_last_site_takes_load_of_two_failed_sites_and_without_any_site_all_load_is_rejected():
     plan = plan_for("recife natal")
     assert not plan.is_sufficient
     assert set(plan.shares()) == {"caruaru"}
--- a/tests/failover/test_recovery.py
+++ b/tests/failover/test_recovery.py
@@ -98,7 +98,7 @@
     now = 1
     for _ in range(300):
         now += 2_000
-        allowed = sites_allowed_to_ramp([one, other], survives_both=False)
+        allowed = sites_allowed_to_ramp([one, other], survives_repeated_failure=False)
         assert len(allowed) <= 1
         one.evaluate(HEALTHY_PROBE, now, one.site in allowed)
         other.evaluate(HEALTHY_PROBE, now, other.site in allowed)
--- a/tests/failover/test_shedding.py
+++ b/tests/failover/test_shedding.py
@@ -48,7 +48,7 @@
     st.integers(1, 12),
     st.integers(1, 60),
 )
-def test_the_admitted_work_is_as_valuable_as_the_best_of_all_mixes(classes, capacity, calls):
+def test_the_admitted_work_reaches_the_optimum_of_the_linear_programme(classes, capacity, calls):
     """Compares with the corners of the linear programme.
 
     In a corner, all but two shares are either admitted in full or rejected in full.
--- a/tests/retry_storms/test_damper.py
+++ b/tests/retry_storms/test_damper.py
@@ -57,7 +57,7 @@
     assert node.stage is Stage.NORMAL
 
 
-def test_plain_overload_is_left_to_the_controller():
+def test_plain_overload_keeps_the_normal_stage_and_rejects_nothing():
     node = normal_node()
     for _ in range(20):
         node.step(first=150, retries=8)
@@ -77,7 +77,7 @@
     assert all(each >= 40 for each in admitted)  # no first attempt is rejected
 
 
-def test_a_surge_of_new_requests_that_look_alike_is_not_a_storm():
+def test_a_surge_of_new_requests_with_equal_fingerprints_is_not_a_storm():
     node = Node()
     for _ in range(60):
         node.step(first=0, retries=45, completed=50)  # polls with equal bodies, all answered
--- a/tests/retry_storms/test_integration.py
+++ b/tests/retry_storms/test_integration.py
@@ -55,7 +55,7 @@
         crowd.end()
 
 
-def test_overload_by_first_attempts_alone_is_left_to_the_controller(node):
+def test_overload_by_first_attempts_alone_keeps_the_normal_stage_and_rejects_no_retries(node):
     crowd = Crowd(lambda: node.address("n0"), 100.0, 20, Habits(most=1), 2)
     try:
         node.wait(lambda: crowd.now > 8.0, MAX_WAIT, "8 s of overload")
--- a/tests/retry_storms/test_retry_after.py
+++ b/tests/retry_storms/test_retry_after.py
@@ -15,7 +15,7 @@
     assert max(times) <= 20 * SECOND + SECOND
 
 
-def test_a_client_rejected_before_gets_longer_times_within_the_limit():
+def test_retry_after_times_are_longer_for_a_client_rejected_before_and_within_the_limit():
     spreader = RetryAfterSpreader(random.Random(3), 10 * SECOND)
     first = [spreader.retry_after(index, 100.0, 1.0, 0) for index in range(50)]
     later = [
@@ -26,7 +26,7 @@
     assert RetryAfterSpreader(random.Random(1), 0).retry_after(1, 1.0, 1.0, 0) == 0
 
 
-def test_a_fleet_that_lost_a_third_gives_longer_times():
+def test_retry_after_times_are_longer_in_a_fleet_that_lost_a_third_of_its_nodes():
     complete, reduced = (RetryAfterSpreader(random.Random(4), 3600 * SECOND) for _ in range(2))
     complete_sum = sum(complete.retry_after(index, 10.0, 1.0, 0) for index in range(100))
     assert (
