--- a/lilacwalk/failover/operator_commands.py
+++ b/lilacwalk/failover/operator_commands.py
@@ -1,7 +1,7 @@
-"""What an operator commands of a site, gossiped to all members with the member metadata.
+"""Operator commands for sites, gossiped to all members with the member metadata.
 
-The newest command for a site counts and expires by itself. It counts from whichever member it is
-heard, so the member that was asked need not live on.
+The newest command for a site applies until it expires. It applies whichever member gossips it, so
+it stays valid if the member that accepted it from the operator stops.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 
 VERBS = ("hold", "drain", "release")
-MAX_COMMANDS = 4  # in one member's metadata, beside the plan's fingerprint
-MAX_DURATION_SECONDS = 24 * 3600  # a longer evacuation is a change of the file
+MAX_COMMANDS = 4  # commands in one member's metadata, which also holds a plan fingerprint
+MAX_DURATION_SECONDS = 24 * 3600  # a longer evacuation belongs in the operator's file
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """One command for a site. Times are milliseconds of the Unix clock."""
+    """One command for a site. Times are in milliseconds since the Unix epoch."""
 
     verb: str
     site: str
@@ -24,13 +24,13 @@
     expires_at: int
 
     def __str__(self) -> str:
-        """The form in which it is gossiped."""
+        """Returns the metadata entry that is gossiped."""
         return f"{self.verb} {self.site} {self.issued_at} {self.expires_at}"
 
 
-def read_command(text: str) -> OperatorCommand | None:
-    """The command in a gossiped text; None where the text is none."""
-    words = text.split(" ")
+def read_command(entry: str) -> OperatorCommand | None:
+    """Parses a metadata entry; returns None if it is not a valid command."""
+    words = entry.split(" ")
     if len(words) != 4 or words[0] not in VERBS:
         return None
     verb, site, issued_text, expires_text = words
@@ -44,28 +44,33 @@
 
 
 def newest_commands(gossiped: Iterable[tuple[str, ...]], now: int) -> dict[str, OperatorCommand]:
-    """The newest unexpired command of each site, from all members' texts.
+    """Returns the newest command for each site, unless it has expired.
 
-    Of two issued in the same millisecond the one that is larger as text counts, on all members
-    alike. `now` is in milliseconds of the Unix clock.
+    `gossiped` holds the metadata entries of each member. If two commands were issued in the same
+    millisecond, all members choose the one whose entry sorts last. `now` is in milliseconds since
+    the Unix epoch.
     """
     newest: dict[str, OperatorCommand] = {}
-    for texts in gossiped:
-        for text in texts:
-            command = read_command(text)
+    for entries in gossiped:
+        for entry in entries:
+            command = read_command(entry)
             if command is None:
                 continue
-            before = newest.get(command.site)
-            if before is None or _order(command) > _order(before):
+            newest_so_far = newest.get(command.site)
+            if newest_so_far is None or _order(command) > _order(newest_so_far):
                 newest[command.site] = command
     return {site: command for site, command in newest.items() if command.expires_at > now}
 
 
-def put_command(texts: tuple[str, ...], command: OperatorCommand, now: int) -> tuple[str, ...]:
-    """The gossiped commands with this one added: one for a site, the oldest dropped first."""
+def put_command(entries: tuple[str, ...], command: OperatorCommand, now: int) -> tuple[str, ...]:
+    """Returns a member's metadata entries with a command added.
+
+    The command replaces an earlier one for the same site. Expired commands are removed, and the
+    first entries are removed if there are more than `MAX_COMMANDS`.
+    """
     others = []
-    for text in texts:
-        other = read_command(text)
+    for entry in entries:
+        other = read_command(entry)
         if other is not None and other.site != command.site and other.expires_at > now:
             others.append(other)
     latest = others[-(MAX_COMMANDS - 1) :]
