--- a/lilacwalk/commands/fleet.py
+++ b/lilacwalk/commands/fleet.py
@@ -203,7 +203,7 @@
             answer_others = None
         else:
             host = FleetHost(config.fleet, on_evaluate=site_failover.evaluate)
-            answer_others = partial(answer_admin_query, host=host, part=site_failover)
+            answer_others = partial(answer_admin_query, host=host, site_failover=site_failover)
         if config.fleet.socket is None:
             return host, None
         return host, admin_socket(host, config.fleet.socket, answer_others)
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -188,7 +188,7 @@
             return None
         from lilacwalk.server.integrations.site_failover import answer_admin_query
 
-        return partial(answer_admin_query, host=self.host, part=self.site_failover)
+        return partial(answer_admin_query, host=self.host, site_failover=self.site_failover)
 
 
 def _rounded_permille(share: float) -> int:
--- a/lilacwalk/server/integrations/site_failover.py
+++ b/lilacwalk/server/integrations/site_failover.py
@@ -263,24 +263,26 @@
             self.on_traffic_plan(traffic_plan)
 
 
-def answer_admin_query(words: list[str], host: FleetHost, part: SiteFailoverIntegration) -> object:
+def answer_admin_query(
+    words: list[str], host: FleetHost, site_failover: SiteFailoverIntegration
+) -> object:
     """Answers the admin socket: `sites`, or `sites hold|drain|release SITE SECONDS`."""
     if words == ["sites"]:
-        return host.query(lambda _membership, now: part.describe(now))
+        return host.query(lambda _membership, now: site_failover.describe(now))
     if len(words) != 4 or words[1] not in VERBS or not words[3].isdecimal():
         return {"error": "ask: sites, sites hold|drain|release SITE SECONDS"}
     _, verb, site, seconds = words
-    if site not in {each.name for each in part.config.site}:
+    if site not in {each.name for each in site_failover.config.site}:
         return {"error": f"no site {site}"}
     issued_at = unix_milliseconds()
     command = OperatorCommand(verb, site, issued_at, issued_at + int(seconds) * 1000)
 
     def issue(membership: Membership, now: int) -> dict:
         gossiped = put_command(membership.metadata.operator_commands, command, issued_at)
-        texts = put_fingerprint(gossiped, part.fingerprint)
+        texts = put_fingerprint(gossiped, site_failover.fingerprint)
         membership.update_metadata(now, operator_commands=texts)
-        part.evaluate(membership, now)
-        return part.describe(now)
+        site_failover.evaluate(membership, now)
+        return site_failover.describe(now)
 
     return host.query(issue)
 
