--- a/lilacwalk/server/__init__.py
+++ b/lilacwalk/server/__init__.py
@@ -1,7 +1,7 @@
-"""The app server: start, the event loop and its parts, reload, drain, end.
+"""The app server: startup, the event loop and its components, reload, drain and exit.
 
 `startup` builds the `EventLoop`, which owns one object for each concern: `RequestLifecycle`,
-`ExecutorSession`, `DependencyCalls`, `Subsystems` and `Drain`. The optional subsystems lie in
-`integrations` and are imported only where the operator's file asks for them. Decisions on requests
-are the controller's, in `lilacwalk.overload`.
+`ExecutorSession`, `DependencyCalls`, `Subsystems` and `Drain`. The optional subsystems are in
+`integrations` and are imported only if the operator's file configures them. The controller in
+`lilacwalk.overload` makes all decisions on requests.
 """
--- a/lilacwalk/server/clock.py
+++ b/lilacwalk/server/clock.py
@@ -1,18 +1,18 @@
-"""The clock of the process: Unix time in tenths of a millisecond that never runs back."""
+"""The clock of the process: Unix time in tenths of a millisecond that never decreases."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-NANOSECONDS_PER_UNIT = 100_000
+NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
 
 class Clock:
-    """Follows the system clock, and elapsed time where that is set back.
+    """Returns the system time, and advances by elapsed time if the system clock is set back.
 
-    A clock that went back would hold up every timer. Owns the last reading of both sources and by
-    how much it leads the system clock.
+    A clock that ran backwards would delay every timer. Owns the last reading of both sources and
+    the offset from the system clock.
     """
 
     def __init__(
@@ -20,25 +20,28 @@
         unix: Callable[[], int] = time.time_ns,
         elapsed: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        """Both sources return nanoseconds."""
+        """Reads both sources, which return nanoseconds."""
         self._unix = unix
         self._elapsed = elapsed
         self._last_time = unix()
         self._last_elapsed = elapsed()
-        self._ahead = 0
+        self._offset = 0
 
     def now(self) -> int:
-        """Reads the clock."""
+        """Returns Unix time in tenths of a millisecond."""
         unix = self._unix()
         elapsed = self._elapsed()
-        if unix + self._ahead < self._last_time:
+        if unix + self._offset < self._last_time:
             expected = self._last_time + elapsed - self._last_elapsed
-            self._ahead = expected - unix
-        self._last_time = unix + self._ahead
+            self._offset = expected - unix
+        self._last_time = unix + self._offset
         self._last_elapsed = elapsed
-        return self._last_time // NANOSECONDS_PER_UNIT
+        return self._last_time // NANOSECONDS_PER_TICK
 
     @property
-    def ahead(self) -> int:
-        """By how much this clock leads the system's: to be added to times that others state."""
-        return self._ahead // NANOSECONDS_PER_UNIT
+    def offset(self) -> int:
+        """Time by which this clock is ahead of the system clock, in tenths of a millisecond.
+
+        It has to be added to times that other processes read from the system clock.
+        """
+        return self._offset // NANOSECONDS_PER_TICK
--- a/lilacwalk/server/decision_applier.py
+++ b/lilacwalk/server/decision_applier.py
@@ -16,28 +16,28 @@
 
 
 class DecisionApplier:
-    """The controller's `DecisionSink` on real sockets; all takes effect at once.
+    """The controller's `DecisionSink` in the app server; every decision is applied at once.
 
-    A client may leave while its request stands in the batch, so that a decision may be about a
-    request that is not in flight any more; it is passed over.
+    If a client disconnects while its request is in the batch, the controller may decide on a
+    request that is no longer in flight; such a decision is ignored.
 
-    Owns what the controller said last of this server: health, advertised capacity, idle limit, and
-    when the next report to the service registry is due.
+    Owns what the controller last reported of this server (health, advertised capacity, idle limit)
+    and the time of the next report to the service registry.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """Healthy, with nothing advertised, until the controller says otherwise."""
+        """Reports healthy and advertises no capacity until the controller decides."""
         self._event_loop = event_loop
         self._requests = event_loop.requests
         self._in_flight = event_loop.requests.in_flight.by_request
         self._result_cache = event_loop.requests.result_cache
         self.is_healthy = True
         self.advertised_capacity: float | None = None  # None: nothing is advertised yet
-        self.close_idle_after = 0  # 0: the front ends' own limit
+        self.close_idle_after = 0  # 0: the frontends' own limit
         self.next_report_at = 0
 
     def dispatch(self, request: Request) -> None:
-        """Has the executor run the request, once its record is written where it needs one."""
+        """Dispatches the request, after its record has been written if it needs one."""
         entry = self._in_flight[request]
         if self._requests.effect_gate.may_dispatch(entry):
             self._event_loop.executor.dispatch(entry)
@@ -45,7 +45,7 @@
     def reject(
         self, request: Request, retry_after: int = 0, do_not_retry_elsewhere: bool = False
     ) -> None:
-        """Rejects a request; `retry_after` in tenths of a millisecond, 0: not said."""
+        """Rejects a request; `retry_after` in tenths of a millisecond, 0: none is given."""
         entry = self._in_flight.get(request)
         if entry is None:
             return
@@ -63,69 +63,69 @@
         self._release_if_never_dispatched(entry)
 
     def fail(self, request: Request) -> None:
-        """Responds that the outcome is not known or that the request did not end in time."""
+        """Responds that the outcome is unknown or that the request did not finish in time."""
         entry = self._in_flight.get(request)
         if entry is not None:
             self._requests.respond(entry, FinalStatus.FAILED)
             self._release_if_never_dispatched(entry)
 
     def _release_if_never_dispatched(self, entry: InFlightRequest) -> None:
-        """An execution that was dispatched releases its request when it ends."""
+        """Releases a request that was never dispatched; others are released by their execution."""
         if not entry.request.was_dispatched:
             self._requests.release_request(entry, None)
 
     def cancel(self, request: Request) -> None:
-        """Has the executor stop the execution."""
+        """Tells the executor to stop the execution."""
         entry = self._in_flight.get(request)
         if entry is not None:
             self._event_loop.executor.send_commands(entry, encode_cancel(entry.id))
 
     def coalesce(self, request: Request) -> None:
-        """Gives a duplicate the result of the earlier request, now or when that ends."""
+        """Responds to a duplicate with the original's result, now or when the original ends."""
         entry = self._in_flight.get(request)
         if entry is None:
             return
-        earlier = request.duplicate_of
-        if earlier in self._in_flight:
-            entry.awaits_result_of = earlier
+        original = request.duplicate_of
+        if original in self._in_flight:
+            entry.awaits_result_of = original
             return
         cached = None
         if entry.cache_key is not None:
             cached = self._result_cache.find(entry.cache_key, request.arrived_at)
-        is_known = cached is not None and cached.request is earlier
+        is_known = cached is not None and cached.request is original
         self._requests.respond_to_duplicate(entry, cached.result if is_known else None)
 
-    def register_key(self, request: Request, time: int) -> None:
-        """Keeps the idempotency key for `time` from now, in tenths of a millisecond."""
+    def register_key(self, request: Request, lifetime: int) -> None:
+        """Keeps the idempotency key for `lifetime` tenths of a millisecond from now."""
         entry = self._in_flight.get(request)
         if entry is not None and entry.cache_key is not None:
-            expires_at = self._event_loop.now + time
+            expires_at = self._event_loop.now + lifetime
             self._result_cache.put(entry.cache_key, request, expires_at, entry.body)
 
     def release_key(self, request: Request) -> None:
-        """Forgets the idempotency key of a request that did not run."""
+        """Removes the idempotency key of a request that did not run."""
         entry = self._in_flight.get(request)
         if entry is not None:
             self._requests.release_key(entry)
 
     def call_dependency(self, request: Request, give_up_at: int) -> None:
-        """Starts the dependency call for which the execution waits."""
+        """Starts the dependency call that the execution waits for."""
         self._event_loop.dependency_calls.start(self._in_flight[request], give_up_at)
 
     def skip_dependency_call(self, request: Request) -> None:
-        """Has the execution go on without its dependency call."""
+        """Tells the executor to continue the execution without its dependency call."""
         self._event_loop.dependency_calls.skip(self._in_flight[request])
 
     def report_health(self, is_healthy: bool) -> None:
-        """Takes what probes and the service registry are told."""
+        """Sets the health that is reported to probes and to the service registry."""
         self.is_healthy = is_healthy
 
     def report_load(self, value: float) -> None:
-        """Takes the capacity that responses advertise."""
+        """Sets the capacity that responses advertise."""
         self.advertised_capacity = value
 
     def close_idle_connections(self, after: int) -> None:
-        """Takes the idle time after which front ends close connections."""
+        """Sets the idle time after which frontends close connections."""
         self.close_idle_after = after
 
     def set_timer(self, after: int) -> None:
@@ -133,5 +133,5 @@
         self._event_loop.set_controller_timer(after)
 
     def log(self, text: str) -> None:
-        """Writes a line of the controller to the log."""
+        """Writes a message of the controller to the log."""
         log.info("event=controller text=%r", text)
--- a/lilacwalk/server/dependency_calls.py
+++ b/lilacwalk/server/dependency_calls.py
@@ -1,4 +1,4 @@
-"""The dependency calls of running requests: requested, started, finished, timed out."""
+"""Makes the dependency calls of running requests and reports their outcome."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 
 class DependencyCalls:
-    """Carries calls between the executor, the controller and the dependency.
+    """Passes calls between the executor, the controller and the dependency.
 
-    Keeps no state of its own: the call of a request stands in its `InFlightRequest`, connections
-    belong to the `DependencyClient`.
+    Has no state of its own: the call of a request is stored in its `InFlightRequest`, and the
+    `DependencyClient` owns the connections.
     """
 
     def __init__(self, event_loop: EventLoop, client: DependencyClient) -> None:
-        """Takes the callback of `client`."""
+        """Registers itself for the callback of `client`."""
         self._event_loop = event_loop
         self.client = client
         client.on_call_finished = self._call_finished
 
     def request(self, request_id: str, event_number: int, body: memoryview | bytes) -> None:
-        """Tells the controller that an execution waits for a call."""
+        """Reports to the controller that an execution waits for a call."""
         entry = self._event_loop.requests.in_flight.by_id.get(request_id)
         if entry is None:
             return
-        entry.unacknowledged_commands.clear()  # it runs, so they were read
+        entry.unacknowledged_commands.clear()  # the execution runs, so the commands were read
         entry.call_event_number = event_number
         entry.call_body = bytes(body)
         self._event_loop.controller_events.append(CallRequested(entry.request))
 
     def start(self, entry: InFlightRequest, give_up_at: int) -> None:
-        """Sends the call that `entry` waits for; it times out at `give_up_at`."""
+        """Starts the call that `entry` waits for; it times out at `give_up_at`."""
         event_loop = self._event_loop
         call = DependencyCall(
             entry.id,
@@ -55,13 +55,13 @@
         event_loop.schedule(give_up_at, self._timed_out, entry, call)
 
     def skip(self, entry: InFlightRequest) -> None:
-        """Has the execution go on without the result of its call."""
+        """Tells the executor to continue the execution without the result of its call."""
         self._event_loop.executor.send_commands(
             entry, encode_skip_call(entry.id, entry.call_event_number)
         )
 
     def abandon(self, entry: InFlightRequest) -> None:
-        """Gives up a call whose execution has ended; the controller is not told."""
+        """Abandons a call whose execution has ended, without an event for the controller."""
         if entry.call is not None:
             self.client.abandon(entry.call)
             entry.call = None
@@ -72,7 +72,7 @@
         self.client.close_idle(event_loop.now - event_loop.limits.dependency_idle_timeout)
 
     def end_call(self, entry: InFlightRequest, outcome: Outcome) -> None:
-        """Tells the controller how the call of `entry` ended."""
+        """Reports to the controller how the call of `entry` ended."""
         entry.call = None
         event_loop = self._event_loop
         event_loop.controller_events.append(
--- a/lilacwalk/server/drain.py
+++ b/lilacwalk/server/drain.py
@@ -1,4 +1,4 @@
-"""The drain: from SIGTERM to the end of the process, within the stop timeout."""
+"""The drain: ends the process after SIGTERM, within the stop timeout."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 
 
 class Drain:
-    """Lets requests in flight end, closes the listeners and then the connections.
+    """Waits for requests in flight to end, and closes the listeners and then the connections.
 
-    What is still admitted and when requests are given up is the controller's decision. The end is
-    `limits.stop_timeout` after the start at the latest; the last `limits.drain_flush_margin` of it
-    is for connections alone.
+    The controller decides which requests are still admitted and when requests are abandoned. The
+    drain ends at most `limits.stop_timeout` after its start; the last `limits.drain_flush_margin`
+    of that time is reserved for closing connections.
 
-    Owns the time of the end.
+    Owns the time at which the process stops.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """Not started."""
+        """Creates a drain that has not started."""
         self._event_loop = event_loop
         self.stop_at = 0  # 0: not draining
 
     @property
     def is_started(self) -> bool:
-        """Whether the process is about to end."""
+        """Whether the drain has started."""
         return bool(self.stop_at)
 
     def start(self) -> None:
-        """Starts the drain; a second call changes nothing."""
+        """Starts the drain; further calls have no effect."""
         if self.is_started:
             return
         event_loop = self._event_loop
@@ -52,27 +52,27 @@
         grace_ends_at = (
             now + event_loop.server.drain_grace_period + event_loop.limits.housekeeping_interval
         )
-        listeners_close_at = min(grace_ends_at, self._flush_at())
+        listeners_close_at = min(grace_ends_at, self._flush_starts_at())
         if event_loop.subsystems.bgp is not None:
             event_loop.subsystems.bgp.drain(listeners_close_at - now)
         event_loop.schedule(listeners_close_at, self.close_listeners)
 
     def notify_controller(self) -> None:
-        """Tells a controller that exists, or has just been created, of the drain."""
+        """Passes the start of the drain to the controller, also to one created after that start."""
         if self.is_started:
-            self._event_loop.controller_events.append(DrainStarted(self._flush_at()))
+            self._event_loop.controller_events.append(DrainStarted(self._flush_starts_at()))
 
     def close_listeners(self) -> None:
-        """Closes the listeners: a refused connection costs a client less than a rejection.
+        """Closes the listeners, because a refused connection costs a client less than a rejection.
 
-        Where the service is announced, the withdrawal must have been sent and have had time to
-        spread; that is waited for as long as the stop timeout allows.
+        If the service is announced by BGP, the listeners close only after the withdrawal has been
+        sent and has had time to propagate, or when the stop timeout allows no more delay.
         """
         event_loop = self._event_loop
         bgp = event_loop.subsystems.bgp
         if bgp is not None:
             is_withdrawn = bgp.listener_may_close(event_loop.now)
-            if not is_withdrawn and event_loop.now < self._flush_at():
+            if not is_withdrawn and event_loop.now < self._flush_starts_at():
                 event_loop.schedule(event_loop.now + POLL_INTERVAL, self.close_listeners)
                 return
             bgp.end(0.0)
@@ -81,7 +81,7 @@
         self._close_connections()
 
     def in_flight_summary(self) -> str:
-        """The log fields of what is taken to be in flight: at the end all of it should be zero."""
+        """Returns the log fields of all that counts as in flight; all should be 0 at the end."""
         in_flight = len(self._event_loop.requests.in_flight)
         controller = self._event_loop.controller
         if controller is None:
@@ -93,15 +93,15 @@
         )
 
     def _close_connections(self) -> None:
-        """Half-closes idle connections until all have closed or the time is nearly up."""
+        """Half-closes idle connections until all are closed or the stop timeout is almost over."""
         event_loop = self._event_loop
         margin = event_loop.limits.drain_flush_margin
-        is_late = event_loop.now >= self.stop_at - margin // 2
-        if is_late:
+        is_final = event_loop.now >= self.stop_at - margin // 2
+        if is_final:
             for entry in list(event_loop.requests.in_flight.by_id.values()):
                 event_loop.requests.respond(entry, FinalStatus.FAILED)
         for frontend in event_loop.frontends:
-            frontend.close_idle_connections(event_loop.now, is_late)
+            frontend.close_idle_connections(event_loop.now, is_final)
         is_drained = all(frontend.is_drained() for frontend in event_loop.frontends)
         if is_drained or event_loop.now >= self.stop_at - margin // 4:
             self._log_end()
@@ -109,8 +109,8 @@
         else:
             event_loop.schedule(event_loop.now + POLL_INTERVAL, self._close_connections)
 
-    def _flush_at(self) -> int:
-        """When all has been decided, and only connections are still to be closed."""
+    def _flush_starts_at(self) -> int:
+        """Time by which the controller has decided on all requests; then connections are closed."""
         return self.stop_at - self._event_loop.limits.drain_flush_margin
 
     def _log_start(self) -> None:
--- a/lilacwalk/server/effect_gate.py
+++ b/lilacwalk/server/effect_gate.py
@@ -1,4 +1,4 @@
-"""Records requests with an effect on disk before they run, where there is a store."""
+"""Records requests with an effect on disk before they run, if a store is configured."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 class EffectGate:
-    """Holds back the dispatch of non-idempotent requests until their record is on disk.
+    """Delays the dispatch of non-idempotent requests until their record is on disk.
 
-    Without a store every request passes. Keeps no state of its own: what waits stands in the
-    persistence integration, what earlier incarnations recorded goes into the result cache.
+    Without a store, requests are dispatched at once. Has no state of its own: the persistence
+    integration holds waiting requests, and records of earlier incarnations are restored into the
+    result cache.
     """
 
     def __init__(self, event_loop: EventLoop, requests: RequestLifecycle) -> None:
@@ -34,13 +35,13 @@
     def can_record(self) -> bool:
         """Whether requests with an effect may be admitted.
 
-        They may if their records can be written, or the operator allows them to run without.
+        They may if their records can be written, or if the operator allows them to run unrecorded.
         """
         persistence = self._subsystems.persistence
         return persistence is None or persistence.effect_log.accepts_effects
 
     def may_dispatch(self, entry: InFlightRequest) -> bool:
-        """Whether the request may run now; if its record must be written first, it runs later."""
+        """Whether the request may run now; otherwise `record_written` decides on it later."""
         persistence = self._subsystems.persistence
         request = entry.request
         if (
@@ -50,15 +51,15 @@
         ):
             return True
         now = self._event_loop.now
-        known_until = persistence.deduplicated_until(request, now)
-        runs = persistence.begin_effect(entry, entry.cache_key, known_until, now)
-        if runs is False:
-            # Not within the batch that dispatches it.
+        expires_at = persistence.deduplicated_until(request, now)
+        may_run = persistence.begin_effect(entry, entry.cache_key, expires_at, now)
+        if may_run is False:
+            # Posted, because the batch that dispatches the request is still being applied.
             self._event_loop.event_queue.post(self.record_written, entry, False)
-        return bool(runs)
+        return bool(may_run)
 
     def record_written(self, entry: InFlightRequest, may_run: bool) -> None:
-        """Dispatches a request that waited for its record, or rejects it: it has never run."""
+        """Dispatches a request that waited for its record, or rejects it, as it has never run."""
         requests = self._requests
         event_loop = self._event_loop
         if may_run and entry.connection is not None and not entry.request.answered:
@@ -72,7 +73,7 @@
         requests.in_flight.remove(entry)
 
     def record_end(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Records the end of a request that was dispatched, and its result where it is known."""
+        """Records the end of a request that was dispatched, and its result if known."""
         persistence = self._subsystems.persistence
         request = entry.request
         if (
@@ -81,16 +82,16 @@
             and request.request_class.effect is not Effect.IDEMPOTENT
         ):
             now = self._event_loop.now
-            known_until = persistence.deduplicated_until(request, now)
-            persistence.finish_effect(entry.cache_key, result, known_until, now)
+            expires_at = persistence.deduplicated_until(request, now)
+            persistence.finish_effect(entry.cache_key, result, expires_at, now)
 
     def find_earlier_execution(
         self, class_name: str, tenant_name: str, idempotency_key: str, request_id: str
     ) -> tuple[bool, bytes | None]:
-        """Looks for a request of an earlier incarnation; needs a store.
+        """Looks for an execution by an earlier incarnation; requires a store.
 
         Returns:
-            Whether its execution may have begun, and its result where that is known.
+            Whether the execution may have begun, and its result if known.
         """
         persistence = self._subsystems.persistence
         assert persistence is not None
@@ -108,10 +109,10 @@
         return bool(found) or persistence.effect_log.allows_unpersisted, result
 
     def restore(self, recovered: list[RecoveredEffect]) -> None:
-        """Puts the records of earlier incarnations into the result cache."""
+        """Adds the records of earlier incarnations to the result cache."""
         requests = self._requests
         now = self._event_loop.now
-        lost = 0
+        dropped = 0
         for effect in recovered:
             cache_key = CacheKey(*effect.cache_key)
             request_class = requests.request_classes.get(cache_key.class_name)
@@ -127,8 +128,10 @@
                 answered=True,
                 was_dispatched=True,
             )
-            lost += not requests.result_cache.restore(
+            dropped += not requests.result_cache.restore(
                 cache_key, request, effect.expires_at, effect.result
             )
-        if lost:
-            log.error("event=effects_not_restored count=%d detail='the result cache is full'", lost)
+        if dropped:
+            log.error(
+                "event=effects_not_restored count=%d detail='the result cache is full'", dropped
+            )
--- a/lilacwalk/server/event_loop.py
+++ b/lilacwalk/server/event_loop.py
@@ -1,8 +1,8 @@
-"""The event loop: one thread that owns the controller and all state of requests.
+"""The event loop: one thread that owns the controller and the state of all requests.
 
-Every other thread reaches it through one queue, so that decisions need no lock. What an iteration
-does with what it took from the queue lies in the parts that the loop is made of; this module holds
-the queue, the timers and the order of an iteration.
+All other threads pass their events through one queue, so that decisions need no lock. This module
+contains the queue, the timers and the steps of an iteration; the events themselves are handled by
+the components that `EventLoop` creates.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 
 
 class ComponentFailedError(LilacwalkError):
-    """A component without which this app server cannot go on has failed."""
+    """A component that this app server requires has failed."""
 
     def __init__(self, reason: str) -> None:
-        """`reason` is the last message of the component."""
+        """`reason` is the component's error message."""
         super().__init__(reason)
         self.reason = reason
 
 
 class Timer(NamedTuple):
-    """A handler that is due; timers of the same time run in the order in which they were set."""
+    """A handler to call at `due`; timers due at the same time run in the order they were set."""
 
     due: int
     order: int
@@ -55,15 +55,16 @@
 
 
 class EventLoop:
-    """Takes events from the queue and has the controller decide on them in one batch.
+    """Takes events from the queue and passes them to the controller in one batch per iteration.
 
-    An iteration takes at most `limits.max_events_per_iteration` items, so that timers are not late
-    for the length of the queue. What is sent during an iteration leaves at its end, together with
-    all else for the same socket.
+    An iteration takes at most `limits.max_events_per_iteration` items, so that a long queue does
+    not delay timers. Data sent during an iteration is flushed at its end, with a single flush per
+    socket.
 
-    Owns the queue, the timers, the time of the current iteration (`now`, tenths of a millisecond of
-    the Unix clock), the controller, the events of its next batch and the send buffers to flush. The
-    parts own the rest: `requests`, `executor`, `dependency_calls`, `subsystems` and `drain`.
+    Owns the queue, the timers, the time of the current iteration (`now`, Unix time in tenths of a
+    millisecond), the controller, the events of its next batch and the send buffers to flush. All
+    other state belongs to the components `requests`, `executor`, `dependency_calls`,
+    `decision_applier`, `subsystems` and `drain`.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         dependency_client: DependencyClient,
         registry: RegistryReporter,
     ) -> None:
-        """Builds the parts; nothing runs before `run`."""
+        """Creates the components; no event is handled before `run`."""
         self.server = server
         self.limits = limits
         self.clock = clock
@@ -90,7 +91,7 @@
         self.has_ended = False
         self.controller: Controller | None = None  # None until the executor has been up once
         self.controller_events: list[Event] = []  # of the current iteration
-        self.warm_up_ends_at = 0  # 0: this was no cold start
+        self.warm_up_ends_at = 0  # 0: not a cold start
         self._timers: list[Timer] = []
         self._timer_order = count()
         self._unflushed_buffers: dict[SendBuffer, None] = {}
@@ -107,14 +108,14 @@
         """Runs until the drain has ended.
 
         Raises:
-            ComponentFailedError: A component that the process cannot do without has failed.
+            ComponentFailedError: A component that the process requires has failed.
         """
         self.schedule(self.now, self.run_housekeeping, self.now)
         while not self.has_ended:
             self.run_iteration()
 
     def run_iteration(self) -> None:
-        """Waits for events or a timer, handles all that is due and sends what was decided."""
+        """Waits for events or a timer, handles what is due, and applies the decisions on it."""
         items = self.take_items()
         self.now = max(self.now, self.clock.now())
         for item in items:
@@ -134,7 +135,7 @@
         self.subsystems.report_node_state()
 
     def take_items(self) -> list[Callback | ComponentFailure]:
-        """Waits for an item, at most until the next timer, and takes what else is there."""
+        """Waits for an item until the next timer at most, and takes all items that are queued."""
         wait = max(0, self._timers[0].due - self.clock.now()) if self._timers else SECOND
         items: list[Callback | ComponentFailure] = []
         try:
@@ -146,11 +147,11 @@
         return items
 
     def schedule(self, due: int, handler: Callable[..., object], *arguments: object) -> None:
-        """Has `handler` called with these arguments in the first iteration at or after `due`."""
+        """Schedules a call of `handler` in the first iteration at or after `due`."""
         heapq.heappush(self._timers, Timer(due, next(self._timer_order), handler, arguments))
 
     def send(self, send_buffer: SendBuffer, data: bytes) -> bool:
-        """Appends to a send buffer that is flushed at the end of this iteration.
+        """Appends to a send buffer, which is flushed at the end of this iteration.
 
         Returns:
             False if the buffer is full because the peer does not read.
@@ -159,11 +160,11 @@
         return send_buffer.append(data)
 
     def start_controller(self, *, is_cold: bool, executor_age: int) -> None:
-        """Creates the controller, once the executor has answered for the first time.
+        """Creates the controller when the executor reports for the first time.
 
         Args:
             is_cold: Whether the executor is still warming up.
-            executor_age: How long it has been up, in tenths of a millisecond.
+            executor_age: Time since the executor started, in tenths of a millisecond.
         """
         started_at = self.now - (executor_age if is_cold else 0)
         self.warm_up_ends_at = started_at + self.server.warm_up_time if is_cold else 0
@@ -173,22 +174,22 @@
         self.drain.notify_controller()
 
     def set_controller_timer(self, delay: int) -> None:
-        """Sets the controller's next timer, and asks for fresh gauges shortly before."""
+        """Sets the controller's next timer, and requests new gauge values shortly before it."""
         due = self.now + delay
         self.schedule(due - self.limits.gauge_lead, self.executor.request_gauges)
         self.schedule(due, self._controller_timer_expired)
 
     def _controller_timer_expired(self) -> None:
-        """Takes the gauges reported last; a report that is late is not waited for."""
+        """Uses the gauges reported last, without waiting for a report that is late."""
         gauges = self.executor.gauges
         self.controller_events.append(TimerExpired(gauges.core_use, gauges.run_queue))
 
     def run_housekeeping(self, due: int) -> None:
-        """Does the periodic work that no message starts: reports, expired keys, idle connections.
+        """Does the periodic work: reports, removal of expired keys, closing of idle connections.
 
         Args:
-            due: When this run was due; one that is late by a whole interval met a stall of the
-                process, and then no connection is closed for its silence.
+            due: The time at which this run was due. If it is late by a whole interval, the process
+                was stalled, and no connection counts as idle.
         """
         interval = self.limits.housekeeping_interval
         self.schedule(self.now + interval, self.run_housekeeping, self.now + interval)
--- a/lilacwalk/server/executor_session.py
+++ b/lilacwalk/server/executor_session.py
@@ -1,4 +1,4 @@
-"""The session with the executor: its link, the events it sends and the commands sent to it."""
+"""The session with the executor: its connection (the link), its events and the commands to it."""
 
 from __future__ import annotations
 
@@ -26,38 +26,40 @@
 
 log = logging.getLogger(__name__)
 
-GAUGE_POLL_PREFIX = "g"  # of the tags of gauge requests; a number follows
-FENCE_PREFIX = "fence"
+GAUGE_POLL_PREFIX = "g"  # the tag of a gauge poll is this prefix and the number of the poll
+FENCE_PREFIX = "fence"  # the tag of a replay fence is this prefix and the number of the fence
 DISPATCH_COMMAND = "SCHED"
 CALL_END_COMMANDS = ("IODONE", "NOIO")
 
 
 class Gauges(NamedTuple):
-    """What the executor reported last of its cores."""
+    """Load of the executor's cores, as last reported."""
 
     core_use: float  # 0 to 1
-    run_queue: float  # requests on the cores
+    run_queue: float  # requests running on the cores
 
 
 class ExecutorSession:
-    """Keeps commands and events consistent over links that break.
+    """Keeps commands and events consistent when the link to the executor breaks.
 
-    The executor answers in the order in which it reads. A gauge request sent after the opening of a
-    link is therefore a fence: its answer says that all replayed events have been read. Likewise the
-    answer to a numbered gauge poll acknowledges all commands that were sent before it.
+    After the opening of a new link the executor replays its events. It responds to commands in the
+    order in which it reads them. A gauge request sent after the opening is therefore a fence: its
+    response shows that all replayed events have been received. Likewise, the response to a numbered
+    gauge poll acknowledges all commands that were sent before the poll.
 
     Owns the send buffer of the current link, the fence, the number of gauge polls and the gauges
     reported last.
     """
 
     def __init__(self, event_loop: EventLoop, client: ExecutorClient) -> None:
-        """Takes the callbacks of `client`."""
+        """Registers itself for the callbacks of `client`."""
         self._event_loop = event_loop
         self.send_buffer: SendBuffer | None = None  # None: no link
-        self.is_ready = False  # there is a link, and its replay has been read
-        self.gauges = Gauges(1.0, float(event_loop.server.cores))  # fully used until reported
+        self.is_ready = False  # whether there is a link whose replay has been received
+        # Until the first report, all cores count as in use.
+        self.gauges = Gauges(1.0, float(event_loop.server.cores))
         self.gauge_polls = 0
-        self._fence_tag = ""  # empty: none is awaited
+        self._fence_tag = ""  # empty: no fence is outstanding
         self._fence_count = 0
         client.on_connected = self._connected
         client.on_events = self._handle_events
@@ -66,25 +68,25 @@
     # Commands
 
     def send_commands(self, entry: InFlightRequest, *commands: bytes) -> None:
-        """Sends commands and keeps them until the executor has shown that it read them.
+        """Sends commands and keeps them until the executor has acknowledged them.
 
-        Without a link they are sent once there is one. Called without commands, it sends those that
-        are kept again: so few that an execution hardly ever ends, or asks for its next call, just
-        between the replay and what is sent again.
+        Without a link, the commands are sent when the next link is ready. A call without commands
+        resends the unacknowledged ones. These are so few that an execution hardly ever ends, or
+        requests its next dependency call, between the replay and the resent commands.
         """
         entry.unacknowledged_commands.extend(commands)
         entry.gauge_poll_at_last_command = self.gauge_polls
         for command in commands or entry.unacknowledged_commands:
             if self.is_ready and not self._event_loop.send(self.send_buffer, command):
-                # The executor does not read: a new link begins with what is not acknowledged.
+                # The executor does not read. Unacknowledged commands are resent over a new link.
                 shut_down_socket(self.send_buffer.sock)
 
     def dispatch(self, entry: InFlightRequest) -> None:
-        """Has the executor run a request."""
+        """Tells the executor to run a request."""
         self.send_commands(entry, encode_dispatch(entry.id, entry.class_name, entry.body))
 
     def request_gauges(self) -> None:
-        """Asks for the gauges, which also acknowledges all commands sent before."""
+        """Requests the gauges; the response also acknowledges all commands sent before."""
         if self.is_ready:
             self.gauge_polls += 1
             tag = f"{GAUGE_POLL_PREFIX}{self.gauge_polls}"
@@ -121,7 +123,7 @@
                         event.request_id, event.event_number, event.body
                     )
                 case _ if send_buffer is not self.send_buffer:
-                    pass  # of a link that is lost: only executions and calls count
+                    pass  # from a lost link, only ended executions and requested calls count
                 case GaugesReported():
                     self._gauges_reported(event)
                 case ExecutorBooted():
@@ -130,7 +132,7 @@
                     self._command_rejected(event)
 
     def _booted(self, event: ExecutorBooted) -> None:
-        """Starts the controller the first time; each time, sets a fence behind the replay."""
+        """Starts the controller if there is none, and sends a fence to detect the replay's end."""
         event_loop = self._event_loop
         if event_loop.controller is None:
             log.info("event=executor_up cold=%s age_ms=%d", event.is_cold, event.age // 10)
@@ -151,13 +153,13 @@
             self._replay_ended()
 
     def _acknowledge_commands(self, poll: int) -> None:
-        """Forgets the commands sent before a gauge poll: they were read, and over this link."""
+        """Drops the commands that were sent over this link before a gauge poll: they were read."""
         for entry in self._event_loop.requests.in_flight.by_id.values():
             if entry.gauge_poll_at_last_command < poll:
                 entry.unacknowledged_commands.clear()
 
     def _replay_ended(self) -> None:
-        """Sends the commands again that the executor may not have read over the lost link."""
+        """Resends the commands that the executor may not have read over the lost link."""
         event_loop = self._event_loop
         self.is_ready = True
         self._fence_tag = ""
@@ -185,15 +187,15 @@
         event_loop.controller_events.append(ExecutionFinished(entry.request, event.outcome))
         if event.outcome is Outcome.NOT_EXECUTED:
             requests.release_key(entry)
-        keeps_result = is_completed and entry.cache_key is not None
-        requests.release_request(entry, bytes(event.result) if keeps_result else None)
+        caches_result = is_completed and entry.cache_key is not None
+        requests.release_request(entry, bytes(event.result) if caches_result else None)
 
     def _command_rejected(self, event: CommandRejected) -> None:
-        """Fails a request whose execution may hang because a command was not carried out.
+        """Fails a request whose execution may hang because a command was rejected.
 
-        A request that the executor does not know has no execution, however often it was sent. The
-        end of a call that was sent twice may be rejected though the execution goes on: then its end
-        or its deadline decides.
+        After a rejected dispatch there is no execution, even if the dispatch was sent twice. If the
+        end of a call was sent twice, the executor may reject the second one while the execution
+        continues; the request then ends with its execution or at its deadline.
         """
         requests = self._event_loop.requests
         entry = requests.in_flight.by_id.get(event.request_id)
@@ -204,7 +206,7 @@
             log.error("event=command_rejected command=%s id=%s", event.command, event.request_id)
         elif entry.connection is not None:
             entry.connection.frontend.reject_malformed(
-                entry.connection, 0, "an exchange that the kernel does not know"
+                entry.connection, 0, "the executor rejected the dispatch of the request"
             )
         may_hang = event.command in CALL_END_COMMANDS and not entry.commands_resent
         if not is_dispatch and not may_hang:
--- a/lilacwalk/server/integrations/__init__.py
+++ b/lilacwalk/server/integrations/__init__.py
@@ -1,1 +1,1 @@
-"""What connects each optional subsystem with the event loop, a module each."""
+"""Connects the event loop to the optional subsystems; each has an integration module."""
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -1,7 +1,7 @@
-"""The BGP speaker beside the event loop, loaded only where the file has an announce block.
+"""Connects the event loop to the BGP speaker, which runs in a thread of its own.
 
-The event loop reports the node's state after each iteration in which it changed, and asks only when
-a drain may close the listener.
+Loaded only if the operator's file has an announce block. The event loop reports the node's state
+when it has changed, and during a drain it checks whether the listener may close.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class WithdrawalListener(Protocol):
-    """Told whether this node's announcements are withdrawn because it is unhealthy."""
+    """Called with whether this node's announcements are withdrawn because it is unhealthy."""
 
     def __call__(self, withdrawn: bool, /) -> None:
         """Called in the event loop's thread."""
@@ -33,7 +33,8 @@
 class BgpIntegration:
     """Owns the speaker and its admin socket.
 
-    The event loop calls all methods; reports of the speaker's thread go through the event queue.
+    All public methods run in the event loop's thread. The speaker's thread reports through the
+    event queue.
     """
 
     def __init__(
@@ -48,10 +49,10 @@
 
         Args:
             config: the announce block.
-            seed: of the speaker's random delays.
-            event_queue: of the event loop.
-            now: the event loop's clock in tenths of a millisecond.
-            on_withdrawn: told of changes.
+            seed: the seed of the speaker's random delays.
+            event_queue: the queue of the event loop.
+            now: returns the event loop's time in tenths of a millisecond.
+            on_withdrawn: called when the announcement level changes.
 
         Raises:
             OSError: a socket cannot be opened.
@@ -70,63 +71,67 @@
                 if self.speaker.listener is not None:
                     self.speaker.listener.close()
                 raise
-        self.reported_node: Node | None = None
-        self.listener_closes_at: int | None = None  # known once the withdrawal was sent
+        self.reported_state: Node | None = None
+        self.listener_closes_at: int | None = None  # None until the withdrawal has been sent
 
     def start(self) -> None:
-        """Starts the threads."""
+        """Starts the speaker and the admin socket."""
         self.speaker.start()
         if self.admin_socket is not None:
             self.admin_socket.start()
 
     def end(self, timeout: float) -> None:
-        """Ends the sessions; waits up to `timeout` seconds for the speaker's thread."""
+        """Ends the BGP sessions; waits up to `timeout` seconds for the speaker's thread."""
         self.speaker.end(timeout)
         if self.admin_socket is not None:
             self.admin_socket.close()
 
     def evaluate(self, facts: tuple, now: int) -> None:
-        """Reports a changed node state; `facts` are those of `readiness.Facts`, in their order."""
-        if self.reported_node is Node.LEAVING:
+        """Reports the node state if it changed; `facts` are the fields of `readiness.Facts`."""
+        if self.reported_state is Node.LEAVING:
             return
         state = node(Facts(*facts), now)
-        if state is not self.reported_node and state is not Node.LEAVING:
-            self.reported_node = state
+        if state is not self.reported_state and state is not Node.LEAVING:
+            self.reported_state = state
             self.speaker.node(state)
 
-    def drain(self, listener_in: int) -> None:
-        """Withdraws the announcements; `listener_in` is in tenths of a millisecond."""
-        self.reported_node = Node.LEAVING
-        self.speaker.leave(listener_in)
+    def drain(self, close_delay: int) -> None:
+        """Withdraws the announcements.
+
+        `close_delay` is the time until the listener closes at the latest, in tenths of a
+        millisecond.
+        """
+        self.reported_state = Node.LEAVING
+        self.speaker.leave(close_delay)
 
     def listener_may_close(self, now: int) -> bool:
-        """Whether a drain need not wait for the withdrawal any longer."""
+        """Whether the withdrawal has taken effect, so that a drain may close the listener."""
         if self.speaker.over.is_set():
             return True
         return self.listener_closes_at is not None and now >= self.listener_closes_at
 
     def set_withdrawal_allowed(self, allowed: bool) -> None:
-        """Whether the fleet has room for this node to withdraw as unhealthy."""
+        """Sets whether this node may withdraw when unhealthy, as enough other members serve."""
         self.speaker.floor(allowed)
 
     def set_own_service_mode(self, mode: str) -> None:
-        """Limits the announcements of the own services: `whole`, `part` or `none` of them."""
+        """Limits announcements of this site's own services; `mode` is `whole`, `part` or `none`."""
         self.speaker.capped(LEVELS_BY_SERVICE_MODE[mode])
 
     def announce_failover_prefixes(self, prefixes: tuple[object, ...]) -> None:
-        """Announces the services of failed sites beside the own ones; replaces an earlier call."""
+        """Announces these service prefixes of failed sites, instead of those set before."""
         self.speaker.stand_in(tuple(Service(prefix=prefix) for prefix in prefixes))
 
     def restore_flap_penalty(
         self, penalty: float, suppressed: bool, announced: bool, age: int
     ) -> None:
-        """Takes over flap damping of an earlier process, from `age` tenths of a millisecond ago."""
+        """Restores flap damping stored by an earlier process `age` tenths of a millisecond ago."""
         self.speaker.recall(penalty, suppressed, announced, age)
 
     def flap_penalty_state(self) -> tuple[float, bool, bool]:
-        """Returns the penalty, whether it suppresses announcements, and whether we are announced.
+        """Returns the flap penalty, whether it suppresses announcements, and whether any is made.
 
-        The speaker's thread owns these; they are read as they are at this moment.
+        The speaker's thread owns these values; they are read without a lock.
         """
         announcing = self.speaker.speaking.announcing
         is_leaving = announcing.node in (Node.LEAVING, Node.GONE)
@@ -141,11 +146,11 @@
         self.event_queue.post(self._apply_announcement_level, level)
 
     def _apply_announcement_level(self, level: Level) -> None:
-        self.on_withdrawn(level is Level.NONE and self.reported_node in UNWELL)
+        self.on_withdrawn(level is Level.NONE and self.reported_state in UNWELL)
 
-    def _withdrawal_sent(self, listener_in: int) -> None:
+    def _withdrawal_sent(self, close_delay: int) -> None:
         """Runs in the speaker's thread."""
-        self.event_queue.post(self._schedule_listener_close, listener_in)
+        self.event_queue.post(self._schedule_listener_close, close_delay)
 
-    def _schedule_listener_close(self, listener_in: int) -> None:
-        self.listener_closes_at = self.now() + listener_in
+    def _schedule_listener_close(self, close_delay: int) -> None:
+        self.listener_closes_at = self.now() + close_delay
--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -1,6 +1,6 @@
-"""Traffic of failed sites on this node: its own listeners, and what is rejected under overload.
+"""Failover traffic on this node: its listeners, and rejections while the node is overloaded.
 
-Loaded only where the operator's file has a sites block. Runs in the event loop's thread.
+Loaded only if the operator's file has a sites block. Runs in the event loop's thread.
 """
 
 from __future__ import annotations
@@ -27,16 +27,18 @@
 from lilacwalk.protocols.proxy_listener import ProxyListener
 
 log = logging.getLogger(__name__)
-MAX_FAILOVER_FRACTION = 4  # failover frontends have one in so many connections and requests
-SEED_MASK = 0x517E  # keeps these random draws apart from the controller's
+# Failover listeners together get at most this fraction (a quarter) of the limits on connections and
+# on requests in flight.
+FAILOVER_LIMIT_DIVISOR = 4
+SEED_MASK = 0x517E  # a separate random sequence: it does not change the controller's draws
 
 
 class FailoverTrafficIntegration:
-    """Owns the listeners for failover traffic, their frontends and the local priorities."""
+    """Owns the listeners for failover traffic, their frontends and the `LocalPriority`."""
 
     def __init__(
         self,
-        host: RequestHandler,
+        request_handler: RequestHandler,
         config: FailoverConfig,
         site: str,
         server: ServerSettings,
@@ -47,29 +49,29 @@
         """Opens the listeners.
 
         Args:
-            host: takes the requests.
-            config: the operator's block.
-            site: this node's own.
+            request_handler: handles the requests.
+            config: the sites block of the operator's file.
+            site: the site of this node.
             server: the server's settings.
-            limits: of the whole process.
-            event_queue: the event loop's.
-            listener: the platform's, among whose connections those of failover traffic count.
+            limits: the limits of the whole process.
+            event_queue: the queue of the event loop.
+            listener: the listener for local traffic; failover connections share its limit.
 
         Raises:
-            OSError: an address cannot be had; then nothing is left open.
+            OSError: an address cannot be bound; all listeners have been closed.
         """
         self.config = config
         self.site = site
         self.server = server
         self.core_use_samples: list[float] = []  # since the last step
         self.completed_requests = 0  # since the last step
-        # As of the last step, replaced whole: any thread may read it.
+        # As of the last step. Replaced, never modified, so that any thread may read it.
         self.last_description: dict = {}
         self.frontends: list[ProxyFrontend] = []
         self.listeners: list[ProxyListener] = []
         self.failover_classes: dict[tuple[str, str], RequestClass] = {}  # by site and class
         try:
-            self._listen(host, limits, event_queue, listener)
+            self._listen(request_handler, limits, event_queue, listener)
         except OSError:
             self.close()
             raise
@@ -87,28 +89,39 @@
 
     def _listen(
         self,
-        host: RequestHandler,
+        request_handler: RequestHandler,
         limits: Limits,
         event_queue: EventQueue,
         listener: ProxyListener,
     ) -> None:
         sites = [each for each in self.config.site if self._has_listener(each)]
         listener_count = max(1, len(sites))
-        connections = max(1, limits.connections // MAX_FAILOVER_FRACTION // listener_count)
-        max_in_flight = max(1, limits.max_in_flight // MAX_FAILOVER_FRACTION // listener_count)
-        own_limits = replace(limits, connections=connections, connection_high_water=connections)
+        connections = max(1, limits.connections // FAILOVER_LIMIT_DIVISOR // listener_count)
+        max_in_flight = max(1, limits.max_in_flight // FAILOVER_LIMIT_DIVISOR // listener_count)
+        failover_limits = replace(
+            limits, connections=connections, connection_high_water=connections
+        )
         for each in sites:
-            opened = ProxyListener(each.guests, own_limits, event_queue, listener.connection_slots)
-            self.listeners.append(opened)
-            self.frontends.append(ProxyFrontend(host, opened, max_in_flight, own_limits, each.name))
+            failover_listener = ProxyListener(
+                each.guests, failover_limits, event_queue, listener.connection_slots
+            )
+            self.listeners.append(failover_listener)
+            self.frontends.append(
+                ProxyFrontend(
+                    request_handler, failover_listener, max_in_flight, failover_limits, each.name
+                )
+            )
 
     def _has_listener(self, site: Site) -> bool:
         return site.guests is not None and site.name != self.site
 
     def reconfigure(self, config: FailoverConfig) -> None:
-        """Takes a block, at start and after a reload. Listeners last as long as the process."""
+        """Applies a sites block, at start and after a reload, except for changed listeners."""
         if _listening_addresses(config) != _listening_addresses(self.config):
-            log.warning("event=reload_ignored detail='listeners for guests end with the program'")
+            log.warning(
+                "event=reload_ignored "
+                "detail='changed addresses for failover traffic apply after a restart'"
+            )
         self.config = config
         path_costs = {
             each.name: target.cost
@@ -145,31 +158,35 @@
         for listener in self.listeners:
             listener.close()
 
-    def stop_taking_failover(self) -> None:
-        """The block is gone: what still comes in is local traffic by weight, until it is over."""
+    def clear_traffic_plan(self) -> None:
+        """Drops the traffic plan after the sites block was removed.
+
+        Requests that still arrive at the failover listeners are then ranked by weight, like local
+        traffic.
+        """
         self.set_traffic_plan(TrafficPlan())
 
     def set_traffic_plan(self, traffic_plan: TrafficPlan) -> None:
-        """Takes what the node plan says now."""
+        """Sets the traffic plan that the node plan has made."""
         self.local_priority.traffic_plan = traffic_plan
 
-    def class_for(self, source: str, request_class: RequestClass) -> RequestClass:
-        """The class as the controller is to know it for a request of this site's clients."""
-        return self.failover_classes.get((source, request_class.name), request_class)
+    def effective_class(self, source_site: str, request_class: RequestClass) -> RequestClass:
+        """Returns the class that the controller uses for a request from `source_site`."""
+        return self.failover_classes.get((source_site, request_class.name), request_class)
 
     def reject_if_over(
-        self, class_name: str, source: str, controller: Controller
+        self, class_name: str, source_site: str, controller: Controller
     ) -> LocalRejection | None:
-        """Whether a request is rejected before the controller sees it; None passes it on."""
+        """Returns the rejection of a request; None: it is passed on to the controller."""
         is_busy = bool(controller.queue) or controller.running >= self.server.cores
-        return self.local_priority.reject_if_over(class_name, source or self.site, is_busy)
+        return self.local_priority.reject_if_over(class_name, source_site or self.site, is_busy)
 
     def request_completed(self) -> None:
         """Counts a request that was completed."""
         self.completed_requests += 1
 
     def evaluate(self, controller: Controller, now: int, core_use: float) -> None:
-        """Takes the gauge reported last, and a step of the priorities where one is due."""
+        """Records a sample of the core use, and runs a step of the priorities if one is due."""
         priority = self.local_priority
         self.core_use_samples.append(core_use)
         if now < priority.next_step_at:
@@ -199,12 +216,16 @@
     def _execution_times(
         self, controller: Controller, flows: Iterable[tuple[str, str]]
     ) -> dict[tuple[str, str], int]:
-        """Expected by class and site, from failover and local requests of the class together."""
+        """Returns expected execution times by class and site.
+
+        Each is the larger of the means of the class's failover and local requests, or the overall
+        mean if the class has not been executed yet.
+        """
         local_classes = {each.name: each for each in self.server.request_classes}
         expected = {}
-        for class_name, source in flows:
+        for class_name, source_site in flows:
             candidates = (
-                self.failover_classes.get((source, class_name)),
+                self.failover_classes.get((source_site, class_name)),
                 local_classes[class_name],
             )
             known = [
@@ -212,7 +233,9 @@
                 for each in candidates
                 if each is not None and each in controller.execution_times
             ]
-            expected[class_name, source] = int(max(known, default=controller.mean_execution_time))
+            expected[class_name, source_site] = int(
+                max(known, default=controller.mean_execution_time)
+            )
         return expected
 
 
--- a/lilacwalk/server/integrations/learned_state.py
+++ b/lilacwalk/server/integrations/learned_state.py
@@ -1,4 +1,4 @@
-"""Persists what the controller has learned, and restores it by its age."""
+"""Persists the controller's learned state, and restores it with a weight based on its age."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 log = logging.getLogger(__name__)
 SECOND = 10_000  # tenths of a ms
-PERSIST_INTERVAL = 5 * SECOND  # what a kill may forget
-RETENTION_HALF_LIVES = 10  # after which a row counts for nothing
-SET_BACK_CLOCK_WEIGHT = 0.5  # of a row from the future, whose age is not known
+PERSIST_INTERVAL = 5 * SECOND  # a killed process loses at most the changes of this time
+RETENTION_HALF_LIVES = 10  # an older row has next to no weight
+# Weight of a row with a time in the future, whose age is unknown because the clock was set back.
+SET_BACK_CLOCK_WEIGHT = 0.5
 ROW_KEY = b"controller"
 
 
 class LearnedStateRow(msgspec.Struct, frozen=True, array_like=True):
-    """The persisted form: an array in this order, request classes by name."""
+    """The stored row: an array in this order, with request classes by name."""
 
     admission_probability: float
     last_error: float
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLearnedState:
-    """What an earlier process had learned; `written_at` is Unix time in tenths of a ms."""
+    """Learned state of an earlier process; `written_at` is Unix time in tenths of a ms."""
 
     state: LearnedState
     written_at: int
@@ -43,7 +44,7 @@
 def encode_learned_state(
     state: LearnedState, request_classes: dict[str, RequestClass], expires_at: int
 ) -> RowUpdate:
-    """Returns the row to be written; request classes that are configured no more are left out."""
+    """Returns the row to be written, without request classes that are no longer configured."""
     execution_times = {
         request_class.name: execution_time
         for request_class, execution_time in state.execution_times.items()
@@ -61,15 +62,15 @@
 
 
 def decode_learned_state(
-    rows: list[Record], request_classes: dict[str, RequestClass], wall: int
+    rows: list[Record], request_classes: dict[str, RequestClass], unix_now: int
 ) -> RecoveredLearnedState | None:
-    """Returns what the rows hold; None where there is no row, or it is expired or unreadable."""
+    """Returns the learned state in the rows; None if its row is missing, expired or unreadable."""
     for record in rows:
         if record.table == Table.LEARNED and record.key == ROW_KEY:
             break
     else:
         return None
-    if record.value is None or record.expires_at <= wall:
+    if record.value is None or record.expires_at <= unix_now:
         return None
     try:
         row = msgspec.msgpack.decode(record.value, type=LearnedStateRow)
@@ -94,9 +95,10 @@
 def restore(
     controller: Controller, recovered: RecoveredLearnedState, now: int, half_life: int
 ) -> None:
-    """Restores what was learned, with a weight by its age.
+    """Restores learned state with a weight that depends on its age.
 
-    Where the clock was set back since, the row's age is not known: it counts as of now, in half.
+    If the clock has been set back since, the row's age is unknown: it has half the weight of a row
+    written now.
     """
     state = recovered.state
     row = Record(0, Table.LEARNED, ROW_KEY, None, 0, recovered.written_at)
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -1,7 +1,7 @@
-"""The membership beside the event loop, loaded only where the file has a fleet block.
+"""Connects the event loop to the membership, which runs in a thread of its own.
 
-The event loop reports the node's state when it changes and its metrics from time to time, and waits
-for nothing.
+Loaded only if the operator's file has a fleet block. The event loop reports the node's state when
+it changes and its metrics once per `REPORT_INTERVAL`, and never waits for the membership thread.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
     from lilacwalk.server.integrations.site_failover import SiteFailoverIntegration
 
 REPORT_INTERVAL = SECOND  # between two updates of metrics, in tenths of a millisecond
-MAX_REJECTED_CLASSES = 6  # reported, those with most rejections first
-MAX_CLASS_NAME = 24  # characters of each
-MAX_COMPLETED = (1 << 32) - 1
+MAX_REJECTED_CLASSES = 6  # reported; the classes with most rejections come first
+MAX_CLASS_NAME_LENGTH = 24  # characters
+MAX_COMPLETED_PER_SECOND = (1 << 32) - 1
 PERMILLE = 1_000
-METRIC_STEP = 50  # permille: smaller changes are not worth an update
+METRIC_STEP = 50  # permille; smaller changes are not worth a gossip update
 
 
 class WithdrawalPermissionListener(Protocol):
-    """Told whether this node may withdraw its announcements as unhealthy."""
+    """Called with whether this node may withdraw its announcements when it is unhealthy."""
 
     def __call__(self, may_withdraw: bool, verdict: str, /) -> None:
-        """Called in the membership thread, with the conclusion drawn from the view."""
+        """Runs in the membership thread; `verdict` is the conclusion from the membership view."""
 
 
 class MembershipIntegration:
     """Owns the membership host, its admin socket and the metrics since the last report.
 
-    `draining_peers` and `load_multiplier` are written by the membership thread and read by the
-    event loop, which calls all methods.
+    The event loop calls all public methods. The membership thread writes `draining_peers` and
+    `load_multiplier`, which the event loop reads.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
 
         Args:
             config: the fleet block.
-            name: of the app server, where the block gives none.
-            cores: of this app server, told to others.
-            revision: of the program, told to others.
-            on_withdrawal_permission: told when the permission or the conclusion changes.
+            name: the name of the app server, used if the block gives none.
+            cores: the number of this app server's cores, which other members learn by gossip.
+            revision: the version of the program, which other members learn by gossip.
+            on_withdrawal_permission: called when the permission or the conclusion changes.
             site_failover: evaluates the view in the membership thread.
 
         Raises:
@@ -87,17 +87,18 @@
                 raise
         self.storage_state = ""
         self.draining_peers = 0
-        self.load_multiplier = 1.0  # known members over present ones, whose clients come to these
+        # Ratio of known to present members: clients of dead members move to the present ones.
+        self.load_multiplier = 1.0
         self.reported_state: Node | None = None
         self.next_report_at = 0
         self.last_evaluated_at = 0
-        # core use times time since the last report: a gauge at one moment says little
+        # Integral of core use over time since the last report; a single sample is not meaningful.
         self.utilization_integral = 0.0
         self.completed = 0
         self.rejected_by_class: Counter[str] = Counter()
 
     def start(self) -> None:
-        """Starts the threads."""
+        """Starts the membership thread and the admin socket."""
         self.host.start()
         if self.admin_socket is not None:
             self.admin_socket.start()
@@ -106,7 +107,7 @@
         """Applies a changed fleet block.
 
         Raises:
-            FleetError: a key cannot be used; nothing has changed.
+            FleetError: a key of the block cannot be used; nothing has been changed.
         """
         self.host.reload(config)
 
@@ -117,7 +118,7 @@
             self.admin_socket.close()
 
     def set_withdrawn(self, withdrawn: bool) -> None:
-        """Gossips whether this node has withdrawn its announcements because it is unhealthy."""
+        """Publishes by gossip whether this node withdrew its announcements as unhealthy."""
         self.host.update_metadata(withdrawn=withdrawn)
 
     def record_outcome(self, request_class: str, status: FinalStatus) -> None:
@@ -135,14 +136,14 @@
         core_use: float,
         storage_state: str,
     ) -> None:
-        """Reports what has changed after an iteration of the event loop.
+        """Reports changes of state after an iteration of the event loop, and metrics when due.
 
         Args:
-            facts: those of `readiness.Facts`, in their order.
-            now: in tenths of a millisecond.
-            admission_probability: of the controller.
-            core_use: share of the cores in use.
-            storage_state: of the store, empty where effects are stored as configured.
+            facts: the fields of `readiness.Facts`, in this order.
+            now: the current time in tenths of a millisecond.
+            admission_probability: the controller's admission probability.
+            core_use: the share of the cores in use.
+            storage_state: the state of the effect log; empty if effects are persisted.
         """
         if storage_state != self.storage_state:
             self.storage_state = storage_state
@@ -165,22 +166,22 @@
         rejected = self.rejected_by_class.most_common(MAX_REJECTED_CLASSES)
         self.host.update_metadata(
             cores=self.cores,
-            completed_per_second=min(MAX_COMPLETED, self.completed * SECOND // span),
+            completed_per_second=min(MAX_COMPLETED_PER_SECOND, self.completed * SECOND // span),
             load_permille=_rounded_permille(utilization),
             admission_permille=_rounded_permille(admission_probability),
-            rejected_classes=tuple(name[:MAX_CLASS_NAME] for name, _ in rejected),
+            rejected_classes=tuple(name[:MAX_CLASS_NAME_LENGTH] for name, _ in rejected),
         )
         self.next_report_at = now + REPORT_INTERVAL
         self.utilization_integral = 0.0
         self.completed = 0
         self.rejected_by_class.clear()
 
-    def _publish_view(self, machine: Membership, verdict: Verdict, may_withdraw: bool) -> None:
+    def _publish_view(self, membership: Membership, verdict: Verdict, may_withdraw: bool) -> None:
         """Runs in the membership thread."""
-        view = machine.view
-        self.draining_peers = sum(member.name != machine.name for member in view.draining())
-        lost = len(view.with_health(Health.DEAD))
-        self.load_multiplier = 1 + lost / max(1, len(view.present))
+        view = membership.view
+        self.draining_peers = sum(member.name != membership.name for member in view.draining())
+        dead_members = len(view.with_health(Health.DEAD))
+        self.load_multiplier = 1 + dead_members / max(1, len(view.present))
         self.on_withdrawal_permission(may_withdraw, verdict)
 
     def _site_commands(self) -> SiteCommandHandler | None:
--- a/lilacwalk/server/integrations/persistence.py
+++ b/lilacwalk/server/integrations/persistence.py
@@ -1,7 +1,7 @@
-"""Connects the event loop with the store: effects, learned state, damping, device sessions.
+"""Connects the event loop to the store: effects, learned state, damping, device sessions.
 
-Loaded only where the operator's file has a store block. All methods run in the event loop unless
-they say otherwise; none waits for the disk.
+Loaded only if the operator's file has a store block. Methods run in the event loop's thread unless
+documented otherwise. None of them waits for the disk, except `end`.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
     from lilacwalk.server.integrations.site_failover import SiteFailoverIntegration
 
 log = logging.getLogger(__name__)
-SESSION_RETENTION = DAY  # the edge removes a session earlier, after its own time
+SESSION_RETENTION = DAY  # the edge removes a session earlier, at the session's own expiry
 EFFECTS_TABLES = (Table.BEGAN, Table.RESULTS)
 NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
 
 class RecoveredCallback(Protocol):
-    """Told of the requests of earlier processes, once the store is read or cannot be opened."""
+    """Called with the effects of earlier processes; with none if the store cannot be opened."""
 
     def __call__(self, effects: list[RecoveredEffect], /) -> None:
         """Runs in the event loop."""
@@ -53,7 +53,7 @@
 
 
 class EffectCallback(Protocol):
-    """Told whether a request that waited for the disk runs now."""
+    """Called with whether a request that waited for the disk may run."""
 
     def __call__(self, token: object, may_run: bool, /) -> None:
         """Runs in the event loop."""
@@ -69,9 +69,9 @@
 
 
 class PersistenceIntegration:
-    """Connects the event loop with the store.
+    """Connects the event loop to the store.
 
-    Owns the effect log, the store with its opener, and what was recovered until it is restored.
+    Owns the effect log, the store with its opener, and recovered state until it is restored.
     """
 
     def __init__(
@@ -83,7 +83,11 @@
         on_recovered: RecoveredCallback,
         on_persisted: EffectCallback,
     ) -> None:
-        """Raises OSError where the admin socket cannot be created."""
+        """Creates the store opener and the admin socket.
+
+        Raises:
+            OSError: the admin socket cannot be created.
+        """
         self.config = config
         self.event_queue = event_queue
         self.request_classes = request_classes
@@ -91,7 +95,7 @@
         self.on_persisted = on_persisted
         self.effect_log = EffectLog(config.unpersisted_effects == "marked")
         self.store: Store | None = None
-        self.learned: RecoveredLearnedState | None = None  # until it is restored
+        self.learned: RecoveredLearnedState | None = None  # None: nothing to restore
         self.subsystems = SubsystemState(config.damping_retention)
         self.recovered_sessions: dict[bytes, bytes] = {}
         self._next_persist = 0
@@ -110,18 +114,18 @@
             self.admin_socket = AdminSocket(config.socket, self._answer, "storage")
 
     def start(self) -> None:
-        """Starts opening the store, and the admin socket."""
+        """Starts the opener's thread and the admin socket."""
         self._opener.start()
         if self.admin_socket is not None:
             self.admin_socket.start()
 
-    def end(self, patience: float) -> None:
-        """Writes what was put before, for at most `patience` seconds, and closes the store."""
+    def end(self, timeout: float) -> None:
+        """Writes pending updates, for at most `timeout` seconds, and closes the store."""
         self._opener.stop()
         if self.admin_socket is not None:
             self.admin_socket.close()
         if self.store is not None:
-            self.store.close(patience)
+            self.store.close(timeout)
 
     # Called in the store's thread
 
@@ -132,20 +136,20 @@
     def _mode_changed(self, mode: JournalMode, reason: str) -> None:
         self.event_queue.post(self._journal_mode_changed, mode, reason)
 
-    # The store's events, in the event loop
+    # Called in the event loop's thread on events of the store
 
     def _store_opened(self, store: Store, rows: list[Record]) -> None:
         self.store = store
-        wall = time.time_ns() // NANOSECONDS_PER_TICK
+        unix_now = time.time_ns() // NANOSECONDS_PER_TICK
         effect_rows = [row for row in rows if row.table in EFFECTS_TABLES]
-        effects = self.effect_log.recover(effect_rows, wall)
-        self.learned = learned_state.decode_learned_state(rows, self.request_classes, wall)
+        effects = self.effect_log.recover(effect_rows, unix_now)
+        self.learned = learned_state.decode_learned_state(rows, self.request_classes, unix_now)
         self.recovered_sessions = {
             row.key: row.value
             for row in rows
-            if row.table == Table.SESSIONS and row.value and row.expires_at > wall
+            if row.table == Table.SESSIONS and row.value and row.expires_at > unix_now
         }
-        self.subsystems.recover(rows, wall)
+        self.subsystems.recover(rows, unix_now)
         self._report_changes()
         self.on_recovered(effects)
 
@@ -173,14 +177,14 @@
     # Requests with an effect
 
     def deduplicated_until(self, request: Request, now: int) -> int:
-        """Returns until when a duplicate of the request is recognised."""
+        """Returns the time until which duplicates of the request are recognized."""
         window = request.request_class.deduplication_window
         return request.arrived_at + window if window else now + self.config.effect_retention
 
     def begin_effect(
         self, token: object, cache_key: CacheKey, expires_at: int, now: int
     ) -> bool | None:
-        """Returns whether a request may run; None: it waits, and `on_persisted` follows."""
+        """Returns whether a request may run; None: it has to wait for `on_persisted`."""
         begun = self.effect_log.begin(cache_key, expires_at)
         if begun.update is not None:
             self._put(begun.update, now, PendingEffect(token, cache_key))
@@ -205,12 +209,12 @@
     def finish_effect(
         self, cache_key: CacheKey, result: bytes | None, expires_at: int, now: int
     ) -> None:
-        """Persists the end of a request; `result` None: its outcome is unknown."""
+        """Persists the end of a request; None as `result`: the outcome is unknown."""
         for update in self.effect_log.finish(cache_key, result, expires_at):
             self._put(update, now)
 
     def cancel_effect(self, cache_key: CacheKey, now: int) -> None:
-        """Removes the row of a request that was persisted and never ran."""
+        """Removes the row of a request that was recorded but never ran."""
         for update in self.effect_log.cancel(cache_key):
             self._put(update, now)
 
@@ -221,7 +225,10 @@
     # Device sessions
 
     def persist_sessions(self, rows: dict[bytes, bytes | None]) -> None:
-        """Persists device sessions, or removes them (None). Called in the edge's thread."""
+        """Persists device sessions, or removes those with the value None.
+
+        Called in the edge's thread.
+        """
         if self.store is None:
             return
         now = time.time_ns() // NANOSECONDS_PER_TICK
@@ -231,7 +238,7 @@
     # Learned state, damping and sites
 
     def persist_learned_state(self, controller: Controller, now: int) -> None:
-        """Persists what the controller has learned, now and then."""
+        """Persists the controller's learned state every `PERSIST_INTERVAL`."""
         if self.store is None or now < self._next_persist:
             return
         self._next_persist = now + learned_state.PERSIST_INTERVAL
@@ -242,7 +249,7 @@
         self._put(update, now)
 
     def restore_learned_state(self, controller: Controller, now: int) -> None:
-        """Restores what was recovered, once, when the controller begins."""
+        """Restores the recovered learned state once, into a newly created controller."""
         if self.learned is None:
             return
         recovered, self.learned = self.learned, None
@@ -251,10 +258,11 @@
     def update_damping_and_sites(
         self, bgp: BgpIntegration | None, sites: SiteFailoverIntegration | None, now: int
     ) -> None:
-        """Restores what was recovered, once, and persists the state of both subsystems.
+        """Restores the recovered state of both subsystems once, and persists their current state.
 
-        Each change of the announcement is persisted, the rest as often as learned state: to be
-        called before `persist_learned_state`.
+        Damping is also persisted at each change of the announcement, otherwise both are persisted
+        as often as learned state. Must be called before `persist_learned_state`, which sets the
+        next time.
         """
         if self.store is None:
             return
@@ -266,13 +274,13 @@
             for update in self.subsystems.update_sites(sites, now, is_due):
                 self._put(update, now)
 
-    # The operator's question, answered in a thread of its own
+    # Operator queries, called in the admin socket's thread
 
-    def _answer(self, question: str) -> object:
-        return answer_show(question, self.event_queue, self.status)
+    def _answer(self, query: str) -> object:
+        return answer_show(query, self.event_queue, self.status)
 
     def status(self) -> dict:
-        """Returns what `lilacwalk storage show` prints."""
+        """Returns the status that `lilacwalk storage show` prints; runs in the event loop."""
         effect_log = self.effect_log
         status: dict = {
             "directory": self.config.directory,
--- a/lilacwalk/server/integrations/retry_storms.py
+++ b/lilacwalk/server/integrations/retry_storms.py
@@ -1,7 +1,7 @@
-"""Connects the event loop with the damper of retry storms.
+"""Connects the event loop to the damper of retry storms.
 
-Loaded only where the operator's file has a storms block. All of it runs in the event loop but the
-admin socket.
+Loaded only if the operator's file has a storms block. Everything except the admin socket runs in
+the event loop's thread.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from lilacwalk.server.integrations.status_query import answer_show
 
 log = logging.getLogger(__name__)
-SEED_MASK = 0x5703  # the controller's random draws stay what they are without this block
-FINGERPRINT_BYTES = 8  # some ten thousand are held at once
+SEED_MASK = 0x5703  # a separate random sequence: this block does not change the controller's draws
+FINGERPRINT_BYTES = 8  # collisions are rare: about ten thousand fingerprints are held at once
 
 
 def fingerprint(class_name: str, tenant_name: str, body: bytes | memoryview) -> bytes:
-    """Returns bytes that are equal for requests that look the same."""
+    """Returns a hash that is equal for requests with the same class, tenant and body."""
     digest = blake2b(body, digest_size=FINGERPRINT_BYTES)
     digest.update(f"{class_name}\0{tenant_name}".encode())
     return digest.digest()
 
 
 class RetryStormIntegration:
-    """Tells the damper what happens, and asks it before a request goes to the controller.
+    """Reports events to the damper, which may reject requests ahead of the controller.
 
     Owns the damper and the admin socket.
     """
@@ -45,7 +45,11 @@
         event_queue: EventQueue,
         now: int,
     ) -> None:
-        """Raises OSError where the admin socket cannot be created."""
+        """Creates the damper and the admin socket.
+
+        Raises:
+            OSError: the admin socket cannot be created.
+        """
         self.event_queue = event_queue
         self.damper = RetryStormDamper(
             config, max_retry_after, random.Random(seed ^ SEED_MASK), now
@@ -60,7 +64,7 @@
         if self.admin_socket is not None:
             self.admin_socket.start()
 
-    def end(self, _patience: float) -> None:
+    def end(self, _timeout: float) -> None:
         """Closes the admin socket."""
         if self.admin_socket is not None:
             self.admin_socket.close()
@@ -68,7 +72,7 @@
     def evaluate_request(
         self, incoming: IncomingRequest, deadline: int, is_duplicate: bool, now: int
     ) -> Rejection | None:
-        """Returns None where the request goes on to the controller."""
+        """Returns the rejection of a request; None: it is passed on to the controller."""
         attempt = Attempt(
             fingerprint=fingerprint(incoming.class_name, incoming.tenant_name, incoming.body),
             request_class=incoming.class_name,
@@ -80,7 +84,7 @@
         return self.damper.evaluate_request(attempt, now)
 
     def request_completed(self, entry: InFlightRequest) -> None:
-        """A request was answered with its result."""
+        """Counts a request that was completed."""
         tenant = entry.request.tenant
         tenant_name = tenant.name if tenant is not None else ""
         self.damper.request_completed(
@@ -88,16 +92,16 @@
         )
 
     def spread_retry_after(self, request: Request, retry_after: int, now: int) -> int:
-        """Returns what a rejection says in place of `retry_after`, in tenths of a ms."""
+        """Returns the retry-after time to send in place of `retry_after`, in tenths of a ms."""
         return self.damper.spread_retry_after(request.client, retry_after, now)
 
-    def evaluate(self, controller: Controller, now: int, fleet_strain: float) -> None:
-        """Tells the damper the queue's delay and reports a change of its stage."""
+    def evaluate(self, controller: Controller, now: int, load_multiplier: float) -> None:
+        """Passes the queue delay to the damper and logs changes of its stage."""
         self._now = now
-        # Idle cores have no queue, whatever executions are expected to take: that may be what a
-        # standstill taught.
+        # If no request is running there is no queue delay. The expected execution times must not
+        # count then, as they may have been learned while the executor was stalled.
         queue_delay = _queue_delay(controller) if controller.running else 0
-        self.damper.tick(now, queue_delay, fleet_strain)
+        self.damper.tick(now, queue_delay, load_multiplier)
         for change in self.damper.changes:
             log.warning(
                 {
@@ -108,14 +112,14 @@
             )
         self.damper.changes.clear()
 
-    # The operator's question, answered in a thread of its own
+    # Operator queries, called in the admin socket's thread
 
-    def _answer(self, question: str) -> object:
-        return answer_show(question, self.event_queue, lambda: self.damper.status(self._now))
+    def _answer(self, query: str) -> object:
+        return answer_show(query, self.event_queue, lambda: self.damper.status(self._now))
 
 
 def _queue_delay(controller: Controller) -> int:
-    """Returns tenths of a ms until a request that comes now would be answered."""
+    """Returns the expected response time of a request that arrives now, in tenths of a ms."""
     queued_work = sum(request.expected_work for request in controller.queue)
     queue_time = queued_work / max(1.0, controller.concurrency_limit)
     return int(controller.mean_unread_delay + queue_time + controller.mean_execution_time)
--- a/lilacwalk/server/integrations/site_failover.py
+++ b/lilacwalk/server/integrations/site_failover.py
@@ -1,6 +1,6 @@
-"""The failover plan on a running node: evaluates the membership view and reports what follows.
+"""Runs the failover planner on the membership view and reports its decisions to the app server.
 
-Loaded only where the operator's file has a sites block.
+Loaded only if the operator's file has a sites block.
 """
 
 from __future__ import annotations
@@ -38,17 +38,18 @@
 from lilacwalk.server.integrations.site_failover_report import describe_plan, describe_site
 
 log = logging.getLogger(__name__)
-MAX_JOIN_WAIT = 10  # probe intervals that a start waits for other members: they may all be gone
+# Probe intervals that a start waits for other members; all of them may be down.
+MAX_JOIN_WAIT_INTERVALS = 10
 MAX_LOGGED_MEMBERS = 8
 
 
 def unix_milliseconds() -> int:
-    """The system clock, in which operator commands expire."""
+    """Returns the time of the system clock, by which operator commands expire."""
     return time.time_ns() // 1_000_000
 
 
 class SiteFailoverIntegration:
-    """Owns the failover planner. All but the constructor runs in the membership thread."""
+    """Owns the failover planner. All methods but the constructor run in the membership thread."""
 
     def __init__(
         self,
@@ -58,16 +59,16 @@
         on_traffic_plan: TrafficPlanListener = lambda _plan: None,
         describe_failover_traffic: FailoverTrafficDescriber = dict,
     ) -> None:
-        """Takes the hooks, which are called in the membership thread.
+        """Stores the callbacks, which are called in the membership thread.
 
         Args:
-            config: the operator's block; may be replaced from another thread.
+            config: the sites block of the operator's file; may be replaced from another thread.
             on_failover_sites: called with the failed sites whose load this node takes,
                 when they change.
-            on_own_service_mode: called with how this node's own services are wanted: `whole`,
-                `part` or `none`.
-            on_traffic_plan: called with the traffic plan, when it changes.
-            describe_failover_traffic: returns what the admin socket shows of failover traffic; safe
+            on_own_service_mode: called with the service mode of this node's own site when it
+                changes: `whole`, `part` or `none`.
+            on_traffic_plan: called with the traffic plan when it changes.
+            describe_failover_traffic: returns the admin socket's report on failover traffic; safe
                 from any thread.
         """
         self.config = config
@@ -78,27 +79,27 @@
         self.traffic_plan = TrafficPlan()
         self.own_service_mode = ""
         self.started_at: int | None = None
-        self.planner: FailoverPlanner | None = None  # from the first evaluation on
+        self.planner: FailoverPlanner | None = None  # None until the first evaluation
         self.failover_sites: tuple[str, ...] = ()
         self.fingerprint = plan_fingerprint(config)
         self.agreement = PlanAgreement()
         self.commands: dict[str, OperatorCommand] = {}
         self.conclusion = ""
-        # As of the last evaluation, replaced whole: the event loop's thread reads it.
+        # As of the last evaluation. Replaced, never modified, as the event loop's thread reads it.
         self.failure_history: dict[str, tuple[int, int]] = {}
-        # History and its age, to be taken over at the next evaluation.
+        # Failure history of an earlier process and its age, to be restored at the next evaluation.
         self.restored_history: tuple[dict[str, tuple[int, int]], int] | None = None
 
     def evaluate(self, membership: Membership, now: int) -> None:
-        """Takes the view as it is now, and reports what has changed."""
+        """Evaluates the current membership view and reports changes of the decisions."""
         planner = self._current_planner(membership, now)
         self._restore_history(planner, now)
         self._apply_commands(planner, membership, now)
         conclusion = membership.conclusion(now)
         self.conclusion = conclusion.verdict
-        # A node on the larger side whatever becomes of the suspected members need not wait.
-        effective = HEALTHY_VIEW if conclusion.firm else conclusion.verdict
-        node_plan = planner.evaluate(_node_views(membership), effective, now)
+        # If this node is in the majority even without the suspected members, it need not wait.
+        effective_verdict = HEALTHY_VIEW if conclusion.firm else conclusion.verdict
+        node_plan = planner.evaluate(_node_views(membership), effective_verdict, now)
         self._check_agreement(membership, now)
         self._log_stage_changes(planner)
         self.failure_history = planner.failure_history(now)
@@ -108,10 +109,10 @@
         self._update_traffic_plan(planner, membership, now)
 
     def describe(self, now: int) -> dict:
-        """Stage of each site, shares, reasons, and what comes next, for the admin socket."""
+        """Returns the sites' recovery stages, the shares and the plan for the admin socket."""
         planner = self.planner
         if planner is None:
-            return {"error": "has not looked yet"}
+            return {"error": "the failover plan has not been evaluated yet"}
         node_plan = planner.node_plan
         return {
             "own": self.own_service_mode,
@@ -144,9 +145,9 @@
             planner.restore_failure_history(history, age, now)
 
     def _apply_commands(self, planner: FailoverPlanner, membership: Membership, now: int) -> None:
-        """Applies operators' commands, wherever they were given.
+        """Applies operator commands, on whichever member they were issued.
 
-        A command that no member's metadata carries any more is over.
+        A command is over when no member's metadata contains it any more.
         """
         unix_now = unix_milliseconds()
         gossiped = (
@@ -174,9 +175,9 @@
         self.commands = commands
 
     def _check_agreement(self, membership: Membership, now: int) -> None:
-        texts = _own_metadata(membership).operator_commands
-        with_fingerprint = put_fingerprint(texts, self.fingerprint)
-        if with_fingerprint != texts:
+        published = _own_metadata(membership).operator_commands
+        with_fingerprint = put_fingerprint(published, self.fingerprint)
+        if with_fingerprint != published:
             membership.update_metadata(now, operator_commands=with_fingerprint)
         agreement = compare_fingerprints(
             self.fingerprint,
@@ -223,15 +224,16 @@
     def _update_own_service_mode(
         self, membership: Membership, now: int, node_plan: NodePlan
     ) -> None:
-        """Decides how this node's own services are wanted.
+        """Decides on the service mode of this node's own site.
 
-        Until other members have reported whether this site is recovering, a start waits a little:
-        a cold site must not take all its load at once.
+        After a start, the mode is `none` until other members have reported whether the site is
+        recovering, for at most `MAX_JOIN_WAIT_INTERVALS`: a cold site must not take all its load at
+        once.
         """
         if self.started_at is None:
             self.started_at = now
         is_joining = not membership.has_joined and bool(membership.config.seeds)
-        may_wait = now - self.started_at < MAX_JOIN_WAIT * membership.interval
+        may_wait = now - self.started_at < MAX_JOIN_WAIT_INTERVALS * membership.interval
         if is_joining and may_wait:
             mode = "none"
         elif node_plan.own_site_share >= 1:
@@ -266,21 +268,21 @@
 def answer_admin_query(
     words: list[str], host: FleetHost, site_failover: SiteFailoverIntegration
 ) -> object:
-    """Answers the admin socket: `sites`, or `sites hold|drain|release SITE SECONDS`."""
+    """Answers a query on the admin socket: `sites` or `sites hold|drain|release SITE SECONDS`."""
     if words == ["sites"]:
         return host.query(lambda _membership, now: site_failover.describe(now))
     if len(words) != 4 or words[1] not in VERBS or not words[3].isdecimal():
-        return {"error": "ask: sites, sites hold|drain|release SITE SECONDS"}
+        return {"error": "unknown query, expected: sites, sites hold|drain|release SITE SECONDS"}
     _, verb, site, seconds = words
     if site not in {each.name for each in site_failover.config.site}:
-        return {"error": f"no site {site}"}
+        return {"error": f"unknown site {site}"}
     issued_at = unix_milliseconds()
     command = OperatorCommand(verb, site, issued_at, issued_at + int(seconds) * 1000)
 
     def issue(membership: Membership, now: int) -> dict:
-        gossiped = put_command(membership.metadata.operator_commands, command, issued_at)
-        texts = put_fingerprint(gossiped, site_failover.fingerprint)
-        membership.update_metadata(now, operator_commands=texts)
+        with_command = put_command(membership.metadata.operator_commands, command, issued_at)
+        with_fingerprint = put_fingerprint(with_command, site_failover.fingerprint)
+        membership.update_metadata(now, operator_commands=with_fingerprint)
         site_failover.evaluate(membership, now)
         return site_failover.describe(now)
 
@@ -288,7 +290,7 @@
 
 
 def _own_metadata(membership: Membership) -> MemberMetadata:
-    """What this node gossips of itself, or is about to."""
+    """Returns the metadata that this node gossips about itself, or will gossip next."""
     return membership.latest_metadata
 
 
--- a/lilacwalk/server/integrations/site_failover_hooks.py
+++ b/lilacwalk/server/integrations/site_failover_hooks.py
@@ -1,4 +1,4 @@
-"""Hooks by which the failover plan reports to the rest of the app server."""
+"""Callbacks through which the site failover integration reports to the app server."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class FailoverSitesListener(Protocol):
-    """Called in the membership thread when the sites that this node takes over change."""
+    """Called in the membership thread when the failed sites that this node serves change."""
 
     def __call__(self, sites: tuple[str, ...], /) -> None:
-        """Takes the failed sites whose load this node now takes."""
+        """`sites`: the failed sites whose load this node now takes."""
 
 
 class OwnServiceModeListener(Protocol):
-    """Called in the membership thread when this node's own services are wanted differently."""
+    """Called in the membership thread when the service mode of this node's own site changes."""
 
     def __call__(self, mode: str, /) -> None:
-        """Takes `whole`, `part` or `none`."""
+        """`mode`: how many nodes of the site announce its services: `whole`, `part` or `none`."""
 
 
 class TrafficPlanListener(Protocol):
     """Called in the membership thread when the traffic plan of this node changes."""
 
     def __call__(self, traffic_plan: TrafficPlan, /) -> None:
-        """Takes the new plan."""
+        """`traffic_plan`: the new plan."""
 
 
 class FailoverTrafficDescriber(Protocol):
     """Describes the failover traffic on this node for the admin socket; safe from any thread."""
 
     def __call__(self) -> dict:
-        """Returns the description as of the last step."""
+        """Returns the description as of the last step of the local priorities."""
--- a/lilacwalk/server/integrations/site_failover_report.py
+++ b/lilacwalk/server/integrations/site_failover_report.py
@@ -1,4 +1,4 @@
-"""What the admin socket shows of the sites and of the failover plan."""
+"""Builds the admin socket's reports on sites and on the failover plan."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def describe_site(planner: FailoverPlanner, name: str, now: int) -> dict:
-    """Returns stage, share and failover nodes of a site."""
+    """Returns the recovery stage, share and failover nodes of a site."""
     recovery = planner.recoveries[name]
     status = planner.node_plan.site_status.get(name)
     return {
@@ -27,7 +27,7 @@
 
 
 def describe_plan(node_plan: NodePlan) -> dict | None:
-    """Returns shares, utilisation and rejections of the plan; None where there is no plan."""
+    """Returns the shares, utilisation and rejections of the plan; None if there is no plan."""
     plan = node_plan.plan
     if plan is None:
         return None
--- a/lilacwalk/server/integrations/status_query.py
+++ b/lilacwalk/server/integrations/status_query.py
@@ -1,4 +1,4 @@
-"""Answers the admin socket of an integration whose state the event loop owns."""
+"""Answers `show` on the admin socket of an integration whose state the event loop owns."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 STATUS_TIMEOUT = 3.0  # seconds
 
 
-def answer_show(question: str, event_queue: EventQueue, status: Callable[[], dict]) -> object:
-    """Answers `show` with what `status` returns in the event loop's thread.
+def answer_show(query: str, event_queue: EventQueue, status: Callable[[], dict]) -> object:
+    """Answers the query `show` with the result of `status`, called in the event loop's thread.
 
-    Called in the admin socket's thread. Any other question, and an event loop that does not
-    answer in time, are answered with an error.
+    Called in the admin socket's thread. Returns an error for any other query, and if the event loop
+    does not answer within `STATUS_TIMEOUT`.
     """
-    if question.split() != ["show"]:
-        return {"error": "ask: show"}
+    if query.split() != ["show"]:
+        return {"error": "unknown query, expected: show"}
     answers: SimpleQueue[dict] = SimpleQueue()
     event_queue.post(lambda: answers.put(status()))
     try:
         return answers.get(timeout=STATUS_TIMEOUT)
     except Empty:
-        return {"error": "the deciding thread does not answer"}
+        return {"error": f"the event loop did not answer within {STATUS_TIMEOUT:g} s"}
--- a/lilacwalk/server/integrations/store_opener.py
+++ b/lilacwalk/server/integrations/store_opener.py
@@ -1,4 +1,4 @@
-"""Opens the store in a thread of its own, since a disk may take as long as it likes."""
+"""Opens the store in a thread of its own, because a slow disk may block for any time."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from lilacwalk.storage.store import ModeCallback, PersistedCallback, Store
 
 log = logging.getLogger(__name__)
-RETRY_DELAY = 5.0  # seconds: a disk that is full or away is seldom back sooner
+RETRY_DELAY = 5.0  # seconds; a full or missing disk is seldom available again sooner
 MAX_SEGMENT_BYTES = 16_000_000
 SEGMENTS_PER_STORE = 8
-SNAPSHOTS_PER_STORE = 4  # of log that fit in the store's size
+SNAPSHOTS_PER_STORE = 4  # one for each quarter of the store's size that is written to the log
 
 
 class OpenFailedCallback(Protocol):
-    """Told why the store could not be opened, and whether that is permanent."""
+    """Called with the reason why the store could not be opened."""
 
     def __call__(self, reason: str, is_permanent: bool, /) -> None:
-        """Runs in the event loop."""
+        """Runs in the event loop; `is_permanent`: opening is not retried."""
         ...
 
 
 class StoreOpener:
-    """Opens the store, retrying while the disk fails. Owns the thread `storage-opening`.
+    """Opens the store, with retries on disk errors. Owns the thread `storage-opening`.
 
     The callbacks `on_opened` and `on_failed` run in the event loop, the others in the store's
     thread.
@@ -48,7 +48,7 @@
         on_persisted: PersistedCallback,
         on_mode_change: ModeCallback,
     ) -> None:
-        """`node`: the name under which the directory is claimed."""
+        """`node`: the node name with which the directory is claimed."""
         self._config = config
         self._node = node
         self._event_queue = event_queue
@@ -64,7 +64,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the retries. The thread is not waited for, since the disk may hang."""
+        """Stops the retries without waiting for the thread, because the disk may hang."""
         self._is_stopped.set()
 
     def _run(self) -> None:
@@ -80,10 +80,12 @@
                 self._is_stopped.wait(RETRY_DELAY)
             except Exception:
                 log.exception("event=thread_failed thread=storage-opening")
-                self._event_queue.post(self._on_failed, "the opening failed: see the log", True)
+                self._event_queue.post(
+                    self._on_failed, "unexpected error while opening the store: see the log", True
+                )
                 return
             else:
-                # Copied here: from its start on the rows are the store's own.
+                # Copied before the start, because the store's thread then owns the rows.
                 rows = list(store.journal.state.rows.values())
                 store.start()
                 self._event_queue.post(self._on_opened, store, rows)
--- a/lilacwalk/server/integrations/subsystem_state.py
+++ b/lilacwalk/server/integrations/subsystem_state.py
@@ -1,4 +1,4 @@
-"""Persists flap damping of announcements and the recovery of sites, and restores both."""
+"""Persists and restores the flap damping of announcements and the failure history of sites."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 SECOND = 10_000  # tenths of a ms
-BGP_RESTORE_TIME = SECOND // 2  # until the speaker's thread has taken what was restored
+BGP_RESTORE_TIME = SECOND // 2  # within which the speaker's thread applies the restored damping
 ROW_KEY = b"standing"
 SiteRows = dict[str, tuple[int, int]]
 Value = TypeVar("Value")
@@ -34,39 +34,44 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredRow(Generic[Value]):
-    """A row of an earlier process; `written_at` is Unix time in tenths of a ms, never later."""
+    """A row of an earlier process.
+
+    `written_at` is Unix time in tenths of a ms, and not later than the time of recovery.
+    """
 
     value: Value
     written_at: int
 
 
 def decode_row(
-    rows: list[Record], table: Table, kind: type[Value], wall: int
+    rows: list[Record], table: Table, row_type: type[Value], unix_now: int
 ) -> RecoveredRow[Value] | None:
-    """Returns the one row of a table; None where there is none, or it is expired or unreadable.
+    """Returns the only row of a table; None if it is missing, expired or unreadable.
 
-    One from the future (a clock that was set back) counts as written now.
+    A row with a time in the future (the clock was set back) counts as written now.
     """
     for row in rows:
         if row.table == table and row.key == ROW_KEY:
             break
     else:
         return None
-    if row.value is None or row.expires_at <= wall:
+    if row.value is None or row.expires_at <= unix_now:
         return None
     try:
-        value = msgspec.msgpack.decode(row.value, type=kind)
+        value = msgspec.msgpack.decode(row.value, type=row_type)
     except msgspec.MsgspecError:
         return None
-    return RecoveredRow(value, min(row.written_at, wall))
+    return RecoveredRow(value, min(row.written_at, unix_now))
 
 
 class SubsystemState:
-    """What is recovered and last persisted of two subsystems. Owned by the event loop.
+    """The recovered and the last persisted state of BGP and site failover.
+
+    Used only in the event loop's thread.
 
     Attributes:
-        recovered_damping: what an earlier process stored, until it is restored.
-        recovered_sites: likewise.
+        recovered_damping: flap damping stored by an earlier process, until it is restored.
+        recovered_sites: failure history stored by an earlier process, until it is restored.
     """
 
     def __init__(self, retention: int) -> None:
@@ -77,13 +82,13 @@
         self._persisted_damping: DampingRow | None = None
         self._persist_damping_from = 0
 
-    def recover(self, rows: list[Record], wall: int) -> None:
+    def recover(self, rows: list[Record], unix_now: int) -> None:
         """Reads the rows of earlier processes."""
-        self.recovered_damping = decode_row(rows, Table.DAMPING, DampingRow, wall)
-        self.recovered_sites = decode_row(rows, Table.SITES, SiteRows, wall)
+        self.recovered_damping = decode_row(rows, Table.DAMPING, DampingRow, unix_now)
+        self.recovered_sites = decode_row(rows, Table.SITES, SiteRows, unix_now)
 
     def update_damping(self, bgp: BgpIntegration, now: int, is_due: bool) -> list[RowUpdate]:
-        """Restores what was recovered, once; returns a row at each change and where one is due."""
+        """Restores recovered damping once; returns a row to write if it changed or one is due."""
         if self.recovered_damping is not None:
             self._restore_damping(bgp, self.recovered_damping, now)
             self.recovered_damping = None
@@ -109,12 +114,13 @@
                 "was_announced": damping.announced,
             }
         )
-        self._persist_damping_from = now + BGP_RESTORE_TIME  # the row on disk is right until then
+        # Until then the row on disk is valid, while the speaker may not have applied it yet.
+        self._persist_damping_from = now + BGP_RESTORE_TIME
 
     def update_sites(
         self, sites: SiteFailoverIntegration, now: int, is_due: bool
     ) -> list[RowUpdate]:
-        """Restores what was recovered, once; returns a row where one is due."""
+        """Restores the recovered failure history once; returns a row to write if one is due."""
         recovered = self.recovered_sites
         if recovered is not None:
             self.recovered_sites = None
--- a/lilacwalk/server/operator_config.py
+++ b/lilacwalk/server/operator_config.py
@@ -1,4 +1,4 @@
-"""The parsed operator's file, as the app server takes it from whoever reads it."""
+"""The interface through which the app server gets the parsed operator's file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OperatorConfig(Protocol):
-    """The parsed blocks of the operator's file; a subsystem without a block is off."""
+    """The parsed blocks of the operator's file; a subsystem without a block is disabled."""
 
     announce: BgpConfig | None
     edge: EdgeConfig | None
@@ -25,7 +25,7 @@
 
 
 class NoOperatorConfig:
-    """The operator's file is not there: all subsystems are off."""
+    """Used without an operator's file: all subsystems are disabled."""
 
     announce = None
     edge = None
@@ -36,7 +36,7 @@
 
 
 class OperatorConfigReader(Protocol):
-    """Reads the operator's file anew at each call."""
+    """Reads the operator's file again at each call."""
 
     def __call__(self) -> OperatorConfig:
-        """Raises `OperatorFileError` for a file that cannot be used."""
+        """Returns the parsed file; raises `OperatorFileError` if the file is invalid."""
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -16,41 +16,41 @@
 
 
 class ConfigurationError(LilacwalkError):
-    """The configuration cannot be used; the message is one line for the operator."""
+    """The configuration is invalid; the message is a single line for the operator."""
 
 
 class OperatorFileError(ConfigurationError):
-    """The operator's own file cannot be used.
+    """The operator's own file is invalid.
 
-    The message is complete: a line for each fault, with file, line and word.
+    The message needs no prefix: it has a line for each error, with file, line and word.
     """
 
 
 class ConfigurationFileError(ConfigurationError):
-    """The file cannot be read or has not the expected form."""
+    """The file cannot be read or parsed."""
 
     def __init__(self, path: str, problem: str) -> None:
-        """`problem` says what is wrong with the file."""
+        """`problem` describes the error without the path."""
         super().__init__(f"configuration {path}: {problem}")
         self.path = path
         self.problem = problem
 
 
 class InvalidConfigurationError(ConfigurationError):
-    """A value of the configuration is missing or wrong."""
+    """A value in the configuration is missing or invalid."""
 
     def __init__(self, problem: str) -> None:
-        """`problem` names the value and what was expected."""
+        """`problem` gives the value and the expected form."""
         super().__init__(f"configuration: {problem}")
         self.problem = problem
 
 
 class InvalidAddressError(InvalidConfigurationError):
-    """The address of a party is no `host:port` with a numeric IPv4 host."""
+    """An address in the configuration is not `host:port` with a numeric IPv4 host."""
 
     def __init__(self, name: str, value: object) -> None:
-        """`name` is the party's, as in the file."""
-        super().__init__(f"{name}={value} is no host:port")
+        """`name` is the key in the file."""
+        super().__init__(f"{name}={value}: expected host:port with a numeric IPv4 host")
         self.name = name
         self.value = value
 
@@ -59,17 +59,17 @@
     """The address to listen on cannot be bound."""
 
     def __init__(self, address: str, problem: str | None) -> None:
-        """`problem` is the system's message."""
+        """`problem` is the operating system's error message."""
         super().__init__(f"cannot listen on {address}: {problem}")
         self.address = address
         self.problem = problem
 
 
-def read(path: str) -> dict:
+def read_configuration(path: str) -> dict:
     """Reads the configuration file.
 
     Raises:
-        ConfigurationFileError: It cannot be read, is no JSON or has no settings.
+        ConfigurationFileError: The file cannot be read, is not JSON or has no settings.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -79,17 +79,17 @@
     except (ValueError, RecursionError) as error:
         raise ConfigurationFileError(path, str(error)) from error
     if not isinstance(config, dict) or not isinstance(config.get("settings"), dict):
-        raise ConfigurationFileError(path, "settings is missing")
+        raise ConfigurationFileError(path, 'expected a JSON object with an object "settings"')
     return config
 
 
-def address(config: dict, name: str) -> Address:
-    """Decodes the address of one party, `host:port` with a numeric IPv4 host.
+def decode_address(config: dict, name: str) -> Address:
+    """Decodes the address under `name`: `host:port` with a numeric IPv4 host.
 
-    A host name is not accepted: resolving it would block.
+    Host names are not accepted, because resolving them would block.
 
     Raises:
-        InvalidAddressError: It is no such address.
+        InvalidAddressError: The address is missing or has another form.
     """
     host, _, port = str(config.get(name, "")).rpartition(":")
     try:
@@ -105,25 +105,26 @@
     return host, int(port)
 
 
-def addresses(config: dict) -> dict[str, Address]:
-    """Decodes the addresses of all parties by their names in the file.
+def decode_addresses(config: dict) -> dict[str, Address]:
+    """Decodes all addresses of the configuration by their keys.
 
-    Without dependency calls there is no `index`.
+    The keys are those of the listener (`listen`), the executor (`kernel`), the service registry
+    (`directory`) and the dependency (`index`), which is absent if no dependency is configured.
 
     Raises:
-        InvalidAddressError: One of them is no address.
+        InvalidAddressError: An address is missing or invalid.
     """
     names = ["listen", "kernel", "directory"]
     if config.get("index"):
         names.append("index")
-    return {name: address(config, name) for name in names}
+    return {name: decode_address(config, name) for name in names}
 
 
-def decode(config: dict) -> tuple[ServerSettings, Limits]:
+def decode_configuration(config: dict) -> tuple[ServerSettings, Limits]:
     """Decodes the settings of the controller and the limits of this process.
 
     Raises:
-        InvalidConfigurationError: A value is missing or wrong.
+        InvalidConfigurationError: A value is missing or invalid.
     """
     try:
         seed = int(str(config.get("seed", "0")), 16)
--- a/lilacwalk/server/reload.py
+++ b/lilacwalk/server/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again while requests and executions carry on."""
+"""Reloads the configuration on SIGHUP, without interrupting requests and executions."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 from typing import TYPE_CHECKING
 
 from lilacwalk.server.operator_config import OperatorConfigReader
-from lilacwalk.server.process_config import ConfigurationError, addresses, read
+from lilacwalk.server.process_config import (
+    ConfigurationError,
+    decode_addresses,
+    read_configuration,
+)
 
 if TYPE_CHECKING:
     from lilacwalk.server.event_loop import EventLoop
@@ -19,11 +23,12 @@
 ) -> None:
     """Applies the operator's file and the addresses of the executor, dependency and registry.
 
-    What else stands in the process configuration is for the next start. A file that cannot be used
-    is logged and changes nothing.
+    Other changes to the process configuration take effect at the next start. If the process
+    configuration or the operator's file is invalid, the error is logged and no address changes; of
+    the operator's file, the blocks before an unusable one still apply.
     """
     try:
-        new_addresses = addresses(read(path))
+        new_addresses = decode_addresses(read_configuration(path))
         if read_operator_config is not None:
             event_loop.subsystems.apply(read_operator_config())
     except ConfigurationError as error:
@@ -39,5 +44,5 @@
             client.set_address(new_addresses.get(name))
             moved.append(name)
     log.info("event=reloaded moved=%s", ",".join(moved) or "none")
-    # A registry that has moved lists no server before its report.
+    # A registry at a new address does not list this server until it receives a report.
     event_loop.decision_applier.next_report_at = event_loop.now
--- a/lilacwalk/server/request_lifecycle.py
+++ b/lilacwalk/server/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request between its front end and the controller: submit, respond, release."""
+"""Handles requests between frontends and the controller: submission, response and release."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 if TYPE_CHECKING:
     from lilacwalk.server.event_loop import EventLoop
 
-UNKNOWN_CLASS = "unknown endpoint group"
-UNKNOWN_TENANT = "unknown customer"
-ID_IN_USE = "id in use"
-KEY_REUSED = "a key that was another's"
+UNKNOWN_CLASS = "unknown request class"
+UNKNOWN_TENANT = "unknown tenant"
+ID_IN_USE = "request id already in use"
+KEY_REUSED = "idempotency key already used with another body"
 
 
 class RequestLifecycle:
-    """Takes requests from front ends, answers them and forgets them: their `RequestHandler`.
+    """The `RequestHandler` of all frontends: accepts requests, responds to them, releases them.
 
     Owns the table of requests in flight and the cache of idempotency keys and results.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """Starts with nothing in flight."""
+        """Creates an empty in-flight table and result cache."""
         self._event_loop = event_loop
         self._subsystems = event_loop.subsystems
         self._server = event_loop.server
         self.limits = event_loop.limits
-        self.send = event_loop.send  # how front ends write to their sockets
+        self.send = event_loop.send  # frontends write to their sockets with it
         self.request_classes = {each.name: each for each in self._server.request_classes}
         self.tenants = {tenant.name: tenant for tenant in self._server.tenants}
         self.in_flight = InFlightTable()
@@ -49,7 +49,7 @@
         self.effect_gate = EffectGate(event_loop, self)
         self._screening = RequestScreening(event_loop, self)
 
-    # What front ends ask
+    # Queries and notifications from frontends
 
     @property
     def now(self) -> int:
@@ -58,7 +58,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """What the controller said last of this server's health."""
+        """Whether the controller last reported this server as healthy."""
         return self._event_loop.decision_applier.is_healthy
 
     @property
@@ -68,11 +68,11 @@
 
     @property
     def close_idle_after(self) -> int:
-        """After what idle time connections are to be closed; 0: the front end's own limit."""
+        """Idle time after which connections are closed; 0: the frontend uses its own limit."""
         return self._event_loop.decision_applier.close_idle_after
 
     def connection_opened(self) -> None:
-        """Counts a new connection of any front end."""
+        """Counts a new connection of any frontend."""
         if self._subsystems.retry_storms is not None:
             self._subsystems.retry_storms.damper.connection_opened()
 
@@ -85,21 +85,22 @@
         )
 
     def client_gone(self, entry: InFlightRequest) -> None:
-        """Takes note that nobody waits for the response to a request any more."""
+        """Detaches the client of a request, which has disconnected or withdrawn the request."""
         self.in_flight.detach_client(entry)
         self._event_loop.controller_events.append(ClientGone(entry.request))
-        if not entry.request.was_dispatched:  # no event will follow
+        if not entry.request.was_dispatched:  # no end of an execution will release it
             self.release_request(entry, None)
 
     # Submit
 
     def submit(self, client: ClientConnection, tag: int, incoming: IncomingRequest) -> str:
-        """Takes a request, or responds at once where the controller need not decide.
+        """Accepts a request, or responds at once if the controller need not decide.
 
-        The front end has checked that the tag is free and how many requests the client has open.
+        The frontend has checked that the tag is free and that the client's number of open requests
+        is within its limit.
 
         Returns:
-            What is wrong with the request; empty if it was taken or responded to.
+            Why the request is invalid; empty if it was accepted or responded to.
         """
         request_class = self.request_classes.get(incoming.class_name)
         if request_class is None:
@@ -111,12 +112,13 @@
             return ID_IN_USE
         submission = self._screening.prepare(client, incoming, request_class, tenant)
         if self._screening.has_different_body(submission):
-            # A duplicate has the body of the first request. This one only shares its key, and does
-            # not get its result; while that one runs, the key may still turn out to be free.
-            if submission.earlier.state is not RequestState.FINISHED:
+            # A duplicate has the same body as the original request. This request only has the same
+            # key and must not get the original's result. Until the original has finished, its key
+            # may still be released, so this request may be retried.
+            if submission.original.state is not RequestState.FINISHED:
                 client.frontend.send_response(client, tag, FinalResponse(FinalStatus.REJECTED))
                 return ""
-            if submission.earlier.was_dispatched:
+            if submission.original.was_dispatched:
                 return KEY_REUSED
         response = self._screening.respond_without_controller(submission)
         if response is not None:
@@ -126,12 +128,12 @@
         return ""
 
     def _accept(self, submission: Submission, tag: int) -> None:
-        """Puts the request in flight and before the controller."""
+        """Adds the request to the in-flight table and passes it to the controller."""
         incoming = submission.incoming
         client = submission.client
         request_class = submission.request_class
         if self._subsystems.failover_traffic is not None:
-            request_class = self._subsystems.failover_traffic.class_for(
+            request_class = self._subsystems.failover_traffic.effective_class(
                 client.frontend.source_site, request_class
             )
         request = Request(
@@ -144,7 +146,7 @@
             work_hint=incoming.work_hint,
             is_retry=incoming.is_retry,
             client=incoming.client,
-            duplicate_of=submission.earlier,
+            duplicate_of=submission.original,
         )
         self.in_flight.add(
             InFlightRequest(
@@ -157,12 +159,12 @@
                 submission.cache_key,
             )
         )
-        if submission.cache_key is not None and submission.earlier is None:
+        if submission.cache_key is not None and submission.original is None:
             self._register_key(submission, request)
         self._event_loop.controller_events.append(RequestReceived(request))
 
     def _register_key(self, submission: Submission, request: Request) -> None:
-        """Registers the key at once: a duplicate may be read within this very iteration."""
+        """Registers the key at once, as a duplicate may be read in the same iteration."""
         request_class = request.request_class
         if request_class.effect is Effect.IDEMPOTENT:
             self.result_cache.put(submission.cache_key, request, None)
@@ -181,7 +183,7 @@
         retry_after: int = 0,
         do_not_retry_elsewhere: bool = False,
     ) -> None:
-        """Sends the final response, unless one was sent or the client is gone."""
+        """Sends the final response, unless one has been sent or the client is gone."""
         client = self.in_flight.detach_client(entry)
         if client is None:
             return
@@ -191,7 +193,7 @@
         self._subsystems.response_sent(entry, status)
 
     def respond_to_duplicate(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Ends a request with the result of the one of which it is a duplicate; None: unknown."""
+        """Ends a duplicate with the result of the original request; None: it is unknown."""
         entry.awaits_result_of = None
         if result is None:
             self.respond(entry, FinalStatus.FAILED)
@@ -203,12 +205,12 @@
         self.in_flight.remove(entry)
 
     def release_key(self, entry: InFlightRequest) -> None:
-        """Forgets the key of a request that never ran: the next one under it is no duplicate."""
+        """Removes the key of a request that never ran: the key's next request is no duplicate."""
         if entry.cache_key is not None:
             self.result_cache.remove(entry.cache_key, entry.request)
 
     def release_request(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Ends a request whose execution is over or never was; duplicates get its result."""
+        """Ends a request that has been executed or never will be; duplicates get its result."""
         self.in_flight.remove(entry)
         if entry.cache_key is None:
             return
@@ -226,8 +228,8 @@
         elif not any(
             other.request.duplicate_of is request for other in self.in_flight.by_id.values()
         ):
-            # Where there is a duplicate, it takes the place of this request in the current batch.
-            # If the key went now, a further duplicate read before the batch would count as a first
+            # If there is a duplicate, it replaces this request in the current batch. If the key
+            # were removed now, another duplicate read before the batch would count as an original
             # request, and both would run.
             self.result_cache.remove(entry.cache_key, request)
 
--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -1,4 +1,4 @@
-"""What is decided on a request ahead of the controller: duplicates, capacity, shedding."""
+"""Decides on requests ahead of the controller: duplicates, capacity limits, load shedding."""
 
 from __future__ import annotations
 
@@ -22,23 +22,26 @@
 
 @dataclass(slots=True)
 class Submission:
-    """A valid incoming request with what was looked up for it; times in tenths of a millisecond."""
+    """A valid incoming request with its class, tenant, deadline and original request.
+
+    Times are in tenths of a millisecond.
+    """
 
     client: ClientConnection
     incoming: IncomingRequest
     request_class: RequestClass
     tenant: Tenant | None
     body: bytes
-    arrived_at: int  # on this process's clock
+    arrived_at: int  # by this process's clock
     deadline: int
-    cache_key: CacheKey | None  # under which a duplicate of it would be found
-    earlier: Request | None  # the request of which it is a duplicate
+    cache_key: CacheKey | None  # the key by which duplicates are found in the result cache
+    original: Request | None  # the request that this one duplicates; None: not a duplicate
 
 
 class RequestScreening:
-    """Looks up what a request is a duplicate of, and responds where the controller need not decide.
+    """Finds duplicates, and responds to requests on which the controller need not decide.
 
-    Keeps no state of its own: it reads that of the `RequestLifecycle` and of the subsystems.
+    Has no state of its own: it reads that of the `RequestLifecycle` and of the subsystems.
     """
 
     def __init__(self, event_loop: EventLoop, requests: RequestLifecycle) -> None:
@@ -56,11 +59,11 @@
         request_class: RequestClass,
         tenant: Tenant | None,
     ) -> Submission:
-        """Looks up duplicates of a valid request and works out its deadline."""
+        """Looks up the original request of a valid request and computes its deadline."""
         now = self._event_loop.now
-        arrived_at = min(incoming.arrived_at + self._event_loop.clock.ahead, now)
+        arrived_at = min(incoming.arrived_at + self._event_loop.clock.offset, now)
         timeout = request_class.timeout if incoming.timeout is None else incoming.timeout
-        cache_key, earlier = self._find_earlier(request_class, incoming, arrived_at)
+        cache_key, original = self._find_original(request_class, incoming, arrived_at)
         return Submission(
             client=client,
             incoming=incoming,
@@ -70,13 +73,13 @@
             arrived_at=arrived_at,
             deadline=max(arrived_at + timeout, now),
             cache_key=cache_key,
-            earlier=earlier,
+            original=original,
         )
 
-    def _find_earlier(
+    def _find_original(
         self, request_class: RequestClass, incoming: IncomingRequest, arrived_at: int
     ) -> tuple[CacheKey | None, Request | None]:
-        """The key under which duplicates are found, and the request that stands there."""
+        """Returns the cache key of the request and the original request found under it."""
         is_idempotent = request_class.effect is Effect.IDEMPOTENT
         if (
             request_class.effect is Effect.DEDUPLICATED
@@ -89,13 +92,13 @@
             kind = CacheKeyKind.SUBJECT
             text = incoming.subject
         elif not is_idempotent and self._subsystems.persistence is not None:
-            kind = CacheKeyKind.REQUEST_ID  # sent again by a client that lost the connection
+            kind = CacheKeyKind.REQUEST_ID  # a client resends the id after a lost connection
             text = incoming.id
         else:
             return None, None
         cache_key = CacheKey(request_class.name, incoming.tenant_name, kind, text)
-        # A deduplication window counts to the arrival, however late that is read; a result is fresh
-        # or not at the time of the response.
+        # The deduplication window is checked at the time of arrival, even if the request is read
+        # much later. The freshness of a result is checked at the time of the response.
         is_key = kind is CacheKeyKind.IDEMPOTENCY_KEY
         cached = self._result_cache.find(cache_key, arrived_at if is_key else self._event_loop.now)
         return cache_key, cached.request if cached is not None else None
@@ -112,12 +115,12 @@
         )
 
     def respond_without_controller(self, submission: Submission) -> FinalResponse | None:
-        """The response to a request that the controller is not to see; None if it is."""
+        """Returns the response if the controller need not decide on the request, else None."""
         if self._event_loop.controller is None or self._is_full(submission):
             return self._respond_without_capacity(submission)
         is_idempotent = submission.request_class.effect is Effect.IDEMPOTENT
-        if submission.earlier is None and not is_idempotent:
-            if self._may_be_forgotten_duplicate(submission):
+        if submission.original is None and not is_idempotent:
+            if self._may_duplicate_evicted_request(submission):
                 return FinalResponse(FinalStatus.FAILED)
             if not self._requests.effect_gate.can_record:
                 retry_after = self._event_loop.server.max_retry_after
@@ -131,21 +134,22 @@
             or frontend.in_flight >= frontend.max_in_flight
             or (
                 submission.cache_key is not None
-                and submission.earlier is None
+                and submission.original is None
                 and self._result_cache.is_full
             )
         )
 
     def _respond_without_capacity(self, submission: Submission) -> FinalResponse:
-        """Rejects a request, but never a duplicate of one with an effect that has been executed.
+        """Rejects a request, unless it duplicates a dispatched request that has an effect.
 
-        Such a duplicate needs no capacity: it gets the result, or fails where that is not known.
+        Such a duplicate needs no capacity: it gets the original's result, or fails if the result is
+        not known.
         """
-        earlier = submission.earlier
+        original = submission.original
         if (
-            earlier is None
-            or not earlier.was_dispatched
-            or earlier.request_class.effect is Effect.IDEMPOTENT
+            original is None
+            or not original.was_dispatched
+            or original.request_class.effect is Effect.IDEMPOTENT
         ):
             return FinalResponse(FinalStatus.REJECTED)
         cached = self._result_cache.find(submission.cache_key, submission.arrived_at)
@@ -153,11 +157,12 @@
             return FinalResponse(FinalStatus.FAILED)
         return FinalResponse(FinalStatus.COMPLETED, cached.result)
 
-    def _may_be_forgotten_duplicate(self, submission: Submission) -> bool:
-        """Whether the request may be a duplicate of one whose key has been evicted.
+    def _may_duplicate_evicted_request(self, submission: Submission) -> bool:
+        """Whether the request may duplicate one whose key is no longer found.
 
-        It was read so late that keys of its time are gone, or it came just behind the deduplication
-        window, which a client may measure from a later moment than this server does.
+        That is so if it was read so late that keys valid at its arrival have been evicted, or if it
+        arrived just after the deduplication window, which a client may measure from a later moment
+        than this server does.
         """
         if submission.request_class.effect is not Effect.DEDUPLICATED:
             return False
@@ -171,22 +176,22 @@
         )
 
     def _shed(self, submission: Submission) -> FinalResponse | None:
-        """The rejection by a subsystem that sheds load; None: none does."""
-        is_duplicate = submission.earlier is not None
+        """Returns the rejection by a subsystem that sheds load; None: no subsystem rejects it."""
+        is_duplicate = submission.original is not None
         retry_storms = self._subsystems.retry_storms
         if retry_storms is not None:
-            shed = retry_storms.evaluate_request(
+            rejection = retry_storms.evaluate_request(
                 submission.incoming, submission.deadline, is_duplicate, self._event_loop.now
             )
-            if shed is not None:
-                return FinalResponse(FinalStatus.REJECTED, retry_after=shed.retry_after)
+            if rejection is not None:
+                return FinalResponse(FinalStatus.REJECTED, retry_after=rejection.retry_after)
         failover_traffic = self._subsystems.failover_traffic
         if failover_traffic is not None:
-            shed = failover_traffic.reject_if_over(
+            rejection = failover_traffic.reject_if_over(
                 submission.request_class.name,
                 submission.client.frontend.source_site,
                 self._event_loop.controller,
             )
-            if shed is not None and not is_duplicate:
-                return FinalResponse(FinalStatus.REJECTED, retry_after=shed.retry_after)
+            if rejection is not None and not is_duplicate:
+                return FinalResponse(FinalStatus.REJECTED, retry_after=rejection.retry_after)
         return None
--- a/lilacwalk/server/startup.py
+++ b/lilacwalk/server/startup.py
@@ -1,4 +1,4 @@
-"""From the configuration to a running app server, and to its exit code."""
+"""Builds an app server from its configuration, runs it and returns its exit code."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
     ConfigurationError,
     ListenError,
     OperatorFileError,
-    addresses,
-    decode,
-    read,
+    decode_addresses,
+    decode_configuration,
+    read_configuration,
 )
 from lilacwalk.server.reload import reload_configuration
 from lilacwalk.settings import EFFECT_NAMES, read_list, read_section
 
 log = logging.getLogger(__name__)
 
-THREAD_STACK_BYTES = 131_072  # readers and writers go a few calls deep; frames live on the heap
-SWITCH_INTERVAL = 0.001  # seconds; short, as what most threads do at a time is
-STOP_PATIENCE = 0.05  # seconds for each subsystem: after a drain it has nothing left to say
+# The call stacks of reader and writer threads are shallow, and Python frames are on the heap.
+THREAD_STACK_BYTES = 131_072
+SWITCH_INTERVAL = 0.001  # seconds; most threads have only short bursts of work
+SUBSYSTEM_STOP_TIMEOUT = 0.05  # seconds; after a drain a subsystem has nothing left to send
 EXIT_FAILURE = 1
 EXIT_CONFIGURATION_ERROR = 2
 
@@ -42,26 +43,26 @@
 def build(
     config: dict, event_queue: EventQueue, **other_limits: int
 ) -> tuple[EventLoop, list[ProxyListener | ExecutorClient]]:
-    """Builds the event loop and the components whose threads are to be started.
+    """Builds the event loop and the components whose threads the caller starts.
 
     Args:
         config: The process configuration.
-        event_queue: Through which the threads reach the event loop.
-        **other_limits: Replace limits of the configuration.
+        event_queue: The queue through which other threads pass events to the event loop.
+        **other_limits: Limits that replace those of the configuration.
 
     Raises:
-        ConfigurationError: A value is wrong, or the address to listen on is in use.
+        ConfigurationError: A value is invalid, or the address to listen on is in use.
     """
-    server, limits = decode(config)
+    server, limits = decode_configuration(config)
     limits = replace(limits, **other_limits)
-    parties = addresses(config)
+    addresses = decode_addresses(config)
     try:
-        listener = ProxyListener(parties["listen"], limits, event_queue)
+        listener = ProxyListener(addresses["listen"], limits, event_queue)
     except OSError as error:
         raise ListenError(config["listen"], error.strerror) from error
     info = read_section(config["settings"], "family_info")
     gauge_names = [str(name) for name in read_list(info, "gauges")]
-    executor_client = ExecutorClient(parties["kernel"], limits, event_queue, gauge_names)
+    executor_client = ExecutorClient(addresses["kernel"], limits, event_queue, gauge_names)
     event_loop = EventLoop(
         server,
         limits,
@@ -69,8 +70,8 @@
         event_queue,
         listener=listener,
         executor_client=executor_client,
-        dependency_client=DependencyClient(parties.get("index"), limits, event_queue),
-        registry=RegistryReporter(parties["directory"], str(config.get("name", ""))),
+        dependency_client=DependencyClient(addresses.get("index"), limits, event_queue),
+        registry=RegistryReporter(addresses["directory"], str(config.get("name", ""))),
     )
     return event_loop, [listener, executor_client]
 
@@ -79,7 +80,7 @@
     """Serves until SIGTERM.
 
     Args:
-        path: Of the process configuration.
+        path: The path of the process configuration.
         read_operator_config: Called at start and at each SIGHUP.
 
     Returns:
@@ -88,8 +89,9 @@
     threading.stack_size(THREAD_STACK_BYTES)
     sys.setswitchinterval(SWITCH_INTERVAL)
     event_queue = EventQueue()
-    # The handlers stand before the files are read and the listener opens: a signal during the start
-    # waits in the queue, so that a change is read again and what was accepted is responded to.
+    # The handlers are set before the files are read and the listener opens. A signal during the
+    # start waits in the queue: after SIGHUP the files are read again, and after SIGTERM requests
+    # that have been accepted still get a response.
     signal.signal(
         signal.SIGHUP,
         lambda *_: event_queue.post(
@@ -99,7 +101,7 @@
     signal.signal(signal.SIGTERM, lambda *_: event_queue.post(lambda: event_loop.drain.start()))
     try:
         operator_config = read_operator_config() if read_operator_config is not None else None
-        event_loop, components = build(read(path), event_queue)
+        event_loop, components = build(read_configuration(path), event_queue)
         event_loop.subsystems.apply(operator_config)
     except OperatorFileError as error:
         print(error, file=sys.stderr)
@@ -124,31 +126,31 @@
         log.exception("event=event_loop_failed")
         return EXIT_FAILURE
     finally:
-        event_loop.subsystems.stop(STOP_PATIENCE)
+        event_loop.subsystems.stop(SUBSYSTEM_STOP_TIMEOUT)
     return 0
 
 
 def check(path: str) -> int:
-    """Reads a configuration as `serve` would, without opening a socket, and prints what it means.
+    """Reads a configuration as `serve` does, without opening a socket, and prints a summary.
 
     Returns:
         The exit code.
     """
     try:
-        config = read(path)
-        server, limits = decode(config)
-        parties = addresses(config)
+        config = read_configuration(path)
+        server, limits = decode_configuration(config)
+        addresses = decode_addresses(config)
     except ConfigurationError as error:
         print(f"lilacwalk: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
-    _print_parties(str(config.get("name", "")), parties)
+    _print_addresses(str(config.get("name", "")), addresses)
     _print_server(server, limits)
     return 0
 
 
-def _print_parties(name: str, parties: dict[str, Address]) -> None:
-    listed = " ".join(f"{party}={host}:{port}" for party, (host, port) in parties.items())
-    print(f"name={name} {listed}")
+def _print_addresses(name: str, addresses: dict[str, Address]) -> None:
+    formatted = " ".join(f"{key}={host}:{port}" for key, (host, port) in addresses.items())
+    print(f"name={name} {formatted}")
 
 
 def _print_server(server: ServerSettings, limits: Limits) -> None:
--- a/lilacwalk/server/subsystem_factories.py
+++ b/lilacwalk/server/subsystem_factories.py
@@ -1,7 +1,7 @@
 """Creates the optional subsystems, each from its block of the operator's file.
 
-Their modules are imported here, when a block asks for them: a plain start loads none. A subsystem
-that cannot start raises `ConfigurationError`, and then nothing of it is left open.
+Their modules are imported here, only if their block is present. If a subsystem cannot start, its
+factory raises `ConfigurationError`, and the subsystem leaves no socket open.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 
 
 class SubsystemStartError(ConfigurationError):
-    """The system refused what a subsystem needs, such as a socket."""
+    """A system call that a subsystem needs at its start failed, such as opening a socket."""
 
     def __init__(self, failure: str, cause: OSError) -> None:
-        """`failure` says what cannot be done."""
+        """`failure` says what failed, such as "cannot start the store"."""
         super().__init__(f"{failure}: {cause.strerror or cause}")
         self.failure = failure
 
 
 class SubsystemConfigError(ConfigurationError):
-    """A subsystem refuses its block, or lacks a package."""
+    """A subsystem rejects its block, or a package that it needs is not installed."""
 
     def __init__(self, subsystem: str, cause: Exception, hint: str = "") -> None:
-        """`hint` says what helps."""
+        """`hint` says how to fix the problem."""
         super().__init__(f"{subsystem}: {cause}{hint}")
         self.subsystem = subsystem
 
 
 @contextmanager
 def start_errors(failure: str) -> Iterator[None]:
-    """Raises an OSError of the body as `SubsystemStartError`."""
+    """Converts an OSError in the body to a `SubsystemStartError`."""
     try:
         yield
     except OSError as error:
@@ -60,11 +60,11 @@
 
 
 def create_retry_storms(event_loop: EventLoop, config: RetryStormConfig) -> RetryStormIntegration:
-    """Creates the damping of retry storms."""
+    """Creates the integration that damps retry storms."""
     from lilacwalk.server.integrations.retry_storms import RetryStormIntegration
 
     server = event_loop.server
-    with start_errors("cannot damp storms"):
+    with start_errors("cannot start the damping of retry storms"):
         return RetryStormIntegration(
             config, server.max_retry_after, server.seed, event_loop.event_queue, event_loop.now
         )
@@ -75,10 +75,10 @@
     config: StorageConfig,
     on_opened: Callable[[list[RecoveredEffect]], None],
 ) -> PersistenceIntegration:
-    """Creates the store; `on_opened` gets what earlier incarnations recorded."""
+    """Creates the store; `on_opened` gets the effects that earlier incarnations recorded."""
     from lilacwalk.server.integrations.persistence import PersistenceIntegration
 
-    with start_errors("cannot keep"):
+    with start_errors("cannot start the store"):
         return PersistenceIntegration(
             config,
             event_loop.registry.name,
@@ -94,12 +94,12 @@
     config: EdgeConfig,
     persist_sessions: Callable[[dict[bytes, bytes | None]], None] | None,
 ) -> DeviceFrontend:
-    """Creates the front end for devices; `persist_sessions` records their sessions."""
+    """Creates the frontend for devices; `persist_sessions` stores their sessions."""
     try:
         from lilacwalk.edge.device_service import Group
         from lilacwalk.frontends.devices import DeviceFrontend, EdgeError
     except ImportError as error:
-        hint = ": requirements-edge.txt names what it needs"
+        hint = ": install the packages in requirements-edge.txt"
         raise SubsystemConfigError("edge", error, hint) from error
     server = event_loop.server
     groups = {each.name: Group(each.effect, each.timeout) for each in server.request_classes}
@@ -124,7 +124,7 @@
     """Creates the listeners for the traffic of failed sites."""
     from lilacwalk.server.integrations.failover_traffic import FailoverTrafficIntegration
 
-    with start_errors("cannot listen for guests"):
+    with start_errors("cannot listen for failover traffic"):
         return FailoverTrafficIntegration(
             event_loop.requests,
             config,
@@ -139,7 +139,7 @@
 def create_site_failover(
     event_loop: EventLoop, subsystems: Subsystems, config: FailoverConfig
 ) -> SiteFailoverIntegration:
-    """Creates the plan for failed sites, which runs in the membership's thread."""
+    """Creates the failover planner, which runs in the membership thread."""
     from lilacwalk.server.integrations.site_failover import SiteFailoverIntegration
 
     post = event_loop.event_queue.post
@@ -161,8 +161,8 @@
     """Creates this node's membership of the fleet.
 
     Raises:
-        FleetError: The block does not fit this node.
-        OSError: The system refused a socket.
+        FleetError: The fleet block cannot be used on this node.
+        OSError: A socket cannot be opened.
     """
     from lilacwalk import __version__
     from lilacwalk.server.integrations.membership import MembershipIntegration
@@ -181,10 +181,14 @@
 def create_bgp(
     event_loop: EventLoop, config: BgpConfig, on_withdrawn: Callable[[bool], None]
 ) -> BgpIntegration:
-    """Creates the BGP speaker; `on_withdrawn` is told whether a fault keeps this node withdrawn."""
+    """Creates the BGP speaker.
+
+    `on_withdrawn` is called with whether the announcements are withdrawn because this node is
+    unhealthy.
+    """
     from lilacwalk.server.integrations.bgp import BgpIntegration
 
-    with start_errors("cannot announce"):
+    with start_errors("cannot start the BGP speaker"):
         return BgpIntegration(
             config,
             event_loop.server.seed,
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -1,4 +1,4 @@
-"""The optional subsystems of an app server: start, reload and stop by the operator's file."""
+"""Starts, reloads and stops the optional subsystems according to the operator's file."""
 
 from __future__ import annotations
 
@@ -30,23 +30,24 @@
 
 log = logging.getLogger(__name__)
 
-# How many of a site's nodes are to announce its own services while it recovers, as the plan says.
+# Values of the service mode: how many nodes of a site announce the site's own services. The
+# failover plan sets it while the site recovers.
 ALL_NODES = "whole"
 NO_NODES = "none"
 
-DISK_OK = "kept"  # the state of an effect log whose records are written
+EFFECTS_PERSISTED = "kept"  # the state of an effect log whose records are written
 
 
 class Subsystems:
-    """Starts and stops the subsystems, and passes to each what it needs of the others.
+    """Starts and stops the subsystems, and passes state between them.
 
-    Owns the running integrations, None where a subsystem is off, and what membership and the plan
-    for failed sites said last, for a BGP speaker that starts later. All methods run in the event
-    loop's thread.
+    Owns the running integrations (None if a subsystem is disabled) and the last state from the
+    membership and the failover plan, which a BGP speaker that starts later needs. All methods run
+    in the event loop's thread.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """All off."""
+        """Starts no subsystem yet."""
         self._event_loop = event_loop
         self.bgp: BgpIntegration | None = None
         self.devices: DeviceFrontend | None = None
@@ -54,16 +55,19 @@
         self.membership: MembershipIntegration | None = None
         self.persistence: PersistenceIntegration | None = None
         self.retry_storms: RetryStormIntegration | None = None
-        self.may_withdraw = True  # for a fault, as far as the fleet needs this node
-        self.failover_sites: tuple[str, ...] = ()  # whose services this node is to announce
+        # Whether this node may withdraw its announcements when unhealthy. The membership forbids it
+        # if too few members would be left.
+        self.may_withdraw = True
+        self.failover_sites: tuple[str, ...] = ()  # failed sites whose services this node announces
         self.own_service_mode = ALL_NODES
         self._devices_started = False
 
     def apply(self, config: OperatorConfig | None) -> None:
-        """Applies the operator's file, at start and after a reload; None: there is none.
+        """Applies the operator's file, at start and after a reload; None: there is no file.
 
         Raises:
-            ConfigurationError: A block cannot be used. Those before it in the order below apply.
+            ConfigurationError: A block cannot be used. The blocks before it, in the order of the
+                calls below, have been applied.
         """
         if config is None:
             config = NoOperatorConfig()
@@ -73,8 +77,8 @@
         self._apply_fleet(config.fleet, config.sites)
         self.apply_bgp(config.announce)
 
-    def stop(self, patience: float) -> None:
-        """Ends all subsystems, waiting at most `patience` seconds for each."""
+    def stop(self, timeout: float) -> None:
+        """Stops all subsystems, waiting at most `timeout` seconds for each."""
         for subsystem in (
             self.bgp,
             self.devices,
@@ -83,12 +87,12 @@
             self.retry_storms,
         ):
             if subsystem is not None:
-                subsystem.end(patience)
+                subsystem.end(timeout)
 
-    # What the event loop tells the subsystems
+    # Calls from the event loop
 
     def report_node_state(self) -> None:
-        """Reports the state of this node after an iteration."""
+        """Passes the state of this node to BGP and the membership after each iteration."""
         if self.bgp is None and self.membership is None:
             return
         event_loop = self._event_loop
@@ -103,17 +107,21 @@
         if self.bgp is not None:
             self.bgp.evaluate(facts, event_loop.now)
         if self.membership is not None:
-            disk = self.persistence.effect_log.state if self.persistence is not None else DISK_OK
+            effect_log_state = (
+                self.persistence.effect_log.state
+                if self.persistence is not None
+                else EFFECTS_PERSISTED
+            )
             self.membership.evaluate(
                 facts,
                 event_loop.now,
                 controller.admission_probability if controller is not None else 1.0,
                 event_loop.executor.gauges.core_use,
-                "" if disk == DISK_OK else disk,
+                "" if effect_log_state == EFFECTS_PERSISTED else effect_log_state,
             )
 
     def tick(self, controller: Controller) -> None:
-        """Does the periodic work of the subsystems that follow the controller."""
+        """Does the periodic work of the subsystems that use the controller's state."""
         now = self._event_loop.now
         if self.persistence is not None:
             sites = self.membership.site_failover if self.membership is not None else None
@@ -141,7 +149,7 @@
             self.failover_traffic.request_completed()
 
     def restore_learned_state(self, controller: Controller) -> None:
-        """Gives a new controller what an earlier incarnation has learned, once that is read."""
+        """Restores the learned state of an earlier incarnation, if the store has been read."""
         if self.persistence is not None:
             self.persistence.restore_learned_state(controller, self._event_loop.now)
 
@@ -161,11 +169,11 @@
     # Store
 
     def _apply_store(self, config: StorageConfig | None) -> None:
-        """The store starts and ends with the process."""
+        """Starts the store; once started, it runs until the process ends."""
         if self.persistence is not None:
             if config != self.persistence.config:
                 log.warning(
-                    "event=reload_ignored detail='the store ends with the program, not its block'"
+                    "event=reload_ignored detail='a changed store block applies after a restart'"
                 )
         elif config is not None and not self._event_loop.drain.is_started:
             self.persistence = factories.create_persistence(
@@ -173,10 +181,10 @@
             )
             self.persistence.start()
 
-    def _store_opened(self, remembered: list[RecoveredEffect]) -> None:
-        """Restores what earlier incarnations recorded; nothing if the store cannot be opened."""
+    def _store_opened(self, recovered_effects: list[RecoveredEffect]) -> None:
+        """Restores the state of earlier incarnations; it is empty if the store failed to open."""
         event_loop = self._event_loop
-        event_loop.requests.effect_gate.restore(remembered)
+        event_loop.requests.effect_gate.restore(recovered_effects)
         controller = event_loop.controller
         if controller is not None and event_loop.now < controller.started_at + SECOND:
             self.restore_learned_state(controller)
@@ -188,11 +196,11 @@
     # Edge
 
     def _apply_edge(self, config: EdgeConfig | None) -> None:
-        """Devices start and end with the process; a reload changes certificates and limits."""
+        """Starts the edge, or reloads its certificates and limits; it ends with the process."""
         if self.devices is not None:
             if config is None:
                 log.warning(
-                    "event=reload_ignored detail='the edge ends with the program, not its block'"
+                    "event=reload_ignored detail='removing the edge block requires a restart'"
                 )
             else:
                 self._reload_devices(config)
@@ -208,7 +216,7 @@
             raise ConfigurationError(str(error)) from error
 
     def _start_devices(self, config: EdgeConfig) -> None:
-        """Starts the devices' front end, with a store once earlier sessions are read from it."""
+        """Starts the frontend for devices; with a store, after earlier sessions have been read."""
         persist_sessions = None
         if self.persistence is not None:
             persist_sessions = self.persistence.persist_sessions
@@ -232,7 +240,7 @@
         from lilacwalk.membership.host import FleetError
 
         try:
-            with factories.start_errors("cannot keep a view of the fleet"):
+            with factories.start_errors("cannot start the fleet membership"):
                 if self.membership is not None:
                     self._reload_membership(config, failover)
                 elif not self._event_loop.drain.is_started:
@@ -245,8 +253,9 @@
         if failover is not None:
             self._apply_failover_traffic(failover, config.site)
             site_failover = factories.create_site_failover(self._event_loop, self, failover)
-            self.own_service_mode = NO_NODES  # until the fleet has been asked
-        self.may_withdraw = False  # until the fleet has been asked: when in doubt, serve
+            self.own_service_mode = NO_NODES  # until the failover plan decides
+        # Until the membership decides, this node keeps its announcements even if unhealthy.
+        self.may_withdraw = False
         self.membership = factories.create_membership(self._event_loop, self, config, site_failover)
         self.membership.start()
 
@@ -254,10 +263,13 @@
         self.membership.reload(config)
         site_failover = self.membership.site_failover
         if failover is not None and site_failover is not None:
-            site_failover.config = failover  # which the membership's thread reads each time
+            site_failover.config = failover  # the membership thread reads it at each evaluation
             self.failover_traffic.reconfigure(failover)
         elif (failover is None) != (site_failover is None):
-            log.warning("event=reload_ignored detail='sites come and go with the fleet block'")
+            log.warning(
+                "event=reload_ignored "
+                "detail='the sites block can only be added or removed with the fleet block'"
+            )
 
     def _stop_membership(self) -> None:
         if self.membership is None:
@@ -267,11 +279,11 @@
         self.set_may_withdraw(True)
         self.set_failover_sites(())
         self.set_own_service_mode(ALL_NODES)
-        if self.failover_traffic is not None:  # its listeners stay: clients may be on their way
-            self.failover_traffic.stop_taking_failover()
+        if self.failover_traffic is not None:  # its listeners stay open: clients may still connect
+            self.failover_traffic.clear_traffic_plan()
 
     def _apply_failover_traffic(self, config: FailoverConfig, own_site: str) -> None:
-        """The listeners stay as long as the process: a block that comes back finds them."""
+        """Opens the listeners once; they stay open for a block that is removed and added again."""
         if self.failover_traffic is not None:
             self.failover_traffic.reconfigure(config)
             return
@@ -284,7 +296,7 @@
     # BGP
 
     def apply_bgp(self, config: BgpConfig | None) -> None:
-        """Starts, reloads or ends the announcements.
+        """Starts, reloads or stops the BGP speaker.
 
         Raises:
             ConfigurationError: The speaker cannot start.
@@ -307,13 +319,13 @@
             self.membership.set_withdrawn(is_withdrawn)
 
     def set_may_withdraw(self, may_withdraw: bool) -> None:
-        """Takes from the membership whether this node may withdraw for a fault."""
+        """Sets whether this node may withdraw its announcements when unhealthy."""
         self.may_withdraw = may_withdraw
         if self.bgp is not None:
             self.bgp.set_withdrawal_allowed(may_withdraw)
 
     def set_failover_sites(self, sites: tuple[str, ...]) -> None:
-        """Takes from the plan the failed sites whose services this node is to announce, too."""
+        """Sets the failed sites whose services this node also announces, as the plan decides."""
         self.failover_sites = sites
         if self.bgp is None:
             return
@@ -325,7 +337,7 @@
         self.bgp.announce_failover_prefixes(prefixes)
 
     def set_own_service_mode(self, mode: str) -> None:
-        """Takes from the plan how many nodes of this site are to announce its services."""
+        """Sets how many nodes of this site announce its own services, as the plan decides."""
         self.own_service_mode = mode
         if self.bgp is not None:
             self.bgp.set_own_service_mode(mode)
