--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -1,4 +1,4 @@
-"""Draining: what is received before the end is answered, and the process ends in time."""
+"""Draining: requests received before the end get a response, and the process ends in time."""
 
 import os
 import signal
@@ -13,41 +13,41 @@
 def test_a_drain_answers_all_received_requests_and_ends_in_time(make_site):
     site = make_site().spawn()
     executor = site.link()
-    proxy, silent = site.router(), site.router()
+    proxy, idle_proxy = site.router(), site.router()
     proxy.submit(1, i="00000000000000aa")
     proxy.submit(2, i="00000000000000bb")
     executor.expect("SCHED"), executor.expect("SCHED")
-    begun = time.monotonic()
+    started_at = time.monotonic()
     site.process.send_signal(signal.SIGTERM)
     site.process.send_signal(signal.SIGTERM)
-    site.process.send_signal(signal.SIGHUP)  # with nothing new in the file
+    site.process.send_signal(signal.SIGHUP)  # the file has not changed
     executor.tell("REAP 1 00000000000000aa success 1 1", b"a")
     answers = {each[0]: each[1] for each in (proxy.answer() for _ in range(3))}
     assert answers[1] == "done"
     assert answers[0] == "closing"
     assert answers[2] in ("later", "error")
     assert proxy.answer() is None
-    assert silent.answer()[:2] == (0, "closing")
+    assert idle_proxy.answer()[:2] == (0, "closing")
     assert site.process.wait(PATIENCE) == 0
-    assert time.monotonic() - begun < 1.5
+    assert time.monotonic() - started_at < 1.5
 
 
-def test_a_second_request_to_drain_changes_nothing(make_site):
+def test_a_second_start_of_the_drain_does_not_change_its_end(make_site):
     site = make_site(stop_ms=60_000).start()
     site.link()
-    proxy, stops = site.router(), []
+    proxy, stop_times = site.router(), []
     for tag in (b"1", b"2"):
         site.event_loop.event_queue.post(site.event_loop.drain.start)
         proxy.say(b"PROBE", tag)
         while (answer := proxy.answer())[0] != int(tag):
             pass
-        stops.append(site.event_loop.drain.stop_at)
+        stop_times.append(site.event_loop.drain.stop_at)
         assert tag == b"1" or answer[1] == "sick"
-    assert stops[0]
-    assert stops[0] == stops[1]
+    assert stop_times[0]
+    assert stop_times[0] == stop_times[1]
 
 
-def test_a_drain_ends_once_all_proxies_have_closed(make_site):
+def test_a_drain_ends_once_all_proxies_have_disconnected(make_site):
     site = make_site(stop_ms=60_000).spawn()
     site.link()
     proxy = site.router()
@@ -65,28 +65,28 @@
     site = make_site(
         stop_ms=10_000, limits={"message_timeout": 100_000, "half_close_linger": 100_000}
     ).start()
-    site.kernel, (asking, beside) = site.link(), [site.router() for _ in range(2)]
-    for each in (asking, beside):
+    site.kernel, (proxy, idle_proxy) = site.link(), [site.router() for _ in range(2)]
+    for each in (proxy, idle_proxy):
         wait_until_processed(each)
-    request = asking.message(2)
-    asking.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
-    assert asking.answer()[:2] == (1, "healthy")
+    request = proxy.message(2)
+    proxy.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
+    assert proxy.answer()[:2] == (1, "healthy")
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    for each in (asking, beside):
+    for each in (proxy, idle_proxy):
         assert each.answer()[:2] == (0, "closing")
-    assert beside.answer() is None
-    asking.sock.sendall(request[-40:])
-    assert asking.answer()[:2] == (2, "later")
-    assert asking.answer() is None
+    assert idle_proxy.answer() is None
+    proxy.sock.sendall(request[-40:])
+    assert proxy.answer()[:2] == (2, "later")
+    assert proxy.answer() is None
     site.thread.join(PATIENCE)
     assert site.event_loop.has_ended
 
 
-@pytest.mark.parametrize("opened", [False, True])
-def test_sigterm_before_the_executor_is_up_starts_a_drain(make_site, opened):
+@pytest.mark.parametrize("sends_log_line", [False, True])
+def test_sigterm_before_the_executor_is_up_starts_a_drain(make_site, sends_log_line):
     site = make_site().spawn()
     executor = site.link(ready=False)
-    if opened:
+    if sends_log_line:
         executor.tell("DMESG 1 starting")  # between OPEN and BOOTED
     proxy = site.router()
     proxy.submit(1)
@@ -104,25 +104,25 @@
 
 
 @pytest.mark.parametrize("reads", [True, False])
-def test_a_drain_ends_in_time_beside_a_proxy_that_never_closes_or_reads(make_site, reads):
+def test_a_drain_ends_in_time_despite_a_proxy_that_never_closes_or_reads(make_site, reads):
     site = make_site().spawn()
     site.kernel = site.link()
-    proxy, odd = site.router(), site.router()
-    wait_until_processed(odd)
+    proxy, stuck_proxy = site.router(), site.router()
+    wait_until_processed(stuck_proxy)
     if not reads:
-        odd.sock.settimeout(0.5)
-        with pytest.raises((TimeoutError, ConnectionError)):  # the responses fill both buffers
-            send_probes_forever(odd)
+        stuck_proxy.sock.settimeout(0.5)
+        # The unread responses fill the buffers of both sides.
+        with pytest.raises((TimeoutError, ConnectionError)):
+            send_probes_forever(stuck_proxy)
     proxy.submit(1)
-    running, begun = next_dispatched(site), time.monotonic()
+    running, started_at = next_dispatched(site), time.monotonic()
     site.process.send_signal(signal.SIGTERM)
     assert proxy.answer()[:2] == (0, "closing")
     finish_execution(site, 1, running, b"x" * 4096)
     assert proxy.answer()[1::2] == ("done", b"x" * 4096)
     assert site.process.wait(PATIENCE) == 0
-    assert time.monotonic() - begun < (
-        1.5 if reads else 2.0
-    )  # its stop_ms, and an exit on a busy machine
+    # The limit is stop_ms, and with unread responses also the exit on a busy machine.
+    assert time.monotonic() - started_at < (1.5 if reads else 2.0)
 
 
 def fill_pipe(descriptor):
@@ -131,16 +131,16 @@
 
 
 def test_a_log_that_nobody_reads_delays_neither_responses_nor_the_drain(make_site):
-    unread, full = os.pipe()
-    os.set_blocking(full, False)
+    read_end, write_end = os.pipe()
+    os.set_blocking(write_end, False)
     with pytest.raises(BlockingIOError):
-        fill_pipe(full)
-    os.set_blocking(full, True)  # of the pipe's one end, which the program is given
-    site = make_site().spawn(full)
-    os.close(full)
+        fill_pipe(write_end)
+    os.set_blocking(write_end, True)  # a blocking pipe is the server's standard error
+    site = make_site().spawn(write_end)
+    os.close(write_end)
     site.kernel, proxy = site.link(), site.router()
     wait_until_processed(proxy)
-    assert os.read(unread, 1 << 20).strip() == b""  # from here on there is room again
+    assert os.read(read_end, 1 << 20).strip() == b""  # the pipe has room again
     proxy.submit(1)
     running = next_dispatched(site)
     site.process.send_signal(signal.SIGTERM)
@@ -149,7 +149,7 @@
     assert proxy.answer()[:2] == (1, "done")
     proxy.sock.close()
     assert site.process.wait(PATIENCE) == 0
-    with open(unread) as log:
+    with open(read_end) as log:
         lines = log.read().splitlines()
     assert "event=log_lines_dropped count=2" in lines[0]
     assert any("event=drain_started" in line for line in lines)
--- a/tests/server/test_event_loop.py
+++ b/tests/server/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: timers, failures, accounting, separation of two servers in a process."""
+"""The event loop: timers, failures, and two servers in one process."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 def test_an_error_in_the_event_loop_ends_it(make_site):
     event_loop, _ = serve.build(make_site().handed, EventQueue())
-    event_loop.event_queue.fail("a part failed")
+    event_loop.event_queue.fail("a component failed")
     with pytest.raises(ComponentFailedError):
         event_loop.run()
     event_loop.event_queue.post(event_loop.dependency_calls.end_call, None, Outcome.OK)
@@ -31,7 +31,7 @@
 
 
 def test_two_servers_in_one_process_keep_their_settings_apart(make_site):
-    """The same names: here twice the same key runs once, there it runs twice."""
+    """Both servers have the same class names: two requests with one key run once or twice."""
     strict = make_site().start()
     loose = make_site(
         settings={
@@ -41,14 +41,14 @@
         }
     ).start()
     for site in (strict, loose):
-        site.kernel, site.asker = site.link(), site.router()
+        site.kernel, site.proxy = site.link(), site.router()
         for tag in (1, 2):
-            site.asker.submit(tag, "once", k="k1")
+            site.proxy.submit(tag, "once", k="k1")
     first = next_dispatched(strict)
-    two = [next_dispatched(loose) for _ in range(2)]
-    assert first != two[0] != two[1]
+    both = [next_dispatched(loose) for _ in range(2)]
+    assert first != both[0] != both[1]
     finish_execution(strict, 1, first, b"strict")
-    for number, request_id in enumerate(two, 1):
+    for number, request_id in enumerate(both, 1):
         finish_execution(loose, number, request_id, b"loose")
-    assert {strict.asker.answer()[3] for _ in range(2)} == {b"strict"}
-    assert {loose.asker.answer()[3] for _ in range(2)} == {b"loose"}
+    assert {strict.proxy.answer()[3] for _ in range(2)} == {b"strict"}
+    assert {loose.proxy.answer()[3] for _ in range(2)} == {b"loose"}
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -1,4 +1,4 @@
-"""The link to the executor: replay after a loss, repeated commands, gauges."""
+"""The link to the executor: replay after a lost link, resent commands, gauges."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 )
 
 
-def test_probes_are_answered_before_the_executor_is_up_and_reports_start_with_it(make_site):
+def test_probes_are_answered_before_the_executor_is_up_and_registry_reports_after_it(make_site):
     site = make_site().start()
     executor, proxy = site.link(ready=False), site.router()
     proxy.say(b"PROBE", b"1", b"x=1")
@@ -40,7 +40,7 @@
     assert executor.opened == ["OPEN", "1"]
     executor.tell("BOOTED steady 9000")
     fence = executor.expect("SYSINFO")[0][1]
-    executor.tell(f"REAP 1 {1:016x} success 1 1", b"a")  # known already
+    executor.tell(f"REAP 1 {1:016x} success 1 1", b"a")  # a replayed event, handled before
     executor.tell(f"REAP 2 {2:016x} success 1 1", b"b")
     executor.tell(f"INFO {fence} 0.5 1")
     words, body = executor.expect("SCHED")
@@ -50,11 +50,11 @@
     assert [proxy.answer()[::3] for _ in range(2)] == [(2, b"b"), (3, b"c")]
 
 
-def test_the_timer_gets_fresh_gauges_and_does_not_wait_for_them(site):
+def test_the_controller_timer_uses_the_last_gauges_and_does_not_wait_for_new_ones(site):
     for _ in range(2):
         words, _ = site.kernel.expect("SYSINFO")
         site.kernel.tell(f"INFO {words[1]} 0.625 3")
-    for _ in range(3):  # unanswered: the timer goes on with what was told last
+    for _ in range(3):  # not answered: the timer uses the values reported last
         site.kernel.expect("SYSINFO")
     assert (
         site.event_loop.controller.parts.load.core_use,
@@ -77,7 +77,7 @@
     site.kernel.reset()
     executor = site.link(ready=False)
     executor.tell("BOOTED steady 9000")
-    executor.tell(f"IOREQ 1 {request_id} 1", b"?")  # known already: no second call is made for it
+    executor.tell(f"IOREQ 1 {request_id} 1", b"?")  # a replayed event: no second call is made
     assert executor.opened == ["OPEN", "1"]
     assert executor.expect("IODONE") == (
         ["IODONE", request_id, "1"],
@@ -96,7 +96,7 @@
     proxy = site.router()
     proxy.submit(1)
     words, _ = site.kernel.expect("SCHED")
-    site.kernel.reset()  # and with the link what it said of that
+    site.kernel.reset()  # the executor's response to the dispatch is lost with the link
     site.kernel = site.link()
     assert site.kernel.expect("SCHED")[0][1] == words[1]
     site.kernel.tell(f"EINVAL SCHED {words[1]}")
@@ -129,25 +129,27 @@
 
 
 def poll_gauges(site, event_number):
-    """Has the server poll the gauges, after whatever it has sent before, and use the response."""
+    """Waits for the server's next gauge poll and responds, which acknowledges earlier commands."""
     proxy = site.router()
     proxy.submit(1)
     request_id = next_dispatched(site)
-    asked, _ = site.kernel.expect("SYSINFO")
-    site.kernel.tell(f"INFO {asked[1]} 0.1 1")
-    finish_execution(site, event_number, request_id)  # by the same link, behind it
+    words, _ = site.kernel.expect("SYSINFO")
+    site.kernel.tell(f"INFO {words[1]} 0.1 1")
+    # Sent over the same link: once this is handled, the response to the poll has been, too.
+    finish_execution(site, event_number, request_id)
     assert proxy.answer()[:2] == (1, "done")
 
 
-def test_an_acknowledged_dispatch_is_not_resent_as_its_execution_may_end_meanwhile(site):
+def test_an_acknowledged_dispatch_is_not_resent_after_a_lost_link(site):
+    """Guards against a second execution if the first one ends between replay and resending."""
     proxy = site.router()
     proxy.submit(1, "once", k="k1")
     first = next_dispatched(site)
     poll_gauges(site, 1)
     proxy.submit(2)
-    second = next_dispatched(site)  # and the gauges not asked for since
+    second = next_dispatched(site)  # no gauge poll has acknowledged this dispatch
     site.kernel.reset()
-    site.kernel = site.link()  # behind its replay the first run ends
+    site.kernel = site.link()  # the first execution ends after the replay over this link
     finish_execution(site, 2, first)
     assert next_dispatched(site) == second
     finish_execution(site, 3, second)
@@ -157,6 +159,7 @@
 
 
 def test_an_acknowledged_call_result_is_not_resent_for_the_next_call(site):
+    """Guards against a second call that ends with the result of the first one."""
     proxy = site.router()
     proxy.submit(1, "look")
     request_id = next_dispatched(site)
@@ -166,18 +169,18 @@
     poll_gauges(site, 2)
     site.kernel.reset()
     site.kernel = site.link()
-    dependency = request_call(site, 3, request_id, b"two")  # the run asks on behind the fence
+    dependency = request_call(site, 3, request_id, b"two")  # requested after the replay fence
     dependency.tell(f"{request_id} HIT 1", b"2")
     assert site.kernel.expect("IODONE")[1] == b"2"
     finish_execution(site, 4, request_id)
     assert proxy.answer()[:2] == (1, "done")
 
 
-def test_an_executor_without_a_usable_age_loses_its_link_and_nothing_else(make_site):
+def test_an_invalid_executor_age_closes_the_link_and_a_new_link_works(make_site):
     site = make_site().start()
-    odd = site.link(ready=False)
-    odd.tell("BOOTED steady inf")
-    assert odd.next() is None
+    executor = site.link(ready=False)
+    executor.tell("BOOTED steady inf")
+    assert executor.next() is None
     site.kernel, proxy = site.link(), site.router()
     proxy.submit(1)
     finish_execution(site, 1, next_dispatched(site))
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -11,28 +11,30 @@
 from tests.conftest import PATIENCE, finish_execution, next_dispatched, plain, wait_until_processed
 
 
-def test_a_reload_moves_executor_and_dependency_and_executions_go_on(make_site):
+def test_executions_continue_when_a_reload_changes_executor_and_dependency(make_site):
     site = make_site().spawn()
     executor = site.link()
     proxy = site.router()
     proxy.submit(1, "look", i="00000000000000aa")
     executor.expect("SCHED")
     executor.tell("IOREQ 1 00000000000000aa 1", b"?")
-    old = site.calls()
-    old.expect("GET")
+    old_dependency = site.calls()
+    old_dependency.expect("GET")
     site.move("kernel", "index")
     site.process.send_signal(signal.SIGHUP)
     executor = site.link()
     assert executor.opened == ["OPEN", "1"]
-    old.tell("00000000000000aa HIT 1", b"!")  # a call that was open ends where it was made
+    # A call in progress gets its result over the old connection.
+    old_dependency.tell("00000000000000aa HIT 1", b"!")
     assert executor.expect("IODONE") == (["IODONE", "00000000000000aa", "1"], b"!")
     executor.tell("IOREQ 2 00000000000000aa 1", b"2")
-    new = site.calls()
-    assert new.expect("GET")[1] == b"2"
+    new_dependency = site.calls()
+    assert new_dependency.expect("GET")[1] == b"2"
     site.path.write_text("{")
-    site.process.send_signal(signal.SIGHUP)  # half written: what holds stays in force
+    # The file is incomplete, so that the reload fails and the current configuration stays.
     site.process.send_signal(signal.SIGHUP)
-    new.tell("00000000000000aa HIT 1", b"!")
+    site.process.send_signal(signal.SIGHUP)
+    new_dependency.tell("00000000000000aa HIT 1", b"!")
     assert executor.expect("IODONE")
     executor.tell("REAP 3 00000000000000aa success 9 1", b"r")
     assert proxy.answer()[1::2] == ("done", b"r")
@@ -62,7 +64,7 @@
         {"settings": {"classes": [{"name": "g", "hard_limit_ms": 100, "aim_ms": -5}]}},
     ],
 )
-def test_an_unusable_configuration_is_one_plain_line_at_start_and_no_change_at_reload(
+def test_an_invalid_configuration_prints_one_line_at_start_and_changes_nothing_at_reload(
     make_site, capsys, change
 ):
     site = make_site()
@@ -72,7 +74,7 @@
     assert error.startswith("lilacwalk: ")
     assert error.count("\n") == 1
     if "settings" in change:
-        return  # read at the next start
+        return  # a reload does not read the settings
     site.start()
     site.kernel, proxy = site.link(), site.router()
     site.event_loop.event_queue.post(reload_configuration, site.event_loop, str(site.path))
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their receipt to their response, through executor and dependency."""
+"""Requests from receipt to response, through the executor and the dependency."""
 
 import socket
 import time
@@ -18,9 +18,9 @@
 
 
 def test_a_request_with_a_dependency_call_is_executed_and_answered(site):
-    proxy, odd = site.router(), bytes(range(256)) * 8
-    proxy.submit(7, "look", odd, i="00000000000000aa")
-    assert site.kernel.expect("SCHED") == (["SCHED", "00000000000000aa", "look", "2048"], odd)
+    proxy, body_sent = site.router(), bytes(range(256)) * 8
+    proxy.submit(7, "look", body_sent, i="00000000000000aa")
+    assert site.kernel.expect("SCHED") == (["SCHED", "00000000000000aa", "look", "2048"], body_sent)
     site.kernel.tell("IOREQ 1 00000000000000aa 4", b"\r\n\0?")
     dependency = site.calls()
     words, body = dependency.expect("GET")
@@ -53,45 +53,45 @@
 
 
 @pytest.mark.parametrize(
-    "leave",
+    "withdraw_or_disconnect",
     [
         lambda proxy: proxy.say(b"WITHDRAW", b"1"),
         lambda proxy: proxy.reset(),
         lambda proxy: proxy.sock.close(),
     ],
 )
-def test_a_request_whose_client_is_gone_is_cancelled_and_not_answered(site, leave):
-    proxy, beside = site.router(), site.router()
+def test_a_request_whose_client_is_gone_is_cancelled_and_not_answered(site, withdraw_or_disconnect):
+    proxy, other_proxy = site.router(), site.router()
     proxy.submit(1)
     words, _ = site.kernel.expect("SCHED")
-    leave(proxy)
+    withdraw_or_disconnect(proxy)
     assert site.kernel.expect("PREEMPT")[0][1] == words[1]
     site.kernel.tell(f"REAP 1 {words[1]} interrupted 5 0", b"")
-    assert execute_request(site, beside, 1, 2)[2][:2] == (1, "done")
+    assert execute_request(site, other_proxy, 1, 2)[2][:2] == (1, "done")
     if proxy.sock.fileno() >= 0:
         proxy.say(b"PROBE", b"2")
         assert proxy.answer()[0] == 2
 
 
 def test_after_every_kind_of_end_nothing_is_counted_as_in_flight(site):
-    proxy, leaving = site.router(), site.router()
-    for tag, ending in enumerate(("success", "failure", "interrupted", "nothing"), 1):
+    proxy, disconnecting_proxy = site.router(), site.router()
+    for tag, outcome in enumerate(("success", "failure", "interrupted", "nothing"), 1):
         proxy.submit(tag)
         words, _ = site.kernel.expect("SCHED")
-        site.kernel.tell(f"REAP {tag} {words[1]} {ending} 1 0", b"")
+        site.kernel.tell(f"REAP {tag} {words[1]} {outcome} 1 0", b"")
         assert proxy.answer()[0] == tag
-    lost = submit_until_call(site, proxy, 5, 5)  # its client leaves at the call
+    withdrawn_id = submit_until_call(site, proxy, 5, 5)  # withdrawn during its dependency call
     dependency = site.calls()
     dependency.expect("GET")
     proxy.say(b"WITHDRAW", b"5")
     proxy.say(b"PROBE", b"6")
-    assert proxy.answer()[0] == 6  # the withdrawal is read by now
-    leaving.submit(1)  # and this one's while it runs
+    assert proxy.answer()[0] == 6  # the withdrawal has been read
+    disconnecting_proxy.submit(1)  # its client disconnects while it is executed
     words, _ = site.kernel.expect("SCHED")
-    leaving.reset()
+    disconnecting_proxy.reset()
     assert site.kernel.expect("PREEMPT")[0][1] == words[1]
     site.kernel.tell(f"REAP 6 {words[1]} interrupted 1 0", b"")
-    site.kernel.tell(f"REAP 7 {lost} interrupted 1 0", b"")
+    site.kernel.tell(f"REAP 7 {withdrawn_id} interrupted 1 0", b"")
     assert dependency.next() is None
     assert execute_request(site, proxy, 9, 8)[2][:2] == (9, "done")
     proxy.say(b"PROBE", b"10")
@@ -99,90 +99,112 @@
     assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
 
 
-class RequestEnds:
-    """One request in flight, and what may end it from each side."""
+class RequestToEnd:
+    """A request in flight, with the events by which client, executor or dependency may end it."""
 
-    def __init__(self, site, calling):
+    def __init__(self, site, during_call):
         self.site, self.proxy = site, site.router()
         self.proxy.submit(1, "look")
         self.request_id = next_dispatched(site)
         self.event_number, self.dependency = 1, None
-        if calling:
+        if during_call:
             self.dependency, self.event_number = request_call(site, 1, self.request_id), 2
 
-    def withdrawn(self):
+    def client_withdraws(self):
         self.proxy.say(b"WITHDRAW", b"1")
 
-    def reaped(self):
+    def execution_succeeds(self):
         finish_execution(self.site, self.event_number, self.request_id)
 
-    def stopped(self):
+    def execution_is_interrupted(self):
         self.site.kernel.tell(f"REAP {self.event_number} {self.request_id} interrupted 3 0", b"")
 
-    def replied(self):
+    def dependency_responds(self):
         self.dependency.tell(f"{self.request_id} HIT 1", b"!")
 
-    def given_up(self):
-        assert self.dependency.next() is None  # the run is over: the call's connection ends with it
+    def expect_abandoned_call(self):
+        # The server closes the connection of a call whose execution has ended.
+        assert self.dependency.next() is None
 
-    def unlinked(self):
+    def executor_link_is_lost(self):
         self.site.kernel.sock.shutdown(socket.SHUT_RDWR)
-        self.site.unlinked = True
+        self.site.has_lost_link = True
 
-    def hung_up(self):
+    def client_disconnects(self):
         self.proxy.sock.shutdown(socket.SHUT_RDWR)
 
 
-ENDS_WHILE_RUNNING = ["withdrawn", "reaped", "unlinked", "hung_up"]
-ENDS_DURING_CALL = ["withdrawn", "stopped", "unlinked", "hung_up", "replied"]
+EVENTS_DURING_EXECUTION = [
+    "client_withdraws",
+    "execution_succeeds",
+    "executor_link_is_lost",
+    "client_disconnects",
+]
+EVENTS_DURING_CALL = [
+    "client_withdraws",
+    "execution_is_interrupted",
+    "executor_link_is_lost",
+    "client_disconnects",
+    "dependency_responds",
+]
 
 
-@pytest.mark.parametrize("at_once", [True, False])
+@pytest.mark.parametrize("in_one_iteration", [True, False])
 @pytest.mark.parametrize(
-    ("calling", "first", "second"),
+    ("during_call", "first", "second"),
     [
-        (calling, *two)
-        for calling, names in ((False, ENDS_WHILE_RUNNING), (True, ENDS_DURING_CALL))
-        for two in permutations(names, 2)
-        if two not in (("hung_up", "withdrawn"), ("unlinked", "reaped"), ("unlinked", "stopped"))
+        (during_call, *pair)
+        for during_call, names in ((False, EVENTS_DURING_EXECUTION), (True, EVENTS_DURING_CALL))
+        for pair in permutations(names, 2)
+        if pair
+        not in (
+            ("client_disconnects", "client_withdraws"),
+            ("executor_link_is_lost", "execution_succeeds"),
+            ("executor_link_is_lost", "execution_is_interrupted"),
+        )
     ],
 )
-def test_two_ends_of_one_request_in_either_order_give_one_response_and_leave_nothing(
-    site, calling, first, second, at_once
+def test_two_events_that_end_a_request_give_at_most_one_response_and_leave_nothing_in_flight(
+    site, during_call, first, second, in_one_iteration
 ):
-    ends, site.unlinked = RequestEnds(site, calling), False
-    gone, ended = {"withdrawn", "hung_up"}, {"reaped", "stopped"}
-    acts = [getattr(ends, name) for name in (first, second)]
-    if at_once:
-        site.event_loop.event_queue.together(*acts)
+    """Guards against leaked or doubly released requests if two ends of a request coincide."""
+    request, site.has_lost_link = RequestToEnd(site, during_call), False
+    client_gone, execution_ended = (
+        {"client_withdraws", "client_disconnects"},
+        {"execution_succeeds", "execution_is_interrupted"},
+    )
+    events = [getattr(request, name) for name in (first, second)]
+    if in_one_iteration:
+        site.event_loop.event_queue.together(*events)
     else:
-        site.event_loop.event_queue.together(acts[0])
-        if (first, second) == ("stopped", "replied"):
-            ends.given_up()  # nobody is left to reply to
+        site.event_loop.event_queue.together(events[0])
+        if (first, second) == ("execution_is_interrupted", "dependency_responds"):
+            request.expect_abandoned_call()  # the dependency can no longer respond
         else:
-            site.event_loop.event_queue.together(acts[1])
-    if site.unlinked:
+            site.event_loop.event_queue.together(events[1])
+    if site.has_lost_link:
         site.kernel = site.link()
-    if not ended & {first, second}:
-        outcome = "interrupted 3 0" if calling else "success 3 1"
+    if not execution_ended & {first, second}:
+        outcome = "interrupted 3 0" if during_call else "success 3 1"
         site.kernel.tell(
-            f"REAP {ends.event_number} {ends.request_id} {outcome}", b"" if calling else b"r"
+            f"REAP {request.event_number} {request.request_id} {outcome}",
+            b"" if during_call else b"r",
         )
-    beside = site.router()
-    beside.submit(1)
-    # The dispatch is resent after the replay fence where nothing has acknowledged it.
-    while (other := next_dispatched(site)) == ends.request_id:
+    other_proxy = site.router()
+    other_proxy.submit(1)
+    # An unacknowledged dispatch of the first request is resent after the replay fence.
+    while (dispatched_id := next_dispatched(site)) == request.request_id:
         pass
-    finish_execution(site, ends.event_number + 1, other)
-    assert beside.answer()[:2] == (1, "done")
-    if "hung_up" not in (first, second):
-        ends.proxy.say(b"PROBE", b"9")
-        answers = []
-        while (answer := ends.proxy.answer())[0] != 9:
-            answers.append(answer[0])
-        assert answers == ([] if first in gone else [1]) or (
-            second in gone and answers in ([], [1])
+    finish_execution(site, request.event_number + 1, dispatched_id)
+    assert other_proxy.answer()[:2] == (1, "done")
+    if "client_disconnects" not in (first, second):
+        request.proxy.say(b"PROBE", b"9")
+        answered_tags = []
+        while (answer := request.proxy.answer())[0] != 9:
+            answered_tags.append(answer[0])
+        assert answered_tags == ([] if first in client_gone else [1]) or (
+            second in client_gone and answered_tags in ([], [1])
         )
     site.event_loop.event_queue.together()
-    wait_until_processed(beside)
+    wait_until_processed(other_proxy)
     assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -1,4 +1,4 @@
-"""Starting: configurations that cannot be used, signals while the process starts."""
+"""Startup: invalid configurations, and signals during the start of the process."""
 
 import json
 import os
@@ -28,7 +28,7 @@
         '{"settings": {"classes": [{}]}}',
     ],
 )
-def test_an_unusable_configuration_file_is_one_plain_line_and_exit_code_2(tmp_path, capsys, text):
+def test_an_invalid_configuration_file_prints_one_line_and_exits_with_2(tmp_path, capsys, text):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -38,30 +38,32 @@
     assert error.count("\n") == 1
 
 
-def test_an_address_in_use_is_one_plain_line(make_site):
+def test_an_address_in_use_raises_a_configuration_error(make_site):
     handed = make_site().handed
     with pytest.raises(serve.ConfigurationError, match="cannot listen"):
         serve.build(handed | {"listen": handed["kernel"]}, EventQueue())
 
 
-def test_sigterm_as_the_listener_opens_starts_a_drain(make_site, monkeypatch):
+def test_sigterm_just_after_the_listener_opened_starts_a_drain(make_site, monkeypatch):
     site, build, proxies = make_site(), serve.build, []
 
-    def built(*about):
-        event_loop, parts = build(*about)
+    def build_and_send_sigterm(*arguments):
+        event_loop, components = build(*arguments)
         proxies.append(ProxyClient(event_loop.listener.address))
         proxies[0].submit(1)
         os.kill(os.getpid(), signal.SIGTERM)
-        return event_loop, parts
+        return event_loop, components
 
-    monkeypatch.setattr(serve, "build", built)
+    monkeypatch.setattr(serve, "build", build_and_send_sigterm)
     site.path.write_text(json.dumps(site.handed))
-    before = {each: signal.getsignal(each) for each in (signal.SIGTERM, signal.SIGHUP)}
-    signal.signal(signal.SIGTERM, lambda *_: pytest.fail("nothing was there to take it"))
+    old_handlers = {each: signal.getsignal(each) for each in (signal.SIGTERM, signal.SIGHUP)}
+    signal.signal(
+        signal.SIGTERM, lambda *_: pytest.fail("SIGTERM came before the server set its handler")
+    )
     try:
         assert serve.serve(str(site.path)) == 0
     finally:
-        for each, handler in before.items():
+        for each, handler in old_handlers.items():
             signal.signal(each, handler)
     assert [proxies[0].answer()[:2] for _ in range(2)] in (
         [(1, "later"), (0, "closing")],
@@ -72,7 +74,7 @@
 def test_sigterm_while_modules_load_ends_the_process_cleanly(make_site, monkeypatch):
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     site = make_site().spawn()
-    while "click.globals" not in site.process.stderr.readline():  # most of it is still to come
+    while "click.globals" not in site.process.stderr.readline():  # most modules load after it
         assert site.process.poll() is None
     site.process.send_signal(signal.SIGTERM)
     assert "Traceback" not in site.process.communicate(timeout=PATIENCE)[1]
