--- a/lilacwalk/server/decision_applier.py
+++ b/lilacwalk/server/decision_applier.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """Reports healthy and advertises no capacity until the controller decides."""
+        """Until the controller decides, the server is healthy and advertises no capacity."""
         self._event_loop = event_loop
         self._requests = event_loop.requests
         self._in_flight = event_loop.requests.in_flight.by_request
@@ -45,7 +45,10 @@
     def reject(
         self, request: Request, retry_after: int = 0, do_not_retry_elsewhere: bool = False
     ) -> None:
-        """Rejects a request; `retry_after` in tenths of a millisecond, 0: none is given."""
+        """Rejects a request.
+
+        `retry_after` is in tenths of a millisecond; if it is 0, the response gives no time.
+        """
         entry = self._in_flight.get(request)
         if entry is None:
             return
--- a/lilacwalk/server/drain.py
+++ b/lilacwalk/server/drain.py
@@ -30,7 +30,7 @@
     def __init__(self, event_loop: EventLoop) -> None:
         """Creates a drain that has not started."""
         self._event_loop = event_loop
-        self.stop_at = 0  # 0: not draining
+        self.stop_at = 0  # 0 until the drain starts
 
     @property
     def is_started(self) -> bool:
--- a/lilacwalk/server/event_loop.py
+++ b/lilacwalk/server/event_loop.py
@@ -115,7 +115,7 @@
             self.run_iteration()
 
     def run_iteration(self) -> None:
-        """Waits for events or a timer, handles what is due, and applies the decisions on it."""
+        """Waits for events or a timer, handles them and sends the resulting data."""
         items = self.take_items()
         self.now = max(self.now, self.clock.now())
         for item in items:
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -24,10 +24,10 @@
 
 
 class WithdrawalListener(Protocol):
-    """Called with whether this node's announcements are withdrawn because it is unhealthy."""
+    """Called in the event loop's thread when the level of the announcements changes."""
 
     def __call__(self, withdrawn: bool, /) -> None:
-        """Called in the event loop's thread."""
+        """Handles whether this node's announcements are withdrawn because it is unhealthy."""
 
 
 class BgpIntegration:
--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -30,7 +30,8 @@
 # Failover listeners together get at most this fraction (a quarter) of the limits on connections and
 # on requests in flight.
 FAILOVER_LIMIT_DIVISOR = 4
-SEED_MASK = 0x517E  # a separate random sequence: it does not change the controller's draws
+# Gives the local priorities a random sequence of their own, apart from the controller's.
+SEED_MASK = 0x517E
 
 
 class FailoverTrafficIntegration:
@@ -174,7 +175,7 @@
     def reject_if_over(
         self, class_name: str, source_site: str, controller: Controller
     ) -> LocalRejection | None:
-        """Returns the rejection of a request; None: it is passed on to the controller."""
+        """Returns the rejection of a request, or None if the controller decides on it."""
         is_busy = bool(controller.queue) or controller.running >= self.server.cores
         return self.local_priority.reject_if_over(class_name, source_site or self.site, is_busy)
 
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -24,7 +24,7 @@
     from lilacwalk.server.integrations.site_failover import SiteFailoverIntegration
 
 REPORT_INTERVAL = SECOND  # between two updates of metrics, in tenths of a millisecond
-MAX_REJECTED_CLASSES = 6  # reported; the classes with most rejections come first
+MAX_REJECTED_CLASSES = 6  # classes reported per update, those with the most rejections first
 MAX_CLASS_NAME_LENGTH = 24  # characters
 MAX_COMPLETED_PER_SECOND = (1 << 32) - 1
 PERMILLE = 1_000
@@ -32,10 +32,13 @@
 
 
 class WithdrawalPermissionListener(Protocol):
-    """Called with whether this node may withdraw its announcements when it is unhealthy."""
+    """Called in the membership thread when the permission or the conclusion changes."""
 
     def __call__(self, may_withdraw: bool, verdict: str, /) -> None:
-        """Runs in the membership thread; `verdict` is the conclusion from the membership view."""
+        """Handles whether this node may withdraw its announcements when it is unhealthy.
+
+        `verdict` is the conclusion from the membership view.
+        """
 
 
 class MembershipIntegration:
--- a/lilacwalk/server/integrations/persistence.py
+++ b/lilacwalk/server/integrations/persistence.py
@@ -45,18 +45,21 @@
 
 
 class RecoveredCallback(Protocol):
-    """Called with the effects of earlier processes; with none if the store cannot be opened."""
+    """Called once the store has been read, or cannot be opened."""
 
     def __call__(self, effects: list[RecoveredEffect], /) -> None:
-        """Runs in the event loop."""
+        """Restores the effects of earlier processes, in the event loop.
+
+        `effects` is empty if the store cannot be opened.
+        """
         ...
 
 
 class EffectCallback(Protocol):
-    """Called with whether a request that waited for the disk may run."""
+    """Called when the record of a waiting request is on disk, or could not be written."""
 
     def __call__(self, token: object, may_run: bool, /) -> None:
-        """Runs in the event loop."""
+        """Runs or rejects the request that `token` identifies, in the event loop."""
         ...
 
 
@@ -184,7 +187,7 @@
     def begin_effect(
         self, token: object, cache_key: CacheKey, expires_at: int, now: int
     ) -> bool | None:
-        """Returns whether a request may run; None: it has to wait for `on_persisted`."""
+        """Returns whether a request may run, or None if it has to wait for `on_persisted`."""
         begun = self.effect_log.begin(cache_key, expires_at)
         if begun.update is not None:
             self._put(begun.update, now, PendingEffect(token, cache_key))
@@ -209,7 +212,7 @@
     def finish_effect(
         self, cache_key: CacheKey, result: bytes | None, expires_at: int, now: int
     ) -> None:
-        """Persists the end of a request; None as `result`: the outcome is unknown."""
+        """Persists the end of a request; if `result` is None, the outcome is unknown."""
         for update in self.effect_log.finish(cache_key, result, expires_at):
             self._put(update, now)
 
--- a/lilacwalk/server/integrations/retry_storms.py
+++ b/lilacwalk/server/integrations/retry_storms.py
@@ -20,7 +20,9 @@
 from lilacwalk.server.integrations.status_query import answer_show
 
 log = logging.getLogger(__name__)
-SEED_MASK = 0x5703  # a separate random sequence: this block does not change the controller's draws
+# Gives the damper a random sequence of its own, so that the controller's random draws are the same
+# with and without a storms block.
+SEED_MASK = 0x5703
 FINGERPRINT_BYTES = 8  # collisions are rare: about ten thousand fingerprints are held at once
 
 
@@ -72,7 +74,7 @@
     def evaluate_request(
         self, incoming: IncomingRequest, deadline: int, is_duplicate: bool, now: int
     ) -> Rejection | None:
-        """Returns the rejection of a request; None: it is passed on to the controller."""
+        """Returns the rejection of a request, or None if the controller decides on it."""
         attempt = Attempt(
             fingerprint=fingerprint(incoming.class_name, incoming.tenant_name, incoming.body),
             request_class=incoming.class_name,
--- a/lilacwalk/server/integrations/site_failover_hooks.py
+++ b/lilacwalk/server/integrations/site_failover_hooks.py
@@ -11,21 +11,21 @@
     """Called in the membership thread when the failed sites that this node serves change."""
 
     def __call__(self, sites: tuple[str, ...], /) -> None:
-        """`sites`: the failed sites whose load this node now takes."""
+        """Handles the new list of failed sites whose load this node takes."""
 
 
 class OwnServiceModeListener(Protocol):
     """Called in the membership thread when the service mode of this node's own site changes."""
 
     def __call__(self, mode: str, /) -> None:
-        """`mode`: how many nodes of the site announce its services: `whole`, `part` or `none`."""
+        """Handles the new mode: `whole`, `part` or `none` of the own services are announced."""
 
 
 class TrafficPlanListener(Protocol):
     """Called in the membership thread when the traffic plan of this node changes."""
 
     def __call__(self, traffic_plan: TrafficPlan, /) -> None:
-        """`traffic_plan`: the new plan."""
+        """Handles the new plan."""
 
 
 class FailoverTrafficDescriber(Protocol):
--- a/lilacwalk/server/integrations/store_opener.py
+++ b/lilacwalk/server/integrations/store_opener.py
@@ -19,14 +19,14 @@
 RETRY_DELAY = 5.0  # seconds; a full or missing disk is seldom available again sooner
 MAX_SEGMENT_BYTES = 16_000_000
 SEGMENTS_PER_STORE = 8
-SNAPSHOTS_PER_STORE = 4  # one for each quarter of the store's size that is written to the log
+SNAPSHOTS_PER_STORE = 4  # a snapshot is due after log writes of a quarter of the store's size
 
 
 class OpenFailedCallback(Protocol):
-    """Called with the reason why the store could not be opened."""
+    """Called when the store could not be opened."""
 
     def __call__(self, reason: str, is_permanent: bool, /) -> None:
-        """Runs in the event loop; `is_permanent`: opening is not retried."""
+        """Handles the failure in the event loop; if `is_permanent`, opening is not retried."""
         ...
 
 
--- a/lilacwalk/server/integrations/subsystem_state.py
+++ b/lilacwalk/server/integrations/subsystem_state.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 SECOND = 10_000  # tenths of a ms
-BGP_RESTORE_TIME = SECOND // 2  # within which the speaker's thread applies the restored damping
+BGP_RESTORE_TIME = SECOND // 2  # for the speaker's thread to apply restored damping
 ROW_KEY = b"standing"
 SiteRows = dict[str, tuple[int, int]]
 Value = TypeVar("Value")
--- a/lilacwalk/server/request_lifecycle.py
+++ b/lilacwalk/server/request_lifecycle.py
@@ -68,7 +68,7 @@
 
     @property
     def close_idle_after(self) -> int:
-        """Idle time after which connections are closed; 0: the frontend uses its own limit."""
+        """Idle time after which connections are closed; if 0, the frontend uses its own limit."""
         return self._event_loop.decision_applier.close_idle_after
 
     def connection_opened(self) -> None:
@@ -193,7 +193,7 @@
         self._subsystems.response_sent(entry, status)
 
     def respond_to_duplicate(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Ends a duplicate with the result of the original request; None: it is unknown."""
+        """Ends a duplicate with the result of the original request, which is None if unknown."""
         entry.awaits_result_of = None
         if result is None:
             self.respond(entry, FinalStatus.FAILED)
@@ -210,7 +210,7 @@
             self.result_cache.remove(entry.cache_key, entry.request)
 
     def release_request(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Ends a request that has been executed or never will be; duplicates get its result."""
+        """Removes a request that has been executed or never will be; duplicates get its result."""
         self.in_flight.remove(entry)
         if entry.cache_key is None:
             return
--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -176,7 +176,7 @@
         )
 
     def _shed(self, submission: Submission) -> FinalResponse | None:
-        """Returns the rejection by a subsystem that sheds load; None: no subsystem rejects it."""
+        """Returns the rejection if a subsystem sheds the request, else None."""
         is_duplicate = submission.original is not None
         retry_storms = self._subsystems.retry_storms
         if retry_storms is not None:
--- a/lilacwalk/server/startup.py
+++ b/lilacwalk/server/startup.py
@@ -34,7 +34,7 @@
 
 # The call stacks of reader and writer threads are shallow, and Python frames are on the heap.
 THREAD_STACK_BYTES = 131_072
-SWITCH_INTERVAL = 0.001  # seconds; most threads have only short bursts of work
+SWITCH_INTERVAL = 0.001  # seconds; short, because most threads run only briefly at a time
 SUBSYSTEM_STOP_TIMEOUT = 0.05  # seconds; after a drain a subsystem has nothing left to send
 EXIT_FAILURE = 1
 EXIT_CONFIGURATION_ERROR = 2
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -30,8 +30,8 @@
 
 log = logging.getLogger(__name__)
 
-# Values of the service mode: how many nodes of a site announce the site's own services. The
-# failover plan sets it while the site recovers.
+# Values of the service mode, which says how many nodes of a site announce the site's own services.
+# The failover plan sets the mode while the site recovers.
 ALL_NODES = "whole"
 NO_NODES = "none"
 
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """Starts no subsystem yet."""
+        """Creates the registry of subsystems, of which none is running."""
         self._event_loop = event_loop
         self.bgp: BgpIntegration | None = None
         self.devices: DeviceFrontend | None = None
@@ -63,7 +63,9 @@
         self._devices_started = False
 
     def apply(self, config: OperatorConfig | None) -> None:
-        """Applies the operator's file, at start and after a reload; None: there is no file.
+        """Applies the operator's file, at start and after a reload.
+
+        If `config` is None, there is no operator's file.
 
         Raises:
             ConfigurationError: A block cannot be used. The blocks before it, in the order of the
