--- a/lilacwalk/server/effect_gate.py
+++ b/lilacwalk/server/effect_gate.py
@@ -59,7 +59,7 @@
         return bool(may_run)
 
     def record_written(self, entry: InFlightRequest, may_run: bool) -> None:
-        """Dispatches a request that waited for its record, or rejects it, as it has never run."""
+        """Dispatches a request that waited for its record, or rejects it without running it."""
         requests = self._requests
         event_loop = self._event_loop
         if may_run and entry.connection is not None and not entry.request.answered:
--- a/lilacwalk/server/executor_session.py
+++ b/lilacwalk/server/executor_session.py
@@ -71,8 +71,12 @@
         """Sends commands and keeps them until the executor has acknowledged them.
 
         Without a link, the commands are sent when the next link is ready. A call without commands
-        resends the unacknowledged ones. These are so few that an execution hardly ever ends, or
-        requests its next dependency call, between the replay and the resent commands.
+        resends the unacknowledged ones.
+
+        Only commands sent since the last answered gauge poll are unacknowledged, so it is rare that
+        an execution ends, or requests its next dependency call, between the replay of its events
+        and the arrival of a resent command. In that case the request would run twice, or the next
+        call would get the result of the previous one.
         """
         entry.unacknowledged_commands.extend(commands)
         entry.gauge_poll_at_last_command = self.gauge_polls
@@ -127,12 +131,12 @@
                 case GaugesReported():
                     self._gauges_reported(event)
                 case ExecutorBooted():
-                    self._booted(event)
+                    self._executor_booted(event)
                 case CommandRejected():
                     self._command_rejected(event)
 
-    def _booted(self, event: ExecutorBooted) -> None:
-        """Starts the controller if there is none, and sends a fence to detect the replay's end."""
+    def _executor_booted(self, event: ExecutorBooted) -> None:
+        """Starts the controller if there is none, and sends the replay fence of the new link."""
         event_loop = self._event_loop
         if event_loop.controller is None:
             log.info("event=executor_up cold=%s age_ms=%d", event.is_cold, event.age // 10)
@@ -159,7 +163,7 @@
                 entry.unacknowledged_commands.clear()
 
     def _replay_ended(self) -> None:
-        """Resends the commands that the executor may not have read over the lost link."""
+        """Resends the commands that the executor has not acknowledged over the lost link."""
         event_loop = self._event_loop
         self.is_ready = True
         self._fence_tag = ""
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -111,7 +111,10 @@
         return self.listener_closes_at is not None and now >= self.listener_closes_at
 
     def set_withdrawal_allowed(self, allowed: bool) -> None:
-        """Sets whether this node may withdraw when unhealthy, as enough other members serve."""
+        """Sets whether this node may withdraw its announcements when it is unhealthy.
+
+        The membership allows it only if enough other members serve.
+        """
         self.speaker.floor(allowed)
 
     def set_own_service_mode(self, mode: str) -> None:
@@ -142,14 +145,14 @@
         )
 
     def _announcement_level_changed(self, level: Level) -> None:
-        """Runs in the speaker's thread."""
+        """Passes a changed level to the event loop; runs in the speaker's thread."""
         self.event_queue.post(self._apply_announcement_level, level)
 
     def _apply_announcement_level(self, level: Level) -> None:
         self.on_withdrawn(level is Level.NONE and self.reported_state in UNWELL)
 
     def _withdrawal_sent(self, close_delay: int) -> None:
-        """Runs in the speaker's thread."""
+        """Passes the delay to the event loop; runs in the speaker's thread."""
         self.event_queue.post(self._schedule_listener_close, close_delay)
 
     def _schedule_listener_close(self, close_delay: int) -> None:
--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -64,9 +64,9 @@
         self.config = config
         self.site = site
         self.server = server
-        self.core_use_samples: list[float] = []  # since the last step
-        self.completed_requests = 0  # since the last step
-        # As of the last step. Replaced, never modified, so that any thread may read it.
+        self.core_use_samples: list[float] = []  # since the last `LocalPriority.step`
+        self.completed_requests = 0  # since the last `LocalPriority.step`
+        # As of the last `LocalPriority.step`. Replaced, never modified: any thread may read it.
         self.last_description: dict = {}
         self.frontends: list[ProxyFrontend] = []
         self.listeners: list[ProxyListener] = []
@@ -184,7 +184,7 @@
         self.completed_requests += 1
 
     def evaluate(self, controller: Controller, now: int, core_use: float) -> None:
-        """Records a sample of the core use, and runs a step of the priorities if one is due."""
+        """Records a sample of the core use, and calls `LocalPriority.step` if it is due."""
         priority = self.local_priority
         self.core_use_samples.append(core_use)
         if now < priority.next_step_at:
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -32,12 +32,13 @@
 
 
 class WithdrawalPermissionListener(Protocol):
-    """Called in the membership thread when the permission or the conclusion changes."""
+    """Called in the membership thread when the permission to withdraw or the verdict changes."""
 
     def __call__(self, may_withdraw: bool, verdict: str, /) -> None:
         """Handles whether this node may withdraw its announcements when it is unhealthy.
 
-        `verdict` is the conclusion from the membership view.
+        `verdict` is the value of `membership.conclusions.Verdict`: which part of the fleet this
+        node can see.
         """
 
 
@@ -64,7 +65,8 @@
             name: the name of the app server, used if the block gives none.
             cores: the number of this app server's cores, which other members learn by gossip.
             revision: the version of the program, which other members learn by gossip.
-            on_withdrawal_permission: called when the permission or the conclusion changes.
+            on_withdrawal_permission: called when the permission to withdraw announcements or the
+                verdict on the membership view changes.
             site_failover: evaluates the view in the membership thread.
 
         Raises:
@@ -121,7 +123,7 @@
             self.admin_socket.close()
 
     def set_withdrawn(self, withdrawn: bool) -> None:
-        """Publishes by gossip whether this node withdrew its announcements as unhealthy."""
+        """Gossips whether this node has withdrawn its announcements because it is unhealthy."""
         self.host.update_metadata(withdrawn=withdrawn)
 
     def record_outcome(self, request_class: str, status: FinalStatus) -> None:
@@ -180,7 +182,7 @@
         self.rejected_by_class.clear()
 
     def _publish_view(self, membership: Membership, verdict: Verdict, may_withdraw: bool) -> None:
-        """Runs in the membership thread."""
+        """Takes counts from a changed membership view; runs in the membership thread."""
         view = membership.view
         self.draining_peers = sum(member.name != membership.name for member in view.draining())
         dead_members = len(view.with_health(Health.DEAD))
--- a/lilacwalk/server/integrations/retry_storms.py
+++ b/lilacwalk/server/integrations/retry_storms.py
@@ -101,7 +101,7 @@
         """Passes the queue delay to the damper and logs changes of its stage."""
         self._now = now
         # If no request is running there is no queue delay. The expected execution times must not
-        # count then, as they may have been learned while the executor was stalled.
+        # count then, because they may have been learned while the executor was stalled.
         queue_delay = _queue_delay(controller) if controller.running else 0
         self.damper.tick(now, queue_delay, load_multiplier)
         for change in self.damper.changes:
--- a/lilacwalk/server/integrations/site_failover_hooks.py
+++ b/lilacwalk/server/integrations/site_failover_hooks.py
@@ -18,7 +18,7 @@
     """Called in the membership thread when the service mode of this node's own site changes."""
 
     def __call__(self, mode: str, /) -> None:
-        """Handles the new mode: `whole`, `part` or `none` of the own services are announced."""
+        """Handles the new mode: `whole`, `part` or `none` of the site announces its services."""
 
 
 class TrafficPlanListener(Protocol):
@@ -32,4 +32,4 @@
     """Describes the failover traffic on this node for the admin socket; safe from any thread."""
 
     def __call__(self) -> dict:
-        """Returns the description as of the last step of the local priorities."""
+        """Returns the description as of the last `LocalPriority.step`."""
--- a/lilacwalk/server/integrations/store_opener.py
+++ b/lilacwalk/server/integrations/store_opener.py
@@ -19,7 +19,7 @@
 RETRY_DELAY = 5.0  # seconds; a full or missing disk is seldom available again sooner
 MAX_SEGMENT_BYTES = 16_000_000
 SEGMENTS_PER_STORE = 8
-SNAPSHOTS_PER_STORE = 4  # a snapshot is due after log writes of a quarter of the store's size
+SNAPSHOT_LOG_DIVISOR = 4  # a snapshot is due after log writes of a quarter of the store's size
 
 
 class OpenFailedCallback(Protocol):
@@ -101,7 +101,7 @@
             JournalLimits(
                 max_disk_bytes=max_bytes,
                 segment_bytes=min(MAX_SEGMENT_BYTES, max_bytes // SEGMENTS_PER_STORE),
-                snapshot_after_bytes=max_bytes // SNAPSHOTS_PER_STORE,
+                snapshot_after_bytes=max_bytes // SNAPSHOT_LOG_DIVISOR,
             ),
             self._on_persisted,
             on_mode_change=self._on_mode_change,
--- a/lilacwalk/server/integrations/subsystem_state.py
+++ b/lilacwalk/server/integrations/subsystem_state.py
@@ -114,7 +114,7 @@
                 "was_announced": damping.announced,
             }
         )
-        # Until then the row on disk is valid, while the speaker may not have applied it yet.
+        # Until then the row on disk stays valid, because the speaker may still lack its values.
         self._persist_damping_from = now + BGP_RESTORE_TIME
 
     def update_sites(
--- a/lilacwalk/server/request_lifecycle.py
+++ b/lilacwalk/server/request_lifecycle.py
@@ -63,7 +63,7 @@
 
     @property
     def advertised_capacity(self) -> float | None:
-        """The load report for clients; None until the controller has made one."""
+        """The capacity that responses advertise; None until the controller has reported one."""
         return self._event_loop.decision_applier.advertised_capacity
 
     @property
@@ -114,7 +114,7 @@
         if self._screening.has_different_body(submission):
             # A duplicate has the same body as the original request. This request only has the same
             # key and must not get the original's result. Until the original has finished, its key
-            # may still be released, so this request may be retried.
+            # may still be released, so this request is rejected and can be retried.
             if submission.original.state is not RequestState.FINISHED:
                 client.frontend.send_response(client, tag, FinalResponse(FinalStatus.REJECTED))
                 return ""
@@ -164,7 +164,7 @@
         self._event_loop.controller_events.append(RequestReceived(request))
 
     def _register_key(self, submission: Submission, request: Request) -> None:
-        """Registers the key at once, as a duplicate may be read in the same iteration."""
+        """Registers the key at once, because a duplicate can be read in the same iteration."""
         request_class = request.request_class
         if request_class.effect is Effect.IDEMPOTENT:
             self.result_cache.put(submission.cache_key, request, None)
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -327,7 +327,7 @@
             self.bgp.set_withdrawal_allowed(may_withdraw)
 
     def set_failover_sites(self, sites: tuple[str, ...]) -> None:
-        """Sets the failed sites whose services this node also announces, as the plan decides."""
+        """Sets the failed sites whose services this node also announces, from the failover plan."""
         self.failover_sites = sites
         if self.bgp is None:
             return
@@ -339,7 +339,7 @@
         self.bgp.announce_failover_prefixes(prefixes)
 
     def set_own_service_mode(self, mode: str) -> None:
-        """Sets how many nodes of this site announce its own services, as the plan decides."""
+        """Sets how many nodes of this site announce its own services, from the failover plan."""
         self.own_service_mode = mode
         if self.bgp is not None:
             self.bgp.set_own_service_mode(mode)
--- a/tests/server/test_deduplication.py
+++ b/tests/server/test_deduplication.py
@@ -78,7 +78,7 @@
     running = next_dispatched(site)
     for tag in (2, 3):
         proxy.submit(tag, "once", k="k1")
-        wait_until_processed(proxy)  # queued, because the only core is in use
+        wait_until_processed(proxy)  # the request is queued, as the only core is in use
     proxy.sock.sendall(encode_array(b"WITHDRAW", b"2") + proxy.message(5, "once", k="k1"))
     wait_until_processed(proxy)
     finish_execution(site, 1, running)
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -87,7 +87,7 @@
     site = make_site().spawn()
     executor = site.link(ready=False)
     if sends_log_line:
-        executor.tell("DMESG 1 starting")  # between OPEN and BOOTED
+        executor.tell("DMESG 1 starting")  # the executor sends this between OPEN and BOOTED
     proxy = site.router()
     proxy.submit(1)
     assert proxy.answer()[:2] == (1, "later")
@@ -121,7 +121,8 @@
     finish_execution(site, 1, running, b"x" * 4096)
     assert proxy.answer()[1::2] == ("done", b"x" * 4096)
     assert site.process.wait(PATIENCE) == 0
-    # The limit is stop_ms, and with unread responses also the exit on a busy machine.
+    # stop_ms is 1.5 s; with unread responses, the exit of the process may take longer on a busy
+    # machine.
     assert time.monotonic() - started_at < (1.5 if reads else 2.0)
 
 
--- a/tests/server/test_event_loop.py
+++ b/tests/server/test_event_loop.py
@@ -31,7 +31,10 @@
 
 
 def test_two_servers_in_one_process_keep_their_settings_apart(make_site):
-    """Both servers have the same class names: two requests with one key run once or twice."""
+    """Both servers have the same class names, but only the strict one deduplicates requests.
+
+    Two requests with the same key run once on the strict server and twice on the loose one.
+    """
     strict = make_site().start()
     loose = make_site(
         settings={
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -1,4 +1,8 @@
-"""The link to the executor: replay after a lost link, resent commands, gauges."""
+"""The link to the executor: replay after a lost link, resent commands, gauges.
+
+The replay fence is a gauge request sent on a new link. Its response shows that the executor has
+replayed all its events; only then does the server resend commands.
+"""
 
 import pytest
 
@@ -40,7 +44,7 @@
     assert executor.opened == ["OPEN", "1"]
     executor.tell("BOOTED steady 9000")
     fence = executor.expect("SYSINFO")[0][1]
-    executor.tell(f"REAP 1 {1:016x} success 1 1", b"a")  # a replayed event, handled before
+    executor.tell(f"REAP 1 {1:016x} success 1 1", b"a")  # already handled, now replayed
     executor.tell(f"REAP 2 {2:016x} success 1 1", b"b")
     executor.tell(f"INFO {fence} 0.5 1")
     words, body = executor.expect("SCHED")
@@ -54,7 +58,8 @@
     for _ in range(2):
         words, _ = site.kernel.expect("SYSINFO")
         site.kernel.tell(f"INFO {words[1]} 0.625 3")
-    for _ in range(3):  # not answered: the timer uses the values reported last
+    # The executor does not answer these requests, so the timer uses the values reported last.
+    for _ in range(3):
         site.kernel.expect("SYSINFO")
     assert (
         site.event_loop.controller.parts.load.core_use,
@@ -77,7 +82,8 @@
     site.kernel.reset()
     executor = site.link(ready=False)
     executor.tell("BOOTED steady 9000")
-    executor.tell(f"IOREQ 1 {request_id} 1", b"?")  # a replayed event: no second call is made
+    # The replay repeats the request for the call, and the server must not make a second call.
+    executor.tell(f"IOREQ 1 {request_id} 1", b"?")
     assert executor.opened == ["OPEN", "1"]
     assert executor.expect("IODONE") == (
         ["IODONE", request_id, "1"],
@@ -135,7 +141,8 @@
     request_id = next_dispatched(site)
     words, _ = site.kernel.expect("SYSINFO")
     site.kernel.tell(f"INFO {words[1]} 0.1 1")
-    # Sent over the same link: once this is handled, the response to the poll has been, too.
+    # Events of a link are handled in order: once the end of the execution has been handled, the
+    # response to the poll has been handled as well.
     finish_execution(site, event_number, request_id)
     assert proxy.answer()[:2] == (1, "done")
 
@@ -149,7 +156,7 @@
     proxy.submit(2)
     second = next_dispatched(site)  # no gauge poll has acknowledged this dispatch
     site.kernel.reset()
-    site.kernel = site.link()  # the first execution ends after the replay over this link
+    site.kernel = site.link()  # the first execution ends only after the replay on this link
     finish_execution(site, 2, first)
     assert next_dispatched(site) == second
     finish_execution(site, 3, second)
@@ -169,7 +176,9 @@
     poll_gauges(site, 2)
     site.kernel.reset()
     site.kernel = site.link()
-    dependency = request_call(site, 3, request_id, b"two")  # requested after the replay fence
+    # If the first call's result were resent over the new link, the executor would take it as the
+    # result of this second call.
+    dependency = request_call(site, 3, request_id, b"two")
     dependency.tell(f"{request_id} HIT 1", b"2")
     assert site.kernel.expect("IODONE")[1] == b"2"
     finish_execution(site, 4, request_id)
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -74,7 +74,7 @@
     assert error.startswith("lilacwalk: ")
     assert error.count("\n") == 1
     if "settings" in change:
-        return  # a reload does not read the settings
+        return  # a reload does not apply the settings
     site.start()
     site.kernel, proxy = site.link(), site.router()
     site.event_loop.event_queue.post(reload_configuration, site.event_loop, str(site.path))
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -80,7 +80,8 @@
         words, _ = site.kernel.expect("SCHED")
         site.kernel.tell(f"REAP {tag} {words[1]} {outcome} 1 0", b"")
         assert proxy.answer()[0] == tag
-    withdrawn_id = submit_until_call(site, proxy, 5, 5)  # withdrawn during its dependency call
+    # The client withdraws this request during its dependency call.
+    withdrawn_id = submit_until_call(site, proxy, 5, 5)
     dependency = site.calls()
     dependency.expect("GET")
     proxy.say(b"WITHDRAW", b"5")
@@ -192,7 +193,7 @@
         )
     other_proxy = site.router()
     other_proxy.submit(1)
-    # An unacknowledged dispatch of the first request is resent after the replay fence.
+    # After a lost link, the server resends a dispatch that the executor has not acknowledged.
     while (dispatched_id := next_dispatched(site)) == request.request_id:
         pass
     finish_execution(site, request.event_number + 1, dispatched_id)
