--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -119,7 +119,10 @@
     def reconfigure(self, config: FailoverConfig) -> None:
         """Applies a sites block, at start and after a reload, except for changed listeners."""
         if _listening_addresses(config) != _listening_addresses(self.config):
-            log.warning("event=reload_ignored detail='listeners for guests end with the program'")
+            log.warning(
+                "event=reload_ignored "
+                "detail='changed addresses for failover traffic apply after a restart'"
+            )
         self.config = config
         path_costs = {
             each.name: target.cost
--- a/tests/failover/test_integration.py
+++ b/tests/failover/test_integration.py
@@ -245,7 +245,8 @@
     fleet.rig.write(c0)
     c0.popen.send_signal(signal.SIGHUP)
     fleet.rig.wait(
-        lambda: "listeners for guests end with the program" in fleet.rig.log("c0"),
+        lambda: "changed addresses for failover traffic apply after a restart"
+        in fleet.rig.log("c0"),
         MAX_WAIT,
         "told",
     )
