--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -20,9 +20,9 @@
 from benchmarks.table import Table, quantile
 from lilacwalk.edge import frames
 from lilacwalk.edge.client.device import Device
-from lilacwalk.edge.client.state import Machine
+from lilacwalk.edge.client.state import ClientSession
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.device_service import Do, Group, Serving
+from lilacwalk.edge.device_service import ActionType, DeviceRequestClass, DeviceService
 from lilacwalk.edge.frames import Stream
 from lilacwalk.edge.host import EdgeHost
 from lilacwalk.edge.sketch import Sketch
@@ -66,11 +66,11 @@
         self.rows: list[tuple[int, int]] = []
         self.due: dict[int, int] = {}
 
-    def set(self, name: int, due: int) -> None:
+    def schedule(self, name: int, due: int) -> None:
         self.due[name] = due
         heapq.heappush(self.rows, (due, name))
 
-    def fired(self, now: int):
+    def expire(self, now: int):
         while self.rows and self.rows[0][0] <= now:
             due, name = heapq.heappop(self.rows)
             if self.due.get(name) == due:
@@ -85,14 +85,14 @@
             rng, made, before = random.Random(1), make(), resident()
             dues = [rng.randrange(1, 6_000_000) for _ in range(count)]
             filled = timed(
-                lambda made=made, dues=dues: [made.set(*each) for each in enumerate(dues)]
+                lambda made=made, dues=dues: [made.schedule(*each) for each in enumerate(dues)]
             )
             moves = [(rng.randrange(count), rng.randrange(1, 6_000_000)) for _ in range(2 * count)]
-            moved = timed(lambda made=made, moves=moves: [made.set(*each) for each in moves])
+            moved = timed(lambda made=made, moves=moves: [made.schedule(*each) for each in moves])
             size = resident() - before
             fired = timed(
                 lambda made=made: [
-                    1 for now in range(0, 6_000_000, 20_000) for _ in made.fired(now)
+                    1 for now in range(0, 6_000_000, 20_000) for _ in made.expire(now)
                 ]
             )
             lines.append(
@@ -162,9 +162,11 @@
 
 def meant_and_run(equal: float, lost: float) -> tuple[int, int, int, int]:
     rng, now = random.Random(5), 18_000_000_000_000
-    orders = EdgeConfig(listen=("127.0.0.1", 0), secrets="", arrivals=1_000_000)
+    config = EdgeConfig(listen=("127.0.0.1", 0), secrets="", arrivals=1_000_000)
     tokens = Tokens([SECRET], b"n")
-    serving = Serving(orders, {"move": Group(Effect.NON_IDEMPOTENT, 40_000)}, tokens, 1, now)
+    serving = DeviceService(
+        config, {"move": DeviceRequestClass(Effect.NON_IDEMPOTENT, 40_000)}, tokens, 1, now
+    )
     number = 0
     asked = wrong = missed = 0
     for turn in range(10_000):
@@ -173,38 +175,38 @@
         token = tokens.make(DEVICE, b"d%d" % device, 2**40)
         body = b"same" if rng.random() < equal else b"%d" % turn
         number += 1
-        serving.opened(number, b"\x7f\0\0" + bytes((rng.randrange(256),)), b"", now)
-        serving.frame(number, frames.Hello(1, token, b"", 0, 16), now)
+        serving.connection_opened(number, b"\x7f\0\0" + bytes((rng.randrange(256),)), b"", now)
+        serving.frame_received(number, frames.Hello(1, token, b"", 0, 16), now)
         runs = 0
         for attempt in range(6):
             asked += 1
-            serving.frame(number, frames.Ask(1, "move", body, 0, 0), now)
-            made = [each for each in serving.taken() if each.do is Do.ASK]
+            serving.frame_received(number, frames.Ask(1, "move", body, 0, 0), now)
+            made = [each for each in serving.take_actions() if each.type is ActionType.SUBMIT]
             runs += len(made)
             now += rng.randrange(500)
             for each in made:  # answered at once, or only after the session was lost
                 if rng.random() < 0.7:
-                    serving.answered(each.session, each.number, 0, b"r", 0, now)
+                    serving.send_answer(each.session, each.number, 0, b"r", 0, now)
             session = serving.connections[number].session
             if rng.random() >= lost or attempt == 5:
                 for each in made:
-                    serving.answered(each.session, each.number, 0, b"r", 0, now)
+                    serving.send_answer(each.session, each.number, 0, b"r", 0, now)
                 for late in [one for one in session.open]:
-                    serving.answered(session, late, 0, b"r", 0, now)
-                serving.frame(number, frames.Got(session.order), now)
+                    serving.send_answer(session, late, 0, b"r", 0, now)
+                serving.frame_received(number, frames.Got(session.last_order), now)
                 break
-            serving.closed(number, now)
+            serving.connection_closed(number, now)
             for each in made:
-                serving.answered(each.session, each.number, 0, b"r", 0, now)
+                serving.send_answer(each.session, each.number, 0, b"r", 0, now)
             number += 1
-            serving.opened(number, b"\x7f\0\0\1", b"", now)
-            serving.frame(number, frames.Hello(1, token, b"", 0, 16), now)
-        serving.closed(number, now)
+            serving.connection_opened(number, b"\x7f\0\0\1", b"", now)
+            serving.frame_received(number, frames.Hello(1, token, b"", 0, 16), now)
+        serving.connection_closed(number, now)
         serving.tick(now)
-        serving.taken()
+        serving.take_actions()
         wrong += runs == 0
         missed += max(0, runs - 1)
-    return asked, serving.repeats.joined, wrong, missed
+    return asked, serving.duplicate_detector.duplicates, wrong, missed
 
 
 # One polling thread, or a thread each
@@ -213,9 +215,9 @@
 class ThreadEach:
     """The same machine, each connection read by a thread of its own that puts frames onto one queue."""
 
-    def __init__(self, orders: EdgeConfig, groups: dict[str, Group], on_ask) -> None:
+    def __init__(self, config: EdgeConfig, groups: dict[str, DeviceRequestClass], on_ask) -> None:
         threading.stack_size(THREAD_STACK_BYTES)
-        self.serving = Serving(orders, groups, Tokens([SECRET], b"n"), 1, Clock().now())
+        self.service = DeviceService(config, groups, Tokens([SECRET], b"n"), 1, Clock().now())
         self.clock, self.on_ask = Clock().now, on_ask
         self.inbox: SimpleQueue = SimpleQueue()
         self.socks: dict[int, socket.socket] = {}
@@ -235,7 +237,7 @@
             threading.Thread(target=self._read, args=(number, sock), daemon=True).start()
 
     def _opened(self, number: int) -> None:
-        self.serving.opened(number, b"\x7f\0\0\1", b"", self.clock())
+        self.service.connection_opened(number, b"\x7f\0\0\1", b"", self.clock())
 
     def _read(self, number: int, sock: socket.socket) -> None:
         stream = Stream(4_096)
@@ -247,33 +249,37 @@
             pass
 
     def _frame(self, number: int, frame) -> None:
-        self.serving.frame(number, frame, self.clock())
+        self.service.frame_received(number, frame, self.clock())
 
-    def answered(self, session, number: int, word: int, body: bytes, come_back: int) -> None:
+    def send_answer(self, session, number: int, word: int, body: bytes, come_back: int) -> None:
         self.inbox.put(
-            (lambda: self.serving.answered(session, number, word, body, come_back, self.clock()),)
+            (
+                lambda: self.service.send_answer(
+                    session, number, word, body, come_back, self.clock()
+                ),
+            )
         )
 
     def _run(self) -> None:
         while True:
             handler, *arguments = self.inbox.get()
             handler(*arguments)
-            for action in self.serving.taken():
-                if action.do is Do.SEND:
-                    self.socks[action.connection].sendall(action.about)
-                    self.serving.sent(action.connection, len(action.about), self.clock())
-                elif action.do is Do.ASK:
-                    self.on_ask(action.session, action.number, action.about)
+            for action in self.service.take_actions():
+                if action.type is ActionType.SEND:
+                    self.socks[action.connection].sendall(action.payload)
+                    self.service.bytes_sent(action.connection, len(action.payload), self.clock())
+                elif action.type is ActionType.SUBMIT:
+                    self.on_ask(action.session, action.number, action.payload)
 
 
 def one_hosting(kind: str, count: int, seconds: float) -> None:
     """Runs in a process of its own; the devices are driven from another."""
     sys.setswitchinterval(SWITCH_INTERVAL)
-    groups = {"look": Group(Effect.IDEMPOTENT, 60_000)}
+    groups = {"look": DeviceRequestClass(Effect.IDEMPOTENT, 60_000)}
     secret = Path(tempfile.mkdtemp()) / "secrets"
     secret.touch(mode=0o600)
     secret.write_text(SECRET.hex())
-    orders = EdgeConfig(
+    config = EdgeConfig(
         listen=("127.0.0.1", 0),
         secrets=str(secret),
         arrivals=1_000_000,
@@ -283,18 +289,18 @@
     before = resident()
     if kind == "polling":
         host = EdgeHost(
-            orders,
+            config,
             groups,
             "n",
             1,
             Clock().now,
-            lambda *each: host.answered(each[0], each[1], 0, b"ok", 0),
+            lambda *each: host.send_answer(each[0], each[1], 0, b"ok", 0),
             lambda *each: None,
         )
         host.start()
     else:
         host = ThreadEach(
-            orders, groups, lambda *each: host.answered(each[0], each[1], 0, b"ok", 0)
+            config, groups, lambda *each: host.send_answer(each[0], each[1], 0, b"ok", 0)
         )
     out = subprocess.run(
         [
@@ -324,11 +330,11 @@
     )
     tokens, selector, rows = Tokens([SECRET], b""), selectors.DefaultSelector(), []
     for each in range(count):
-        machine = Machine(tokens.make(DEVICE, b"d%d" % each, 2**40))
+        machine = ClientSession(tokens.make(DEVICE, b"d%d" % each, 2**40))
         sock = socket.create_connection(("127.0.0.1", port), 10.0)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         machine.connected()
-        sock.sendall(machine.taken())
+        sock.sendall(machine.take_output())
         row = [machine, sock, Stream(1 << 16), {}, time.monotonic() + 1.0 + each / count]
         rows.append(row)
         selector.register(sock, selectors.EVENT_READ, row)
@@ -343,10 +349,10 @@
         for key, _ in selector.select(0.001):
             machine, sock, stream, asked, _ = key.data
             for frame in stream.feed(sock.recv(65_536)):
-                machine.frame(frame)
+                machine.frame_received(frame)
                 if isinstance(frame, frames.Answer):
                     times.append(time.monotonic() - asked.pop(frame.number))
-            if data := machine.taken():
+            if data := machine.take_output():
                 sock.sendall(data)
     print(json.dumps([len(times), quantile(times, 0.5) * 1000, quantile(times, 0.99) * 1000]))
 
@@ -402,10 +408,10 @@
         ask, answered = front.request_received, front.send_response
 
         def count_asked(session, number, asking):
-            asked[asking.ask.group] = asked.get(asking.ask.group, 0) + 1
+            asked[asking.frame.group] = asked.get(asking.frame.group, 0) + 1
             due[session, number] = (
-                asking.ask.group,
-                time.monotonic() + LIMITS[asking.ask.group] + 0.05,
+                asking.frame.group,
+                time.monotonic() + LIMITS[asking.frame.group] + 0.05,
             )
             ask(session, number, asking)
 
@@ -429,7 +435,7 @@
     while time.monotonic() < until:
         time.sleep(0.5)
         sizes.append(resident())
-    counts = event_loop.subsystems.devices.edge.serving.counts if devices else {}
+    counts = event_loop.subsystems.devices.edge.service.counts if devices else {}
     print(
         json.dumps(
             {
@@ -469,9 +475,9 @@
                 (group, device, device.ask(group, b"%d-%d" % (seed, len(asked)), 0, **stated))
             )
             if rng.random() < 0.02:
-                device.machine.session = b""  # an app that was ended: it knows its session no more
-                device.machine.got = 0
-                device.drop()
+                device.session.session = b""  # an app that was ended: it knows its session no more
+                device.session.got = 0
+                device.drop_connection()
         else:
             time.sleep(0.002)
     end = time.monotonic() + 6.0
@@ -481,12 +487,12 @@
         row = counts.setdefault(group, [0, 0, 0, 0])
         with device.changed:
             device.changed.wait_for(
-                lambda d=device, n=number: n in d.machine.outcomes, max(0.0, end - time.monotonic())
+                lambda d=device, n=number: n in d.session.outcomes, max(0.0, end - time.monotonic())
             )
-            outcome = device.machine.outcomes.get(number)
+            outcome = device.session.outcomes.get(number)
         row[3 if outcome is None else outcome.word] += 1
     for device in devices:
-        doubled += device.machine.doubled
+        doubled += device.session.duplicate_answers
     print(
         json.dumps(
             {"words": counts, "stalls": proxy.stalls, "resets": proxy.resets, "doubled": doubled}
--- a/lilacwalk/edge/__init__.py
+++ b/lilacwalk/edge/__init__.py
@@ -1,5 +1,11 @@
-"""Devices on links that stall, lose and come back. What decides, without I/O: `session` (what a device asked,
-what is kept for it), `sessions` (which are kept), `repeats` (which asks are the same one), `link` (what a
-link can do), `rates` (who is too slow), `arrivals` (who may come in), `tokens`, and `serving`, which holds
-them together; `wheel` and `sketch` are structures of theirs. `frames` is the codec, `host` the sockets,
-`client` the other end."""
+"""Serves devices whose links stall, drop and reconnect.
+
+Modules without I/O: `device_service` handles connections, sessions and frames, with the help of
+`session` (the requests and unacknowledged answers of one session), `sessions` (the session
+table),
+`duplicate_detector`, `link` (estimates of a link's round trip, loss and throughput), `rates`
+(detection of slow senders), `connection_limiter` and `tokens`. `timer_wheel` and `sketch` are
+data
+structures. `frames` encodes and decodes the frames of the device link, `host` owns the sockets,
+and `client` is the device's side.
+"""
--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -12,9 +12,9 @@
 from lilacwalk.edge.coap.blocks import Block
 from lilacwalk.edge.coap.messages import Message, MessageError, Option, Type, uint
 
-TIMEOUT, RANDOM, MOST = 2.0, 1.5, 4  # RFC 7252 section 4.8, in seconds
-BLOCK = 1_024
-RESTARTS = 3  # of a body in pieces of which one got lost on the other side
+ACK_TIMEOUT, ACK_RANDOM_FACTOR, MAX_RETRANSMIT = 2.0, 1.5, 4  # RFC 7252 section 4.8, in seconds
+BLOCK_BYTES = 1_024
+MAX_BLOCKWISE_ATTEMPTS = 3  # of a body in pieces of which one got lost on the other side
 
 
 class CoapDevice:
@@ -23,9 +23,9 @@
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.sock = socket.socket(family, socket.SOCK_DGRAM)
         self.sock.connect(address)
-        self.mid = self.rng.getrandbits(16)
+        self.message_id = self.rng.getrandbits(16)
         self.echo = b""
-        self.sent = 0  # datagrams, with those sent again
+        self.datagrams_sent = 0  # datagrams, with those sent again
         self.answered: dict[
             int, int
         ] = {}  # our acknowledgements of separate answers, by their message id
@@ -38,56 +38,74 @@
         group: str,
         body: bytes = b"",
         wait: int = 2_000,
-        confirm: bool = True,
+        confirmable: bool = True,
         no_response: int = 0,
-        **stated: str,
+        **query_options: str,
     ) -> Outcome | None:
         """`stated`: k, s, c as the page has them. None where no answer was wanted. Raises TimeoutError, or
         ValueError with what the edge found wrong."""
-        until = time.monotonic() + wait / 1000
-        queries = [f"w={wait}", *(f"{name}={value}" for name, value in stated.items() if value)]
-        fixed = [
+        deadline = time.monotonic() + wait / 1000
+        queries = [
+            f"w={wait}",
+            *(f"{name}={value}" for name, value in query_options.items() if value),
+        ]
+        base_options = [
             (Option.URI_PATH, b"x"),
             (Option.URI_PATH, group.encode()),
             (Option.DEVICE, self.token),
         ]
-        fixed += [(Option.URI_QUERY, each.encode()) for each in queries]
+        base_options += [(Option.URI_QUERY, each.encode()) for each in queries]
         if no_response:
-            fixed.append((Option.NO_RESPONSE, uint(no_response)))
-        if len(body) > BLOCK:
-            fixed.append((Option.REQUEST_TAG, self.rng.randbytes(4)))
-        for _ in range(RESTARTS):
-            reply = self._pieces(fixed, body, confirm, until, bool(no_response))
+            base_options.append((Option.NO_RESPONSE, uint(no_response)))
+        if len(body) > BLOCK_BYTES:
+            base_options.append((Option.REQUEST_TAG, self.rng.randbytes(4)))
+        for _ in range(MAX_BLOCKWISE_ATTEMPTS):
+            reply = self._send_blockwise(
+                base_options, body, confirmable, deadline, bool(no_response)
+            )
             if reply is None or reply.code != messages.INCOMPLETE:
                 break
         if reply is None:
             return None
-        found = reply.payload
-        second = reply.first(Option.BLOCK2)
-        block = Block.of(second) if second else None
+        result = reply.payload
+        block2 = reply.first(Option.BLOCK2)
+        block = Block.decode(block2) if block2 else None
         while block is not None and block.more:
             block = Block(block.number + 1, False, block.size)
-            reply_2 = self._round(
-                [*fixed, (Option.BLOCK2, block.encoded())], b"", confirm, until, False
+            next_reply = self._request_with_echo(
+                [*base_options, (Option.BLOCK2, block.encode())], b"", confirmable, deadline, False
             )
-            found += reply_2.payload
-            raw = reply_2.first(Option.BLOCK2)
+            result += next_reply.payload
+            raw = next_reply.first(Option.BLOCK2)
             if raw is None:
                 raise ValueError("an answer that ends in its middle")
-            block = Block.of(raw)
-        return self._outcome(reply, found)
+            block = Block.decode(raw)
+        return self._outcome(reply, result)
 
-    def _pieces(
-        self, fixed: list, body: bytes, confirm: bool, until: float, silent: bool
+    def _send_blockwise(
+        self,
+        base_options: list,
+        body: bytes,
+        confirmable: bool,
+        deadline: float,
+        no_response_expected: bool,
     ) -> Message | None:
-        if len(body) <= BLOCK:
-            return self._round(fixed, body, confirm, until, silent)
+        if len(body) <= BLOCK_BYTES:
+            return self._request_with_echo(
+                base_options, body, confirmable, deadline, no_response_expected
+            )
         reply = None
-        for at in range(0, len(body), BLOCK):
-            last = at + BLOCK >= len(body)
-            block = Block(at // BLOCK, not last, BLOCK)
-            options = [*fixed, (Option.BLOCK1, block.encoded())]
-            reply = self._round(options, body[at : at + BLOCK], confirm, until, silent and last)
+        for at in range(0, len(body), BLOCK_BYTES):
+            last = at + BLOCK_BYTES >= len(body)
+            block = Block(at // BLOCK_BYTES, not last, BLOCK_BYTES)
+            options = [*base_options, (Option.BLOCK1, block.encode())]
+            reply = self._request_with_echo(
+                options,
+                body[at : at + BLOCK_BYTES],
+                confirmable,
+                deadline,
+                no_response_expected and last,
+            )
             if reply is None or reply.code != messages.CONTINUE:
                 return reply
         return reply
@@ -105,14 +123,23 @@
             f"{reply.code >> 5}.{reply.code & 31:02d} {body.decode('utf-8', 'replace')}"
         )
 
-    def _round(
-        self, options: list, payload: bytes, confirm: bool, until: float, silent: bool
+    def _request_with_echo(
+        self,
+        options: list,
+        payload: bytes,
+        confirmable: bool,
+        deadline: float,
+        no_response_expected: bool,
     ) -> Message | None:
         """One request to its answer, once more with the echo where that is asked for."""
         for _ in range(2):
             echo = [(Option.ECHO, self.echo)] if self.echo else []
-            reply = self._once(
-                [*options, *echo], payload, confirm, until, silent and bool(self.echo)
+            reply = self._transmit(
+                [*options, *echo],
+                payload,
+                confirmable,
+                deadline,
+                no_response_expected and bool(self.echo),
             )
             if (
                 reply is None
@@ -123,24 +150,29 @@
             self.echo = reply.first(Option.ECHO) or b""
         raise ValueError("the edge does not take its own mark back")
 
-    def _once(
-        self, options: list, payload: bytes, confirm: bool, until: float, silent: bool
+    def _transmit(
+        self,
+        options: list,
+        payload: bytes,
+        confirmable: bool,
+        deadline: float,
+        no_response_expected: bool,
     ) -> Message | None:
-        self.mid = self.mid + 1 & 0xFFFF
+        self.message_id = self.message_id + 1 & 0xFFFF
         token = self.rng.randbytes(4)
-        kind = Type.CON if confirm else Type.NON
+        kind = Type.CON if confirmable else Type.NON
         data = messages.encode(
-            Message(kind, messages.POST, self.mid, token, tuple(options), payload)
+            Message(kind, messages.POST, self.message_id, token, tuple(options), payload)
         )
-        wait, acknowledged = TIMEOUT * self.rng.uniform(1.0, RANDOM), False
-        for _ in range(MOST + 1):
+        wait, acknowledged = ACK_TIMEOUT * self.rng.uniform(1.0, ACK_RANDOM_FACTOR), False
+        for _ in range(MAX_RETRANSMIT + 1):
             if not acknowledged:
                 self.sock.send(data)
-                self.sent += 1
-                if silent and not confirm:
+                self.datagrams_sent += 1
+                if no_response_expected and not confirmable:
                     return None
-            again = min(until, time.monotonic() + wait)
-            while (left := again - time.monotonic()) > 0:
+            retransmit_at = min(deadline, time.monotonic() + wait)
+            while (left := retransmit_at - time.monotonic()) > 0:
                 message = self._receive(left)
                 if message is None:
                     continue
@@ -148,15 +180,15 @@
                     message.type is Type.CON and message.is_response
                 ):  # also one of an exchange given up
                     self.sock.send(messages.encode(Message(Type.ACK, messages.EMPTY, message.mid)))
-                if message.type is Type.RST and message.mid == self.mid:
+                if message.type is Type.RST and message.mid == self.message_id:
                     raise ValueError("rejected")
                 if message.is_response and message.token == token:
                     return message
-                if message.type is Type.ACK and message.mid == self.mid:
+                if message.type is Type.ACK and message.mid == self.message_id:
                     acknowledged = True
-                    if silent:
+                    if no_response_expected:
                         return None
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 break
             wait *= 2
         raise TimeoutError("no answer in time")
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -9,15 +9,15 @@
 import threading
 import time
 
-from lilacwalk.edge.client.state import Machine, Outcome
+from lilacwalk.edge.client.state import ClientSession, Outcome
 from lilacwalk.edge.frames import FrameError, Stream
 
-LEAST_PAUSE, MOST_PAUSE = (
+MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = (
     0.05,
     2.0,
 )  # seconds: a link that was lost for a moment, and one that is gone
-CONNECT = 10.0
-MOST_FRAME = 65_536
+CONNECT_TIMEOUT = 10.0
+MAX_FRAME_BYTES = 65_536
 
 
 class Device:
@@ -27,37 +27,39 @@
         token: bytes = b"",
         tls: ssl.SSLContext | None = None,
         server_name: str | None = None,
-        steady: bool = False,
+        has_stable_numbers: bool = False,
         seed: int = 0,
     ) -> None:
         self.address, self.tls, self.server_name = address, tls, server_name
-        self.machine, self.rng = Machine(token, steady), random.Random(seed)
+        self.session, self.rng = ClientSession(token, has_stable_numbers), random.Random(seed)
         self.changed = threading.Condition()
         self.sock: socket.socket | None = None
-        self.over = False
+        self.is_stopped = False
         self.connections = 0
         self.thread = threading.Thread(target=self._run, name="device", daemon=True)
         self.thread.start()
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
         with self.changed:
-            number = self.machine.ask(group, body, wait, **more)
+            number = self.session.ask(group, body, wait, **more)
             self._write()
         return number
 
-    def outcome(self, number: int, patience: float) -> Outcome:
+    def outcome(self, number: int, timeout: float) -> Outcome:
         """Raises TimeoutError; ConnectionRefusedError where the edge refuses this device for good."""
         with self.changed:
-            machine = self.machine
-            if not self.changed.wait_for(lambda: number in machine.outcomes or self.over, patience):
+            session = self.session
+            if not self.changed.wait_for(
+                lambda: number in session.outcomes or self.is_stopped, timeout
+            ):
                 raise TimeoutError(f"no answer to {number}")
-            if number not in machine.outcomes:
+            if number not in session.outcomes:
                 raise ConnectionRefusedError(
-                    machine.refused.reason if machine.refused else "closed"
+                    session.refused.reason if session.refused else "closed"
                 )
-            return machine.outcomes[number]
+            return session.outcomes[number]
 
-    def drop(self) -> None:
+    def drop_connection(self) -> None:
         """Loses the connection, as a bad link would."""
         with self.changed:
             if self.sock is not None:
@@ -68,13 +70,13 @@
 
     def end(self) -> None:
         with self.changed:
-            self.over = True
+            self.is_stopped = True
             self.changed.notify_all()
-        self.drop()
+        self.drop_connection()
         self.thread.join(2.0)
 
     def _write(self) -> None:
-        data = self.machine.taken()
+        data = self.session.take_output()
         if data and self.sock is not None:
             try:
                 self.sock.sendall(data)
@@ -82,49 +84,49 @@
                 pass  # the reader sees it end, and connects again
 
     def _run(self) -> None:
-        pause = LEAST_PAUSE
-        while not self.over:
+        delay = MIN_RECONNECT_DELAY
+        while not self.is_stopped:
             try:
-                sock = socket.create_connection(self.address, CONNECT)
+                sock = socket.create_connection(self.address, CONNECT_TIMEOUT)
                 if self.tls is not None:
                     sock = self.tls.wrap_socket(sock, server_hostname=self.server_name)
                 sock.settimeout(None)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 if self._read(sock):
-                    pause = LEAST_PAUSE
+                    delay = MIN_RECONNECT_DELAY
             except (OSError, FrameError):
                 pass
             with self.changed:
                 self.sock = None
-                refused = self.machine.refused
+                refused = self.session.refused
                 if (
                     refused is not None
                     and not refused.come_back
                     and "taken over" not in refused.reason
                 ):
-                    self.over = True  # it would be refused again
+                    self.is_stopped = True  # it would be refused again
                 self.changed.notify_all()
-                self.changed.wait_for(lambda: self.over, pause * self.rng.uniform(0.5, 1.0))
-            pause = min(MOST_PAUSE, 2 * pause)
+                self.changed.wait_for(lambda: self.is_stopped, delay * self.rng.uniform(0.5, 1.0))
+            delay = min(MAX_RECONNECT_DELAY, 2 * delay)
 
     def _read(self, sock: socket.socket) -> bool:
         """Whether it was welcomed."""
-        stream = Stream(MOST_FRAME)
+        stream = Stream(MAX_FRAME_BYTES)
         with self.changed:
             self.sock = sock
             self.connections += 1
-            self.machine.connected()
+            self.session.connected()
             self._write()
         try:
-            while not self.over and (chunk := sock.recv(16_384)):
+            while not self.is_stopped and (chunk := sock.recv(16_384)):
                 with self.changed:
                     for frame in stream.feed(chunk):
-                        self.machine.frame(frame)
+                        self.session.frame_received(frame)
                     self._write()
                     self.changed.notify_all()
         finally:
             sock.close()
-        return self.machine.welcome is not None
+        return self.session.welcome is not None
 
 
 def ask_once(
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -20,74 +20,82 @@
     come_back: int  # ms
 
 
-class Machine:
-    def __init__(self, token: bytes = b"", steady: bool = False, first: int = 1) -> None:
+class ClientSession:
+    def __init__(
+        self, token: bytes = b"", has_stable_numbers: bool = False, first_number: int = 1
+    ) -> None:
         """`first`: the next number of a device whose numbers outlive it (`steady`)."""
-        self.token, self.steady, self.next = token, steady, first
+        self.token, self.has_stable_numbers, self.next_number = (
+            token,
+            has_stable_numbers,
+            first_number,
+        )
         self.session = b""
         self.got = 0
         self.window = 1
-        self.waiting: dict[int, Ask] = {}  # not answered yet, in order
-        self.sent: set[int] = set()  # on this connection
-        self.ever: set[int] = set()  # on any
+        self.unanswered: dict[int, Ask] = {}  # not answered yet, in order
+        self.sent_on_connection: set[int] = set()  # on this connection
+        self.sent_before: set[int] = set()  # on any
         self.outcomes: dict[int, Outcome] = {}
-        self.doubled = 0  # answers that came twice: never taken twice
+        self.duplicate_answers = 0  # answers that came twice: never taken twice
         self.welcome: Welcome | None = None
         self.refused: Refused | None = None
         self.leaving: Leaving | None = None
-        self.out: list[bytes] = []
+        self.output: list[bytes] = []
 
-    def taken(self) -> bytes:
-        data, self.out = b"".join(self.out), []
+    def take_output(self) -> bytes:
+        data, self.output = b"".join(self.output), []
         return data
 
-    def _say(self, frame: frames.Frame) -> None:
-        self.out.append(frames.encode(frame))
+    def _queue_frame(self, frame: frames.Frame) -> None:
+        self.output.append(frames.encode(frame))
 
     def connected(self) -> None:
         self.welcome = self.refused = None
-        self.sent.clear()
-        self._say(Hello(1, self.token, self.session, self.got, WINDOW, self.steady))
+        self.sent_on_connection.clear()
+        self._queue_frame(
+            Hello(1, self.token, self.session, self.got, WINDOW, self.has_stable_numbers)
+        )
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
         """The exchange's number; `wait` in ms from now, 0: the group's own."""
-        number, self.next = self.next, self.next + 1
-        self.waiting[number] = Ask(number, group, body, wait, self.got, **more)
-        self._send()
+        number, self.next_number = self.next_number, self.next_number + 1
+        self.unanswered[number] = Ask(number, group, body, wait, self.got, **more)
+        self._send_requests()
         return number
 
     def cancel(self, number: int) -> None:
-        if self.waiting.pop(number, None) is not None and number in self.sent:
-            self._say(frames.Cancel(number))
+        if self.unanswered.pop(number, None) is not None and number in self.sent_on_connection:
+            self._queue_frame(frames.Cancel(number))
 
-    def _send(self) -> None:
+    def _send_requests(self) -> None:
         if self.welcome is None:
             return
-        for number, ask in self.waiting.items():
-            if len(self.sent & self.waiting.keys()) >= self.window:
+        for number, ask in self.unanswered.items():
+            if len(self.sent_on_connection & self.unanswered.keys()) >= self.window:
                 return
-            if number not in self.sent:
-                self._say(replace(ask, got=self.got, again=number in self.ever))
-                self.sent.add(number)
-                self.ever.add(number)
+            if number not in self.sent_on_connection:
+                self._queue_frame(replace(ask, got=self.got, again=number in self.sent_before))
+                self.sent_on_connection.add(number)
+                self.sent_before.add(number)
 
-    def frame(self, frame: frames.Frame) -> None:
+    def frame_received(self, frame: frames.Frame) -> None:
         if isinstance(frame, Welcome):
             if not frame.resumed:
                 self.got = 0  # its answers are counted anew
             self.welcome, self.session, self.window = frame, frame.session, frame.window
-            self._send()
+            self._send_requests()
         elif isinstance(frame, Answer):
             if frame.order <= self.got:
-                self.doubled += 1
+                self.duplicate_answers += 1
                 return
             self.got = frame.order
-            if self.waiting.pop(frame.number, None) is not None:
+            if self.unanswered.pop(frame.number, None) is not None:
                 self.outcomes[frame.number] = Outcome(frame.word, frame.body, frame.come_back)
-            self._say(Got(self.got))
-            self._send()
+            self._queue_frame(Got(self.got))
+            self._send_requests()
         elif isinstance(frame, Ping):
-            self._say(Pong(frame.stamp))
+            self._queue_frame(Pong(frame.stamp))
         elif isinstance(frame, Leaving):
             self.leaving = frame
         elif isinstance(frame, Refused):
--- a/lilacwalk/edge/coap/blocks.py
+++ b/lilacwalk/edge/coap/blocks.py
@@ -7,7 +7,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-MOST_SIZE = 6  # 2^(6+4): 1,024 bytes, the largest block there is
+MAX_SIZE_EXPONENT = 6  # 2^(6+4): 1,024 bytes, the largest block there is
 
 
 class BlockError(Exception):
@@ -25,87 +25,100 @@
     size: int  # bytes
 
     @classmethod
-    def of(cls, value: bytes) -> Block | None:
+    def decode(cls, value: bytes) -> Block | None:
         """None for the size that is reserved."""
         raw = int.from_bytes(value, "big")
-        return None if raw & 7 > MOST_SIZE else cls(raw >> 4, bool(raw & 8), 16 << (raw & 7))
+        return (
+            None if raw & 7 > MAX_SIZE_EXPONENT else cls(raw >> 4, bool(raw & 8), 16 << (raw & 7))
+        )
 
-    def encoded(self) -> bytes:
+    def encode(self) -> bytes:
         raw = self.number << 4 | self.more << 3 | (self.size.bit_length() - 5)
         return raw.to_bytes((raw.bit_length() + 7) // 8, "big")
 
     @property
-    def at(self) -> int:
+    def offset(self) -> int:
         return self.number * self.size
 
 
 @dataclass(eq=False, slots=True)
-class Parts:
+class PartialBody:
     data: bytes
-    at: int  # when a piece came last
+    last_block_at: int
 
 
-class Incoming:
-    def __init__(self, most: int, most_bytes: int, body: int, silence: int) -> None:
+class BlockAssembler:
+    def __init__(self, max_bodies: int, max_bytes: int, max_body_bytes: int, timeout: int) -> None:
         """`most` bodies under way, of `body` bytes each at most; `silence` ends one, in tenths of a ms."""
-        self.most, self.most_bytes, self.body, self.silence = most, most_bytes, body, silence
-        self.parts: OrderedDict[tuple, Parts] = OrderedDict()
-        self.bytes = 0
+        self.max_bodies, self.max_bytes, self.max_body_bytes, self.timeout = (
+            max_bodies,
+            max_bytes,
+            max_body_bytes,
+            timeout,
+        )
+        self.partial_bodies: OrderedDict[tuple, PartialBody] = OrderedDict()
+        self.buffered_bytes = 0
 
     def add(
-        self, name: tuple[Hashable, ...], block: Block, payload: bytes, now: int
+        self, key: tuple[Hashable, ...], block: Block, payload: bytes, now: int
     ) -> bytes | None:
         """The whole body with its last piece. A piece that is doubled changes nothing; one out of its place
         ends the body (RFC 7959 section 2.5). Raises BlockError."""
         if block.more and len(payload) != block.size:
             raise BlockError(True)
-        if block.at + len(payload) > self.body:
-            self.drop(name)
+        if block.offset + len(payload) > self.max_body_bytes:
+            self.drop(key)
             raise BlockError(False)
-        held = self.parts.get(name)
+        partial = self.partial_bodies.get(key)
         if block.number == 0:
-            self.drop(name)
-            held = None
-        elif held is None or block.at > len(held.data):
-            self.drop(name)
+            self.drop(key)
+            partial = None
+        elif partial is None or block.offset > len(partial.data):
+            self.drop(key)
             raise BlockError(True)
-        elif block.at + len(payload) <= len(held.data) and block.more:
-            held.at = now
+        elif block.offset + len(payload) <= len(partial.data) and block.more:
+            partial.last_block_at = now
             return None  # it came before
-        data = (held.data[: block.at] if held is not None else b"") + payload
+        data = (partial.data[: block.offset] if partial is not None else b"") + payload
         if not block.more:
-            self.drop(name)
+            self.drop(key)
             return data
-        self.drop(name)
-        self.parts[name] = Parts(data, now)
-        self.bytes += len(data)
-        while len(self.parts) > self.most or self.bytes > self.most_bytes:
-            self.drop(next(iter(self.parts)))  # the one that has waited longest
-        if name not in self.parts:
+        self.drop(key)
+        self.partial_bodies[key] = PartialBody(data, now)
+        self.buffered_bytes += len(data)
+        while len(self.partial_bodies) > self.max_bodies or self.buffered_bytes > self.max_bytes:
+            self.drop(next(iter(self.partial_bodies)))  # the one that has waited longest
+        if key not in self.partial_bodies:
             raise BlockError(False)
         return None
 
-    def drop(self, name: tuple) -> None:
-        held = self.parts.pop(name, None)
-        if held is not None:
-            self.bytes -= len(held.data)
+    def drop(self, key: tuple) -> None:
+        partial = self.partial_bodies.pop(key, None)
+        if partial is not None:
+            self.buffered_bytes -= len(partial.data)
 
     def tick(self, now: int) -> int:
         """How many were ended by silence."""
-        late = [name for name, held in self.parts.items() if now - held.at > self.silence]
-        for name in late:
-            self.drop(name)
-        return len(late)
-
-
-def piece(body: bytes, asked: Block | None, most: int) -> tuple[Block | None, bytes] | None:
+        expired = [
+            key
+            for key, partial in self.partial_bodies.items()
+            if now - partial.last_block_at > self.timeout
+        ]
+        for key in expired:
+            self.drop(key)
+        return len(expired)
+
+
+def select_block(
+    body: bytes, requested: Block | None, max_block_bytes: int
+) -> tuple[Block | None, bytes] | None:
     """The piece of an answer that was asked for, with its Block2; no block where all fits in one. None: it
     asks for what lies beyond the end."""
-    size = min(asked.size if asked is not None else most, most)
-    number = asked.number if asked is not None else 0
-    if asked is None and len(body) <= most:
+    size = min(requested.size if requested is not None else max_block_bytes, max_block_bytes)
+    number = requested.number if requested is not None else 0
+    if requested is None and len(body) <= max_block_bytes:
         return None, body
-    at = number * size
-    if at and at >= len(body):
+    offset = number * size
+    if offset and offset >= len(body):
         return None
-    return Block(number, at + size < len(body), size), body[at : at + size]
+    return Block(number, offset + size < len(body), size), body[offset : offset + size]
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -8,8 +8,8 @@
 from enum import IntEnum
 
 VERSION = 1
-MOST_TOKEN = 8
-MOST_OPTIONS = 32  # our requests bear ten at most; each costs an object
+MAX_TOKEN_BYTES = 8
+MAX_OPTIONS = 32  # our requests bear ten at most; each costs an object
 
 
 class Type(IntEnum):
@@ -41,8 +41,8 @@
     DEVICE = 65_001
 
 
-def code(of: int, detail: int) -> int:
-    return of << 5 | detail
+def code(code_class: int, detail: int) -> int:
+    return code_class << 5 | detail
 
 
 EMPTY, POST, FETCH = 0, code(0, 2), code(0, 5)
@@ -51,7 +51,7 @@
 NOT_ALLOWED, INCOMPLETE, TOO_LARGE, TOO_MANY = code(4, 5), code(4, 8), code(4, 13), code(4, 29)
 INTERNAL, UNAVAILABLE, TIMEOUT = code(5, 0), code(5, 3), code(5, 4)
 REPEATABLE = {Option.URI_PATH, Option.URI_QUERY, Option.ECHO, Option.REQUEST_TAG}
-LENGTHS = {
+OPTION_LENGTHS = {
     Option.URI_HOST: (1, 255),
     Option.OBSERVE: (0, 3),
     Option.URI_PORT: (0, 2),
@@ -116,62 +116,66 @@
 def decode(data: bytes) -> Message:
     if len(data) < 4 or data[0] >> 6 != VERSION:
         raise MessageError("no CoAP of version 1")
-    kind, size, what = Type(data[0] >> 4 & 3), data[0] & 15, data[1]
+    type_, token_length, code_value = Type(data[0] >> 4 & 3), data[0] & 15, data[1]
     mid = int.from_bytes(data[2:4], "big")
-    reject = (
-        mid if kind in (Type.CON, Type.NON) else None
+    reject_mid = (
+        mid if type_ in (Type.CON, Type.NON) else None
     )  # an ACK or RST that is wrong is ignored (4.2)
-    if size > MOST_TOKEN or len(data) < 4 + size:
-        raise MessageError(f"a token of {size} bytes", reject)
-    if what == EMPTY and (len(data) > 4 or size):
-        raise MessageError("an empty message that is not", reject)
-    if 32 <= what < 64 or 192 <= what < 224 or what >> 5 in (1, 6):
-        raise MessageError(f"a code of a reserved class, {what >> 5}", reject)
-    token, at, number, options = data[4 : 4 + size], 4 + size, 0, []
-    while at < len(data) and data[at] != 0xFF:
-        delta, length = data[at] >> 4, data[at] & 15
-        at += 1
-        delta, at = extended(data, at, delta, reject)
-        length, at = extended(data, at, length, reject)
+    if token_length > MAX_TOKEN_BYTES or len(data) < 4 + token_length:
+        raise MessageError(f"a token of {token_length} bytes", reject_mid)
+    if code_value == EMPTY and (len(data) > 4 or token_length):
+        raise MessageError("an empty message that is not", reject_mid)
+    if 32 <= code_value < 64 or 192 <= code_value < 224 or code_value >> 5 in (1, 6):
+        raise MessageError(f"a code of a reserved class, {code_value >> 5}", reject_mid)
+    token, offset, number, options = data[4 : 4 + token_length], 4 + token_length, 0, []
+    while offset < len(data) and data[offset] != 0xFF:
+        delta, length = data[offset] >> 4, data[offset] & 15
+        offset += 1
+        delta, offset = decode_extended(data, offset, delta, reject_mid)
+        length, offset = decode_extended(data, offset, length, reject_mid)
         number += delta
-        if at + length > len(data) or len(options) == MOST_OPTIONS:
-            raise MessageError("an option runs past the end, or there are too many", reject)
-        options.append((number, data[at : at + length]))
-        at += length
-    payload = data[at + 1 :]
-    if at < len(data) and not payload:
-        raise MessageError("a payload marker without payload", reject)
-    return Message(kind, what, mid, token, tuple(options), payload)
-
-
-def extended(data: bytes, at: int, value: int, reject: int | None) -> tuple[int, int]:
+        if offset + length > len(data) or len(options) == MAX_OPTIONS:
+            raise MessageError("an option runs past the end, or there are too many", reject_mid)
+        options.append((number, data[offset : offset + length]))
+        offset += length
+    payload = data[offset + 1 :]
+    if offset < len(data) and not payload:
+        raise MessageError("a payload marker without payload", reject_mid)
+    return Message(type_, code_value, mid, token, tuple(options), payload)
+
+
+def decode_extended(
+    data: bytes, offset: int, value: int, reject_mid: int | None
+) -> tuple[int, int]:
     if value < 13:
-        return value, at
-    size = value - 12
-    if value == 15 or at + size > len(data):
-        raise MessageError("an option's head that is none", reject)
-    return int.from_bytes(data[at : at + size], "big") + (13 if size == 1 else 269), at + size
+        return value, offset
+    extension_length = value - 12
+    if value == 15 or offset + extension_length > len(data):
+        raise MessageError("an option's head that is none", reject_mid)
+    return int.from_bytes(data[offset : offset + extension_length], "big") + (
+        13 if extension_length == 1 else 269
+    ), offset + extension_length
 
 
 def encode(message: Message) -> bytes:
-    pieces = [
+    parts = [
         struct.pack(
             "!BBH", VERSION << 6 | message.type << 4 | len(message.token), message.code, message.mid
         ),
         message.token,
     ]
-    before = 0
+    previous = 0
     for number, value in sorted(message.options, key=lambda each: each[0]):
-        delta, more = shortened(number - before)
-        length, beyond = shortened(len(value))
-        pieces += [bytes((delta << 4 | length,)), more, beyond, value]
-        before = number
+        delta, delta_extension = encode_extended(number - previous)
+        length, length_extension = encode_extended(len(value))
+        parts += [bytes((delta << 4 | length,)), delta_extension, length_extension, value]
+        previous = number
     if message.payload:
-        pieces += [b"\xff", message.payload]
-    return b"".join(pieces)
+        parts += [b"\xff", message.payload]
+    return b"".join(parts)
 
 
-def shortened(value: int) -> tuple[int, bytes]:
+def encode_extended(value: int) -> tuple[int, bytes]:
     if value < 13:
         return value, b""
     return (13, bytes((value - 13,))) if value < 269 else (14, struct.pack("!H", value - 269))
@@ -182,11 +186,11 @@
     5.4.5); elective ones that are wrong are passed over."""
     seen = set()
     for number, value in message.options:
-        known = (
-            number in LENGTHS
-            and LENGTHS[Option(number)][0] <= len(value) <= LENGTHS[Option(number)][1]
+        is_valid = (
+            number in OPTION_LENGTHS
+            and OPTION_LENGTHS[Option(number)][0] <= len(value) <= OPTION_LENGTHS[Option(number)][1]
         )
-        if number & 1 and (not known or number in seen and number not in REPEATABLE):
+        if number & 1 and (not is_valid or number in seen and number not in REPEATABLE):
             return number
         seen.add(number)
     return None
--- a/lilacwalk/edge/coap/reliability.py
+++ b/lilacwalk/edge/coap/reliability.py
@@ -16,53 +16,55 @@
 SECOND = 10_000  # tenths of a ms
 ACK_TIMEOUT, ACK_RANDOM, MAX_RETRANSMIT = 2 * SECOND, 1.5, 4  # RFC 7252 section 4.8
 EXCHANGE_LIFETIME, NON_LIFETIME = 247 * SECOND, 145 * SECOND  # section 4.8.2
-LEAST_TIMEOUT, MOST_TIMEOUT = SECOND // 10, 32 * SECOND
-STRONG, WEAK = 0.5, 0.25  # CoCoA's weights of a new estimate in the overall one
-STALE = 16 * SECOND  # CoCoA: an estimate so old by itself moves back to the default
+MIN_TIMEOUT, MAX_TIMEOUT = SECOND // 10, 32 * SECOND
+STRONG_WEIGHT, WEAK_WEIGHT = 0.5, 0.25  # CoCoA's weights of a new estimate in the overall one
+ESTIMATE_LIFETIME = 16 * SECOND  # CoCoA: an estimate so old by itself moves back to the default
 
 
-class Estimate:
+class RttEstimate:
     """One of CoCoA's two: RFC 6298, with K 4 for strong ones and 1 for weak."""
 
-    __slots__ = ("k", "trip", "deviation")
+    __slots__ = ("deviation", "deviation_factor", "round_trip")
 
-    def __init__(self, k: int) -> None:
-        self.k = k
-        self.trip, self.deviation = 0.0, 0.0
+    def __init__(self, deviation_factor: int) -> None:
+        self.deviation_factor = deviation_factor
+        self.round_trip, self.deviation = 0.0, 0.0
 
     def add(self, time: int) -> float:
-        if not self.trip:
-            self.trip, self.deviation = float(time), time / 2
+        if not self.round_trip:
+            self.round_trip, self.deviation = float(time), time / 2
         else:
-            self.deviation += 0.25 * (abs(self.trip - time) - self.deviation)
-            self.trip += 0.125 * (time - self.trip)
-        return self.trip + self.k * self.deviation
+            self.deviation += 0.25 * (abs(self.round_trip - time) - self.deviation)
+            self.round_trip += 0.125 * (time - self.round_trip)
+        return self.round_trip + self.deviation_factor * self.deviation
 
 
-class Timeout:
+class RetransmissionTimeout:
     """How long an endpoint's acknowledgement is waited for."""
 
-    __slots__ = ("strong", "weak", "overall", "at")
+    __slots__ = ("strong", "timeout", "updated_at", "weak")
 
     def __init__(self, now: int) -> None:
-        self.strong, self.weak = Estimate(4), Estimate(1)
-        self.overall, self.at = float(ACK_TIMEOUT), now
+        self.strong, self.weak = RttEstimate(4), RttEstimate(1)
+        self.timeout, self.updated_at = float(ACK_TIMEOUT), now
 
-    def measured(self, time: int, sent: int, now: int) -> None:
+    def record_acknowledgement(self, time: int, transmissions: int, now: int) -> None:
         """An acknowledgement came so long after the first sending; of what was sent oftener than three times
         nobody knows which copy it answers."""
-        if sent > 3:
+        if transmissions > 3:
             return
-        estimate, weight = (self.strong, STRONG) if sent == 1 else (self.weak, WEAK)
-        self.overall += weight * (estimate.add(max(1, time)) - self.overall)
-        self.overall = min(MOST_TIMEOUT, max(LEAST_TIMEOUT, self.overall))
-        self.at = now
+        estimate, weight = (
+            (self.strong, STRONG_WEIGHT) if transmissions == 1 else (self.weak, WEAK_WEIGHT)
+        )
+        self.timeout += weight * (estimate.add(max(1, time)) - self.timeout)
+        self.timeout = min(MAX_TIMEOUT, max(MIN_TIMEOUT, self.timeout))
+        self.updated_at = now
 
-    def first(self, now: int, rng: random.Random) -> int:
-        if now - self.at > STALE:
-            self.overall = (self.overall + ACK_TIMEOUT) / 2
-            self.at = now
-        return int(self.overall * rng.uniform(1.0, ACK_RANDOM))
+    def initial(self, now: int, rng: random.Random) -> int:
+        if now - self.updated_at > ESTIMATE_LIFETIME:
+            self.timeout = (self.timeout + ACK_TIMEOUT) / 2
+            self.updated_at = now
+        return int(self.timeout * rng.uniform(1.0, ACK_RANDOM))
 
     @staticmethod
     def backoff(first: int) -> float:
@@ -71,23 +73,23 @@
 
 
 @dataclass(eq=False, slots=True)
-class Out:
+class OutgoingMessage:
     """A confirmable message on its way."""
 
     mid: int
     data: bytes
-    about: object
-    sent: int = 0
-    began: int = 0
-    wait: int = 0
+    context: object
+    transmissions: int = 0
+    first_sent_at: int = 0
+    timeout: int = 0
     due: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class Endpoint:
-    timeout: Timeout
+    timeout: RetransmissionTimeout
     next_mid: int
-    out: Out | None = None
+    in_flight: OutgoingMessage | None = None
     queue: deque = field(default_factory=deque)
     seen: int = 0
 
@@ -96,22 +98,31 @@
     """`most` endpoints are known and `most_seen` messages remembered; what is forgotten early is said in
     `forgotten`."""
 
-    def __init__(self, most: int, most_seen: int, queue: int, rng: random.Random) -> None:
-        self.most, self.most_seen, self.queue, self.rng = most, most_seen, queue, rng
+    def __init__(
+        self, max_endpoints: int, max_messages: int, max_queued: int, rng: random.Random
+    ) -> None:
+        self.max_endpoints, self.max_messages, self.max_queued, self.rng = (
+            max_endpoints,
+            max_messages,
+            max_queued,
+            rng,
+        )
         self.endpoints: OrderedDict[Hashable, Endpoint] = OrderedDict()
         self.seen: OrderedDict[tuple[Hashable, int], tuple[int, bytes | None]] = OrderedDict()
-        self.forgotten = 0
+        self.evicted_early = 0
 
     def endpoint(self, address: Hashable, now: int) -> Endpoint:
-        found = self.endpoints.get(address)
-        if found is None:
-            found = self.endpoints[address] = Endpoint(Timeout(now), self.rng.getrandbits(16))
-            while len(self.endpoints) > self.most:
+        endpoint = self.endpoints.get(address)
+        if endpoint is None:
+            endpoint = self.endpoints[address] = Endpoint(
+                RetransmissionTimeout(now), self.rng.getrandbits(16)
+            )
+            while len(self.endpoints) > self.max_endpoints:
                 idle = next(
                     (
                         key
                         for key, each in self.endpoints.items()
-                        if each.out is None and key != address
+                        if each.in_flight is None and key != address
                     ),
                     None,
                 )
@@ -119,32 +130,32 @@
                     break
                 del self.endpoints[idle]
         self.endpoints.move_to_end(address)
-        found.seen = now
-        return found
+        endpoint.seen = now
+        return endpoint
 
-    def mid(self, address: Hashable, now: int) -> int:
+    def next_message_id(self, address: Hashable, now: int) -> int:
         endpoint = self.endpoint(address, now)
         endpoint.next_mid = endpoint.next_mid + 1 & 0xFFFF
         return endpoint.next_mid
 
     # What comes
 
-    def duplicate(
+    def check_duplicate(
         self, address: Hashable, mid: int, confirmable: bool, now: int
     ) -> tuple[bool, bytes | None]:
         """Whether this message came before within its lifetime, and what was replied to it then."""
-        life = EXCHANGE_LIFETIME if confirmable else NON_LIFETIME
+        lifetime = EXCHANGE_LIFETIME if confirmable else NON_LIFETIME
         row = self.seen.get((address, mid))
-        if row is not None and now - row[0] < life:
+        if row is not None and now - row[0] < lifetime:
             return True, row[1]
         self.seen.pop((address, mid), None)
         self.seen[address, mid] = now, None
-        while len(self.seen) > self.most_seen:
-            (_, (at, _)) = self.seen.popitem(last=False)
-            self.forgotten += now - at < NON_LIFETIME
+        while len(self.seen) > self.max_messages:
+            (_, (received_at, _)) = self.seen.popitem(last=False)
+            self.evicted_early += now - received_at < NON_LIFETIME
         return False, None
 
-    def replied(self, address: Hashable, mid: int, data: bytes) -> None:
+    def record_reply(self, address: Hashable, mid: int, data: bytes) -> None:
         """What a duplicate of that message is to get: the same bytes."""
         row = self.seen.get((address, mid))
         if row is not None:
@@ -153,60 +164,65 @@
     # What goes
 
     def send(
-        self, address: Hashable, mid: int, data: bytes, about: object, now: int
+        self, address: Hashable, mid: int, data: bytes, context: object, now: int
     ) -> bytes | None:
         """The bytes to send now; None: it waits for the one that is out (NSTART is 1), or, where too many
         wait, for nothing at all: `failed` then has it with the next tick."""
         endpoint = self.endpoint(address, now)
-        out = Out(mid, data, about)
-        if endpoint.out is not None:
-            if len(endpoint.queue) >= self.queue:
+        message = OutgoingMessage(mid, data, context)
+        if endpoint.in_flight is not None:
+            if len(endpoint.queue) >= self.max_queued:
                 endpoint.queue.popleft()
-            endpoint.queue.append(out)
+            endpoint.queue.append(message)
             return None
-        return self._start(endpoint, out, now)
+        return self._start(endpoint, message, now)
 
-    def _start(self, endpoint: Endpoint, out: Out, now: int) -> bytes:
-        endpoint.out = out
-        out.sent, out.began = 1, now
-        out.wait = endpoint.timeout.first(now, self.rng)
-        out.due = now + out.wait
-        return out.data
+    def _start(self, endpoint: Endpoint, message: OutgoingMessage, now: int) -> bytes:
+        endpoint.in_flight = message
+        message.transmissions, message.first_sent_at = 1, now
+        message.timeout = endpoint.timeout.initial(now, self.rng)
+        message.due = now + message.timeout
+        return message.data
 
-    def acknowledged(
+    def acknowledge(
         self, address: Hashable, mid: int, now: int
     ) -> tuple[object | None, bytes | None]:
         """What the acknowledgement (or RST) was for, None for nothing that is out; and what may be sent
         next."""
         endpoint = self.endpoints.get(address)
-        if endpoint is None or endpoint.out is None or endpoint.out.mid != mid:
+        if endpoint is None or endpoint.in_flight is None or endpoint.in_flight.mid != mid:
             return None, None
-        out = endpoint.out
-        endpoint.timeout.measured(now - out.began, out.sent, now)
-        endpoint.out = None
-        return out.about, self._next(endpoint, now)
+        message = endpoint.in_flight
+        endpoint.timeout.record_acknowledgement(
+            now - message.first_sent_at, message.transmissions, now
+        )
+        endpoint.in_flight = None
+        return message.context, self._send_next(endpoint, now)
 
-    def _next(self, endpoint: Endpoint, now: int) -> bytes | None:
+    def _send_next(self, endpoint: Endpoint, now: int) -> bytes | None:
         return self._start(endpoint, endpoint.queue.popleft(), now) if endpoint.queue else None
 
     def due(self) -> int | None:
         return min(
-            (each.out.due for each in self.endpoints.values() if each.out is not None), default=None
+            (each.in_flight.due for each in self.endpoints.values() if each.in_flight is not None),
+            default=None,
         )
 
     def tick(self, now: int) -> list[tuple[Hashable, bytes | None, object | None]]:
         """(address, bytes to send, what is given up) for all that is due."""
         rows: list[tuple[Hashable, bytes | None, object | None]] = []
         for address, endpoint in list(self.endpoints.items()):
-            out = endpoint.out
-            if out is None or out.due > now:
+            message = endpoint.in_flight
+            if message is None or message.due > now:
                 continue
-            if out.sent > MAX_RETRANSMIT:
-                endpoint.out = None
-                rows.append((address, self._next(endpoint, now), out.about))
+            if message.transmissions > MAX_RETRANSMIT:
+                endpoint.in_flight = None
+                rows.append((address, self._send_next(endpoint, now), message.context))
                 continue
-            out.sent += 1
-            out.wait = int(min(MOST_TIMEOUT, out.wait * Timeout.backoff(out.wait)))
-            out.due = now + out.wait
-            rows.append((address, out.data, None))
+            message.transmissions += 1
+            message.timeout = int(
+                min(MAX_TIMEOUT, message.timeout * RetransmissionTimeout.backoff(message.timeout))
+            )
+            message.due = now + message.timeout
+            rows.append((address, message.data, None))
         return rows
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -17,29 +17,35 @@
 from dataclasses import dataclass, field
 
 from lilacwalk.edge.coap import messages
-from lilacwalk.edge.coap.address_validation import Proof
-from lilacwalk.edge.coap.blocks import Block, BlockError, Incoming, piece
+from lilacwalk.edge.coap.address_validation import AddressValidator
+from lilacwalk.edge.coap.blocks import Block, BlockAssembler, BlockError, select_block
 from lilacwalk.edge.coap.messages import Message, MessageError, Option, Type, uint
 from lilacwalk.edge.coap.reliability import Reliability
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.device_service import MOST_REPEATS, Action, Asking, Do, Group
-from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED, Repeats
+from lilacwalk.edge.device_service import (
+    DUPLICATE_ENTRIES_PER_SESSION,
+    Action,
+    ActionType,
+    DeviceRequest,
+    DeviceRequestClass,
+)
+from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED, DuplicateDetector
 from lilacwalk.edge.frames import Ask
 from lilacwalk.edge.timer_wheel import Wheel
 from lilacwalk.edge.tokens import DEVICE, TokenError, Tokens
 from lilacwalk.overload.model import Effect
 
 SECOND = 10_000
-PIGGYBACK = SECOND // 5  # a tenth of the first retransmission: nobody sends again for it
-BLOCK = 1_024
-FRESH, PROVEN = (
+PIGGYBACK_DELAY = SECOND // 5  # a tenth of the first retransmission: nobody sends again for it
+BLOCK_BYTES = 1_024
+ECHO_LIFETIME, VALIDATION_LIFETIME = (
     60 * SECOND,
     600 * SECOND,
 )  # an echo may wait for a stalled link; addresses change with the network
-SILENCE = 30 * SECOND  # a body in pieces that stands still so long is over
-MOST_PIECES = 256  # bodies under way at once
-QUEUE = 8  # separate answers that wait for one endpoint
-KEPT_OVERHEAD = 400  # bytes that Python keeps of a request beside its answer
+BLOCK_TIMEOUT = 30 * SECOND  # a body in pieces that stands still so long is over
+MAX_PARTIAL_BODIES = 256  # bodies under way at once
+MAX_QUEUED_PER_ENDPOINT = 8  # separate answers that wait for one endpoint
+REQUEST_OVERHEAD_BYTES = 400  # bytes that Python keeps of a request beside its answer
 CODES = {COMPLETED: messages.CHANGED, DENIED: messages.TOO_MANY, TERMINATED: messages.INTERNAL}
 
 
@@ -51,255 +57,288 @@
     message: Message
     device: bytes
     effect: Effect
-    name: tuple  # under which further pieces of its answer are asked for
-    acknowledged: bool = False  # its own acknowledgement went out, empty
-    over: bool = False
+    body_key: tuple  # under which further pieces of its answer are asked for
+    is_acknowledged: bool = False  # its own acknowledgement went out, empty
+    is_finished: bool = False
     word: int = 0
     body: bytes = b""
     followers: list[Request] = field(default_factory=list)
 
     @property
     def size(self) -> int:
-        return len(self.body) + KEPT_OVERHEAD
+        return len(self.body) + REQUEST_OVERHEAD_BYTES
 
 
-class CoapServing:
+class CoapService:
     def __init__(
-        self, orders: EdgeConfig, groups: dict[str, Group], tokens: Tokens, seed: int, now: int
+        self,
+        config: EdgeConfig,
+        request_classes: dict[str, DeviceRequestClass],
+        tokens: Tokens,
+        seed: int,
+        now: int,
     ) -> None:
-        self.orders, self.groups, self.tokens = orders, groups, tokens
+        self.config, self.request_classes, self.tokens = config, request_classes, tokens
         self.rng = random.Random(seed ^ 0xC0A9)
-        self.reliability = Reliability(orders.sessions, 4 * orders.sessions, QUEUE, self.rng)
-        self.proof = Proof(self.rng.randbytes(32), FRESH, PROVEN, orders.sessions)
-        self.blocks = Incoming(MOST_PIECES, MOST_PIECES * orders.body, orders.body, SILENCE)
-        self.repeats = Repeats(
-            MOST_REPEATS * orders.sessions, orders.repeat_window, self.rng.getrandbits(64)
+        self.reliability = Reliability(
+            config.sessions, 4 * config.sessions, MAX_QUEUED_PER_ENDPOINT, self.rng
+        )
+        self.address_validator = AddressValidator(
+            self.rng.randbytes(32), ECHO_LIFETIME, VALIDATION_LIFETIME, config.sessions
+        )
+        self.block_assembler = BlockAssembler(
+            MAX_PARTIAL_BODIES, MAX_PARTIAL_BODIES * config.body, config.body, BLOCK_TIMEOUT
+        )
+        self.duplicate_detector = DuplicateDetector(
+            DUPLICATE_ENTRIES_PER_SESSION * config.sessions,
+            config.repeat_window,
+            self.rng.getrandbits(64),
         )
         self.open: dict[Request, None] = {}
-        self.late = Wheel(
+        self.ack_timers = Wheel(
             now
         )  # requests whose answer is not there yet, until they are acknowledged empty
-        self.kept: dict[bool, OrderedDict[Request, int]] = {
+        self.kept_answers: dict[bool, OrderedDict[Request, int]] = {
             True: OrderedDict(),
             False: OrderedDict(),
         }
-        self.by_name: dict[tuple, Request] = {}
-        self.size = 0
+        self.by_body_key: dict[tuple, Request] = {}
+        self.kept_bytes = 0
         self.actions: list[Action] = []
-        self.leaving: int | None = None
-        self.shut = False
-        self.next_look = now + SECOND
+        self.drain_retry_delay: int | None = None
+        self.is_closing = False
+        self.next_check_at = now + SECOND
         self.counts = dict.fromkeys(
             ("asked", "answered", "joined", "unproven", "bad", "duplicates", "lost"), 0
         )
 
-    def taken(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         actions, self.actions = self.actions, []
         return actions
 
-    def _datagram(self, address: tuple, data: bytes) -> None:
-        self.actions.append(Action(Do.DATAGRAM, number=0, about=(address, data)))
+    def _send_datagram(self, address: tuple, data: bytes) -> None:
+        self.actions.append(Action(ActionType.DATAGRAM, number=0, payload=(address, data)))
 
     # What comes
 
-    def datagram(self, address: tuple, data: bytes, now: int) -> None:
+    def datagram_received(self, address: tuple, data: bytes, now: int) -> None:
         try:
             message = messages.decode(data)
         except MessageError as error:
             self.counts["bad"] += 1
             if error.mid is not None:
-                self._datagram(
+                self._send_datagram(
                     address, messages.encode(Message(Type.RST, messages.EMPTY, error.mid))
                 )
             return
         if message.type in (Type.ACK, Type.RST):
-            self._acknowledged(address, message, now)
+            self._process_acknowledgement(address, message, now)
         elif message.is_request:
-            self._request(address, message, len(data), now)
+            self._process_request(address, message, len(data), now)
         elif message.type is Type.CON:  # a ping, or an answer to nothing that was asked
-            self._datagram(address, messages.encode(Message(Type.RST, messages.EMPTY, message.mid)))
+            self._send_datagram(
+                address, messages.encode(Message(Type.RST, messages.EMPTY, message.mid))
+            )
 
-    def _acknowledged(self, address: tuple, message: Message, now: int) -> None:
-        request, data = self.reliability.acknowledged(address, message.mid, now)
+    def _process_acknowledgement(self, address: tuple, message: Message, now: int) -> None:
+        request, data = self.reliability.acknowledge(address, message.mid, now)
         if isinstance(request, Request) and message.type is Type.ACK:
-            self.repeats.settled(request, 1)  # it has its answer: asking again is meant
-            self._forget(request)
+            self.duplicate_detector.remove(request, 1)  # it has its answer: asking again is meant
+            self._drop_answer(request)
         if data is not None:
-            self._datagram(address, data)
+            self._send_datagram(address, data)
 
-    def _request(self, address: tuple, message: Message, size: int, now: int) -> None:
-        if not self.proof.check(address, message.first(Option.ECHO), now):
+    def _process_request(self, address: tuple, message: Message, size: int, now: int) -> None:
+        if not self.address_validator.validate(address, message.first(Option.ECHO), now):
             self.counts["unproven"] += 1
             reply = self._reply(
                 message,
                 messages.UNAUTHORIZED,
-                ((Option.ECHO, self.proof.mark(address, now)),),
+                ((Option.ECHO, self.address_validator.make_echo(address, now)),),
                 mid=self.rng.getrandbits(16),
             )
             if len(reply) <= size:  # never more than was asked, whoever asked
-                self._datagram(address, reply)
+                self._send_datagram(address, reply)
             return
-        again, reply = self.reliability.duplicate(
+        is_duplicate, reply = self.reliability.check_duplicate(
             address, message.mid, message.type is Type.CON, now
         )
-        if again:
+        if is_duplicate:
             self.counts["duplicates"] += 1
             if reply is not None:
-                self._datagram(address, reply)
+                self._send_datagram(address, reply)
             return
         if (unknown := messages.unknown_critical(message)) is not None:
-            self._answer_now(
+            self._answer_without_execution(
                 address, message, messages.BAD_OPTION, now, payload=b"option %d" % unknown
             )
             return
         path = [value.decode("utf-8", "replace") for value in message.all(Option.URI_PATH)]
-        if len(path) != 2 or path[0] != "x" or path[1] not in self.groups:
-            self._answer_now(address, message, messages.NOT_FOUND, now)
+        if len(path) != 2 or path[0] != "x" or path[1] not in self.request_classes:
+            self._answer_without_execution(address, message, messages.NOT_FOUND, now)
         elif message.code != messages.POST:
-            self._answer_now(address, message, messages.NOT_ALLOWED, now)
-        elif self.shut:
-            self._answer_now(
-                address, message, messages.UNAVAILABLE, now, self._max_age(self.leaving or SECOND)
+            self._answer_without_execution(address, message, messages.NOT_ALLOWED, now)
+        elif self.is_closing:
+            self._answer_without_execution(
+                address,
+                message,
+                messages.UNAVAILABLE,
+                now,
+                self._max_age(self.drain_retry_delay or SECOND),
             )
         else:
-            self._post(address, message, path[1], now)
+            self._process_post(address, message, path[1], now)
 
-    def _post(self, address: tuple, message: Message, group: str, now: int) -> None:
+    def _process_post(self, address: tuple, message: Message, class_name: str, now: int) -> None:
         try:
             device = self.tokens.check(
                 DEVICE, message.first(Option.DEVICE) or b"", now // SECOND
             ).name
-            stated = self._stated(message)
+            fields = self._parse_query(message)
         except TokenError as error:
-            self._answer_now(
+            self._answer_without_execution(
                 address, message, messages.UNAUTHORIZED, now, payload=f"token {error}".encode()
             )
             return
         except ValueError as error:
-            self._answer_now(
+            self._answer_without_execution(
                 address, message, messages.BAD_REQUEST, now, payload=str(error).encode()
             )
             return
         tag = message.first(Option.REQUEST_TAG) or b""
-        name = (address, group, tuple(message.all(Option.URI_QUERY)), tag)
-        second, asked = message.first(Option.BLOCK2), None
-        if second is not None:
-            asked = Block.of(second)
-            if asked is None:
-                self._answer_now(address, message, messages.BAD_REQUEST, now)
+        body_key = (address, class_name, tuple(message.all(Option.URI_QUERY)), tag)
+        block2, requested_block = message.first(Option.BLOCK2), None
+        if block2 is not None:
+            requested_block = Block.decode(block2)
+            if requested_block is None:
+                self._answer_without_execution(address, message, messages.BAD_REQUEST, now)
                 return
-            if asked.number:
-                self._further(address, message, name, asked, now)
+            if requested_block.number:
+                self._send_block(address, message, body_key, requested_block, now)
                 return
-        body = self._body(address, message, name, now)
+        body = self._assemble_body(address, message, body_key, now)
         if body is None:
             return
-        self._exchange(address, message, Ask(1, group, body, got=0, **stated), device, name, now)
+        self._submit(
+            address, message, Ask(1, class_name, body, got=0, **fields), device, body_key, now
+        )
 
-    def _stated(self, message: Message) -> dict:
+    def _parse_query(self, message: Message) -> dict:
         """What the queries say. Raises ValueError."""
         names = {"w": "wait", "k": "key", "s": "subject", "c": "customer"}
-        found: dict = {}
+        fields: dict = {}
         for raw in message.all(Option.URI_QUERY):
             name, sep, value = raw.decode("utf-8", "replace").partition("=")
             if not sep or name not in names:
                 raise ValueError(f"query {name}")
-            found[names[name]] = value
-        wait = found.pop("wait", "0")
+            fields[names[name]] = value
+        wait = fields.pop("wait", "0")
         if not (wait.isascii() and wait.isdigit()) or len(wait) > 8:
             raise ValueError("query w")
-        return found | {"wait": int(wait)}
+        return fields | {"wait": int(wait)}
 
-    def _body(self, address: tuple, message: Message, name: tuple, now: int) -> bytes | None:
+    def _assemble_body(
+        self, address: tuple, message: Message, body_key: tuple, now: int
+    ) -> bytes | None:
         """The whole body, or None where this was a piece of one and has been answered."""
         raw = message.first(Option.BLOCK1)
         if raw is None:
-            if len(message.payload) > self.orders.body:
-                size = ((Option.SIZE1, uint(self.orders.body)),)
-                self._answer_now(address, message, messages.TOO_LARGE, now, size)
+            if len(message.payload) > self.config.body:
+                size = ((Option.SIZE1, uint(self.config.body)),)
+                self._answer_without_execution(address, message, messages.TOO_LARGE, now, size)
                 return None
             return message.payload
-        block = Block.of(raw)
+        block = Block.decode(raw)
         if block is None:
-            self._answer_now(address, message, messages.BAD_REQUEST, now)
+            self._answer_without_execution(address, message, messages.BAD_REQUEST, now)
             return None
         try:
-            whole = self.blocks.add(name, block, message.payload, now)
+            whole = self.block_assembler.add(body_key, block, message.payload, now)
         except BlockError as error:
-            what = messages.INCOMPLETE if error.incomplete else messages.TOO_LARGE
-            self._answer_now(address, message, what, now)
+            code = messages.INCOMPLETE if error.incomplete else messages.TOO_LARGE
+            self._answer_without_execution(address, message, code, now)
             return None
         if whole is None:
-            self._answer_now(
-                address, message, messages.CONTINUE, now, ((Option.BLOCK1, block.encoded()),)
+            self._answer_without_execution(
+                address, message, messages.CONTINUE, now, ((Option.BLOCK1, block.encode()),)
             )
         return whole
 
     # Exchanges
 
-    def _exchange(
-        self, address: tuple, message: Message, ask: Ask, device: bytes, name: tuple, now: int
+    def _submit(
+        self, address: tuple, message: Message, ask: Ask, device: bytes, body_key: tuple, now: int
     ) -> None:
-        group = self.groups[ask.group]
-        request = Request(address, message, device, group.effect, name)
+        request_class = self.request_classes[ask.group]
+        request = Request(address, message, device, request_class.effect, body_key)
         self.counts["asked"] += 1
-        if len(self.open) >= self.orders.in_hand:
-            self._finish(request, DENIED, b"", SECOND, now)
+        if len(self.open) >= self.config.in_hand:
+            self._complete(request, DENIED, b"", SECOND, now)
             return
-        mark = self.repeats.mark(device, False, ask) if self.orders.repeats else 0
-        earlier = self.repeats.earlier(mark, request, group.effect, now) if mark else None
+        fingerprint = (
+            self.duplicate_detector.fingerprint(device, False, ask) if self.config.repeats else 0
+        )
+        earlier = (
+            self.duplicate_detector.find(fingerprint, request, request_class.effect, now)
+            if fingerprint
+            else None
+        )
         if earlier is not None:
             first = earlier.session
             assert isinstance(first, Request)
             self.counts["joined"] += 1
-            if not first.over:
+            if not first.is_finished:
                 first.followers.append(request)
-                self.late.set(request, now + PIGGYBACK)
+                self.ack_timers.schedule(request, now + PIGGYBACK_DELAY)
             else:
-                self._finish(request, first.word, first.body, 0, now)
+                self._complete(request, first.word, first.body, 0, now)
             return
-        if mark:
-            self.repeats.enter(mark, request, 1, group.effect, now)
+        if fingerprint:
+            self.duplicate_detector.add(fingerprint, request, 1, request_class.effect, now)
         self.open[request] = None
-        self.late.set(request, now + PIGGYBACK)
-        wait = min(ask.wait * 10 or group.timeout, group.timeout)
-        if self.orders.estimates:
-            wait -= int(self.reliability.endpoint(address, now).timeout.strong.trip / 2)
+        self.ack_timers.schedule(request, now + PIGGYBACK_DELAY)
+        wait = min(ask.wait * 10 or request_class.timeout, request_class.timeout)
+        if self.config.estimates:
+            wait -= int(self.reliability.endpoint(address, now).timeout.strong.round_trip / 2)
         self.actions.append(
             Action(
-                Do.ASK,
+                ActionType.SUBMIT,
                 session=request,
                 number=1,
-                about=Asking(  # type: ignore[arg-type]
-                    ask, ask.customer or self.orders.customer, wait, now, False
+                payload=DeviceRequest(  # type: ignore[arg-type]
+                    ask, ask.customer or self.config.customer, wait, now, False
                 ),
             )
         )
 
-    def answered(self, request: Request, word: int, body: bytes, come_back: int, now: int) -> None:
+    def send_answer(
+        self, request: Request, word: int, body: bytes, come_back: int, now: int
+    ) -> None:
         """The one final answer, from the deciding thread."""
         if request not in self.open:
             return
         del self.open[request]
-        self.repeats.answered(request, 1, word)
+        self.duplicate_detector.set_outcome(request, 1, word)
         for each in [request, *request.followers]:
-            self._finish(each, word, body, come_back, now)
+            self._complete(each, word, body, come_back, now)
         request.followers.clear()
 
-    def _finish(self, request: Request, word: int, body: bytes, come_back: int, now: int) -> None:
-        self.late.drop(request)
+    def _complete(self, request: Request, word: int, body: bytes, come_back: int, now: int) -> None:
+        self.ack_timers.cancel(request)
         self.counts["answered"] += 1
-        request.over, request.word, request.body = True, word, body
-        self._keep(request)
+        request.is_finished, request.word, request.body = True, word, body
+        self._keep_answer(request)
         code, options = CODES[word], ()
         if word == DENIED:
             options = self._max_age(come_back or SECOND)
-            if self.leaving is not None:
+            if self.drain_retry_delay is not None:
                 code = messages.UNAVAILABLE
-        asked = request.message.first(Option.BLOCK2)
-        block, payload = piece(body, Block.of(asked) if asked else None, BLOCK) or (None, b"")
+        requested_block = request.message.first(Option.BLOCK2)
+        block, payload = select_block(
+            body, Block.decode(requested_block) if requested_block else None, BLOCK_BYTES
+        ) or (None, b"")
         if block is not None:
-            options += ((Option.BLOCK2, block.encoded()), (Option.SIZE2, uint(len(body))))
+            options += ((Option.BLOCK2, block.encode()), (Option.SIZE2, uint(len(body))))
         self._respond(request, code, options, payload, now)
 
     @staticmethod
@@ -310,49 +349,53 @@
         self, request: Request, code: int, options: tuple, payload: bytes, now: int
     ) -> None:
         message, address = request.message, request.address
-        unwanted = message.number(Option.NO_RESPONSE, 0)
-        if unwanted >> ((code >> 5) - 1) & 1:  # RFC 7967: its class is not wanted
-            if message.type is Type.CON and not request.acknowledged:
+        unwanted_classes = message.number(Option.NO_RESPONSE, 0)
+        if unwanted_classes >> ((code >> 5) - 1) & 1:  # RFC 7967: its class is not wanted
+            if message.type is Type.CON and not request.is_acknowledged:
                 self._acknowledge(request)
             return
-        if message.type is Type.CON and not request.acknowledged:
+        if message.type is Type.CON and not request.is_acknowledged:
             data = messages.encode(
                 Message(Type.ACK, code, message.mid, message.token, options, payload)
             )
-            self.reliability.replied(address, message.mid, data)
-            self._datagram(address, data)
+            self.reliability.record_reply(address, message.mid, data)
+            self._send_datagram(address, data)
             return
-        mid = self.reliability.mid(address, now)
+        mid = self.reliability.next_message_id(address, now)
         kind = message.type
         data = messages.encode(Message(kind, code, mid, message.token, options, payload))
         if kind is Type.NON:
-            self.reliability.replied(address, message.mid, data)
-            self._datagram(address, data)
-        elif (ready := self.reliability.send(address, mid, data, request, now)) is not None:
-            self._datagram(address, ready)
+            self.reliability.record_reply(address, message.mid, data)
+            self._send_datagram(address, data)
+        elif (next_data := self.reliability.send(address, mid, data, request, now)) is not None:
+            self._send_datagram(address, next_data)
 
     def _acknowledge(self, request: Request) -> None:
-        request.acknowledged = True
+        request.is_acknowledged = True
         data = messages.encode(Message(Type.ACK, messages.EMPTY, request.message.mid))
-        self.reliability.replied(request.address, request.message.mid, data)
-        self._datagram(request.address, data)
+        self.reliability.record_reply(request.address, request.message.mid, data)
+        self._send_datagram(request.address, data)
 
-    def _further(
-        self, address: tuple, message: Message, name: tuple, asked: Block, now: int
+    def _send_block(
+        self, address: tuple, message: Message, body_key: tuple, requested_block: Block, now: int
     ) -> None:
         """A later piece of an answer that was given."""
-        request = self.by_name.get(name)
-        found = piece(request.body, asked, BLOCK) if request is not None else None
-        if found is None:
-            self._answer_now(address, message, messages.INCOMPLETE, now)
+        request = self.by_body_key.get(body_key)
+        selected = (
+            select_block(request.body, requested_block, BLOCK_BYTES)
+            if request is not None
+            else None
+        )
+        if selected is None:
+            self._answer_without_execution(address, message, messages.INCOMPLETE, now)
             return
-        block, payload = found
+        block, payload = selected
         assert block is not None
-        self._answer_now(
-            address, message, messages.CHANGED, now, ((Option.BLOCK2, block.encoded()),), payload
+        self._answer_without_execution(
+            address, message, messages.CHANGED, now, ((Option.BLOCK2, block.encode()),), payload
         )
 
-    def _answer_now(
+    def _answer_without_execution(
         self,
         address: tuple,
         message: Message,
@@ -362,20 +405,22 @@
         payload: bytes = b"",
     ) -> None:
         """What needs no exchange rides on the acknowledgement."""
-        data = self._reply(message, code, options, payload, self.reliability.mid(address, now))
-        self.reliability.replied(address, message.mid, data)
-        self._datagram(address, data)
+        data = self._reply(
+            message, code, options, payload, self.reliability.next_message_id(address, now)
+        )
+        self.reliability.record_reply(address, message.mid, data)
+        self._send_datagram(address, data)
 
     @staticmethod
     def _reply(
         message: Message, code: int, options: tuple, payload: bytes = b"", mid: int = 0
     ) -> bytes:
-        confirms = message.type is Type.CON
+        is_confirmable = message.type is Type.CON
         return messages.encode(
             Message(
-                Type.ACK if confirms else Type.NON,
+                Type.ACK if is_confirmable else Type.NON,
                 code,
-                message.mid if confirms else mid,
+                message.mid if is_confirmable else mid,
                 message.token,
                 options,
                 payload,
@@ -384,52 +429,52 @@
 
     # What is kept
 
-    def _keep(self, request: Request) -> None:
+    def _keep_answer(self, request: Request) -> None:
         """For repeats and further pieces; where there is no room, answers that may be made again go first."""
-        self.kept[request.effect is Effect.IDEMPOTENT][request] = request.size
-        self.by_name[request.name] = request
-        self.size += request.size
-        while self.size > self.orders.kept:
-            cheap = self.kept[True] or self.kept[False]
-            self._forget(next(iter(cheap)))
-
-    def _forget(self, request: Request) -> None:
-        size = self.kept[request.effect is Effect.IDEMPOTENT].pop(request, None)
+        self.kept_answers[request.effect is Effect.IDEMPOTENT][request] = request.size
+        self.by_body_key[request.body_key] = request
+        self.kept_bytes += request.size
+        while self.kept_bytes > self.config.kept:
+            candidates = self.kept_answers[True] or self.kept_answers[False]
+            self._drop_answer(next(iter(candidates)))
+
+    def _drop_answer(self, request: Request) -> None:
+        size = self.kept_answers[request.effect is Effect.IDEMPOTENT].pop(request, None)
         if size is None:
             return
-        self.size -= size
-        self.repeats.settled(request, 1)
-        if self.by_name.get(request.name) is request:
-            del self.by_name[request.name]
+        self.kept_bytes -= size
+        self.duplicate_detector.remove(request, 1)
+        if self.by_body_key.get(request.body_key) is request:
+            del self.by_body_key[request.body_key]
 
     # Time
 
     def due(self) -> int:
-        times = [self.next_look]
-        for each in (self.late.due(), self.reliability.due()):
+        times = [self.next_check_at]
+        for each in (self.ack_timers.due(), self.reliability.due()):
             if each is not None:
                 times.append(each)
         return min(times)
 
     def tick(self, now: int) -> None:
-        for request in self.late.fired(now):
+        for request in self.ack_timers.expire(now):
             assert isinstance(request, Request)
             if request.message.type is Type.CON:
                 self._acknowledge(request)
         for address, data, lost in self.reliability.tick(now):
             if data is not None:
-                self._datagram(address, data)
+                self._send_datagram(address, data)
             self.counts["lost"] += lost is not None  # its answer is kept for when it asks again
-        if now >= self.next_look:
-            self.next_look = now + SECOND
-            self.blocks.tick(now)
-            self.repeats.sweep(now)
+        if now >= self.next_check_at:
+            self.next_check_at = now + SECOND
+            self.block_assembler.tick(now)
+            self.duplicate_detector.remove_expired(now)
 
-    def leave(self, come_back: int) -> None:
-        self.leaving = come_back
+    def start_draining(self, come_back: int) -> None:
+        self.drain_retry_delay = come_back
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return not self.open and not any(
-            each.out is not None for each in self.reliability.endpoints.values()
+            each.in_flight is not None for each in self.reliability.endpoints.values()
         )
--- a/lilacwalk/edge/config.py
+++ b/lilacwalk/edge/config.py
@@ -1,5 +1,8 @@
-"""What an operator orders of the edge: frozen records, checked where they are read (`operator/`). Times are
-tenths of a millisecond, sizes bytes."""
+"""The operator's configuration of the edge.
+
+The records are immutable; the operator package checks them when it reads the operator's file.
+Times are in tenths of a millisecond, sizes in bytes.
+"""
 
 from __future__ import annotations
 
@@ -20,49 +23,65 @@
 
 
 class Tls(Struct, frozen=True, kw_only=True):
+    """Certificate and key of the TLS listener."""
+
     certificate: str
     key: str
-    authority: str | None = None  # whose certificates devices must show
+    authority: str | None = (
+        None  # file of the certificate authority that signs the devices' certificates
+    )
     mutual: bool = False
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid fields, each with what is expected."""
         return (
             [("mutual", "an authority beside it")] if self.mutual and self.authority is None else []
         )
 
 
 class EdgeConfig(Struct, frozen=True, kw_only=True):
-    """Devices on poor links."""
+    """Listeners, limits and timeouts of the service for devices."""
 
     ARGUMENTS: ClassVar = ()
     listen: Annotated[tuple[str, int], unit("endpoint")]
-    coap: Annotated[tuple[str, int], unit("endpoint")] | None = None  # over UDP
-    secrets: str  # a file: one secret a line in hexadecimal digits, the first makes tokens, all check them
+    coap: Annotated[tuple[str, int], unit("endpoint")] | None = (
+        None  # address of the CoAP listener (UDP)
+    )
+    secrets: str  # file with a hexadecimal secret per line: tokens are signed with the first and verified with all
     tls: Tls | None = None
-    customer: str = ""  # of devices that name none
+    customer: str = ""  # tenant of requests that do not name one
     connections: Count = 2_000
     sessions: Count = 4_000
-    sessions_each: Annotated[int, Meta(ge=1, le=64)] = 4  # of one device
+    sessions_each: Annotated[int, Meta(ge=1, le=64)] = 4  # limit per device
     in_hand: Count = 500
-    window: Annotated[int, Meta(ge=1, le=256)] = 16  # exchanges that one session may have open
-    body: Size = 2_048  # also what routers may send
-    kept: Size = 4_000_000  # answers not acknowledged, of all sessions
+    window: Annotated[int, Meta(ge=1, le=256)] = 16  # requests that one session may have in flight
+    body: Size = 2_048  # maximum size of a request body; the same limit applies to proxies
+    kept: Size = 4_000_000  # bytes of unacknowledged answers of all sessions together
     kept_each: Size = 131_072
-    buffer: Size = 32_768  # unsent on one connection; what is beyond waits in its session
-    session_time: Time = 600 * SECOND  # without a connection, then forgotten
+    buffer: Size = 32_768  # unsent bytes on one connection; further answers wait in the session
+    session_time: Time = 600 * SECOND  # a session without a connection is removed after this time
     repeat_window: Time = 60 * SECOND
     heartbeat: Time = 30 * SECOND
-    hello: Time = 5 * SECOND  # from connecting to a whole HELLO
-    frame_time: Time = 60 * SECOND  # from a frame's first byte to its last
-    slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # bytes a second in which any came
+    hello: Time = (
+        5 * SECOND
+    )  # from the start of a connection until its HELLO frame has been received
+    frame_time: Time = 60 * SECOND  # from the first byte of a frame to its last
+    slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = (
+        64  # minimum bytes per second, averaged over the seconds in which bytes arrived
+    )
     arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = (
-        60  # connections of one source in about ten seconds
+        60  # connections per source in about ten seconds
+    )
+    estimates: bool = (
+        True  # subtract the expected delivery time of the answer from the request's timeout
+    )
+    repeats: bool = (
+        True  # detect duplicates of requests that have no idempotency key across sessions
     )
-    estimates: bool = True  # the time an answer needs is taken from the due time
-    repeats: bool = True  # asks without a mark are recognised over sessions
     resume: bool = True
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid fields, each with what is expected."""
         if self.kept_each > self.kept:
             return [("kept-each", "no more than kept")]
         return []
--- a/lilacwalk/edge/connection_limiter.py
+++ b/lilacwalk/edge/connection_limiter.py
@@ -1,41 +1,75 @@
-"""Who may come in: connections of one source lately, and those that have not said who they are. Sources are
-counted in a sketch, so that no number of them costs memory."""
+"""Limits the rate of connections per source, and the number of connections without a HELLO frame.
+
+Sources are counted in a sketch, so that memory does not grow with the number of sources.
+"""
 
 from __future__ import annotations
 
 from lilacwalk.edge.sketch import Sketch
 
-LATELY = 100_000  # tenths of a ms: the half-life of what is remembered of a source
-NETWORK_BYTES = 6  # of an IPv6 address: whoever has one has a network of them
+HALF_LIFE = 100_000  # tenths of a ms; half-life of a source's connection count
+IPV6_PREFIX_BYTES = (
+    6  # IPv6 sources are counted by their /48 network, since one host can use many addresses of it
+)
+
+
+class ConnectionLimiter:
+    """Counts the connections of each source, and keeps the unidentified connections in order of
+    age.
+    """
 
+    def __init__(self, max_per_source: int, max_unidentified: int, seed: int, now: int) -> None:
+        """Creates a limiter.
 
-class Arrivals:
-    def __init__(self, most: int, waiting: int, seed: int, now: int) -> None:
-        """`most` connections of one source lately, `waiting` at once without a HELLO."""
-        self.most, self.waiting_most = most, waiting
-        self.sketch = Sketch(seed, LATELY, now)
-        self.waiting: dict[int, int] = {}  # since when, in order
-        self.turned_away = 0
+        Args:
+            max_per_source: Maximum decayed count of connections from one source.
+            max_unidentified: Maximum number of connections without a HELLO frame.
+            seed: Secret seed of the sketch.
+            now: The current time.
+        """
+        self.max_per_source, self.max_unidentified = max_per_source, max_unidentified
+        self.sketch = Sketch(seed, HALF_LIFE, now)
+        self.unidentified: dict[int, int] = {}  # time of acceptance by connection, oldest first
+        self.rejected = 0
 
     @staticmethod
-    def source(packed: bytes) -> bytes:
-        return packed[:NETWORK_BYTES] if len(packed) == 16 else packed
-
-    def come(self, connection: int, address: bytes, now: int) -> str:
-        """Empty, or why it may not. What is turned away counts too: who hammers stays out until it stops."""
-        if self.sketch.add(self.source(address), now) > self.most:
-            self.turned_away += 1
-            return "too many connections of this source"
-        self.waiting[connection] = now
+    def source(address: bytes) -> bytes:
+        """Returns the key under which an address is counted."""
+        return address[:IPV6_PREFIX_BYTES] if len(address) == 16 else address
+
+    def admit(self, connection: int, address: bytes, now: int) -> str:
+        """Counts a connection, and returns why it is rejected, or an empty string if it is
+        admitted.
+
+        Rejected connections count as well, so that a source that keeps reconnecting stays
+        blocked until
+        it stops.
+        """
+        if self.sketch.add(self.source(address), now) > self.max_per_source:
+            self.rejected += 1
+            return "too many connections from this source"
+        self.unidentified[connection] = now
         return ""
 
-    def crowded_out(self) -> int | None:
-        """The connection that has waited longest, where too many wait: a flood of silent ones makes its own
-        room."""
-        return next(iter(self.waiting)) if len(self.waiting) > self.waiting_most else None
+    def oldest_excess(self) -> int | None:
+        """Returns the oldest unidentified connection if there are too many, otherwise None.
+
+        Closing it makes room, so a flood of connections without a HELLO frame displaces itself.
+        """
+        return (
+            next(iter(self.unidentified))
+            if len(self.unidentified) > self.max_unidentified
+            else None
+        )
 
-    def known(self, connection: int) -> None:
-        self.waiting.pop(connection, None)
+    def identified(self, connection: int) -> None:
+        """Stops tracking a connection that has sent its HELLO frame or was closed."""
+        self.unidentified.pop(connection, None)
 
-    def late(self, time: int, now: int) -> list[int]:
-        return [connection for connection, since in self.waiting.items() if now - since > time]
+    def overdue(self, timeout: int, now: int) -> list[int]:
+        """Returns the connections that have been unidentified for longer than `timeout`."""
+        return [
+            connection
+            for connection, accepted_at in self.unidentified.items()
+            if now - accepted_at > timeout
+        ]
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -1,5 +1,7 @@
-"""The devices' front without its sockets: connections and sessions in, frames and exchanges out. Times are
-tenths of a ms of a clock that never runs back; a device's own clock is never asked."""
+"""The service for devices without its sockets: handles connections, sessions and frames.
+
+Times are in tenths of a millisecond of a monotonic clock; a device's own clock is never used.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +10,10 @@
 from enum import Enum, auto
 
 from lilacwalk.edge import frames
-from lilacwalk.edge import session_codec as remembering
+from lilacwalk.edge import session_codec as session_codec
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.connection_limiter import Arrivals
-from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED, Repeats
+from lilacwalk.edge.connection_limiter import ConnectionLimiter
+from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED, DuplicateDetector
 from lilacwalk.edge.frames import (
     Ask,
     Bye,
@@ -25,199 +27,239 @@
     Welcome,
 )
 from lilacwalk.edge.link import Link
-from lilacwalk.edge.rates import Incoming
-from lilacwalk.edge.session import Session, Taken
-from lilacwalk.edge.sessions import Sessions
+from lilacwalk.edge.rates import FrameProgress
+from lilacwalk.edge.session import RequestStatus, Session
+from lilacwalk.edge.sessions import SessionTable
 from lilacwalk.edge.tokens import DEVICE, SESSION, TokenError, Tokens
 from lilacwalk.overload.model import Effect
 
 VERSION = 1
 SECOND = 10_000
-ANSWER_WEIGHT = 1 / 16  # of the newest in the mean size of answers
-FIRST_ANSWER = 500.0  # bytes
-MOST_REPEATS = 8  # marks held for each session that may be: a window's worth of most devices
-LOOK = SECOND  # how often connections are looked over for slowness
-GOODBYE = "said goodbye"
-MISSED = 3  # heartbeats without a byte after which a connection is given up
-TOKEN_TIME = (
-    7 * 24 * 3600
-)  # seconds that a session's token holds: its session is forgotten long before
+ANSWER_SIZE_WEIGHT = 1 / 16  # weight of the newest answer in the mean size of answers
+INITIAL_ANSWER_BYTES = 500.0  # bytes
+DUPLICATE_ENTRIES_PER_SESSION = (
+    8  # per session of the limit; most devices have fewer requests in flight
+)
+CHECK_INTERVAL = SECOND  # between checks for slow and unidentified connections
+CLOSED_BY_DEVICE = "said goodbye"  # reason of the removal of a session
+MAX_MISSED_HEARTBEATS = 3  # intervals without received bytes after which a connection is closed
+SESSION_TOKEN_SECONDS = 7 * 24 * 3600  # sessions expire long before their tokens
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
-    """What the edge must know of an endpoint group."""
+class DeviceRequestClass:
+    """The properties of a request class that the edge uses."""
 
     effect: Effect
     timeout: int
 
 
-class Do(Enum):
-    SEND = auto()  # bytes on a connection
-    DATAGRAM = auto()  # an address and bytes
-    CLOSE = auto()  # after what was sent
-    ASK = auto()  # an exchange for the controller
-    GONE = auto()  # nobody waits for it any more
+class ActionType(Enum):
+    """Kinds of actions that the service requests from the host."""
+
+    SEND = auto()  # send bytes on a connection
+    DATAGRAM = auto()  # send bytes to a UDP address
+    CLOSE = auto()  # close a connection after all bytes have been sent
+    SUBMIT = auto()  # submit a request to the event loop
+    CLIENT_GONE = auto()  # no client waits for the request any more
     LOG = auto()
-    KEEP = auto()  # sessions as they are now, by ident; None: forgotten
-    RECALL = auto()  # an exchange that was in hand when the process before ended
+    PERSIST = auto()  # write encoded sessions by identifier; None deletes the session
+    RECOVER = auto()  # resolve a request that was in flight when the previous process ended
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    do: Do
+    """An action for the host to perform."""
+
+    type: ActionType
     connection: int = 0
     session: Session | None = None
     number: int = 0
-    about: object = None
+    payload: object = None
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
-    ask: Ask
-    customer: str
-    wait: int  # tenths of a ms from now, less what the answer will need
-    arrived: int
-    retry: bool
+class DeviceRequest:
+    """A request to submit to the event loop."""
+
+    frame: Ask
+    tenant: str
+    timeout: int  # tenths of a ms from `arrived_at`, less the expected delivery time of the answer
+    arrived_at: int
+    is_retry: bool
 
 
 @dataclass(eq=False, slots=True)
 class Connection:
+    """A connection of a device."""
+
     number: int
-    identity: bytes  # from its certificate; empty: it must show a token
-    heard: int
+    identity: bytes  # device name from the certificate; empty if the device must present a token
+    last_received_at: int
     session: Session | None = None
-    unsent: int = 0
-    incoming: Incoming = field(default_factory=Incoming)
-    closing: bool = False
+    unsent_bytes: int = 0
+    frame_progress: FrameProgress = field(default_factory=FrameProgress)
+    is_closing: bool = False
 
 
-class Serving:
+class DeviceService:
+    """Handles the events of connections, and collects actions for the host to perform."""
+
     def __init__(
-        self, orders: EdgeConfig, groups: dict[str, Group], tokens: Tokens, seed: int, now: int
+        self,
+        config: EdgeConfig,
+        request_classes: dict[str, DeviceRequestClass],
+        tokens: Tokens,
+        seed: int,
+        now: int,
     ) -> None:
-        self.orders, self.groups, self.tokens = orders, groups, tokens
+        """Creates a service without connections."""
+        self.config, self.request_classes, self.tokens = config, request_classes, tokens
         self.rng = random.Random(seed)
         self.connections: dict[int, Connection] = {}
-        self.sessions = Sessions(
-            orders.sessions,
-            orders.sessions_each,
-            orders.kept,
-            orders.session_time,
+        self.session_table = SessionTable(
+            config.sessions,
+            config.sessions_each,
+            config.kept,
+            config.session_time,
             now,
-            self._forgotten,
+            self._on_session_removed,
+        )
+        random_bits = self.rng.getrandbits
+        self.duplicate_detector = DuplicateDetector(
+            DUPLICATE_ENTRIES_PER_SESSION * config.sessions, config.repeat_window, random_bits(64)
+        )
+        self.connection_limiter = ConnectionLimiter(
+            config.arrivals, max(1, config.connections // 4), random_bits(64), now
         )
-        draw = self.rng.getrandbits
-        self.repeats = Repeats(MOST_REPEATS * orders.sessions, orders.repeat_window, draw(64))
-        self.arrivals = Arrivals(orders.arrivals, max(1, orders.connections // 4), draw(64), now)
-        self.links: dict[bytes, Link] = {}  # by device, as long as it has a session
+        self.links: dict[bytes, Link] = {}  # by device, for devices with a session
         self.actions: list[Action] = []
-        self.answer_size = FIRST_ANSWER
-        self.leaving: int | None = None  # the come-back time that is told
-        self.shut = False
-        self.next_look = now + LOOK
-        self.keeps = False  # sessions outlive the process
-        self.changed: dict[bytes, Session | None] = {}  # since they were put down last
+        self.mean_answer_bytes = INITIAL_ANSWER_BYTES
+        self.drain_retry_delay: int | None = (
+            None  # while draining: time after which devices should reconnect
+        )
+        self.is_closing = False
+        self.next_check_at = now + CHECK_INTERVAL
+        self.persists_sessions = False  # whether sessions outlive the process
+        self.unpersisted_sessions: dict[
+            bytes, Session | None
+        ] = {}  # sessions changed since they were last persisted; None if removed
         self.counts = dict.fromkeys(
             ("asked", "answered", "resumed", "unknown", "joined", "slow", "turned_away"), 0
         )
 
-    def taken(self) -> list[Action]:
-        """What is to be put down comes first: nothing is asked for a session that is not on its way to the
-        disk."""
+    def take_actions(self) -> list[Action]:
+        """Returns the collected actions.
+
+        Changed sessions come first, so that no request is submitted before its session is
+        persisted.
+        """
         actions, self.actions = self.actions, []
-        if self.changed:
+        if self.unpersisted_sessions:
             rows = {
-                ident: None if each is None else remembering.row(each)
-                for ident, each in self.changed.items()
+                ident: None if each is None else session_codec.encode_session(each)
+                for ident, each in self.unpersisted_sessions.items()
             }
-            self.changed = {}
-            actions.insert(0, Action(Do.KEEP, about=rows))
+            self.unpersisted_sessions = {}
+            actions.insert(0, Action(ActionType.PERSIST, payload=rows))
         return actions
 
-    def _keep(self, session: Session) -> None:
-        if self.keeps and self.sessions.find(session.ident) is session:
-            self.changed[session.ident] = session
+    def _mark_unpersisted(self, session: Session) -> None:
+        """Records that the session has to be persisted."""
+        if self.persists_sessions and self.session_table.find(session.ident) is session:
+            self.unpersisted_sessions[session.ident] = session
 
-    def recall(self, rows: dict[bytes, bytes], now: int) -> None:
-        """Sessions of the process before. What was in hand there is to be answered."""
+    def recover_sessions(self, rows: dict[bytes, bytes], now: int) -> None:
+        """Restores the sessions of the previous process, and requests that their open requests be
+        resolved.
+        """
         for ident, value in rows.items():
             link = Link()
-            session = remembering.session(ident, value, link, now)
-            if session is None or not self.sessions.add(session):
+            session = session_codec.decode_session(ident, value, link, now)
+            if session is None or not self.session_table.add(session):
                 continue
             session.link = self.links.setdefault(session.device, link)
-            self.sessions.grew(session, session.size)
-            self.sessions.left(session, now)
-            self._keep(session)
+            self.session_table.add_bytes(session, session.unacknowledged_bytes)
+            self.session_table.disconnected(session, now)
+            self._mark_unpersisted(session)
             self.actions += [
-                Action(Do.RECALL, session=session, number=number, about=opened)
-                for number, opened in session.open.items()
+                Action(ActionType.RECOVER, session=session, number=number, payload=open_request)
+                for number, open_request in session.open.items()
             ]
 
     # Connections
 
-    def opened(self, number: int, address: bytes, identity: bytes, now: int) -> bool:
-        why = self.arrivals.come(number, address, now)
-        if why or self.shut or len(self.connections) >= self.orders.connections:
-            self.arrivals.known(number)
+    def connection_opened(self, number: int, address: bytes, identity: bytes, now: int) -> bool:
+        """Handles a new connection, and returns whether it is accepted."""
+        reason = self.connection_limiter.admit(number, address, now)
+        if reason or self.is_closing or len(self.connections) >= self.config.connections:
+            self.connection_limiter.identified(number)
             self.counts["turned_away"] += 1
             return False
         self.connections[number] = Connection(number, identity, now)
-        if (crowded := self.arrivals.crowded_out()) is not None:
-            self._refuse(self.connections[crowded], "too many that say nothing", SECOND)
+        if (excess := self.connection_limiter.oldest_excess()) is not None:
+            self._refuse(self.connections[excess], "too many that say nothing", SECOND)
         return True
 
-    def closed(self, number: int, now: int) -> None:
-        """The connection is gone, whoever ended it; its session stays."""
+    def connection_closed(self, number: int, now: int) -> None:
+        """Handles the end of a connection; its session remains."""
         connection = self.connections.pop(number, None)
-        self.arrivals.known(number)
+        self.connection_limiter.identified(number)
         if connection is None or connection.session is None:
             return
         session, connection.session = connection.session, None
         if session.connection == number:
-            if session.open or session.kept:
-                session.link.lost()
-            self.sessions.left(session, now)
-            if not self.orders.resume:
-                self.sessions.drop(session, "resuming is off")
-
-    def came(self, number: int, size: int, whole: int, partial: bool, now: int) -> None:
-        """So many bytes were read, with so many whole frames; another has begun if `partial`."""
+            if session.open or session.unacknowledged:
+                session.link.record_loss()
+            self.session_table.disconnected(session, now)
+            if not self.config.resume:
+                self.session_table.remove(session, "resuming is off")
+
+    def bytes_received(
+        self, number: int, size: int, frame_count: int, is_partial: bool, now: int
+    ) -> None:
+        """Records received bytes that completed `frame_count` frames.
+
+        `is_partial` says whether a further frame has begun.
+        """
         if (connection := self.connections.get(number)) is not None:
-            connection.heard = now
-            connection.incoming.came(size, whole, partial, now)
+            connection.last_received_at = now
+            connection.frame_progress.add_bytes(size, frame_count, is_partial, now)
 
-    def sent(self, number: int, size: int, now: int) -> None:
-        """The system has taken so many bytes: there is room for more."""
+    def bytes_sent(self, number: int, size: int, now: int) -> None:
+        """Records that the operating system accepted bytes, and sends further answers if there is
+        room.
+        """
         if (connection := self.connections.get(number)) is not None:
-            connection.unsent -= size
+            connection.unsent_bytes -= size
             if connection.session is not None:
-                self._pump(connection.session, now)
+                self._send_pending_answers(connection.session, now)
 
-    def broken(self, number: int, why: str, now: int) -> None:
+    def reject_invalid_frame(self, number: int, reason: str, now: int) -> None:
+        """Refuses a connection that sent an invalid frame."""
         if (connection := self.connections.get(number)) is not None:
-            self._refuse(connection, why)
+            self._refuse(connection, reason)
 
-    def _refuse(self, connection: Connection, why: str, come_back: int = 0) -> None:
-        if not connection.closing:
-            self._send(connection, frames.encode(Refused(why, come_back // 10)))
+    def _refuse(self, connection: Connection, reason: str, come_back: int = 0) -> None:
+        if not connection.is_closing:
+            self._send(connection, frames.encode(Refused(reason, come_back // 10)))
             self._close(connection)
 
     def _close(self, connection: Connection) -> None:
-        connection.closing = True
-        self.arrivals.known(connection.number)
-        self.actions.append(Action(Do.CLOSE, connection.number))
+        connection.is_closing = True
+        self.connection_limiter.identified(connection.number)
+        self.actions.append(Action(ActionType.CLOSE, connection.number))
 
     def _send(self, connection: Connection, data: bytes) -> None:
-        connection.unsent += len(data)
-        self.actions.append(Action(Do.SEND, connection.number, about=data))
+        connection.unsent_bytes += len(data)
+        self.actions.append(Action(ActionType.SEND, connection.number, payload=data))
 
     # Frames
 
-    def frame(self, number: int, frame: frames.Frame, now: int) -> None:
+    def frame_received(self, number: int, frame: frames.Frame, now: int) -> None:
+        """Handles a frame."""
         connection = self.connections.get(number)
-        if connection is None or connection.closing:
+        if connection is None or connection.is_closing:
             return
         if isinstance(frame, Hello):
             self._hello(connection, frame, now)
@@ -227,28 +269,29 @@
             self._refuse(connection, "HELLO first")
             return
         if isinstance(frame, Ask):
-            self._acknowledged(session, frame.got, now)
-            self._ask(connection, session, frame, now)
+            self._process_acknowledgement(session, frame.got, now)
+            self._submit(connection, session, frame, now)
         elif isinstance(frame, Got):
-            self._acknowledged(session, frame.upto, now)
+            self._process_acknowledgement(session, frame.upto, now)
         elif isinstance(frame, Ping):
-            self._acknowledged(session, frame.got, now)
+            self._process_acknowledgement(session, frame.got, now)
             self._send(connection, frames.encode(Pong(frame.stamp)))
         elif isinstance(frame, Pong):
             if (
-                0 <= now - frame.stamp <= 2 * self.orders.heartbeat
-            ):  # else an echo of nothing sent lately
-                session.link.round_trip(now - frame.stamp)
+                0 <= now - frame.stamp <= 2 * self.config.heartbeat
+            ):  # otherwise not the echo of a recent ping
+                session.link.record_round_trip(now - frame.stamp)
         elif isinstance(frame, Cancel):
             self._cancel(session, frame.number)
         elif isinstance(frame, Bye):
             self._close(connection)
             if not session.open:
-                self.sessions.drop(session, GOODBYE)
+                self.session_table.remove(session, CLOSED_BY_DEVICE)
         else:
             self._refuse(connection, "a frame that only this side sends")
 
     def _hello(self, connection: Connection, hello: Hello, now: int) -> None:
+        """Opens or resumes the session of a connection."""
         if connection.session is not None:
             self._refuse(connection, "a second HELLO")
             return
@@ -262,54 +305,57 @@
             except TokenError as error:
                 self._refuse(connection, f"token {error}")
                 return
-        session = self._resumed(hello, device, now)
+        session = self._find_resumable(hello, device, now)
         resumed = session is not None
         if session is None:
             link = self.links.setdefault(device, Link())
             session = Session(
-                self.rng.randbytes(16), device, hello.steady, self.orders.window, link, now
+                self.rng.randbytes(16), device, hello.steady, self.config.window, link, now
             )
-            if self.sessions.full or not self.sessions.add(session):
+            if self.session_table.is_full or not self.session_table.add(session):
                 self._refuse(connection, "no room for a session", SECOND)
                 return
-            self._keep(session)
+            self._mark_unpersisted(session)
         elif (before := self.connections.get(session.connection or 0)) is not None:
             before.session = None
             self._refuse(before, "the session was taken over by another connection")
-        self.arrivals.known(connection.number)
+        self.connection_limiter.identified(connection.number)
         connection.session = session
-        self.sessions.back(session)
+        self.session_table.reconnected(session)
         session.connected(connection.number, hello.window)
         self.counts["resumed"] += resumed
-        token = self.tokens.make(SESSION, session.ident, now // SECOND + TOKEN_TIME)
+        token = self.tokens.make(SESSION, session.ident, now // SECOND + SESSION_TOKEN_SECONDS)
         self._send(
             connection,
             frames.encode(
                 Welcome(
                     token,
                     resumed,
-                    session.asked,
-                    session.link.heartbeat(self.orders.heartbeat) // 10,
+                    session.highest_number,
+                    session.link.heartbeat_interval(self.config.heartbeat) // 10,
                     session.window,
-                    self.orders.body,
+                    self.config.body,
                 )
             ),
         )
-        # what a device sends next comes when it likes: only an echo tells the trip
+        # Only an echo shows the round trip, since the device sends its next request at any time.
         self._send(connection, frames.encode(Ping(now, 0)))
-        if self.leaving is not None:
-            self._tell_leaving(connection, session)
+        if self.drain_retry_delay is not None:
+            self._send_leaving(connection, session)
         if resumed:
-            self._acknowledged(session, hello.got, now, resumed=True)
-        self._pump(session, now)
+            self._process_acknowledgement(session, hello.got, now, resumed=True)
+        self._send_pending_answers(session, now)
+
+    def _find_resumable(self, hello: Hello, device: bytes, now: int) -> Session | None:
+        """Returns the session to resume, or None.
 
-    def _resumed(self, hello: Hello, device: bytes, now: int) -> Session | None:
-        """A session of another device, node or time is no session: its token is not told apart from a
-        guess."""
-        if not hello.session or not self.orders.resume:
+        A token of another device's session is treated like an invalid one, so that it reveals
+        nothing.
+        """
+        if not hello.session or not self.config.resume:
             return None
         try:
-            session = self.sessions.find(
+            session = self.session_table.find(
                 self.tokens.check(SESSION, hello.session, now // SECOND).name
             )
         except TokenError:
@@ -319,213 +365,255 @@
             return None
         return session
 
-    def _acknowledged(self, session: Session, upto: int, now: int, resumed: bool = False) -> None:
-        if resumed:  # what it has from the connection before was sent there
-            for kept in session.kept.values():
-                if kept.answer.order <= min(upto, session.order):
-                    kept.sent_at = now
-        gone = session.acknowledged(upto, now)
-        for kept in gone:
-            self.repeats.settled(session, kept.answer.number)
-        if gone:
-            self._keep(session)
-            self.sessions.grew(session, -sum(kept.size for kept in gone))
-            self._pump(session, now)
-
-    # Exchanges
-
-    def _ask(self, connection: Connection, session: Session, ask: Ask, now: int) -> None:
-        taken = session.take(ask)
-        if taken is Taken.OVER or taken is Taken.IN_HAND or taken is Taken.KEPT:
-            return  # its answer will come, is under way on this connection, or has been acknowledged
+    def _process_acknowledgement(
+        self, session: Session, upto: int, now: int, resumed: bool = False
+    ) -> None:
+        """Removes the answers that the device has acknowledged, and sends further ones."""
+        if resumed:  # these answers were sent on the previous connection
+            for pending in session.unacknowledged.values():
+                if pending.answer.order <= min(upto, session.last_order):
+                    pending.sent_at = now
+        acknowledged = session.acknowledge(upto, now)
+        for pending in acknowledged:
+            self.duplicate_detector.remove(session, pending.answer.number)
+        if acknowledged:
+            self._mark_unpersisted(session)
+            self.session_table.add_bytes(session, -sum(pending.size for pending in acknowledged))
+            self._send_pending_answers(session, now)
+
+    # Requests
+
+    def _submit(self, connection: Connection, session: Session, ask: Ask, now: int) -> None:
+        """Handles a request."""
+        status = session.classify(ask)
+        if (
+            status is RequestStatus.ACKNOWLEDGED
+            or status is RequestStatus.IN_FLIGHT
+            or status is RequestStatus.ANSWERED
+        ):
+            return  # it is answered later, was sent on this connection, or is acknowledged
         self.counts["asked"] += 1
-        group = self.groups.get(ask.group)
-        effect = group.effect if group is not None else Effect.IDEMPOTENT
-        if taken is Taken.TOO_MANY or session.size >= self.orders.kept_each or self.sessions.full:
-            # beyond its window, or what it has not acknowledged fills its part or all there is
-            session.asked = max(session.asked, ask.number)
-            self._answer_now(session, ask.number, effect, DENIED, now, SECOND)
+        request_class = self.request_classes.get(ask.group)
+        effect = request_class.effect if request_class is not None else Effect.IDEMPOTENT
+        if (
+            status is RequestStatus.WINDOW_EXCEEDED
+            or session.unacknowledged_bytes >= self.config.kept_each
+            or self.session_table.is_full
+        ):
+            # the window is exceeded, or unacknowledged answers fill the session's or the total limit
+            session.highest_number = max(session.highest_number, ask.number)
+            self._answer_without_execution(session, ask.number, effect, DENIED, now, SECOND)
             return
-        if group is None or len(ask.body) > self.orders.body:
-            self._answer_now(session, ask.number, effect, TERMINATED, now)
+        if request_class is None or len(ask.body) > self.config.body:
+            self._answer_without_execution(session, ask.number, effect, TERMINATED, now)
             return
-        mark = self.repeats.mark(session.device, session.steady, ask) if self.orders.repeats else 0
-        if mark and self._repeats(session, ask, mark, effect, now):
+        fingerprint = (
+            self.duplicate_detector.fingerprint(session.device, session.has_stable_numbers, ask)
+            if self.config.repeats
+            else 0
+        )
+        if fingerprint and self._handle_duplicate(session, ask, fingerprint, effect, now):
             return
         if ask.again and effect is Effect.NON_IDEMPOTENT:
-            # it may have run in a session that nobody here knows: not by guess a second time
-            self._answer_now(session, ask.number, effect, TERMINATED, now)
+            # it may have been executed for an unknown session, and must not be executed twice
+            self._answer_without_execution(session, ask.number, effect, TERMINATED, now)
             return
-        session.begin(
-            ask.number, effect, now, (ask.group, ask.customer or self.orders.customer, ask.key)
+        session.open_request(
+            ask.number, effect, now, (ask.group, ask.customer or self.config.customer, ask.key)
         )
-        self._keep(session)
-        if mark:
-            self.repeats.enter(mark, session, ask.number, effect, now)
-        wait = min(ask.wait * 10 or group.timeout, group.timeout)
-        if self.orders.estimates:
-            wait -= session.link.answer_time(int(self.answer_size))
+        self._mark_unpersisted(session)
+        if fingerprint:
+            self.duplicate_detector.add(fingerprint, session, ask.number, effect, now)
+        wait = min(ask.wait * 10 or request_class.timeout, request_class.timeout)
+        if self.config.estimates:
+            wait -= session.link.delivery_time(int(self.mean_answer_bytes))
         self.actions.append(
             Action(
-                Do.ASK,
+                ActionType.SUBMIT,
                 session=session,
                 number=ask.number,
-                about=Asking(ask, ask.customer or self.orders.customer, wait, now, ask.again),
+                payload=DeviceRequest(
+                    ask, ask.customer or self.config.customer, wait, now, ask.again
+                ),
             )
         )
 
-    def _repeats(self, session: Session, ask: Ask, mark: int, effect: Effect, now: int) -> bool:
-        earlier = self.repeats.earlier(mark, session, effect, now)
+    def _handle_duplicate(
+        self, session: Session, ask: Ask, fingerprint: int, effect: Effect, now: int
+    ) -> bool:
+        """Answers a request that duplicates an earlier one; returns False if it does not."""
+        earlier = self.duplicate_detector.find(fingerprint, session, effect, now)
         if earlier is None:
             return False
         first = earlier.session
         assert isinstance(first, Session)
-        if (opened := first.open.get(earlier.number)) is not None:
-            opened.followers.append((session, ask.number))
-            session.begin(ask.number, effect, now)
+        if (open_request := first.open.get(earlier.number)) is not None:
+            open_request.followers.append((session, ask.number))
+            session.open_request(ask.number, effect, now)
         elif (order := first.by_number.get(earlier.number)) is not None:
-            before = first.kept[order].answer
-            session.begin(ask.number, effect, now)
-            self._answered(session, ask.number, before.word, before.body, 0, now)
+            before = first.unacknowledged[order].answer
+            session.open_request(ask.number, effect, now)
+            self._queue_answer(session, ask.number, before.word, before.body, 0, now)
         elif effect is Effect.IDEMPOTENT:
             return False
-        else:  # its session is forgotten, and the answer with it: that it may have run is not
-            self._answer_now(session, ask.number, effect, TERMINATED, now)
+        else:  # the session and its answer are gone, but the request may have been executed
+            self._answer_without_execution(session, ask.number, effect, TERMINATED, now)
         self.counts["joined"] += 1
         return True
 
-    def _answer_now(
+    def _answer_without_execution(
         self, session: Session, number: int, effect: Effect, word: int, now: int, come_back: int = 0
     ) -> None:
-        session.begin(number, effect, now)
-        self._answered(session, number, word, b"", come_back, now)
+        session.open_request(number, effect, now)
+        self._queue_answer(session, number, word, b"", come_back, now)
 
-    def answered(
+    def send_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int, now: int
     ) -> None:
-        """The one final answer, from the deciding thread; times in tenths of a ms."""
-        opened = session.open.get(number)
-        if opened is None:
-            return  # taken back meanwhile
+        """Completes a request and its duplicates; called with the event loop's response.
+
+        `come_back` is in tenths of a millisecond.
+        """
+        open_request = session.open.get(number)
+        if open_request is None:
+            return  # cancelled meanwhile
         if word == COMPLETED:
-            self.answer_size += ANSWER_WEIGHT * (len(body) - self.answer_size)
-        self.repeats.answered(session, number, word)
-        for other, theirs in opened.followers:
-            self._answered(other, theirs, word, body, come_back, now)
-        self._answered(session, number, word, body, come_back, now)
+            self.mean_answer_bytes += ANSWER_SIZE_WEIGHT * (len(body) - self.mean_answer_bytes)
+        self.duplicate_detector.set_outcome(session, number, word)
+        for other, other_number in open_request.followers:
+            self._queue_answer(other, other_number, word, body, come_back, now)
+        self._queue_answer(session, number, word, body, come_back, now)
 
-    def _answered(
+    def _queue_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int, now: int
     ) -> None:
-        kept = session.answer(number, word, body, come_back // 10)
-        if kept is None:
+        pending = session.answer(number, word, body, come_back // 10)
+        if pending is None:
             return
         self.counts["answered"] += 1
-        self._keep(session)
-        if self.sessions.find(session.ident) is session:
-            self.sessions.grew(session, kept.size)
-            self._pump(session, now)
+        self._mark_unpersisted(session)
+        if self.session_table.find(session.ident) is session:
+            self.session_table.add_bytes(session, pending.size)
+            self._send_pending_answers(session, now)
 
     def _cancel(self, session: Session, number: int) -> None:
-        opened = session.open.get(number)
-        if opened is None:
+        """Cancels a request in flight unless duplicates wait for its answer."""
+        open_request = session.open.get(number)
+        if open_request is None:
             return
-        if opened.followers:  # somebody else waits for it: it runs on, for them
+        if open_request.followers:  # its duplicates still wait for the answer
             return
         del session.open[number]
-        self._keep(session)
-        self.repeats.settled(session, number)
-        self.actions.append(Action(Do.GONE, session=session, number=number))
+        self._mark_unpersisted(session)
+        self.duplicate_detector.remove(session, number)
+        self.actions.append(Action(ActionType.CLIENT_GONE, session=session, number=number))
 
-    def _pump(self, session: Session, now: int) -> None:
-        """As much as the connection has room for; the rest waits in the session, not in a buffer."""
+    def _send_pending_answers(self, session: Session, now: int) -> None:
+        """Sends answers up to the connection's buffer limit; others wait in the session."""
         connection = self.connections.get(session.connection or 0)
-        if connection is None or connection.closing:
+        if connection is None or connection.is_closing:
             return
         while (
-            connection.unsent < self.orders.buffer
-            and (kept := session.next_to_send(now)) is not None
+            connection.unsent_bytes < self.config.buffer
+            and (pending := session.next_to_send(now)) is not None
         ):
-            self._send(connection, frames.encode(kept.answer))
-
-    def _forgotten(self, session: Session, why: str) -> None:
-        """Its callers are gone with it: nobody could take their answers any more."""
-        if self.keeps:
-            self.changed[session.ident] = None
-        for number, opened in list(session.open.items()):
-            if not opened.followers:
-                self.actions.append(Action(Do.GONE, session=session, number=number))
-            if why == GOODBYE or opened.effect is Effect.IDEMPOTENT:
-                self.repeats.settled(session, number)
-        for kept in session.kept.values():
-            if why == GOODBYE or kept.effect is Effect.IDEMPOTENT:
-                self.repeats.settled(session, kept.answer.number)
-        # of the others the mark stays: what ran is not run again because its answer is forgotten
-        session.kept.clear()
+            self._send(connection, frames.encode(pending.answer))
+
+    def _on_session_removed(self, session: Session, reason: str) -> None:
+        """Cancels the requests of a removed session, since their answers cannot be delivered any
+        more.
+        """
+        if self.persists_sessions:
+            self.unpersisted_sessions[session.ident] = None
+        for number, open_request in list(session.open.items()):
+            if not open_request.followers:
+                self.actions.append(Action(ActionType.CLIENT_GONE, session=session, number=number))
+            if reason == CLOSED_BY_DEVICE or open_request.effect is Effect.IDEMPOTENT:
+                self.duplicate_detector.remove(session, number)
+        for pending in session.unacknowledged.values():
+            if reason == CLOSED_BY_DEVICE or pending.effect is Effect.IDEMPOTENT:
+                self.duplicate_detector.remove(session, pending.answer.number)
+        # Other fingerprints remain, so that a request is not executed again because its answer is lost.
+        session.unacknowledged.clear()
         session.by_number.clear()
-        if session.device not in self.sessions.by_device:
+        if session.device not in self.session_table.by_device:
             self.links.pop(session.device, None)
         connection = self.connections.get(session.connection or 0)
         if connection is not None and connection.session is session:
             connection.session = None
-            self._refuse(connection, why)
+            self._refuse(connection, reason)
 
     # Time
 
     def due(self) -> int:
-        wheel = self.sessions.wheel.due()
-        return self.next_look if wheel is None else min(wheel, self.next_look)
+        """Returns the time of the next call of `tick`."""
+        wheel = self.session_table.wheel.due()
+        return self.next_check_at if wheel is None else min(wheel, self.next_check_at)
 
     def tick(self, now: int) -> None:
-        self.sessions.tick(now)
-        if now < self.next_look:
+        """Removes expired sessions, and probes or closes silent and slow connections."""
+        self.session_table.tick(now)
+        if now < self.next_check_at:
             return
-        self.next_look = now + LOOK
-        self.repeats.sweep(now)
-        for number in self.arrivals.late(self.orders.hello, now):
+        self.next_check_at = now + CHECK_INTERVAL
+        self.duplicate_detector.remove_expired(now)
+        for number in self.connection_limiter.overdue(self.config.hello, now):
             if number in self.connections:
                 self._refuse(self.connections[number], "no HELLO in time")
         for connection in list(self.connections.values()):
-            if connection.closing:
+            if connection.is_closing:
                 continue
-            if connection.incoming.too_slow(self.orders.slowest, self.orders.frame_time, now):
+            if connection.frame_progress.is_too_slow(
+                self.config.slowest, self.config.frame_time, now
+            ):
                 self.counts["slow"] += 1
                 self._refuse(connection, "too slow")
             elif connection.session is not None:
-                beat = connection.session.link.heartbeat(self.orders.heartbeat)
-                if now - connection.heard > MISSED * max(beat, self.orders.heartbeat):
-                    self._close(connection)  # nothing that is written would arrive: no last word
-                elif now - connection.heard > beat and connection.unsent < self.orders.buffer:
+                interval = connection.session.link.heartbeat_interval(self.config.heartbeat)
+                if now - connection.last_received_at > MAX_MISSED_HEARTBEATS * max(
+                    interval, self.config.heartbeat
+                ):
+                    self._close(
+                        connection
+                    )  # without a reason, since the device would not receive it
+                elif (
+                    now - connection.last_received_at > interval
+                    and connection.unsent_bytes < self.config.buffer
+                ):
                     self._send(connection, frames.encode(Ping(now, 0)))
 
-    # Leaving
+    # Drain
 
-    def leave(self, come_back: int) -> None:
-        """A drain: each is told where it stands and when to come back."""
-        self.leaving = come_back
+    def start_draining(self, come_back: int) -> None:
+        """Tells the devices when to reconnect and how many requests are still answered here."""
+        self.drain_retry_delay = come_back
         for connection in self.connections.values():
-            if connection.session is not None and not connection.closing:
-                self._tell_leaving(connection, connection.session)
+            if connection.session is not None and not connection.is_closing:
+                self._send_leaving(connection, connection.session)
 
-    def _tell_leaving(self, connection: Connection, session: Session) -> None:
-        assert self.leaving is not None
-        self._send(connection, frames.encode(Leaving(self.leaving // 10, len(session.open))))
+    def _send_leaving(self, connection: Connection, session: Session) -> None:
+        assert self.drain_retry_delay is not None
+        self._send(
+            connection, frames.encode(Leaving(self.drain_retry_delay // 10, len(session.open)))
+        )
 
-    def close_all(self) -> None:
-        """The listener closes: those that wait for nothing go now, the others with their last answer."""
-        self.shut = True
+    def stop_accepting(self) -> None:
+        """Closes idle connections now and the others after their last answer."""
+        self.is_closing = True
         self.close_idle()
 
     def close_idle(self) -> None:
+        """Closes the connections whose requests have all been answered."""
         for connection in list(self.connections.values()):
             session = connection.session
-            if not connection.closing and (
+            if not connection.is_closing and (
                 session is None
                 or not session.open
-                and all(kept.sent_at is not None for kept in session.kept.values())
+                and all(pending.sent_at is not None for pending in session.unacknowledged.values())
             ):
                 self._close(connection)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
+        """Whether there are no connections."""
         return not self.connections
--- a/lilacwalk/edge/duplicate_detector.py
+++ b/lilacwalk/edge/duplicate_detector.py
@@ -1,11 +1,13 @@
-"""Repeats without a mark: a device that lost its session and asks again.
+"""Detects duplicates of requests without an idempotency key, from a device that lost its session.
 
-Two equal requests are two requests where the device's own numbers say so: within one session always, and for
-a device whose numbers outlive its sessions (`steady`) by the number alone. Else the same device, endpoint
-group, customer, subject and body within the window are one request, but only while the earlier one is in hand
-or its answer has not been acknowledged: a device that has its answer and asks again means it. A wrong join
-loses a request that somebody meant, a missed one runs an effect twice at worst where the group lets it; so in
-doubt nothing is joined."""
+Within one session, two requests with different numbers are always two requests. For a device
+whose numbers outlive its sessions (`has_stable_numbers`), the number alone decides. Otherwise,
+requests of the same device with equal request class, tenant, subject and body within the window
+are duplicates, but only while the earlier one is in flight or its answer has not been
+acknowledged: a device that sends the request again after it acknowledged the answer intends a
+second one. A false positive loses an intended request; a false negative repeats an effect, and
+only where the request class allows it. In doubt, requests are therefore treated as different.
+"""
 
 from __future__ import annotations
 
@@ -21,70 +23,90 @@
 
 
 @dataclass(eq=False, slots=True)
-class Earlier:
+class SeenRequest:
+    """A request that later requests are compared with."""
+
     session: object
     number: int
     effect: Effect
-    at: int
-    answered: int | None = None  # its word, once there is one
-
-
-class Repeats:
-    def __init__(self, most: int, window: int, seed: int) -> None:
-        self.most, self.window, self.seed = most, window, seed & (1 << 64) - 1
-        self.rows: OrderedDict[int, Earlier] = OrderedDict()
-        self.names: dict[tuple[int, int], int] = {}  # (session, number) to its row
-        self.joined = self.missed = (
-            0  # `missed`: forgotten for room, while it could still have been repeated
+    received_at: int
+    outcome: int | None = (
+        None  # COMPLETED, DENIED or TERMINATED; None while the request is in flight
+    )
+
+
+class DuplicateDetector:
+    """A bounded table of request fingerprints, oldest first."""
+
+    def __init__(self, max_entries: int, window: int, seed: int) -> None:
+        """Creates an empty table of at most `max_entries` requests, each kept for `window`."""
+        self.max_entries, self.window, self.seed = max_entries, window, seed & (1 << 64) - 1
+        self.entries: OrderedDict[int, SeenRequest] = OrderedDict()
+        self.fingerprints: dict[
+            tuple[int, int], int
+        ] = {}  # fingerprint by session and request number
+        self.duplicates = self.evicted_early = (
+            0  # `evicted_early`: entries evicted within the window, whose duplicates are missed
         )
 
-    def mark(self, device: bytes, steady: bool, ask: Ask) -> int:
-        """128 bits: equal for equal requests; a different seed a process, so that nobody can make two
-        alike."""
-        made = xxhash.xxh3_128(seed=self.seed)
+    def fingerprint(self, device: bytes, has_stable_numbers: bool, ask: Ask) -> int:
+        """Returns a 128-bit hash that is equal for equal requests.
+
+        The seed differs between processes, so that a collision cannot be constructed.
+        """
+        digest = xxhash.xxh3_128(seed=self.seed)
         parts = [device, ask.group.encode(), ask.customer.encode(), ask.subject.encode()]
-        for part in [*parts, str(ask.number).encode()] if steady else [*parts, ask.body]:
-            made.update(len(part).to_bytes(4, "big"))
-            made.update(part)
-        return made.intdigest()
-
-    def earlier(self, mark: int, session: object, effect: Effect, now: int) -> Earlier | None:
-        """The request that this one repeats, if it is one."""
-        row = self.rows.get(mark)
-        if row is None or row.session is session or now - row.at > self.window:
+        for part in (
+            [*parts, str(ask.number).encode()] if has_stable_numbers else [*parts, ask.body]
+        ):
+            digest.update(len(part).to_bytes(4, "big"))
+            digest.update(part)
+        return digest.intdigest()
+
+    def find(
+        self, fingerprint: int, session: object, effect: Effect, now: int
+    ) -> SeenRequest | None:
+        """Returns the request that this one duplicates, or None."""
+        entry = self.entries.get(fingerprint)
+        if entry is None or entry.session is session or now - entry.received_at > self.window:
             return None
-        if row.answered == DENIED:  # it never ran: asking again is what it was told to do
+        if (
+            entry.outcome == DENIED
+        ):  # the request was not executed, and the device was told to retry
             return None
-        if row.answered == TERMINATED and effect is Effect.IDEMPOTENT:
+        if entry.outcome == TERMINATED and effect is Effect.IDEMPOTENT:
             return None
-        self.joined += 1
-        return row
-
-    def enter(self, mark: int, session: object, number: int, effect: Effect, now: int) -> None:
-        self._drop(mark)
-        self.rows[mark] = Earlier(session, number, effect, now)
-        self.names[id(session), number] = mark
-        while len(self.rows) > self.most:
-            oldest = next(iter(self.rows))
-            self.missed += now - self.rows[oldest].at <= self.window
-            self._drop(oldest)
-
-    def answered(self, session: object, number: int, word: int) -> None:
-        mark = self.names.get((id(session), number))
-        if mark is not None:
-            self.rows[mark].answered = word
-
-    def settled(self, session: object, number: int) -> None:
-        """The device has its answer, or its session is forgotten."""
-        mark = self.names.get((id(session), number))
-        if mark is not None:
-            self._drop(mark)
-
-    def _drop(self, mark: int) -> None:
-        row = self.rows.pop(mark, None)
-        if row is not None:
-            del self.names[id(row.session), row.number]
-
-    def sweep(self, now: int) -> None:
-        while self.rows and now - next(iter(self.rows.values())).at > self.window:
-            self._drop(next(iter(self.rows)))
+        self.duplicates += 1
+        return entry
+
+    def add(self, fingerprint: int, session: object, number: int, effect: Effect, now: int) -> None:
+        """Adds a request, and evicts the oldest ones beyond the limit."""
+        self._remove(fingerprint)
+        self.entries[fingerprint] = SeenRequest(session, number, effect, now)
+        self.fingerprints[id(session), number] = fingerprint
+        while len(self.entries) > self.max_entries:
+            oldest = next(iter(self.entries))
+            self.evicted_early += now - self.entries[oldest].received_at <= self.window
+            self._remove(oldest)
+
+    def set_outcome(self, session: object, number: int, outcome: int) -> None:
+        """Records the outcome of a request, if it is in the table."""
+        fingerprint = self.fingerprints.get((id(session), number))
+        if fingerprint is not None:
+            self.entries[fingerprint].outcome = outcome
+
+    def remove(self, session: object, number: int) -> None:
+        """Removes a request whose answer has been acknowledged or whose session was removed."""
+        fingerprint = self.fingerprints.get((id(session), number))
+        if fingerprint is not None:
+            self._remove(fingerprint)
+
+    def _remove(self, fingerprint: int) -> None:
+        entry = self.entries.pop(fingerprint, None)
+        if entry is not None:
+            del self.fingerprints[id(entry.session), entry.number]
+
+    def remove_expired(self, now: int) -> None:
+        """Removes the requests that are older than the window."""
+        while self.entries and now - next(iter(self.entries.values())).received_at > self.window:
+            self._remove(next(iter(self.entries)))
--- a/lilacwalk/edge/frames.py
+++ b/lilacwalk/edge/frames.py
@@ -1,7 +1,10 @@
-"""Frames of the device link: four bytes of length, then one CBOR array (RFC 8949), as
-`docs/specs/device-link.md` has them. Total over any bytes: a record or a FrameError. What a frame holds is
-measured before the library builds anything of it: no depth, no count and no length beyond what a frame can
-be."""
+"""Frames of the device link: a length of four bytes and a CBOR array (RFC 8949).
+
+`docs/specs/device-link.md` specifies them. Any input is decoded to a record or raises a
+FrameError. The structure of a frame is checked before the CBOR library builds objects from it,
+so
+that depth, number of items and lengths are bounded.
+"""
 
 from __future__ import annotations
 
@@ -11,76 +14,90 @@
 
 import cbor2
 
-HEAD = 4
-DEEPEST = 3  # an array, a map of options in it, a value in that
-MOST_ITEMS = 64
-NUMBER = 2**53  # what every device's language holds exactly
+HEADER_BYTES = 4
+MAX_DEPTH = 3  # the array, a map of options in it, and the values in the map
+MAX_ITEMS = 64
+NUMBER_LIMIT = 2**53  # integers below this are exact in the languages of all devices
 
 
 class FrameError(Exception):
-    """No frame; what follows on this connection cannot be read any more."""
+    """The input is not a frame; the rest of the connection cannot be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
+    """Opens or resumes a session; the first frame on a connection."""
+
     version: int
-    token: bytes  # the device's; empty where its certificate says who it is
-    session: bytes  # the token of a session to resume; empty: a new one
-    got: int  # all answers up to this one have come
-    window: int  # answers it can hold unread
-    steady: bool = False  # its numbers outlive its sessions
+    token: bytes  # the device's token; empty if a certificate identifies the device
+    session: bytes  # token of the session to resume; empty to open a new one
+    got: int  # all answers up to this order have been received
+    window: int  # answers that the device can hold unread
+    steady: bool = False  # whether the device's request numbers outlive its sessions
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
+    """A request."""
+
     number: int
     group: str
     body: bytes
-    wait: int  # ms from its sending; 0: the group's own
+    wait: int  # timeout in ms from the sending; 0 for the timeout of the request class
     got: int
     customer: str = ""
     subject: str = ""
     key: str = ""
-    again: bool = False  # it may have been sent before
-    work: int = 0  # ms expected
-    hold: int = 0  # KB booked
+    again: bool = False  # whether the request may have been sent before
+    work: int = 0  # expected execution time in ms
+    hold: int = 0  # memory reserved in KB
 
 
 @dataclass(frozen=True, slots=True)
 class Got:
+    """Acknowledges all answers up to an order."""
+
     upto: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
+    """Requests an echo of the stamp, and acknowledges answers."""
+
     stamp: int
     got: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancels a request."""
+
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Bye:
-    pass
+    """Closes the session."""
 
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
+    """Accepts a HELLO frame."""
+
     session: bytes
     resumed: bool
-    asked: int  # the highest number read in this session
+    asked: int  # highest request number received in this session
     heartbeat: int  # ms
-    window: int  # exchanges it may have open
-    most: int  # bytes of a body
+    window: int  # requests that the session may have in flight
+    most: int  # maximum size of a request body in bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    order: int  # of the answer: what `got` counts
-    number: int  # of the exchange
+    """The answer to a request."""
+
+    order: int  # of the answer in its session; `got` in other frames refers to it
+    number: int  # of the request
     word: int  # 0 completed, 1 denied, 2 terminated
     body: bytes = b""
     come_back: int = 0  # ms
@@ -88,17 +105,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Pong:
+    """Echoes the stamp of a ping."""
+
     stamp: int
 
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
+    """The server drains; the device should reconnect after `come_back`."""
+
     come_back: int  # ms
-    open: int  # exchanges still to be answered here
+    open: int  # requests that this server will still answer
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
+    """The connection is rejected, and closed after this frame."""
+
     reason: str
     come_back: int = 0
 
@@ -117,7 +140,7 @@
     21: Refused,
 }
 NUMBERS = {kind: number for number, kind in KINDS.items()}
-TYPES = {
+FIELD_TYPES = {
     each: [kind.__annotations__[name] for name in kind.__slots__] for each, kind in KINDS.items()
 }
 DEFAULTS = {
@@ -125,32 +148,36 @@
     for each, kind in KINDS.items()
 }
 Frame = Hello | Ask | Got | Ping | Cancel | Bye | Welcome | Answer | Pong | Leaving | Refused
-CHECKS = {
-    "int": lambda value: type(value) is int and 0 <= value < NUMBER,
+TYPE_CHECKS = {
+    "int": lambda value: type(value) is int and 0 <= value < NUMBER_LIMIT,
     "bytes": lambda value: type(value) is bytes,
     "str": lambda value: type(value) is str,
     "bool": lambda value: type(value) is bool,
 }
 
 
-def measured(data: bytes) -> None:
-    """Walks the heads of one CBOR item without building it. Raises FrameError for more than one, for depth,
-    tags, floats, lengths without end or beyond the data."""
-    at, left, items = 0, [1], 0  # items still due, by depth
-    while left:
-        if not left[-1]:
-            left.pop()
+def check_cbor(data: bytes) -> None:
+    """Checks the structure of one CBOR item without building it.
+
+    Raises:
+        FrameError: There is more than one item, or too many, too deep or truncated ones, or a
+            tag, float or indefinite length.
+    """
+    at, remaining, items = 0, [1], 0  # number of items left, by depth
+    while remaining:
+        if not remaining[-1]:
+            remaining.pop()
             continue
-        left[-1] -= 1
+        remaining[-1] -= 1
         items += 1
-        if at >= len(data) or items > MOST_ITEMS:
+        if at >= len(data) or items > MAX_ITEMS:
             raise FrameError("an item is missing" if at >= len(data) else "too many items")
-        major, short = data[at] >> 5, data[at] & 31
+        major, additional = data[at] >> 5, data[at] & 31
         at += 1
-        if short < 24:
-            value = short
-        elif short < 28:
-            size = 1 << (short - 24)
+        if additional < 24:
+            value = additional
+        elif additional < 28:
+            size = 1 << (additional - 24)
             if at + size > len(data):
                 raise FrameError("a length is cut off")
             value = int.from_bytes(data[at : at + size], "big")
@@ -162,36 +189,41 @@
                 raise FrameError("a string runs past the end")
             at += value
         elif major in (4, 5):
-            if value > MOST_ITEMS or len(left) > DEEPEST:
+            if value > MAX_ITEMS or len(remaining) > MAX_DEPTH:
                 raise FrameError("too deep or too long")
-            left.append(value * (major - 3))
-        elif major == 6 or major == 7 and short not in (20, 21, 22):
+            remaining.append(value * (major - 3))
+        elif major == 6 or major == 7 and additional not in (20, 21, 22):
             raise FrameError("neither a tag nor a float has a place here")
     if at != len(data):
         raise FrameError("more than one item")
 
 
 def decode(data: bytes) -> Frame:
-    measured(data)
+    """Decodes the content of a frame.
+
+    Raises:
+        FrameError: The content is not a frame.
+    """
+    check_cbor(data)
     try:
-        made = cbor2.loads(data)
-    except (ValueError, cbor2.CBORError) as error:  # text that is no UTF-8
+        array = cbor2.loads(data)
+    except (ValueError, cbor2.CBORError) as error:  # such as text that is not UTF-8
         raise FrameError(str(error)) from None
-    if type(made) is not list or not made or type(made[0]) is not int or made[0] not in KINDS:
+    if type(array) is not list or not array or type(array[0]) is not int or array[0] not in KINDS:
         raise FrameError("no frame of a known kind")
-    kind, values = made[0], made[1:]
-    types, defaults = TYPES[kind], DEFAULTS[kind]
-    least = sum(not isinstance(each, int | str | bytes) for each in defaults)
-    if not least <= len(values) <= len(types):
+    kind, values = array[0], array[1:]
+    types, defaults = FIELD_TYPES[kind], DEFAULTS[kind]
+    min_values = sum(not isinstance(each, int | str | bytes) for each in defaults)
+    if not min_values <= len(values) <= len(types):
         raise FrameError(f"{KINDS[kind].__name__} with {len(values)} values")
     for value, name in zip(values, types, strict=False):
-        if not CHECKS[name](value):
+        if not TYPE_CHECKS[name](value):
             raise FrameError(f"{KINDS[kind].__name__} with a value that is no {name}")
     return KINDS[kind](*values)
 
 
 def encode(frame: Frame) -> bytes:
-    """Values at the end that are as by default are left out."""
+    """Encodes a frame with its length, omitting default values at the end."""
     kind = NUMBERS[type(frame)]
     values = [getattr(frame, name) for name in type(frame).__slots__]
     while values and values[-1] == DEFAULTS[kind][len(values) - 1]:
@@ -202,25 +234,34 @@
 
 @dataclass(slots=True)
 class Stream:
-    """Chunks cut anywhere to frames. Holds one frame at most; a length beyond `most` is told from its
-    head."""
+    """Splits a byte stream into frames.
+
+    Buffers at most one frame. A length above `max_frame_bytes` is rejected as soon as the
+    header has
+    been received.
+    """
 
-    most: int
-    rest: bytes = b""
-    given: int = field(default=0)  # whole frames so far
+    max_frame_bytes: int
+    partial_frame: bytes = b""
+    frame_count: int = field(default=0)  # complete frames decoded so far
 
     def feed(self, chunk: bytes) -> Iterator[Frame]:
-        data, at = self.rest + chunk if self.rest else chunk, 0
+        """Yields the frames that the chunk completes.
+
+        Raises:
+            FrameError: The stream does not contain a valid frame.
+        """
+        data, at = self.partial_frame + chunk if self.partial_frame else chunk, 0
         try:
-            while len(data) - at >= HEAD:
-                size = int.from_bytes(data[at : at + HEAD], "big")
-                if size > self.most or not size:
+            while len(data) - at >= HEADER_BYTES:
+                size = int.from_bytes(data[at : at + HEADER_BYTES], "big")
+                if size > self.max_frame_bytes or not size:
                     raise FrameError(f"a frame of {size} bytes")
-                if len(data) - at < HEAD + size:
+                if len(data) - at < HEADER_BYTES + size:
                     break
-                frame = decode(data[at + HEAD : at + HEAD + size])
-                at += HEAD + size
-                self.given += 1
+                frame = decode(data[at + HEADER_BYTES : at + HEADER_BYTES + size])
+                at += HEADER_BYTES + size
+                self.frame_count += 1
                 yield frame
         finally:
-            self.rest = data[at:]
+            self.partial_frame = data[at:]
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -1,5 +1,8 @@
-"""The edge's host: one thread that polls every device's socket, and `Serving`, which it owns. A thread each
-was measured beside it and costs more of everything (`docs/design/edge.md`)."""
+"""The edge's host: one thread that polls the sockets of all devices and owns the `DeviceService`.
+
+A thread per connection costs more memory and CPU time; `docs/design/edge.md` has the
+measurements.
+"""
 
 from __future__ import annotations
 
@@ -14,66 +17,76 @@
 from dataclasses import dataclass
 from queue import Empty, SimpleQueue
 
-from lilacwalk.edge.coap.service import CoapServing, Request
+from lilacwalk.edge.coap.service import CoapService, Request
 from lilacwalk.edge.config import EdgeConfig, Tls
-from lilacwalk.edge.device_service import Action, Do, Group, Serving
+from lilacwalk.edge.device_service import Action, ActionType, DeviceRequestClass, DeviceService
 from lilacwalk.edge.frames import FrameError, Stream
 from lilacwalk.edge.session import Session
-from lilacwalk.edge.tokens import LEAST_SECRET, Tokens
+from lilacwalk.edge.tokens import MIN_SECRET_BYTES, Tokens
 from lilacwalk.log import ReportThrottle
 from lilacwalk.protocols.listener import listen
 from lilacwalk.protocols.send_buffer import shut_down_socket
 
 log = logging.getLogger(__name__)
 SECOND = 10_000
-FRAME = 512  # bytes that a frame may have beside its body
-MOST_FRAME = 65_536  # an answer as the client reads it: results are 4 KiB at most, with room
-READ = 16_384  # bytes taken from a socket at once
-DATAGRAMS = 256  # taken in one turn: some 10 ms of work
-ACCEPTS = 64  # connections taken in one turn: a flood leaves the others theirs
+FRAME_OVERHEAD_BYTES = 512  # maximum size of a frame without its body
+MAX_FRAME_BYTES = 65_536  # for clients; results have at most 4 KiB, so this leaves room
+READ_BYTES = 16_384  # per read
+MAX_DATAGRAMS_PER_ITERATION = 256  # about 10 ms of work
+MAX_ACCEPTS_PER_ITERATION = 64  # so that a flood of connections does not starve the others
 BACKLOG = 1_024
 
 
 class EdgeError(Exception):
-    """The edge cannot be started with this; the text says why."""
+    """The edge cannot be started with this configuration; the message says why."""
 
 
 def read_secrets(path: str) -> list[bytes]:
-    """Raises EdgeError."""
+    """Reads a file with one secret per line.
+
+    Raises:
+        EdgeError: The file cannot be read, is readable by others than its owner, or has an
+            invalid secret.
+    """
     try:
         with open(path, encoding="ascii") as file:
             lines = [line.strip() for line in file if line.strip() and not line.startswith("#")]
         secrets = [bytes.fromhex(line) for line in lines]
     except (OSError, ValueError) as error:
         raise EdgeError(f"secrets {path}: {getattr(error, 'strerror', None) or error}") from None
-    if not secrets or any(len(each) < LEAST_SECRET for each in secrets):
+    if not secrets or any(len(each) < MIN_SECRET_BYTES for each in secrets):
         raise EdgeError(
-            f"secrets {path}: {2 * LEAST_SECRET} hexadecimal digits or more a line, and not none"
+            f"secrets {path}: expected at least one line of {2 * MIN_SECRET_BYTES} hexadecimal digits or more"
         )
     if os.stat(path).st_mode & 0o077:
         raise EdgeError(f"secrets {path}: others than its owner may read it")
     return secrets
 
 
-def context(tls: Tls) -> ssl.SSLContext:
-    """Raises EdgeError: files that cannot be read or do not belong together, a key that others may read."""
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    made.minimum_version = ssl.TLSVersion.TLSv1_2
+def create_tls_context(tls: Tls) -> ssl.SSLContext:
+    """Creates the TLS context of the listener.
+
+    Raises:
+        EdgeError: A file cannot be read, certificate and key do not match, or others than its
+            owner may read the key.
+    """
+    tls_context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    tls_context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
-        made.load_cert_chain(tls.certificate, tls.key)
+        tls_context.load_cert_chain(tls.certificate, tls.key)
         if tls.authority is not None:
-            made.load_verify_locations(tls.authority)
+            tls_context.load_verify_locations(tls.authority)
         if os.stat(tls.key).st_mode & 0o077:
             raise EdgeError(f"key {tls.key}: others than its owner may read it")
     except (OSError, ssl.SSLError) as error:
         raise EdgeError(f"tls {tls.certificate}, {tls.key}: {error.strerror or error}") from None
     if tls.authority is not None:
-        made.verify_mode = ssl.CERT_REQUIRED if tls.mutual else ssl.CERT_OPTIONAL
-    return made
+        tls_context.verify_mode = ssl.CERT_REQUIRED if tls.mutual else ssl.CERT_OPTIONAL
+    return tls_context
 
 
-def named(peer: dict | None) -> bytes:
-    """Who a certificate that was checked names: its common name."""
+def common_name(peer: dict | None) -> bytes:
+    """Returns the common name of a verified certificate."""
     for part in (peer or {}).get("subject", ()):
         for name, text in part:
             if name == "commonName":
@@ -82,76 +95,104 @@
 
 
 @dataclass(eq=False, slots=True)
-class Wire:
-    """One connection's socket."""
+class DeviceSocket:
+    """The socket of one connection, with its unsent data."""
 
     number: int
     sock: socket.socket
     address: bytes
     stream: Stream
-    handshaking: bool
+    is_handshaking: bool
     queue: deque
-    closing: bool = False
-    wants: int = 0
+    is_closing: bool = False
+    events: int = 0
 
 
 class EdgeHost:
-    """`on_ask`, `on_gone`: told in this thread of exchanges and of callers that are gone."""
+    """Runs the edge's thread, and passes requests to handlers."""
 
     def __init__(
         self,
-        orders: EdgeConfig,
-        groups: dict[str, Group],
+        config: EdgeConfig,
+        request_classes: dict[str, DeviceRequestClass],
         node: str,
         seed: int,
         clock: Callable[[], int],
-        on_ask: Callable,
-        on_gone: Callable,
-        on_keep: Callable | None = None,
-        on_recall: Callable | None = None,
+        on_request: Callable,
+        on_client_gone: Callable,
+        persist_sessions: Callable | None = None,
+        on_recovered_request: Callable | None = None,
     ) -> None:
-        """`on_keep`: takes sessions' rows by ident, in this thread; left out: they end with the process.
-        `on_recall`: an exchange that was in hand when it ended. Raises EdgeError, OSError."""
-        self.on_keep, self.on_recall = on_keep, on_recall
-        if on_keep is not None:  # a session's name must not come up twice over lives
+        """Opens the listening sockets; connections are served after `start`.
+
+        Args:
+            config: The operator's configuration.
+            request_classes: The request classes by name.
+            node: Name of this server.
+            seed: Seed of random choices.
+            clock: The clock of the edge's thread.
+            on_request: Called in the edge's thread with each request.
+            on_client_gone: Called in the edge's thread if no client waits for a request any
+                more.
+            persist_sessions: Persists encoded sessions by identifier, called in the edge's
+                thread, or None if sessions end with the process.
+            on_recovered_request: Called with each request that was in flight when the previous
+                process ended.
+
+        Raises:
+            EdgeError: The certificates or secrets cannot be used.
+            OSError: Listening on the address failed.
+        """
+        self.persist_sessions, self.on_recovered_request = persist_sessions, on_recovered_request
+        if persist_sessions is not None:  # session identifiers must not repeat after a restart
             seed = int.from_bytes(os.urandom(8), "big")
-        self.orders, self.groups, self.node, self.clock = orders, groups, node.encode(), clock
-        self.on_ask, self.on_gone = on_ask, on_gone
-        self.context = context(orders.tls) if orders.tls is not None else None
-        tokens = Tokens(read_secrets(orders.secrets), self._node_mark(seed))
-        self.serving = Serving(orders, groups, tokens, seed, clock())
-        self.serving.keeps = on_keep is not None
-        self.inbox: SimpleQueue[tuple] = SimpleQueue()
-        self.wires: dict[int, Wire] = {}
-        self.numbers = 0
-        self.bad = ReportThrottle()
-        self.over = threading.Event()
-        self.ending = False
-        self.idle = (
-            False  # the listener is shut and nobody left; set here, read by the deciding thread
+        self.config, self.request_classes, self.node, self.clock = (
+            config,
+            request_classes,
+            node.encode(),
+            clock,
         )
-        self.listener = listen(orders.listen, BACKLOG)
-        self.coap = self.datagrams = None
-        if orders.coap is not None:
+        self.on_request, self.on_client_gone = on_request, on_client_gone
+        self.tls_context = create_tls_context(config.tls) if config.tls is not None else None
+        tokens = Tokens(read_secrets(config.secrets), self._session_token_scope(seed))
+        self.service = DeviceService(config, request_classes, tokens, seed, clock())
+        self.service.persists_sessions = persist_sessions is not None
+        self.inbox: SimpleQueue[tuple] = SimpleQueue()
+        self.device_sockets: dict[int, DeviceSocket] = {}
+        self.last_connection_number = 0
+        self.invalid_frame_throttle = ReportThrottle()
+        self.has_stopped = threading.Event()
+        self.is_ending = False
+        self.is_idle = False  # listener closed and no connection left; set by this thread, read by the event loop's
+        self.listener = listen(config.listen, BACKLOG)
+        self.coap = self.datagram_socket = None
+        if config.coap is not None:
             try:
-                self.datagrams = self._bind(orders.coap)
+                self.datagram_socket = self._bind(config.coap)
             except OSError:
                 self.listener.close()
                 raise
-            self.coap = CoapServing(orders, groups, tokens, seed, clock())
-        self.wake_out, self.wake_in = socket.socketpair()
-        for sock in (self.wake_out, self.wake_in, self.listener):
+            self.coap = CoapService(config, request_classes, tokens, seed, clock())
+        self.wakeup_receiver, self.wakeup_sender = socket.socketpair()
+        for sock in (self.wakeup_receiver, self.wakeup_sender, self.listener):
             sock.setblocking(False)
         self.selector = selectors.DefaultSelector()
         self.selector.register(self.listener, selectors.EVENT_READ, self._accept)
-        self.selector.register(self.wake_out, selectors.EVENT_READ, self._woken)
-        if self.datagrams is not None:
-            self.selector.register(self.datagrams, selectors.EVENT_READ, self._received)
+        self.selector.register(self.wakeup_receiver, selectors.EVENT_READ, self._drain_wakeups)
+        if self.datagram_socket is not None:
+            self.selector.register(
+                self.datagram_socket, selectors.EVENT_READ, self._receive_datagrams
+            )
         self.thread = threading.Thread(target=self._run, name="edge", daemon=True)
 
-    def _node_mark(self, seed: int) -> bytes:
-        """New with each start, unless sessions outlive it: a former life's token is told apart at once."""
-        if self.on_keep is not None:
+    def _session_token_scope(self, seed: int) -> bytes:
+        """Returns the scope of session tokens.
+
+        Unless sessions outlive the process, it differs at each start, so that tokens of the
+        previous process
+        are rejected at once.
+        """
+        if self.persist_sessions is not None:
             return self.node
         return self.node + seed.to_bytes(16, "big")
 
@@ -170,98 +211,117 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """Address of the listener."""
         return self.listener.getsockname()[:2]
 
     # For other threads
 
     def start(self) -> None:
+        """Starts the thread."""
         self.thread.start()
 
-    def put(self, handler: Callable, *arguments: object) -> None:
+    def post(self, handler: Callable, *arguments: object) -> None:
+        """Queues a call for the edge's thread."""
         self.inbox.put((handler, *arguments))
         try:
-            self.wake_in.send(b"w")
+            self.wakeup_sender.send(b"w")
         except (BlockingIOError, OSError):
-            pass  # it is awake, or over
+            pass  # the thread is awake already, or has ended
 
-    def answered(
+    def send_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int
     ) -> None:
-        self.put(self._answered, session, number, word, body, come_back)
+        """Queues the answer to a request."""
+        self.post(self._send_answer, session, number, word, body, come_back)
 
-    def _answered(
+    def _send_answer(
         self, session: Session | Request, number: int, word: int, body: bytes, come_back: int
     ) -> None:
         if isinstance(session, Request):
-            self.coap.answered(session, word, body, come_back, self.clock())
+            self.coap.send_answer(session, word, body, come_back, self.clock())
             return
-        self.serving.answered(session, number, word, body, come_back, self.clock())
+        self.service.send_answer(session, number, word, body, come_back, self.clock())
 
-    def recall(self, rows: dict[bytes, bytes]) -> None:
-        """Before `start`: what the store held of sessions."""
-        self.serving.recall(rows, self.clock())
+    def recover_sessions(self, rows: dict[bytes, bytes]) -> None:
+        """Restores the stored sessions; must be called before `start`."""
+        self.service.recover_sessions(rows, self.clock())
 
-    def end(self, patience: float = 2.0) -> None:
-        self.put(self._end)
+    def end(self, timeout: float = 2.0) -> None:
+        """Stops the thread, and waits for its end for at most `timeout` seconds."""
+        self.post(self._set_ending)
         if threading.current_thread() is not self.thread and self.thread.is_alive():
-            self.thread.join(patience)
+            self.thread.join(timeout)
+
+    def _set_ending(self) -> None:
+        self.is_ending = True
 
-    def _end(self) -> None:
-        self.ending = True
+    def reload(self, config: EdgeConfig) -> None:
+        """Applies new certificates and secrets to new connections and tokens; sessions remain.
 
-    def reload(self, orders: EdgeConfig) -> None:
-        """New certificates and secrets for new connections and tokens; sessions stay. Raises EdgeError, and
-        then nothing has changed."""
-        made = context(orders.tls) if orders.tls is not None else None
-        secrets = read_secrets(orders.secrets)
-        self.put(self._reload, orders, made, secrets)
+        Raises:
+            EdgeError: The new configuration is invalid; the old one remains in effect.
+        """
+        tls_context = create_tls_context(config.tls) if config.tls is not None else None
+        secrets = read_secrets(config.secrets)
+        self.post(self._apply_reload, config, tls_context, secrets)
 
-    def _reload(
-        self, orders: EdgeConfig, made: ssl.SSLContext | None, secrets: list[bytes]
+    def _apply_reload(
+        self, config: EdgeConfig, tls_context: ssl.SSLContext | None, secrets: list[bytes]
     ) -> None:
-        self.context = made
-        self.serving.tokens.secrets = secrets  # the one object that both protocols check by
-        self.serving.orders = self.orders = orders
+        self.tls_context = tls_context
+        self.service.tokens.secrets = secrets  # the object is shared with the CoAP service
+        self.service.config = self.config = config
         if self.coap is not None:
-            self.coap.orders = orders
+            self.coap.config = config
 
-    def leave(self, come_back: int) -> None:
-        self.serving.leave(come_back)
+    def start_draining(self, come_back: int) -> None:
+        """Tells the devices to reconnect elsewhere."""
+        self.service.start_draining(come_back)
         if self.coap is not None:
-            self.coap.leave(come_back)
+            self.coap.start_draining(come_back)
 
-    def shut(self) -> None:
-        self.serving.close_all()
+    def stop_accepting(self) -> None:
+        """Closes idle connections, and rejects new connections and requests."""
+        self.service.stop_accepting()
         if self.coap is not None:
-            self.coap.shut = True
+            self.coap.is_closing = True
 
     def _is_idle(self) -> bool:
-        return self.serving.shut and self.serving.idle and (self.coap is None or self.coap.idle)
+        return (
+            self.service.is_closing
+            and self.service.is_idle
+            and (self.coap is None or self.coap.is_idle)
+        )
 
-    # Its thread
+    # In the edge's thread
 
     def _run(self) -> None:
         try:
-            while not self.ending:
-                self._one_pass()
+            while not self.is_ending:
+                self._run_iteration()
         except Exception:
             log.exception("event=edge_failed")
         finally:
-            self.over.set()
-            for wire in list(self.wires.values()):
-                shut_down_socket(wire.sock)
-                wire.sock.close()
-            for sock in (self.listener, self.wake_out, self.wake_in, self.datagrams):
+            self.has_stopped.set()
+            for device_socket in list(self.device_sockets.values()):
+                shut_down_socket(device_socket.sock)
+                device_socket.sock.close()
+            for sock in (
+                self.listener,
+                self.wakeup_receiver,
+                self.wakeup_sender,
+                self.datagram_socket,
+            ):
                 if sock is not None:
                     sock.close()
             self.selector.close()
 
-    def _one_pass(self) -> None:
-        due = self.serving.due() if self.coap is None else min(self.serving.due(), self.coap.due())
+    def _run_iteration(self) -> None:
+        due = self.service.due() if self.coap is None else min(self.service.due(), self.coap.due())
         wait = max(0, due - self.clock()) / SECOND
         for key, events in self.selector.select(min(wait, 1.0)):
-            if isinstance(key.data, Wire):
-                self._ready(key.data, events)
+            if isinstance(key.data, DeviceSocket):
+                self._on_socket_ready(key.data, events)
             else:
                 key.data()
         try:
@@ -270,32 +330,32 @@
                 handler(*arguments)
         except Empty:
             pass
-        self.serving.tick(self.clock())
+        self.service.tick(self.clock())
         if self.coap is not None:
             self.coap.tick(self.clock())
-        if self.serving.shut:
-            self.serving.close_idle()
-        self._carry_out()
-        self.idle = self._is_idle()
+        if self.service.is_closing:
+            self.service.close_idle()
+        self._perform_actions()
+        self.is_idle = self._is_idle()
 
-    def _woken(self) -> None:
+    def _drain_wakeups(self) -> None:
         try:
-            self.wake_out.recv(4_096)
+            self.wakeup_receiver.recv(4_096)
         except BlockingIOError:
             pass
 
-    def _received(self) -> None:
-        for _ in range(DATAGRAMS):
+    def _receive_datagrams(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
-                data, address = self.datagrams.recvfrom(READ)
+                data, address = self.datagram_socket.recvfrom(READ_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an earlier answer that found nobody there
-            self.coap.datagram(address, data, self.clock())
+                continue  # an ICMP error for an earlier answer
+            self.coap.datagram_received(address, data, self.clock())
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, (host, *_) = self.listener.accept()
             except BlockingIOError:
@@ -305,156 +365,169 @@
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.numbers += 1
+            self.last_connection_number += 1
             packed = socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
-            if self.context is not None:
-                sock = self.context.wrap_socket(
+            if self.tls_context is not None:
+                sock = self.tls_context.wrap_socket(
                     sock, server_side=True, do_handshake_on_connect=False
                 )
-            stream = Stream(self.orders.body + FRAME)
-            wire = Wire(self.numbers, sock, packed, stream, self.context is not None, deque())
-            if not self.serving.opened(wire.number, packed, b"", self.clock()):
+            stream = Stream(self.config.body + FRAME_OVERHEAD_BYTES)
+            device_socket = DeviceSocket(
+                self.last_connection_number,
+                sock,
+                packed,
+                stream,
+                self.tls_context is not None,
+                deque(),
+            )
+            if not self.service.connection_opened(device_socket.number, packed, b"", self.clock()):
                 shut_down_socket(sock)
                 sock.close()
                 continue
-            self.wires[wire.number] = wire
-            wire.wants = selectors.EVENT_READ
-            self.selector.register(sock, wire.wants, wire)
+            self.device_sockets[device_socket.number] = device_socket
+            device_socket.events = selectors.EVENT_READ
+            self.selector.register(sock, device_socket.events, device_socket)
 
-    def _ready(self, wire: Wire, events: int) -> None:
-        if wire.number not in self.wires:
+    def _on_socket_ready(self, device_socket: DeviceSocket, events: int) -> None:
+        if device_socket.number not in self.device_sockets:
             return
         try:
-            if wire.handshaking and not self._shake(wire):
+            if device_socket.is_handshaking and not self._continue_handshake(device_socket):
                 return
-            if events & selectors.EVENT_WRITE or wire.queue:
-                self._write(wire)
-            if events & selectors.EVENT_READ and wire.number in self.wires:
-                self._read(wire)
+            if events & selectors.EVENT_WRITE or device_socket.queue:
+                self._write(device_socket)
+            if events & selectors.EVENT_READ and device_socket.number in self.device_sockets:
+                self._read(device_socket)
         except (ssl.SSLWantReadError, ssl.SSLWantWriteError, BlockingIOError):
             pass
         except OSError:
-            self._lost(wire)
+            self._close_socket(device_socket)
 
-    def _shake(self, wire: Wire) -> bool:
+    def _continue_handshake(self, device_socket: DeviceSocket) -> bool:
         try:
-            wire.sock.do_handshake()
+            device_socket.sock.do_handshake()
         except ssl.SSLWantReadError:
-            self._want(wire, selectors.EVENT_READ)
+            self._set_events(device_socket, selectors.EVENT_READ)
             return False
         except ssl.SSLWantWriteError:
-            self._want(wire, selectors.EVENT_WRITE)
+            self._set_events(device_socket, selectors.EVENT_WRITE)
             return False
-        wire.handshaking = False
-        if (connection := self.serving.connections.get(wire.number)) is not None:
-            connection.identity = named(wire.sock.getpeercert())
-        self._want(wire, selectors.EVENT_READ)
+        device_socket.is_handshaking = False
+        if (connection := self.service.connections.get(device_socket.number)) is not None:
+            connection.identity = common_name(device_socket.sock.getpeercert())
+        self._set_events(device_socket, selectors.EVENT_READ)
         return True
 
-    def _read(self, wire: Wire) -> None:
-        """What a TLS layer holds back is read too: the poll would not tell of it."""
-        while wire.number in self.wires:
-            chunk = wire.sock.recv(READ)
+    def _read(self, device_socket: DeviceSocket) -> None:
+        """Reads until the TLS layer holds no more data, since the selector does not report
+        buffered data.
+        """
+        while device_socket.number in self.device_sockets:
+            chunk = device_socket.sock.recv(READ_BYTES)
             if not chunk:
-                self._lost(wire)
+                self._close_socket(device_socket)
                 return
-            if not wire.closing:
-                self._take(wire, chunk)
+            if not device_socket.is_closing:
+                self._process_received(device_socket, chunk)
             if (
-                self.context is None
-                or not isinstance(wire.sock, ssl.SSLSocket)
-                or not wire.sock.pending()
+                self.tls_context is None
+                or not isinstance(device_socket.sock, ssl.SSLSocket)
+                or not device_socket.sock.pending()
             ):
                 return
 
-    def _take(self, wire: Wire, chunk: bytes) -> None:
-        now, before = self.clock(), wire.stream.given
+    def _process_received(self, device_socket: DeviceSocket, chunk: bytes) -> None:
+        now, before = self.clock(), device_socket.stream.frame_count
         try:
-            for frame in wire.stream.feed(chunk):
-                self.serving.frame(wire.number, frame, now)
+            for frame in device_socket.stream.feed(chunk):
+                self.service.frame_received(device_socket.number, frame, now)
         except FrameError as error:
-            if count := self.bad.count_and_check():
+            if count := self.invalid_frame_throttle.count_and_check():
                 log.warning({"event": "edge_bad_frame", "count": count, "detail": str(error)})
-            self.serving.broken(wire.number, str(error), now)
-        self.serving.came(
-            wire.number, len(chunk), wire.stream.given - before, bool(wire.stream.rest), now
+            self.service.reject_invalid_frame(device_socket.number, str(error), now)
+        self.service.bytes_received(
+            device_socket.number,
+            len(chunk),
+            device_socket.stream.frame_count - before,
+            bool(device_socket.stream.partial_frame),
+            now,
         )
 
-    def _write(self, wire: Wire) -> None:
-        while wire.queue:
-            data = wire.queue[0]
+    def _write(self, device_socket: DeviceSocket) -> None:
+        while device_socket.queue:
+            data = device_socket.queue[0]
             try:
-                done = wire.sock.send(data)
+                sent_bytes = device_socket.sock.send(data)
             except (ssl.SSLWantReadError, ssl.SSLWantWriteError, BlockingIOError):
-                self._want(wire, selectors.EVENT_READ | selectors.EVENT_WRITE)
+                self._set_events(device_socket, selectors.EVENT_READ | selectors.EVENT_WRITE)
                 return
-            if done < len(data):
-                wire.queue[0] = memoryview(data)[done:]
+            if sent_bytes < len(data):
+                device_socket.queue[0] = memoryview(data)[sent_bytes:]
             else:
-                wire.queue.popleft()
-            self.serving.sent(wire.number, done, self.clock())
-        if wire.closing:
-            self._shut_down(wire)
+                device_socket.queue.popleft()
+            self.service.bytes_sent(device_socket.number, sent_bytes, self.clock())
+        if device_socket.is_closing:
+            self._shut_down_after_sending(device_socket)
         else:
-            self._want(wire, selectors.EVENT_READ)
+            self._set_events(device_socket, selectors.EVENT_READ)
 
-    def _want(self, wire: Wire, events: int) -> None:
-        if wire.wants != events and wire.number in self.wires:
-            wire.wants = events
-            self.selector.modify(wire.sock, events, wire)
+    def _set_events(self, device_socket: DeviceSocket, events: int) -> None:
+        if device_socket.events != events and device_socket.number in self.device_sockets:
+            device_socket.events = events
+            self.selector.modify(device_socket.sock, events, device_socket)
 
-    def _shut_down(self, wire: Wire) -> None:
-        """Our last word has been handed over: the other side closes, or is closed at the next look."""
+    def _shut_down_after_sending(self, device_socket: DeviceSocket) -> None:
+        """Ends the sending direction after the last frame, and closes the socket."""
         try:
-            wire.sock.shutdown(socket.SHUT_WR)
+            device_socket.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
-        self._lost(wire)
+        self._close_socket(device_socket)
 
-    def _lost(self, wire: Wire) -> None:
-        if self.wires.pop(wire.number, None) is None:
+    def _close_socket(self, device_socket: DeviceSocket) -> None:
+        if self.device_sockets.pop(device_socket.number, None) is None:
             return
-        self.selector.unregister(wire.sock)
-        wire.sock.close()
-        self.serving.closed(wire.number, self.clock())
+        self.selector.unregister(device_socket.sock)
+        device_socket.sock.close()
+        self.service.connection_closed(device_socket.number, self.clock())
 
-    def _carry_out(self) -> None:
-        while actions := self.serving.taken() + (
-            self.coap.taken() if self.coap is not None else []
+    def _perform_actions(self) -> None:
+        while actions := self.service.take_actions() + (
+            self.coap.take_actions() if self.coap is not None else []
         ):
-            written: dict[Wire, None] = {}
+            pending_writes: dict[DeviceSocket, None] = {}
             for action in actions:
-                self._do(action, written)
-            for wire in written:
-                if wire.number in self.wires and not wire.handshaking:
+                self._perform_action(action, pending_writes)
+            for device_socket in pending_writes:
+                if device_socket.number in self.device_sockets and not device_socket.is_handshaking:
                     try:
-                        self._write(wire)
+                        self._write(device_socket)
                     except OSError:
-                        self._lost(wire)
-
-    def _do(self, action: Action, written: dict[Wire, None]) -> None:
-        if action.do is Do.KEEP:
-            self.on_keep(action.about)
-        elif action.do is Do.RECALL:
-            self.on_recall(action.session, action.number, action.about)
-        elif action.do is Do.ASK:
-            self.on_ask(action.session, action.number, action.about)
-        elif action.do is Do.GONE:
-            self.on_gone(action.session, action.number)
-        elif action.do is Do.LOG:
-            log.info(action.about)
-        elif action.do is Do.DATAGRAM:
-            address, data = action.about
+                        self._close_socket(device_socket)
+
+    def _perform_action(self, action: Action, pending_writes: dict[DeviceSocket, None]) -> None:
+        if action.type is ActionType.PERSIST:
+            self.persist_sessions(action.payload)
+        elif action.type is ActionType.RECOVER:
+            self.on_recovered_request(action.session, action.number, action.payload)
+        elif action.type is ActionType.SUBMIT:
+            self.on_request(action.session, action.number, action.payload)
+        elif action.type is ActionType.CLIENT_GONE:
+            self.on_client_gone(action.session, action.number)
+        elif action.type is ActionType.LOG:
+            log.info(action.payload)
+        elif action.type is ActionType.DATAGRAM:
+            address, data = action.payload
             try:
-                self.datagrams.sendto(data, address)
+                self.datagram_socket.sendto(data, address)
             except OSError:
-                pass  # lost, as any datagram may be
-        elif (wire := self.wires.get(action.connection)) is not None:
-            if action.do is Do.SEND:
-                wire.queue.append(action.about)
+                pass  # lost like any other datagram; retransmission covers it
+        elif (device_socket := self.device_sockets.get(action.connection)) is not None:
+            if action.type is ActionType.SEND:
+                device_socket.queue.append(action.payload)
             else:
-                wire.closing = True
-                if wire.handshaking:
-                    self._lost(wire)
+                device_socket.is_closing = True
+                if device_socket.is_handshaking:
+                    self._close_socket(device_socket)
                     return
-            written[wire] = None
+            pending_writes[device_socket] = None
