--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -1,57 +1,94 @@
-"""What one device's link can do, as its frames show it: round trip, loss, throughput, and from these how long
-an answer will need. Outlives connections: the next one begins with what the last one knew."""
+"""Estimates the round trip, loss and throughput of a device's link, and the delivery time of
+answers.
+
+The estimates outlive connections: the next connection of the device starts with them.
+"""
 
 from __future__ import annotations
 
-FIRST_TRIP = (
-    3_000  # tenths of a ms: assumed of a link that nothing is known of (300 ms, a mobile one)
+INITIAL_ROUND_TRIP = 3_000  # tenths of a ms; a typical mobile link has 300 ms
+MAX_ROUND_TRIP = (
+    100_000  # tenths of a ms; a longer round trip is a stall, which does not predict the next one
+)
+INITIAL_THROUGHPUT = 2_000.0  # bytes per 100 ms; 20 KB/s is a poor link
+MEAN_WEIGHT, DEVIATION_WEIGHT = 1 / 8, 1 / 4  # RFC 6298 section 2
+HEARTBEAT_DEVIATIONS = (
+    2  # mean deviations added to the round trip for heartbeats, not for delivery times
 )
-MOST_TRIP = 100_000  # beyond ten seconds it is a stall, which says nothing of the next frame
-FIRST_RATE = 2_000.0  # bytes in 100 ms: 20 KB/s, a poor link
-ALPHA, BETA = 1 / 8, 1 / 4  # RFC 6298 section 2
-TAIL = 2  # mean deviations on top, where something is waited for; nothing of it is taken off a due time
-STALL = 3  # trips: what takes longer stood still on the way, and says nothing of the next frame
+STALL_FACTOR = 3  # multiple of the mean round trip; longer samples are stalls and are clipped to it
 LOSS_WEIGHT = 1 / 16
 
 
 class Link:
-    __slots__ = ("trip", "deviation", "measured", "loss", "rate")
+    """Moving estimates for one device's link."""
+
+    __slots__ = ("deviation", "is_measured", "loss_ratio", "mean_round_trip", "throughput")
 
     def __init__(self) -> None:
-        self.trip, self.deviation = float(FIRST_TRIP), FIRST_TRIP / 2
-        self.measured = False
-        self.loss = 0.0  # share of connections or probes that ended without their answer
-        self.rate = FIRST_RATE  # bytes in a tenth of a second
-
-    def round_trip(self, time: int) -> None:
-        """A frame and its echo, in tenths of a ms."""
-        time = max(1, min(time, MOST_TRIP))
-        if not self.measured:
-            self.trip, self.deviation, self.measured = float(time), time / 2, True
+        """Creates estimates for a link without samples."""
+        self.mean_round_trip, self.deviation = float(INITIAL_ROUND_TRIP), INITIAL_ROUND_TRIP / 2
+        self.is_measured = False
+        self.loss_ratio = 0.0  # share of connections or probes that ended without a reply
+        self.throughput = INITIAL_THROUGHPUT  # bytes per 100 ms
+
+    def record_round_trip(self, duration: int) -> None:
+        """Records the time between a ping and its echo, in tenths of a millisecond."""
+        duration = max(1, min(duration, MAX_ROUND_TRIP))
+        if not self.is_measured:
+            self.mean_round_trip, self.deviation, self.is_measured = (
+                float(duration),
+                duration / 2,
+                True,
+            )
         else:
-            time = min(time, int(STALL * self.trip) + 1)
-            self.deviation += BETA * (abs(self.trip - time) - self.deviation)
-            self.trip += ALPHA * (time - self.trip)
-        self.loss -= LOSS_WEIGHT * self.loss
-
-    def lost(self) -> None:
-        """A connection broke, or a probe was not answered."""
-        self.loss += LOSS_WEIGHT * (1.0 - self.loss)
-
-    def taken(self, size: int, time: int) -> None:
-        """So many bytes were acknowledged this long after they were sent; short ones tell the trip alone."""
-        if size >= 1_000 and time > self.trip:
-            rate = size * 1_000 / max(1.0, time - self.trip / 2)
-            self.rate += ALPHA * (rate - self.rate)
-
-    def answer_time(self, size: int) -> int:
-        """Tenths of a ms from the writing of an answer of that size until it is there: half a trip, the
-        bytes, and the trip again for the share that is lost and sent anew. No spread on top: too little taken
-        off costs a late answer now and then, too much denies what could have been answered."""
-        once = self.trip / 2 + size * 1_000 / max(1.0, self.rate)
-        return int(once + self.loss / max(0.1, 1.0 - self.loss) * self.trip)
-
-    def heartbeat(self, calm: int) -> int:
-        """How often a quiet link is tried: often enough to notice a stall within a few trips, no oftener than
-        a tenth of the time asked for, so that a dead radio is not kept awake."""
-        return int(max(calm / 10, min(calm, 20 * (self.trip + TAIL * self.deviation))))
+            duration = min(duration, int(STALL_FACTOR * self.mean_round_trip) + 1)
+            self.deviation += DEVIATION_WEIGHT * (
+                abs(self.mean_round_trip - duration) - self.deviation
+            )
+            self.mean_round_trip += MEAN_WEIGHT * (duration - self.mean_round_trip)
+        self.loss_ratio -= LOSS_WEIGHT * self.loss_ratio
+
+    def record_loss(self) -> None:
+        """Records that a connection broke or that a probe was not answered."""
+        self.loss_ratio += LOSS_WEIGHT * (1.0 - self.loss_ratio)
+
+    def record_delivery(self, size: int, duration: int) -> None:
+        """Records that `size` bytes were acknowledged `duration` after they were sent.
+
+        Small answers are ignored, since their time shows the round trip and not the throughput.
+        """
+        if size >= 1_000 and duration > self.mean_round_trip:
+            throughput = size * 1_000 / max(1.0, duration - self.mean_round_trip / 2)
+            self.throughput += MEAN_WEIGHT * (throughput - self.throughput)
+
+    def delivery_time(self, size: int) -> int:
+        """Returns the expected time until an answer of this size is delivered, in tenths of a
+        millisecond.
+
+        This is half a round trip, the transmission time, and another round trip for the share
+        that is
+        lost and sent again. No deviation is added: an estimate that is too low makes an answer
+        late now
+        and then, one that is too high rejects requests that could have been answered.
+        """
+        one_delivery = self.mean_round_trip / 2 + size * 1_000 / max(1.0, self.throughput)
+        return int(
+            one_delivery + self.loss_ratio / max(0.1, 1.0 - self.loss_ratio) * self.mean_round_trip
+        )
+
+    def heartbeat_interval(self, max_interval: int) -> int:
+        """Returns the time between probes of a quiet link.
+
+        It detects a stall within a few round trips, but is never less than a tenth of
+        `max_interval`, so
+        that the radio of an unreachable device is not kept awake.
+        """
+        return int(
+            max(
+                max_interval / 10,
+                min(
+                    max_interval,
+                    20 * (self.mean_round_trip + HEARTBEAT_DEVIATIONS * self.deviation),
+                ),
+            )
+        )
--- a/lilacwalk/edge/rates.py
+++ b/lilacwalk/edge/rates.py
@@ -1,43 +1,64 @@
-"""Who is too slow to be waited for. A trickle and a stall look alike by their mean; they differ in the
-seconds in which anything came at all: a stalled link sends nothing and then a burst, a trickle sends a byte
-in each second."""
+"""Detects connections that send a frame too slowly.
+
+A slow sender and a stalled link have a similar mean rate, but differ in the number of seconds
+in
+which bytes arrive: a stalled link delivers nothing and then a burst, a slow sender delivers a
+byte in every second.
+"""
 
 from __future__ import annotations
 
 SECOND = 10_000
-FEW = 3  # seconds with bytes in them before a rate is judged: a frame's head may come alone
-GROWS = (
-    10  # seconds given after which the floor has doubled: who was waited for long must be worth it
+MIN_ACTIVE_SECONDS = (
+    3  # seconds with received bytes before the rate is checked; a frame's header may arrive alone
+)
+DOUBLING_SECONDS = (
+    10  # seconds after which the minimum rate has doubled, so that a slow frame cannot last
 )
 
 
-class Incoming:
-    """One frame under way on one connection."""
+class FrameProgress:
+    """Progress of the frame that a connection is receiving."""
 
-    __slots__ = ("since", "active", "last", "size")
+    __slots__ = ("active_seconds", "last_active_second", "received_bytes", "started_at")
 
     def __init__(self) -> None:
-        self.since = 0  # 0: no frame is under way
-        self.active = self.last = self.size = 0
-
-    def came(self, size: int, whole: int, partial: bool, now: int) -> None:
-        """So many bytes; `whole` frames ended with them, `partial`: another has begun."""
-        if whole or not self.since:
-            self.since = now if partial else 0
-            self.active, self.last, self.size = int(partial), now // SECOND, 0
+        """Creates a record without a frame in progress."""
+        self.started_at = 0  # 0 if no frame is in progress
+        self.active_seconds = self.last_active_second = self.received_bytes = 0
+
+    def add_bytes(self, size: int, frame_count: int, is_partial: bool, now: int) -> None:
+        """Records received bytes that completed `frame_count` frames.
+
+        `is_partial` says whether a further frame has begun.
+        """
+        if frame_count or not self.started_at:
+            self.started_at = now if is_partial else 0
+            self.active_seconds, self.last_active_second, self.received_bytes = (
+                int(is_partial),
+                now // SECOND,
+                0,
+            )
             return
-        if now // SECOND != self.last:
-            self.last = now // SECOND
-            self.active += 1
-        self.size += size
-        if not partial:
-            self.since = 0
-
-    def too_slow(self, slowest: int, longest: int, now: int) -> bool:
-        """`slowest`: bytes in a second in which any came, doubled after ten seconds given."""
-        if not self.since:
+        if now // SECOND != self.last_active_second:
+            self.last_active_second = now // SECOND
+            self.active_seconds += 1
+        self.received_bytes += size
+        if not is_partial:
+            self.started_at = 0
+
+    def is_too_slow(self, min_rate: int, max_duration: int, now: int) -> bool:
+        """Whether the frame took longer than `max_duration`, or arrives below the minimum rate.
+
+        `min_rate` is in bytes per second in which any arrived. It doubles every
+        `DOUBLING_SECONDS`.
+        """
+        if not self.started_at:
             return False
-        if now - self.since > longest:
+        if now - self.started_at > max_duration:
             return True
-        floor = slowest * (1 + (now - self.since) / SECOND / GROWS)
-        return self.active > FEW and self.size / self.active < floor
+        floor = min_rate * (1 + (now - self.started_at) / SECOND / DOUBLING_SECONDS)
+        return (
+            self.active_seconds > MIN_ACTIVE_SECONDS
+            and self.received_bytes / self.active_seconds < floor
+        )
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -1,6 +1,8 @@
-"""One device's session: what it asked, what is in hand for it, and the answers that it has not acknowledged.
-Outlives its connections. Exactly one answer is made for each number; it is kept until the device says that it
-has it, and sent again on the next connection, the same bytes."""
+"""The state of one session: requests in flight and answers that the device has not acknowledged.
+
+A session outlives its connections. Each request number gets exactly one answer, which is kept
+until the device acknowledges it and is sent again, byte for byte, on the next connection.
+"""
 
 from __future__ import annotations
 
@@ -12,142 +14,203 @@
 from lilacwalk.edge.link import Link
 from lilacwalk.overload.model import Effect
 
-OVERHEAD = 200  # bytes that Python keeps of an answer beside its body
+ANSWER_OVERHEAD_BYTES = 200  # memory of an answer besides its body
+
 
+class RequestStatus(Enum):
+    """What a session knows about the number of a received request."""
 
-class Taken(Enum):
     NEW = auto()
-    IN_HAND = auto()  # asked before, its answer will come
-    KEPT = auto()  # answered before, the answer is sent again
-    OVER = auto()  # answered and acknowledged before: nothing is owed
-    TOO_MANY = auto()  # beyond the window it was told
+    IN_FLIGHT = auto()  # received before, not answered yet
+    ANSWERED = auto()  # answered before; the answer is not acknowledged yet
+    ACKNOWLEDGED = auto()  # answered and acknowledged before
+    WINDOW_EXCEEDED = auto()  # beyond the number of requests that the session may have in flight
 
 
 @dataclass(eq=False, slots=True)
-class Kept:
+class UnacknowledgedAnswer:
+    """An answer that is kept until the device acknowledges it."""
+
     answer: Answer
     effect: Effect
-    sent_at: int | None = None  # on the connection that is there now; None: not yet
+    sent_at: int | None = None  # on the current connection; None if it was not sent on it
 
     @property
     def size(self) -> int:
-        return len(self.answer.body) + OVERHEAD
+        """Memory of the answer in bytes."""
+        return len(self.answer.body) + ANSWER_OVERHEAD_BYTES
 
 
 @dataclass(eq=False, slots=True)
-class Open:
+class OpenRequest:
+    """A request in flight."""
+
     effect: Effect
-    read: int
-    about: tuple[str, str, str] = ("", "", "")  # endpoint group, customer, key: what it is known by
+    received_at: int
+    execution_key: tuple[str, str, str] = (
+        "",
+        "",
+        "",
+    )  # request class, tenant and idempotency key, which identify its execution
     followers: list[tuple[Session, int]] = field(
         default_factory=list
-    )  # who asked the same again elsewhere
+    )  # sessions and numbers of duplicates, which get the same answer
 
 
 class Session:
+    """Requests and answers of one session of a device."""
+
     def __init__(
-        self, ident: bytes, device: bytes, steady: bool, window: int, link: Link, now: int
+        self,
+        ident: bytes,
+        device: bytes,
+        has_stable_numbers: bool,
+        window: int,
+        link: Link,
+        now: int,
     ) -> None:
-        self.ident, self.device, self.steady, self.window, self.link = (
+        """Creates a session without requests.
+
+        Args:
+            ident: Identifier of the session.
+            device: Name of the device.
+            has_stable_numbers: Whether the device's request numbers outlive its sessions.
+            window: Maximum number of requests in flight.
+            link: Estimates of the device's link.
+            now: The current time.
+        """
+        self.ident, self.device, self.has_stable_numbers, self.window, self.link = (
             ident,
             device,
-            steady,
+            has_stable_numbers,
             window,
             link,
         )
-        self.reads = 1  # how many unacknowledged answers the device can hold
-        self.asked = 0  # the highest number read
-        self.open: dict[int, Open] = {}
-        self.kept: OrderedDict[int, Kept] = OrderedDict()  # by order
+        self.device_window = 1  # unacknowledged answers that the device can hold
+        self.highest_number = 0  # highest request number received
+        self.open: dict[int, OpenRequest] = {}
+        self.unacknowledged: OrderedDict[int, UnacknowledgedAnswer] = (
+            OrderedDict()
+        )  # by answer order
         self.by_number: dict[int, int] = {}
-        self.order = 0  # of the last answer
-        self.got = 0
-        self.size = 0
+        self.last_order = 0  # order of the last answer
+        self.acknowledged_order = 0
+        self.unacknowledged_bytes = 0
         self.connection: int | None = None
-        self.seen = now
+        self.disconnected_at = now
+
+    def classify(self, ask: Ask) -> RequestStatus:
+        """Classifies a received request; a new one raises the highest number.
 
-    def take(self, ask: Ask) -> Taken:
-        """Numbers only climb: what is below the highest read was read before."""
+        Numbers only increase, so that a number below the highest one was received before.
+        """
         if ask.number in self.open:
-            return Taken.IN_HAND
+            return RequestStatus.IN_FLIGHT
         if ask.number in self.by_number:
-            return Taken.KEPT
-        if ask.number <= self.asked:
-            return Taken.OVER
+            return RequestStatus.ANSWERED
+        if ask.number <= self.highest_number:
+            return RequestStatus.ACKNOWLEDGED
         if len(self.open) >= self.window:
-            return Taken.TOO_MANY
-        self.asked = ask.number
-        return Taken.NEW
-
-    def begin(
-        self, number: int, effect: Effect, now: int, about: tuple[str, str, str] = ("", "", "")
-    ) -> Open:
-        made = self.open[number] = Open(effect, now, about)
-        return made
-
-    def answer(self, number: int, word: int, body: bytes, come_back: int) -> Kept | None:
-        """None where nothing is owed under that number."""
-        opened = self.open.pop(number, None)
-        if opened is None:
+            return RequestStatus.WINDOW_EXCEEDED
+        self.highest_number = ask.number
+        return RequestStatus.NEW
+
+    def open_request(
+        self,
+        number: int,
+        effect: Effect,
+        now: int,
+        execution_key: tuple[str, str, str] = ("", "", ""),
+    ) -> OpenRequest:
+        """Adds a request in flight."""
+        request = self.open[number] = OpenRequest(effect, now, execution_key)
+        return request
+
+    def answer(
+        self, number: int, word: int, body: bytes, come_back: int
+    ) -> UnacknowledgedAnswer | None:
+        """Completes a request with an answer that awaits acknowledgement.
+
+        Returns None if no request with this number is in flight.
+        """
+        request = self.open.pop(number, None)
+        if request is None:
             return None
-        self.order += 1
-        kept = Kept(Answer(self.order, number, word, body, come_back), opened.effect)
-        self.kept[self.order] = kept
-        self.by_number[number] = self.order
-        self.size += kept.size
-        return kept
-
-    def acknowledged(self, upto: int, now: int) -> list[Kept]:
-        """Those that the device now has. What it claims beyond what was sent means nothing."""
-        gone = []
-        while self.kept and (first := next(iter(self.kept))) <= upto:
-            kept = self.kept[first]
-            if kept.sent_at is None:
+        self.last_order += 1
+        pending = UnacknowledgedAnswer(
+            Answer(self.last_order, number, word, body, come_back), request.effect
+        )
+        self.unacknowledged[self.last_order] = pending
+        self.by_number[number] = self.last_order
+        self.unacknowledged_bytes += pending.size
+        return pending
+
+    def acknowledge(self, upto: int, now: int) -> list[UnacknowledgedAnswer]:
+        """Removes and returns the answers up to this order that the device has acknowledged.
+
+        Answers that were not sent on the current connection are not acknowledged, whatever the
+        device
+        claims.
+        """
+        acknowledged = []
+        while self.unacknowledged and (first := next(iter(self.unacknowledged))) <= upto:
+            pending = self.unacknowledged[first]
+            if pending.sent_at is None:
                 break
-            self._forget(first)
-            gone.append(kept)
-        if gone:
-            self.got = gone[-1].answer.order
-            self.link.taken(
-                sum(each.size for each in gone), now - min(each.sent_at for each in gone)
+            self._remove(first)
+            acknowledged.append(pending)
+        if acknowledged:
+            self.acknowledged_order = acknowledged[-1].answer.order
+            self.link.record_delivery(
+                sum(each.size for each in acknowledged),
+                now - min(each.sent_at for each in acknowledged),
             )
-        return gone
+        return acknowledged
 
-    def _forget(self, order: int) -> None:
-        kept = self.kept.pop(order)
-        del self.by_number[kept.answer.number]
-        self.size -= kept.size
+    def _remove(self, order: int) -> None:
+        pending = self.unacknowledged.pop(order)
+        del self.by_number[pending.answer.number]
+        self.unacknowledged_bytes -= pending.size
 
-    def connected(self, number: int, reads: int) -> None:
-        """A new connection: all that is not acknowledged is to be sent on it."""
-        self.connection, self.reads = number, max(1, reads)
-        for kept in self.kept.values():
-            kept.sent_at = None
+    def connected(self, number: int, device_window: int) -> None:
+        """Attaches a new connection, on which all unacknowledged answers have to be sent."""
+        self.connection, self.device_window = number, max(1, device_window)
+        for pending in self.unacknowledged.values():
+            pending.sent_at = None
 
     def disconnected(self, now: int) -> None:
-        self.connection, self.seen = None, now
+        """Detaches the connection."""
+        self.connection, self.disconnected_at = None, now
+
+    def next_to_send(self, now: int) -> UnacknowledgedAnswer | None:
+        """Returns the next answer to send, in order, or None.
 
-    def next_to_send(self, now: int) -> Kept | None:
-        """In order, no more unacknowledged than the device can hold."""
+        No more answers are sent than the device can hold unacknowledged.
+        """
         if self.connection is None:
             return None
-        for place, kept in enumerate(self.kept.values()):
-            if place >= self.reads:
+        for position, pending in enumerate(self.unacknowledged.values()):
+            if position >= self.device_window:
                 return None
-            if kept.sent_at is None:
-                kept.sent_at = now
-                return kept
+            if pending.sent_at is None:
+                pending.sent_at = now
+                return pending
         return None
 
     @property
-    def cost(self) -> tuple[int, int]:
-        """What forgetting it would cost: an effect that nobody learns of most, then work that would be done
-        again; among equals who was seen last stays."""
-        effects = [kept.effect for kept in self.kept.values()] + [
+    def eviction_cost(self) -> tuple[int, int]:
+        """What the eviction of the session would lose; sessions with lower values are evicted
+        first.
+
+        The loss is highest if a non-idempotent effect may remain unknown to the device, and
+        lower if work
+        has to be repeated. Among equals, the session that was disconnected last is kept.
+        """
+        effects = [pending.effect for pending in self.unacknowledged.values()] + [
             each.effect for each in self.open.values()
         ]
         if Effect.NON_IDEMPOTENT in effects:
-            return 3, self.seen
+            return 3, self.disconnected_at
         if Effect.DEDUPLICATED in effects:
-            return 2, self.seen
-        return (1 if effects else 0), self.seen
+            return 2, self.disconnected_at
+        return (1 if effects else 0), self.disconnected_at
--- a/lilacwalk/edge/session_codec.py
+++ b/lilacwalk/edge/session_codec.py
@@ -1,8 +1,10 @@
-"""A session as it outlives the process: bytes and back. One row holds all of it, so that no half of one is
-ever believed: what was asked and is in hand, and the answers that the device has not acknowledged.
+"""Encodes a session as a row of the store, and decodes it.
 
-What was in hand is answered in the next life: from its result where that was kept, terminated where it may
-have run, denied where it never began."""
+One row holds the whole session, so that it is never restored in part: the requests in flight
+and
+the unacknowledged answers. After a restart, requests in flight are answered with their stored
+result, as terminated if they may have been executed, or as denied if they were not started.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +12,19 @@
 
 from lilacwalk.edge.frames import Answer
 from lilacwalk.edge.link import Link
-from lilacwalk.edge.session import Kept, Open, Session
+from lilacwalk.edge.session import OpenRequest, Session, UnacknowledgedAnswer
 from lilacwalk.overload.model import Effect
 
 EFFECTS = list(Effect)
-# Of an answer's order: the answers that a kill took between two rows must never share one with a later
-# answer, since the device passes over what it believes to have. More than a window makes in a row's time.
-JUMP = 1_024
+# Added to the order of the last answer when a session is restored. Answers sent after the last row
+# was written are lost by a crash; if a new answer had the same order, the device would ignore it as a
+# duplicate. More answers than a window produces between two rows.
+ORDER_INCREMENT = 1_024
 
 
-class KeptAnswer(msgspec.Struct, frozen=True, array_like=True):
+class AnswerRow(msgspec.Struct, frozen=True, array_like=True):
+    """An unacknowledged answer; the order of the fields is the stored form."""
+
     order: int
     number: int
     word: int
@@ -28,7 +33,9 @@
     effect: int
 
 
-class InHand(msgspec.Struct, frozen=True, array_like=True):
+class OpenRequestRow(msgspec.Struct, frozen=True, array_like=True):
+    """A request in flight; the order of the fields is the stored form."""
+
     number: int
     effect: int
     group: str
@@ -36,23 +43,26 @@
     key: str
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class SessionRow(msgspec.Struct, frozen=True, array_like=True):
+    """A session; the order of the fields is the stored form."""
+
     device: bytes
     steady: bool
     window: int
     asked: int
     order: int
-    open: tuple[InHand, ...]
-    kept: tuple[KeptAnswer, ...]
+    open: tuple[OpenRequestRow, ...]
+    answers: tuple[AnswerRow, ...]
 
 
-def row(session: Session) -> bytes:
-    in_hand = tuple(
-        InHand(number, EFFECTS.index(each.effect), *each.about)
+def encode_session(session: Session) -> bytes:
+    """Returns the session as a row of the store."""
+    open_requests = tuple(
+        OpenRequestRow(number, EFFECTS.index(each.effect), *each.execution_key)
         for number, each in session.open.items()
     )
-    kept = tuple(
-        KeptAnswer(
+    answers = tuple(
+        AnswerRow(
             each.answer.order,
             each.answer.number,
             each.answer.word,
@@ -60,40 +70,40 @@
             each.answer.come_back,
             EFFECTS.index(each.effect),
         )
-        for each in session.kept.values()
+        for each in session.unacknowledged.values()
     )
     return msgspec.msgpack.encode(
-        Row(
+        SessionRow(
             session.device,
-            session.steady,
+            session.has_stable_numbers,
             session.window,
-            session.asked,
-            session.order,
-            in_hand,
-            kept,
+            session.highest_number,
+            session.last_order,
+            open_requests,
+            answers,
         )
     )
 
 
-def session(ident: bytes, value: bytes, link: Link, now: int) -> Session | None:
-    """None where it cannot be read."""
+def decode_session(ident: bytes, data: bytes, link: Link, now: int) -> Session | None:
+    """Returns the session that the row holds, or None if the row is invalid."""
     try:
-        held = msgspec.msgpack.decode(value, type=Row)
-        effects = {each.number: EFFECTS[each.effect] for each in (*held.open, *held.kept)}
+        row = msgspec.msgpack.decode(data, type=SessionRow)
+        effects = {each.number: EFFECTS[each.effect] for each in (*row.open, *row.answers)}
     except (msgspec.MsgspecError, IndexError):
         return None
-    made = Session(ident, held.device, held.steady, held.window, link, now)
-    made.asked, made.order = held.asked, held.order + JUMP
-    for each in held.open:
-        made.open[each.number] = Open(
-            effects[each.number], now, about=(each.group, each.customer, each.key)
+    session = Session(ident, row.device, row.steady, row.window, link, now)
+    session.highest_number, session.last_order = row.asked, row.order + ORDER_INCREMENT
+    for each in row.open:
+        session.open[each.number] = OpenRequest(
+            effects[each.number], now, execution_key=(each.group, each.customer, each.key)
         )
-    for each in held.kept:
-        kept = Kept(
+    for each in row.answers:
+        answer = UnacknowledgedAnswer(
             Answer(each.order, each.number, each.word, each.body, each.come_back),
             effects[each.number],
         )
-        made.kept[each.order] = kept
-        made.by_number[each.number] = each.order
-        made.size += kept.size
-    return made
+        session.unacknowledged[each.order] = answer
+        session.by_number[each.number] = each.order
+        session.unacknowledged_bytes += answer.size
+    return session
--- a/lilacwalk/edge/sessions.py
+++ b/lilacwalk/edge/sessions.py
@@ -1,5 +1,8 @@
-"""The table of sessions: bounded in count, in bytes of answers kept, and for each device; what must go is
-what costs least to lose. Those without a connection are forgotten after a time, by the wheel."""
+"""The session table, bounded in sessions, sessions per device and bytes of unacknowledged answers.
+
+If a limit is reached, the sessions that cost least to lose are evicted. Sessions without a
+connection are removed after a timeout.
+"""
 
 from __future__ import annotations
 
@@ -9,28 +12,45 @@
 from lilacwalk.edge.timer_wheel import Wheel
 
 
-class Sessions:
+class SessionTable:
+    """Sessions by identifier and by device."""
+
     def __init__(
         self,
-        most: int,
-        each: int,
-        most_bytes: int,
-        time: int,
+        max_sessions: int,
+        max_per_device: int,
+        max_bytes: int,
+        idle_timeout: int,
         now: int,
-        dropped: Callable[[Session, str], None],
+        on_removed: Callable[[Session, str], None],
     ) -> None:
-        """`dropped` is told of each that is forgotten, and why."""
-        self.most, self.each, self.most_bytes, self.time, self.dropped = (
-            most,
-            each,
-            most_bytes,
-            time,
-            dropped,
+        """Creates an empty table.
+
+        Args:
+            max_sessions: Maximum number of sessions.
+            max_per_device: Maximum number of sessions of one device.
+            max_bytes: Maximum size of the unacknowledged answers of all sessions.
+            idle_timeout: Time after which a session without a connection is removed.
+            now: The current time.
+            on_removed: Called with each removed session and the reason.
+        """
+        (
+            self.max_sessions,
+            self.max_per_device,
+            self.max_bytes,
+            self.idle_timeout,
+            self.on_removed,
+        ) = (
+            max_sessions,
+            max_per_device,
+            max_bytes,
+            idle_timeout,
+            on_removed,
         )
         self.by_ident: dict[bytes, Session] = {}
         self.by_device: dict[bytes, dict[Session, None]] = {}
         self.wheel = Wheel(now)
-        self.size = 0
+        self.unacknowledged_bytes = 0
 
     def __len__(self) -> int:
         return len(self.by_ident)
@@ -39,14 +59,17 @@
         return iter(self.by_ident.values())
 
     def find(self, ident: bytes) -> Session | None:
+        """Returns the session with this identifier, or None."""
         return self.by_ident.get(ident)
 
     def add(self, session: Session) -> bool:
-        """False where there is no room that would not cost more than a new session is worth."""
-        own = self.by_device.get(session.device, {})
-        if len(own) >= self.each and not self._evict(own, "too many of one device"):
+        """Adds a session, evicting others if needed; returns False if none can be evicted."""
+        device_sessions = self.by_device.get(session.device, {})
+        if len(device_sessions) >= self.max_per_device and not self._evict(
+            device_sessions, "too many of one device"
+        ):
             return False
-        if len(self.by_ident) >= self.most and not self._evict(
+        if len(self.by_ident) >= self.max_sessions and not self._evict(
             self.by_ident.values(), "too many sessions"
         ):
             return False
@@ -54,53 +77,64 @@
         self.by_device.setdefault(session.device, {})[session] = None
         return True
 
-    def _evict(self, among, why: str) -> bool:
-        """Of those without a connection and with nothing in hand, the one that costs least."""
-        idle = [each for each in among if each.connection is None and not each.open]
+    def _evict(self, candidates, reason: str) -> bool:
+        """Removes the cheapest session that has neither a connection nor requests in flight."""
+        idle = [each for each in candidates if each.connection is None and not each.open]
         if not idle:
             return False
-        self.drop(min(idle, key=lambda each: each.cost), why)
+        self.remove(min(idle, key=lambda each: each.eviction_cost), reason)
         return True
 
-    def drop(self, session: Session, why: str) -> None:
+    def remove(self, session: Session, reason: str) -> None:
+        """Removes a session and calls `on_removed`."""
         if self.by_ident.pop(session.ident, None) is None:
             return
-        own = self.by_device[session.device]
-        del own[session]
-        if not own:
+        device_sessions = self.by_device[session.device]
+        del device_sessions[session]
+        if not device_sessions:
             del self.by_device[session.device]
-        self.wheel.drop(session)
-        self.size -= session.size
-        self.dropped(session, why)
-
-    def grew(self, session: Session, size: int) -> None:
-        """An answer was kept for it (or acknowledged: a negative size). Where all together are too large,
-        whole sessions go, the cheapest first; the one that grew last of all."""
-        self.size += size
-        if self.size <= self.most_bytes:
+        self.wheel.cancel(session)
+        self.unacknowledged_bytes -= session.unacknowledged_bytes
+        self.on_removed(session, reason)
+
+    def add_bytes(self, session: Session, size: int) -> None:
+        """Records the size of a new answer, or a negative size for acknowledged ones.
+
+        Beyond the limit, disconnected sessions are removed, cheapest first, but not this
+        session.
+        """
+        self.unacknowledged_bytes += size
+        if self.unacknowledged_bytes <= self.max_bytes:
             return
-        away = [
-            each for each in self if each.connection is None and each.size and each is not session
+        disconnected = [
+            each
+            for each in self
+            if each.connection is None and each.unacknowledged_bytes and each is not session
         ]
-        among = sorted(away, key=lambda each: each.cost)
-        for each in among:
-            if self.size <= self.most_bytes:
+        candidates = sorted(disconnected, key=lambda each: each.eviction_cost)
+        for each in candidates:
+            if self.unacknowledged_bytes <= self.max_bytes:
                 return
-            self.drop(each, "no room for its answers")
+            self.remove(each, "no room for its answers")
 
     @property
-    def full(self) -> bool:
-        """Nothing more is to be taken in that would have to be kept."""
-        return self.size >= self.most_bytes
-
-    def left(self, session: Session, now: int) -> None:
+    def is_full(self) -> bool:
+        """Whether the limit of unacknowledged bytes is reached, so that no further request may be
+        accepted.
+        """
+        return self.unacknowledged_bytes >= self.max_bytes
+
+    def disconnected(self, session: Session, now: int) -> None:
+        """Records that the session lost its connection, and starts its timeout."""
         session.disconnected(now)
-        self.wheel.set(session, now + self.time)
+        self.wheel.schedule(session, now + self.idle_timeout)
 
-    def back(self, session: Session) -> None:
-        self.wheel.drop(session)
+    def reconnected(self, session: Session) -> None:
+        """Cancels the session's timeout."""
+        self.wheel.cancel(session)
 
     def tick(self, now: int) -> None:
-        for session in self.wheel.fired(now):
+        """Removes the sessions whose timeout has expired."""
+        for session in self.wheel.expire(now):
             if session.connection is None:  # type: ignore[attr-defined]
-                self.drop(session, "not seen for too long")  # type: ignore[arg-type]
+                self.remove(session, "not seen for too long")  # type: ignore[arg-type]
--- a/lilacwalk/edge/sketch.py
+++ b/lilacwalk/edge/sketch.py
@@ -1,58 +1,69 @@
-"""A count-min sketch whose counts decay (Cormode and Muthukrishnan, 2005, with exponential forgetting).
+"""A count-min sketch whose counts decay (Cormode and Muthukrishnan, 2005, with exponential decay).
 
-Good for: how often each of any number of sources came lately, in memory that no number of sources moves.
-Cost: a count may be too high where sources collide, never too low. Why not a dict: who is counted chooses how
-many keys there are; spoofed sources would fill it. The seed is secret, so that nobody can aim at another's
-counters."""
+It counts recent events per source, in memory that does not depend on the number of sources. A
+count may be too high if sources collide, but is never too low. A dict is not used because
+attackers choose the number of keys: spoofed sources would fill it. The seed is secret, so that
+nobody can construct collisions with another source's counters.
+"""
 
 from __future__ import annotations
 
 import xxhash
 
-ROWS = 4  # with 2^12 counters each, an error above 1/1,500 of all counts has a chance of e^-4
+ROWS = 4  # with 2^12 counters per row, an error above 1/1,500 of the total has probability e^-4
 COLUMNS = 4_096
 
 
 class Sketch:
+    """Decayed counts by key."""
+
     def __init__(self, seed: int, half_life: int, now: int, columns: int = COLUMNS) -> None:
-        """`half_life` in tenths of a ms."""
-        self.seed, self.half_life, self.at = seed & (1 << 64) - 1, half_life, now
+        """Creates an empty sketch; `half_life` is in tenths of a millisecond."""
+        self.seed, self.half_life, self.updated_at = seed & (1 << 64) - 1, half_life, now
         self.columns, self.scale = (
             columns,
             1.0,
-        )  # counts are in units that grow: decay touches one number
+        )  # stored counts are multiplied by `scale`, so that decay changes this number only
         self.rows = [[0.0] * columns for _ in range(ROWS)]
 
-    def _places(self, key: bytes) -> list[int]:
-        """Two hashes make all (Kirsch and Mitzenmacher, 2006)."""
-        both = xxhash.xxh3_128_intdigest(key, self.seed)
-        low, high = both & (1 << 64) - 1, both >> 64 | 1
+    def _columns(self, key: bytes) -> list[int]:
+        """Returns the key's column in each row, derived from two hashes (Kirsch and Mitzenmacher,
+        2006).
+        """
+        digest = xxhash.xxh3_128_intdigest(key, self.seed)
+        low, high = digest & (1 << 64) - 1, digest >> 64 | 1
         return [(low + row * high) % self.columns for row in range(ROWS)]
 
-    def _forget(self, now: int) -> None:
-        if now > self.at:
+    def _decay(self, now: int) -> None:
+        if now > self.updated_at:
             self.scale *= 2.0 ** min(
-                1_000.0, (now - self.at) / self.half_life
-            )  # beyond that nothing is left
-            self.at = now
+                1_000.0, (now - self.updated_at) / self.half_life
+            )  # at 1,000 half-lives the counts are zero
+            self.updated_at = now
             if self.scale > 1e12:
                 for row in self.rows:
                     row[:] = [count / self.scale for count in row]
                 self.scale = 1.0
 
     def add(self, key: bytes, now: int, amount: float = 1.0) -> float:
-        """The count after it; of colliding ones only the lowest are raised (conservative update)."""
-        self._forget(now)
-        places = self._places(key)
+        """Adds to a key's count and returns the new count.
+
+        Only the lowest of its counters are raised (conservative update).
+        """
+        self._decay(now)
+        key_columns = self._columns(key)
         count = (
-            min(row[at] for row, at in zip(self.rows, places, strict=True)) + amount * self.scale
+            min(row[column] for row, column in zip(self.rows, key_columns, strict=True))
+            + amount * self.scale
         )
-        for row, at in zip(self.rows, places, strict=True):
-            row[at] = max(row[at], count)
+        for row, column in zip(self.rows, key_columns, strict=True):
+            row[column] = max(row[column], count)
         return count / self.scale
 
     def count(self, key: bytes, now: int) -> float:
-        self._forget(now)
+        """Returns a key's decayed count."""
+        self._decay(now)
         return (
-            min(row[at] for row, at in zip(self.rows, self._places(key), strict=True)) / self.scale
+            min(row[column] for row, column in zip(self.rows, self._columns(key), strict=True))
+            / self.scale
         )
--- a/lilacwalk/edge/timer_wheel.py
+++ b/lilacwalk/edge/timer_wheel.py
@@ -1,99 +1,113 @@
-"""A timing wheel in levels (Varghese and Lauck, 1987): many timers, most of them moved or dropped before they
-fire.
+"""A hierarchical timing wheel (Varghese and Lauck, 1987).
 
-Good for: setting, moving and dropping a timer in constant time whatever their number, where a heap pays log n
-for each and keeps what was dropped until its time. Cost: a timer fires at the end of its slot, up to one slot
-late and never early; an empty stretch is walked slot by slot, so the wheel is asked when the next slot that
-holds anything ends. Why not `heapq`: sessions move several timers with each frame. `benchmarks/edge.py` has
-the figures."""
+Most timers are moved or cancelled before they expire. The wheel schedules, moves and cancels a
+timer in constant time, whatever their number; a heap takes log n for each and keeps cancelled
+timers until they are due. `heapq` is not used because sessions move several timers with each
+frame; `benchmarks/edge.py` compares both. A timer expires at the end of its slot: up to one
+slot
+late and never early. An empty interval is walked slot by slot, so callers use `due` to find the
+next slot with timers.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Hashable, Iterator
 
-SLOT = 100  # tenths of a ms: 10 ms is finer than any decision about a link that stalls for seconds
-SLOTS = 64  # in each level: four levels reach 64^4 slots, some 46 hours
+SLOT_DURATION = 100  # tenths of a ms; 10 ms is precise enough for links that stall for seconds
+SLOTS_PER_LEVEL = 64  # four levels cover 64^4 slots, about 46 hours
 LEVELS = 4
 
 
 class Wheel:
-    """Times are tenths of a ms and never run back. One timer a name; setting it again moves it."""
+    """Timers by name; scheduling a name again moves its timer.
 
-    def __init__(self, now: int, slot: int = SLOT) -> None:
-        self.slot, self.at = slot, now // slot  # `at`: the first slot that has not fired
+    Times are in tenths of a millisecond and never decrease.
+    """
+
+    def __init__(self, now: int, slot: int = SLOT_DURATION) -> None:
+        """Creates a wheel without timers."""
+        self.slot_duration, self.next_tick = (
+            slot,
+            now // slot,
+        )  # `next_tick`: number of the first slot that has not expired
         self.levels: list[list[dict[Hashable, int]]] = [
-            [{} for _ in range(SLOTS)] for _ in range(LEVELS)
+            [{} for _ in range(SLOTS_PER_LEVEL)] for _ in range(LEVELS)
         ]
-        self.where: dict[Hashable, dict[Hashable, int]] = {}
+        self.slots_by_name: dict[Hashable, dict[Hashable, int]] = {}
 
     def __len__(self) -> int:
-        return len(self.where)
+        return len(self.slots_by_name)
 
-    def set(self, name: Hashable, due: int) -> None:
-        self.drop(name)
-        self._put(name, max(self.at, -(-due // self.slot)))
+    def schedule(self, name: Hashable, due: int) -> None:
+        """Sets or moves a timer."""
+        self.cancel(name)
+        self._insert(name, max(self.next_tick, -(-due // self.slot_duration)))
 
-    def _put(self, name: Hashable, tick: int) -> None:
-        ahead, index = tick - self.at, 0
-        while ahead >= SLOTS ** (index + 1) and index < LEVELS - 1:
+    def _insert(self, name: Hashable, tick: int) -> None:
+        remaining, index = tick - self.next_tick, 0
+        while remaining >= SLOTS_PER_LEVEL ** (index + 1) and index < LEVELS - 1:
             index += 1
         slot = min(
-            tick, self.at + SLOTS**LEVELS - 1
-        )  # beyond the reach: it comes down early and is put anew
-        place = self.levels[index][slot // SLOTS**index % SLOTS]
-        place[name] = tick
-        self.where[name] = place
-
-    def drop(self, name: Hashable) -> bool:
-        place = self.where.pop(name, None)
-        if place is None:
+            tick, self.next_tick + SLOTS_PER_LEVEL**LEVELS - 1
+        )  # a timer beyond the last level cascades early and is then inserted again
+        bucket = self.levels[index][slot // SLOTS_PER_LEVEL**index % SLOTS_PER_LEVEL]
+        bucket[name] = tick
+        self.slots_by_name[name] = bucket
+
+    def cancel(self, name: Hashable) -> bool:
+        """Removes a timer, and returns whether there was one."""
+        bucket = self.slots_by_name.pop(name, None)
+        if bucket is None:
             return False
-        del place[name]
+        del bucket[name]
         return True
 
     def due(self) -> int | None:
-        """When `fired` has something to do next, at the earliest; None where there is no timer."""
-        if not self.where:
+        """Returns the earliest time at which `expire` has work to do, or None without timers."""
+        if not self.slots_by_name:
             return None
-        for tick in range(self.at, self.at + SLOTS):
-            if self.levels[0][tick % SLOTS]:
-                return tick * self.slot
-            if tick % SLOTS == 0 and self._falls(tick):
-                return tick * self.slot
-        return (self.at // SLOTS + 1) * SLOTS * self.slot
-
-    def _falls(self, tick: int) -> bool:
-        """Whether timers of an upper level come down at this slot."""
+        for tick in range(self.next_tick, self.next_tick + SLOTS_PER_LEVEL):
+            if self.levels[0][tick % SLOTS_PER_LEVEL]:
+                return tick * self.slot_duration
+            if tick % SLOTS_PER_LEVEL == 0 and self._cascades_at(tick):
+                return tick * self.slot_duration
+        return (self.next_tick // SLOTS_PER_LEVEL + 1) * SLOTS_PER_LEVEL * self.slot_duration
+
+    def _cascades_at(self, tick: int) -> bool:
+        """Whether timers of a higher level move to a lower one at this tick."""
         for level in range(1, LEVELS):
-            if tick % SLOTS**level:
+            if tick % SLOTS_PER_LEVEL**level:
                 return False
-            if self.levels[level][tick // SLOTS**level % SLOTS]:
+            if self.levels[level][tick // SLOTS_PER_LEVEL**level % SLOTS_PER_LEVEL]:
                 return True
         return False
 
-    def fired(self, now: int) -> Iterator[Hashable]:
-        """All whose slot has ended, in the order of slots; setting timers meanwhile is allowed."""
-        last = now // self.slot
-        while self.at <= last:
-            if not self.where:
-                self.at = last + 1
+    def expire(self, now: int) -> Iterator[Hashable]:
+        """Yields the timers whose slot has ended, in order of slots; timers may be scheduled
+        meanwhile.
+        """
+        last = now // self.slot_duration
+        while self.next_tick <= last:
+            if not self.slots_by_name:
+                self.next_tick = last + 1
                 return
-            tick = self.at
+            tick = self.next_tick
             for level in range(1, LEVELS):
-                if tick % SLOTS**level:
+                if tick % SLOTS_PER_LEVEL**level:
                     break
-                self._come_down(level, tick)
-            place = self.levels[0][tick % SLOTS]
-            while place:
-                name = next(iter(place))
-                del place[name]
-                del self.where[name]
+                self._cascade(level, tick)
+            bucket = self.levels[0][tick % SLOTS_PER_LEVEL]
+            while bucket:
+                name = next(iter(bucket))
+                del bucket[name]
+                del self.slots_by_name[name]
                 yield name
-            self.at = tick + 1
-
-    def _come_down(self, level: int, tick: int) -> None:
-        place = self.levels[level][tick // SLOTS**level % SLOTS]
-        rows = list(place.items())
-        place.clear()
-        for name, due in rows:
-            self._put(name, max(due, tick))
+            self.next_tick = tick + 1
+
+    def _cascade(self, level: int, tick: int) -> None:
+        """Moves the timers of one slot to lower levels."""
+        bucket = self.levels[level][tick // SLOTS_PER_LEVEL**level % SLOTS_PER_LEVEL]
+        timers = list(bucket.items())
+        bucket.clear()
+        for name, due in timers:
+            self._insert(name, max(due, tick))
--- a/lilacwalk/edge/tokens.py
+++ b/lilacwalk/edge/tokens.py
@@ -1,6 +1,9 @@
-"""Tokens for devices and for sessions: a name, an end and a mark that only who has the secret can make
-(HMAC-SHA256, RFC 2104). Compared in constant time. Secrets are rotated with an overlap: the first of a file
-makes, all check."""
+"""Tokens that authenticate devices and sessions: a name, an expiry time and a MAC.
+
+The MAC is a truncated HMAC-SHA256 (RFC 2104) and is compared in constant time. Secrets are
+rotated
+with an overlap: tokens are signed with the first secret of the file and verified with all.
+"""
 
 from __future__ import annotations
 
@@ -8,50 +11,70 @@
 import struct
 from dataclasses import dataclass
 
-MARK = 16  # bytes: 128 bits cannot be guessed within any end
-LEAST_SECRET = 32  # bytes; what the file holds shorter is a password, and told at check
+MAC_BYTES = 16  # 128 bits cannot be guessed before a token expires
+MIN_SECRET_BYTES = 32  # a shorter secret is likely a password, and `check` rejects it
 DEVICE, SESSION = b"d", b"s"
 
 
 class TokenError(Exception):
-    """Why a token does not hold: `unreadable`, `unknown` (of another secret, node or guess) or `expired`."""
+    """The token is invalid; the message is the reason.
+
+    It is `unreadable`, `unknown` (signed with another secret, by another node, or guessed) or
+    `expired`.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Token:
+    """The content of a valid token."""
+
     kind: bytes
     name: bytes
-    until: int  # Unix seconds
+    expires_at: int  # Unix seconds
 
 
 class Tokens:
-    def __init__(self, secrets: list[bytes], node: bytes) -> None:
-        """`node` is mixed into session tokens: another node's session means nothing here, and is said to."""
+    """Signs and verifies tokens."""
+
+    def __init__(self, secrets: list[bytes], scope_name: bytes) -> None:
+        """Creates a signer with these secrets.
+
+        `scope_name` is included in the MAC of session tokens, so that a session token of
+        another node is
+        rejected.
+        """
         if not secrets:
-            raise ValueError("no secret")
-        self.secrets, self.node = secrets, node
+            raise ValueError("at least one secret is required to sign tokens, got none")
+        self.secrets, self.scope_name = secrets, scope_name
 
-    def _mark(self, secret: bytes, kind: bytes, body: bytes) -> bytes:
-        place = self.node if kind == SESSION else b""
-        return hmac.digest(secret, kind + struct.pack("!H", len(place)) + place + body, "sha256")[
-            :MARK
+    def _mac(self, secret: bytes, kind: bytes, body: bytes) -> bytes:
+        scope = self.scope_name if kind == SESSION else b""
+        return hmac.digest(secret, kind + struct.pack("!H", len(scope)) + scope + body, "sha256")[
+            :MAC_BYTES
         ]
 
-    def make(self, kind: bytes, name: bytes, until: int) -> bytes:
-        body = struct.pack("!QB", until, len(name)) + name
-        return body + self._mark(self.secrets[0], kind, body)
+    def make(self, kind: bytes, name: bytes, expires_at: int) -> bytes:
+        """Returns a token that expires at a Unix time in seconds."""
+        body = struct.pack("!QB", expires_at, len(name)) + name
+        return body + self._mac(self.secrets[0], kind, body)
 
     def check(self, kind: bytes, raw: bytes, now: int) -> Token:
-        """`now` in Unix seconds. Raises TokenError. All secrets are tried, so that time tells nothing."""
-        if len(raw) < 9 + MARK or len(raw) != 9 + raw[8] + MARK:
+        """Verifies a token; `now` is the Unix time in seconds.
+
+        All secrets are tried, so that the duration does not reveal which one matched.
+
+        Raises:
+            TokenError: The token is invalid.
+        """
+        if len(raw) < 9 + MAC_BYTES or len(raw) != 9 + raw[8] + MAC_BYTES:
             raise TokenError("unreadable")
-        body, mark = raw[:-MARK], raw[-MARK:]
-        good = [
-            hmac.compare_digest(self._mark(secret, kind, body), mark) for secret in self.secrets
+        body, mac = raw[:-MAC_BYTES], raw[-MAC_BYTES:]
+        matches = [
+            hmac.compare_digest(self._mac(secret, kind, body), mac) for secret in self.secrets
         ]
-        if not any(good):
+        if not any(matches):
             raise TokenError("unknown")
-        until = int.from_bytes(body[:8], "big")
-        if until <= now:
+        expires_at = int.from_bytes(body[:8], "big")
+        if expires_at <= now:
             raise TokenError("expired")
-        return Token(kind, body[9:], until)
+        return Token(kind, body[9:], expires_at)
--- a/lilacwalk/frontends/devices.py
+++ b/lilacwalk/frontends/devices.py
@@ -16,10 +16,10 @@
 import xxhash
 
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.device_service import Asking, Group
+from lilacwalk.edge.device_service import DeviceRequest, DeviceRequestClass
 from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED
 from lilacwalk.edge.host import EdgeError, EdgeHost
-from lilacwalk.edge.session import Open, Session
+from lilacwalk.edge.session import OpenRequest, Session
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.frontends.interface import RequestHandler
 from lilacwalk.overload.model import Effect
@@ -77,24 +77,24 @@
         self,
         host: RequestHandler,
         config: EdgeConfig,
-        groups: dict[str, Group],
+        request_classes: dict[str, DeviceRequestClass],
         node: str,
         seed: int,
         event_queue: EventQueue,
         clock: Callable[[], int],
-        on_keep: SessionsHandler | None = None,
+        persist_sessions: SessionsHandler | None = None,
     ) -> None:
         """Opens the listening sockets; connections are served after `start`.
 
         Args:
             host: The event loop.
             config: The operator's configuration.
-            groups: The request classes by name.
+            request_classes: The request classes by name.
             node: Name of this server.
             seed: Seed of random choices.
             event_queue: The event loop's queue.
             clock: A clock like the event loop's, for use only by the sessions' thread.
-            on_keep: Persists sessions, or None if sessions end with the process.
+            persist_sessions: Persists sessions, or None if sessions end with the process.
 
         Raises:
             EdgeError: The certificates or secrets cannot be used.
@@ -110,13 +110,13 @@
         self.request_numbers = count(int.from_bytes(os.urandom(REQUEST_ID_BYTES), "big"))
         self.edge = EdgeHost(
             config,
-            groups,
+            request_classes,
             node,
             seed,
             clock,
             self._post_request,
             self._post_client_gone,
-            on_keep,
+            persist_sessions,
             self._post_recovered_request,
         )
         self.is_closing = False
@@ -127,38 +127,44 @@
 
     # Called in the sessions' thread
 
-    def _post_request(self, session: Session, number: int, asking: Asking) -> None:
-        self.event_queue.post(self.request_received, session, number, asking)
+    def _post_request(self, session: Session, number: int, device_request: DeviceRequest) -> None:
+        self.event_queue.post(self.request_received, session, number, device_request)
 
     def _post_client_gone(self, session: Session, number: int) -> None:
         self.event_queue.post(self.client_gone, session, number)
 
-    def _post_recovered_request(self, session: Session, number: int, opened: Open) -> None:
+    def _post_recovered_request(self, session: Session, number: int, opened: OpenRequest) -> None:
         self.event_queue.post(self.request_recovered, session, number, opened)
 
     # Posted by the sessions' thread, called in the event loop's thread
 
-    def request_received(self, session: Session, number: int, asking: Asking) -> None:
+    def request_received(
+        self, session: Session, number: int, device_request: DeviceRequest
+    ) -> None:
         """Handles a request; `number` is its number in the session."""
         client = self.clients.get(session)
         if client is None:
             client = self.clients[session] = DeviceConnection(session, self)
-        problem = self.host.submit(client, number, self._to_incoming(session, number, asking))
+        problem = self.host.submit(
+            client, number, self._to_incoming(session, number, device_request)
+        )
         if problem:
             self.reject_malformed(client, number, problem)
 
-    def _to_incoming(self, session: Session, number: int, asking: Asking) -> IncomingRequest:
-        ask = asking.ask
+    def _to_incoming(
+        self, session: Session, number: int, device_request: DeviceRequest
+    ) -> IncomingRequest:
+        ask = device_request.frame
         return IncomingRequest(
             id=self._request_id(session, number),
             class_name=ask.group,
-            tenant_name=asking.customer,
+            tenant_name=device_request.tenant,
             client=FIRST_CLIENT_NUMBER | xxhash.xxh32_intdigest(session.device),
-            arrived_at=asking.arrived,
-            timeout=asking.wait,
+            arrived_at=device_request.arrived_at,
+            timeout=device_request.timeout,
             work_hint=ask.work * 10,
             memory_kb=float(ask.hold) or DEFAULT_MEMORY_KB,
-            is_retry=asking.retry,
+            is_retry=device_request.is_retry,
             subject=ask.subject,
             idempotency_key=ask.key,
             body=ask.body,
@@ -182,27 +188,27 @@
             self.host.client_gone(client.open_requests[number])
             self._remove_if_idle(client)
 
-    def request_recovered(self, session: Session, number: int, opened: Open) -> None:
+    def request_recovered(self, session: Session, number: int, opened: OpenRequest) -> None:
         """Responds to a request that was in flight when the previous process ended.
 
         Sends the result if it is known. Otherwise, a request that is not idempotent and may have
         been executed is answered as failed; any other is rejected, and may be retried.
         """
         began, result = self.host.find_earlier_execution(
-            *opened.about, self._request_id(session, number)
+            *opened.execution_key, self._request_id(session, number)
         )
         if result is not None:
-            self.edge.answered(session, number, COMPLETED, result, 0)
+            self.edge.send_answer(session, number, COMPLETED, result, 0)
         elif began and opened.effect is not Effect.IDEMPOTENT:
-            self.edge.answered(session, number, TERMINATED, b"", 0)
+            self.edge.send_answer(session, number, TERMINATED, b"", 0)
         else:
-            self.edge.answered(session, number, DENIED, b"", RETRY_AFTER)
+            self.edge.send_answer(session, number, DENIED, b"", RETRY_AFTER)
 
     # Called by the event loop
 
     def send_response(self, client: DeviceConnection, tag: int, response: FinalResponse) -> None:
         """Sends the response to the request with this number."""
-        self.edge.answered(
+        self.edge.send_answer(
             client.session,
             tag,
             WORDS_BY_STATUS[response.status],
@@ -214,7 +220,7 @@
     def reject_malformed(self, client: DeviceConnection, tag: int, _reason: str) -> None:
         """Responds to a request that cannot be processed, unless the tag is 0."""
         if tag:
-            self.edge.answered(client.session, tag, TERMINATED, b"", 0)
+            self.edge.send_answer(client.session, tag, TERMINATED, b"", 0)
             self._remove_if_idle(client)
 
     def _remove_if_idle(self, client: DeviceConnection) -> None:
@@ -226,24 +232,24 @@
 
     def start_draining(self, _now: int) -> None:
         """Redirects the devices to other servers."""
-        self.edge.put(self.edge.leave, RETRY_AFTER)
+        self.edge.post(self.edge.start_draining, RETRY_AFTER)
 
     def stop_accepting(self) -> None:
         """Closes the listener."""
         self.is_closing = True
-        self.edge.put(self.edge.shut)
+        self.edge.post(self.edge.stop_accepting)
 
     def close_idle_connections(self, _now: int, _is_final: bool) -> None:
         """Does nothing: the sessions' thread closes its connections."""
 
     def is_drained(self) -> bool:
         """Whether no device is connected any more."""
-        return self.edge.over.is_set() or (self.is_closing and self.edge.idle)
+        return self.edge.has_stopped.is_set() or (self.is_closing and self.edge.is_idle)
 
     def is_flushed(self) -> bool:
         """Whether all responses have been sent."""
-        return self.edge.over.is_set() or not any(
-            wire.queue for wire in list(self.edge.wires.values())
+        return self.edge.has_stopped.is_set() or not any(
+            wire.queue for wire in list(self.edge.device_sockets.values())
         )
 
     def reload(self, config: EdgeConfig) -> None:
--- a/lilacwalk/operator/check.py
+++ b/lilacwalk/operator/check.py
@@ -72,7 +72,7 @@
     if config is None:
         print("edge=off")
         return EXIT_USABLE
-    from lilacwalk.edge.host import EdgeError, context, read_secrets
+    from lilacwalk.edge.host import EdgeError, create_tls_context, read_secrets
 
     host, port = config.listen
     print(
@@ -82,7 +82,7 @@
     try:
         print(f"secrets={len(read_secrets(config.secrets))}")
         if config.tls is not None:
-            context(config.tls)
+            create_tls_context(config.tls)
             expiry = certificate_expiry(config.tls.certificate)
             print(
                 f"certificate={config.tls.certificate} key={config.tls.key} fit=yes "
--- a/lilacwalk/server/subsystem_factories.py
+++ b/lilacwalk/server/subsystem_factories.py
@@ -96,13 +96,15 @@
 ) -> DeviceFrontend:
     """Creates the front end for devices; `persist_sessions` records their sessions."""
     try:
-        from lilacwalk.edge.device_service import Group
+        from lilacwalk.edge.device_service import DeviceRequestClass
         from lilacwalk.frontends.devices import DeviceFrontend, EdgeError
     except ImportError as error:
         hint = ": requirements-edge.txt names what it needs"
         raise SubsystemConfigError("edge", error, hint) from error
     server = event_loop.server
-    groups = {each.name: Group(each.effect, each.timeout) for each in server.request_classes}
+    groups = {
+        each.name: DeviceRequestClass(each.effect, each.timeout) for each in server.request_classes
+    }
     try:
         return DeviceFrontend(
             event_loop.requests,
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -182,7 +182,7 @@
             self.restore_learned_state(controller)
         if self.devices is not None and not self._devices_started:
             self._devices_started = True
-            self.devices.edge.recall(self.persistence.recovered_sessions)
+            self.devices.edge.recover_sessions(self.persistence.recovered_sessions)
             self.devices.start()
 
     # Edge
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -183,10 +183,12 @@
 def test_a_device_session_is_restored_with_its_requests_and_unacknowledged_answers(copied):
     rows = recovered(copied("app-server-store")).state.rows
     value = rows[4, b"ident-0123456789"].value
-    session = session_codec.session(b"ident-0123456789", value, Link(), 0)
-    written_again = msgspec.msgpack.decode(session_codec.row(session))
+    session = session_codec.decode_session(b"ident-0123456789", value, Link(), 0)
+    written_again = msgspec.msgpack.decode(session_codec.encode_session(session))
     expected = list(APP_SERVER_ROWS[6][3])
-    expected[4] += session_codec.JUMP  # numbers of answers lost between two rows are not used again
+    expected[4] += (
+        session_codec.ORDER_INCREMENT
+    )  # numbers of answers lost between two rows are not used again
     assert written_again == expected
 
 
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -9,7 +9,7 @@
 from lilacwalk.edge import frames
 from lilacwalk.edge.client.device import Device
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.device_service import Do, Group, Serving
+from lilacwalk.edge.device_service import ActionType, DeviceRequestClass, DeviceService
 from lilacwalk.edge.frames import Answer, Ask, Got, Hello, Refused, Welcome
 from lilacwalk.edge.tokens import DEVICE, Tokens
 from lilacwalk.event_queue import EventQueue
@@ -23,45 +23,45 @@
 START = 1_800_000_000 * SECOND
 SECRET = bytes(range(32))
 GROUPS = {
-    "look": Group(Effect.IDEMPOTENT, 2 * SECOND),
-    "swap": Group(Effect.DEDUPLICATED, 4 * SECOND),
-    "move": Group(Effect.NON_IDEMPOTENT, 4 * SECOND),
+    "look": DeviceRequestClass(Effect.IDEMPOTENT, 2 * SECOND),
+    "swap": DeviceRequestClass(Effect.DEDUPLICATED, 4 * SECOND),
+    "move": DeviceRequestClass(Effect.NON_IDEMPOTENT, 4 * SECOND),
 }
 
 
 class World:
     """The edge's machine; connections are numbers, and what is sent on each is read back as frames."""
 
-    def __init__(self, **orders):
+    def __init__(self, **config):
         self.now = START
         self.tokens = Tokens([SECRET], b"n1")
         base = {"listen": ("127.0.0.1", 0), "secrets": ""}
-        self.orders = EdgeConfig(**(base | orders))
-        self.serving = Serving(self.orders, GROUPS, self.tokens, 7, self.now)
+        self.config = EdgeConfig(**(base | config))
+        self.service = DeviceService(self.config, GROUPS, self.tokens, 7, self.now)
         self.streams, self.read, self.closed, self.asks, self.gone = {}, {}, [], [], []
         self.flowing = True  # what is sent is taken by the system at once
         self.numbers = 0
 
     def take(self):
-        while actions := self.serving.taken():
+        while actions := self.service.take_actions():
             for action in actions:
                 number = action.connection
-                if action.do is Do.SEND:
+                if action.type is ActionType.SEND:
                     stream = self.streams.setdefault(number, frames.Stream(1 << 20))
-                    self.read.setdefault(number, []).extend(stream.feed(action.about))
+                    self.read.setdefault(number, []).extend(stream.feed(action.payload))
                     if self.flowing:
-                        self.serving.sent(number, len(action.about), self.now)
-                elif action.do is Do.CLOSE:
+                        self.service.bytes_sent(number, len(action.payload), self.now)
+                elif action.type is ActionType.CLOSE:
                     self.closed.append(number)
-                elif action.do is Do.ASK:
-                    self.asks.append((action.session, action.number, action.about))
-                elif action.do is Do.GONE:
+                elif action.type is ActionType.SUBMIT:
+                    self.asks.append((action.session, action.number, action.payload))
+                elif action.type is ActionType.CLIENT_GONE:
                     self.gone.append(action.number)
         return self
 
     def open(self, address=b"\x7f\0\0\1", identity=b""):
         self.numbers += 1
-        self.let_in = self.serving.opened(self.numbers, address, identity, self.now)
+        self.is_admitted = self.service.connection_opened(self.numbers, address, identity, self.now)
         self.take()
         return self.numbers
 
@@ -80,7 +80,7 @@
 
     def say(self, number, *said):
         for each in said:
-            self.serving.frame(number, each, self.now)
+            self.service.frame_received(number, each, self.now)
         return self.take()
 
     def welcome(self, number):
@@ -95,19 +95,19 @@
         return [each for each in self.read.get(number, []) if isinstance(each, Answer)]
 
     def lose(self, number):
-        self.serving.closed(number, self.now)
+        self.service.connection_closed(number, self.now)
         return self.take()
 
     def answer(self, at=-1, word=0, body=b"ok", come_back=0):
         session, number, _ = self.asks[at]
-        self.serving.answered(session, number, word, body, come_back, self.now)
+        self.service.send_answer(session, number, word, body, come_back, self.now)
         return self.take()
 
     def wait(self, time):
         end = self.now + time
-        while (due := self.serving.due()) <= end:
+        while (due := self.service.due()) <= end:
             self.now = max(self.now, due)
-            self.serving.tick(self.now)
+            self.service.tick(self.now)
             self.take()
         self.now = end
         return self
@@ -139,8 +139,8 @@
         self.kernel = Kernel(cores, work, result)
         text = f"edge {{\n listen 127.0.0.1:0\n secrets {self.path}\n customer devices\n{block}}}\n"
         self.event_loop, parts = build(handed(self.kernel.address, **given), EventQueue())
-        self.orders = parse_operator_file(text, "test")
-        self.event_loop.subsystems.apply(self.orders)
+        self.config = parse_operator_file(text, "test")
+        self.event_loop.subsystems.apply(self.config)
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
         self.parts, self.devices = parts, []
         for each in [self.thread, *parts]:
@@ -168,7 +168,7 @@
     def inside(self, question):
         """Asked of the edge's machine in its own thread."""
         answers = SimpleQueue()
-        self.edge.put(lambda: answers.put(question(self.edge.serving)))
+        self.edge.post(lambda: answers.put(question(self.edge.service)))
         return answers.get(timeout=10.0)
 
     def end(self):
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -13,13 +13,18 @@
 from lilacwalk.commands import lilacwalk
 from lilacwalk.edge.client.coap import CoapDevice
 from lilacwalk.edge.coap import messages
-from lilacwalk.edge.coap.address_validation import Proof
-from lilacwalk.edge.coap.blocks import Block, BlockError, Incoming, piece
+from lilacwalk.edge.coap.address_validation import AddressValidator
+from lilacwalk.edge.coap.blocks import Block, BlockAssembler, BlockError, select_block
 from lilacwalk.edge.coap.messages import Message, MessageError, Option, Type
-from lilacwalk.edge.coap.reliability import EXCHANGE_LIFETIME, NON_LIFETIME, Reliability, Timeout
-from lilacwalk.edge.coap.service import CoapServing
+from lilacwalk.edge.coap.reliability import (
+    EXCHANGE_LIFETIME,
+    NON_LIFETIME,
+    Reliability,
+    RetransmissionTimeout,
+)
+from lilacwalk.edge.coap.service import CoapService
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.device_service import Do
+from lilacwalk.edge.device_service import ActionType
 from lilacwalk.edge.tokens import DEVICE, Tokens
 from lilacwalk.testing.lossy_proxy import UdpProxy, Weather
 from tests.edge.conftest import GROUPS, SECOND, SECRET, START
@@ -80,29 +85,29 @@
 
 
 class World:
-    def __init__(self, proven=True, **orders):
+    def __init__(self, proven=True, **config):
         self.now, self.mid = START, 0
         self.tokens = Tokens([SECRET], b"n1")
-        self.orders = EdgeConfig(**({"listen": ("127.0.0.1", 0), "secrets": ""} | orders))
-        self.serving = CoapServing(self.orders, GROUPS, self.tokens, 7, self.now)
+        self.config = EdgeConfig(**({"listen": ("127.0.0.1", 0), "secrets": ""} | config))
+        self.service = CoapService(self.config, GROUPS, self.tokens, 7, self.now)
         self.sent, self.asks = [], []
         self.proven = proven
 
     def take(self):
         """What was sent since, as messages."""
         sent = []
-        for action in self.serving.taken():
-            if action.do is Do.DATAGRAM:
-                sent.append(messages.decode(action.about[1]))
-            elif action.do is Do.ASK:
-                self.asks.append((action.session, action.about))
+        for action in self.service.take_actions():
+            if action.type is ActionType.DATAGRAM:
+                sent.append(messages.decode(action.payload[1]))
+            elif action.type is ActionType.SUBMIT:
+                self.asks.append((action.session, action.payload))
         self.sent += sent
         return sent
 
     def say(self, message, address=HERE):
         if self.proven:
-            self.serving.proof.proven[address] = self.now + 10**9
-        self.serving.datagram(address, messages.encode(message), self.now)
+            self.service.address_validator.validated_until[address] = self.now + 10**9
+        self.service.datagram_received(address, messages.encode(message), self.now)
         return self.take()
 
     def request(
@@ -122,14 +127,14 @@
         )
 
     def answer(self, at=-1, word=0, body=b"ok", come_back=0):
-        self.serving.answered(self.asks[at][0], word, body, come_back, self.now)
+        self.service.send_answer(self.asks[at][0], word, body, come_back, self.now)
         return self.take()
 
     def wait(self, time):
         end = self.now + time
-        while (due := self.serving.due()) <= end:
+        while (due := self.service.due()) <= end:
             self.now = max(self.now, due)
-            self.serving.tick(self.now)
+            self.service.tick(self.now)
         self.now = end
         return self.take()
 
@@ -137,7 +142,7 @@
 def test_an_answer_that_is_there_at_once_rides_on_the_acknowledgement():
     world = World()
     assert world.say(world.request(queries=[b"w=1000", b"k=key"])) == []
-    assert (world.asks[0][1].ask.key, world.asks[0][1].wait) == ("key", SECOND)
+    assert (world.asks[0][1].frame.key, world.asks[0][1].timeout) == ("key", SECOND)
     assert world.answer() == [Message(ACK, messages.CHANGED, 1, b"tk", (), b"ok")]
 
 
@@ -150,7 +155,7 @@
     again = world.wait(4 * SECOND)
     assert again and all(each == separate for each in again)
     assert world.say(Message(ACK, 0, separate.mid)) == [] and world.wait(100 * SECOND) == []
-    assert world.serving.idle
+    assert world.service.is_idle
 
 
 def test_a_separate_answer_nobody_acknowledges_is_given_up_after_four_more_and_kept_for_who_asks_again():
@@ -158,7 +163,7 @@
     world.say(world.request("move"))
     world.wait(SECOND)
     world.answer()
-    assert len(world.wait(200 * SECOND)) == 4 and world.serving.counts["lost"] == 1
+    assert len(world.wait(200 * SECOND)) == 4 and world.service.counts["lost"] == 1
     assert world.say(world.request("move"))[0].payload == b"ok" and len(world.asks) == 1
 
 
@@ -263,54 +268,57 @@
         made = world.request(
             "move",
             body[at : at + 512],
-            options=[(Option.BLOCK1, block.encoded()), (Option.REQUEST_TAG, b"a")],
+            options=[(Option.BLOCK1, block.encode()), (Option.REQUEST_TAG, b"a")],
         )
         sent = world.say(made)
         assert [each.code for each in sent] == ([messages.CONTINUE] if number < 3 else [])
-    assert world.asks[0][1].ask.body == body and world.serving.blocks.bytes == 0
+    assert world.asks[0][1].frame.body == body and world.service.block_assembler.buffered_bytes == 0
 
 
 def test_a_long_answer_is_given_in_pieces():
     world, body = World(), random.Random(1).randbytes(3_000)
     world.say(world.request())
     [first] = world.answer(body=body)
-    found, block = first.payload, Block.of(first.first(Option.BLOCK2))
+    found, block = first.payload, Block.decode(first.first(Option.BLOCK2))
     while block.more:
         block = Block(block.number + 1, False, block.size)
-        [reply] = world.say(world.request(payload=b"", options=[(Option.BLOCK2, block.encoded())]))
-        found, block = found + reply.payload, Block.of(reply.first(Option.BLOCK2))
+        [reply] = world.say(world.request(payload=b"", options=[(Option.BLOCK2, block.encode())]))
+        found, block = found + reply.payload, Block.decode(reply.first(Option.BLOCK2))
     assert found == body and len(world.asks) == 1
 
 
 @pytest.mark.parametrize("order, incomplete", [([1], True), ([0, 2], True), ([0, 1, 3], True)])
 def test_a_piece_out_of_its_place_ends_the_body(order, incomplete):
-    incoming = Incoming(4, 10_000, 2_048, 30 * SECOND)
+    incoming = BlockAssembler(4, 10_000, 2_048, 30 * SECOND)
     with pytest.raises(BlockError) as error:
         for number in order:
             incoming.add(("a",), Block(number, True, 64), b"x" * 64, 0)
-    assert error.value.incomplete is incomplete and incoming.bytes == 0
+    assert error.value.incomplete is incomplete and incoming.buffered_bytes == 0
 
 
 def test_bodies_under_way_are_bounded_in_count_bytes_size_and_time():
-    incoming = Incoming(4, 1_000, 300, 30 * SECOND)
+    incoming = BlockAssembler(4, 1_000, 300, 30 * SECOND)
     for name in range(20):
         incoming.add((name,), Block(0, True, 256), b"x" * 256, 0)
-    assert incoming.bytes <= 1_000 and len(incoming.parts) <= 4
+    assert incoming.buffered_bytes <= 1_000 and len(incoming.partial_bodies) <= 4
     with pytest.raises(BlockError) as error:
         incoming.add((19,), Block(1, True, 256), b"x" * 256, 0)
     assert not error.value.incomplete
-    assert incoming.tick(31 * SECOND) == len(incoming.parts) + 2 and incoming.bytes == 0
+    assert (
+        incoming.tick(31 * SECOND) == len(incoming.partial_bodies) + 2
+        and incoming.buffered_bytes == 0
+    )
 
 
 @given(st.binary(max_size=5_000), st.sampled_from([16, 64, 1024]))
 def test_the_pieces_of_an_answer_are_the_answer(body, size):
     found, number = b"", 0
     while True:
-        block, part = piece(body, Block(number, False, size), size)
+        block, part = select_block(body, Block(number, False, size), size)
         found, number = found + part, number + 1
         if not block.more:
             break
-    assert found == body and piece(body, Block(number + 1, False, size), size) is None
+    assert found == body and select_block(body, Block(number + 1, False, size), size) is None
 
 
 # Whose address is whose
@@ -325,8 +333,8 @@
     )
     assert (
         not world.asks
-        and not world.serving.reliability.seen
-        and not world.serving.reliability.endpoints
+        and not world.service.reliability.seen
+        and not world.service.reliability.endpoints
     )
     echo = reply.first(Option.ECHO)
     world.say(
@@ -341,25 +349,25 @@
 
 
 def test_marks_grow_old_and_proven_addresses_are_bounded():
-    proof = Proof(b"s" * 32, 60 * SECOND, 600 * SECOND, 3)
-    mark = proof.mark(HERE, START)
-    assert not proof.check(HERE, mark, START + 62 * SECOND) and proof.check(
+    proof = AddressValidator(b"s" * 32, 60 * SECOND, 600 * SECOND, 3)
+    mark = proof.make_echo(HERE, START)
+    assert not proof.validate(HERE, mark, START + 62 * SECOND) and proof.validate(
         HERE, mark, START + SECOND
     )
-    assert proof.check(HERE, None, START + 599 * SECOND) and not proof.check(
+    assert proof.validate(HERE, None, START + 599 * SECOND) and not proof.validate(
         HERE, None, START + 700 * SECOND
     )
     for port in range(10):
         address = ("127.0.0.1", port)
-        assert proof.check(address, proof.mark(address, START), START)
-    assert len(proof.proven) == 3
+        assert proof.validate(address, proof.make_echo(address, START), START)
+    assert len(proof.validated_until) == 3
 
 
 def test_a_flood_of_spoofed_sources_costs_no_memory_and_one_small_reply_each():
     world = World(proven=False)
     for port in range(2_000):
         world.say(world.request(), ("10.0.0.1", port))
-    assert not world.serving.reliability.endpoints and len(world.sent) == 2_000 and not world.asks
+    assert not world.service.reliability.endpoints and len(world.sent) == 2_000 and not world.asks
 
 
 # The message layer
@@ -368,8 +376,8 @@
 def test_one_message_is_out_at_a_time_and_the_next_follows_its_acknowledgement():
     layer = Reliability(10, 100, 4, random.Random(1))
     assert layer.send("a", 1, b"1", "one", 0) == b"1" and layer.send("a", 2, b"2", "two", 0) is None
-    assert layer.acknowledged("a", 9, 100) == (None, None)
-    assert layer.acknowledged("a", 1, 100) == ("one", b"2") and layer.acknowledged("a", 2, 200) == (
+    assert layer.acknowledge("a", 9, 100) == (None, None)
+    assert layer.acknowledge("a", 1, 100) == ("one", b"2") and layer.acknowledge("a", 2, 200) == (
         "two",
         None,
     )
@@ -378,28 +386,28 @@
 def test_endpoints_messages_and_queues_are_bounded():
     layer = Reliability(10, 100, 4, random.Random(1))
     for each in range(1_000):
-        layer.duplicate(each, 1, True, 0)
+        layer.check_duplicate(each, 1, True, 0)
         layer.endpoint(each, 0)
         layer.send("busy", each, b"x", each, 0)
     assert len(layer.seen) == 100 and len(layer.endpoints) <= 11
-    assert len(layer.endpoints["busy"].queue) == 4 and layer.forgotten == 900
+    assert len(layer.endpoints["busy"].queue) == 4 and layer.evicted_early == 900
 
 
 def test_the_timeout_follows_the_link_both_ways_and_forgets():
-    rng, timeout = random.Random(1), Timeout(0)
+    rng, timeout = random.Random(1), RetransmissionTimeout(0)
     for _ in range(20):
-        timeout.measured(2_000, 1, 0)
-    fast = timeout.first(0, rng)
+        timeout.record_acknowledgement(2_000, 1, 0)
+    fast = timeout.initial(0, rng)
     assert fast < SECOND
     for _ in range(20):
-        timeout.measured(60_000, 2, 0)  # weak: it was sent again
-    slow = timeout.first(0, rng)
+        timeout.record_acknowledgement(60_000, 2, 0)  # weak: it was sent again
+    slow = timeout.initial(0, rng)
     assert slow > 3 * SECOND
-    timeout.measured(10, 4, 0)  # nobody knows which copy that answers
-    assert timeout.first(0, rng) > 3 * SECOND
+    timeout.record_acknowledgement(10, 4, 0)  # nobody knows which copy that answers
+    assert timeout.initial(0, rng) > 3 * SECOND
     for turn in range(1, 8):
-        timeout.first(turn * 17 * SECOND, rng)
-    assert abs(timeout.overall - 2 * SECOND) < SECOND
+        timeout.initial(turn * 17 * SECOND, rng)
+    assert abs(timeout.timeout - 2 * SECOND) < SECOND
 
 
 @settings(max_examples=100, deadline=None)
@@ -420,10 +428,14 @@
         if world.asks and time % 2:
             world.answer(time % len(world.asks), word=time % 3, body=b"r" * (time % 900))
         world.wait(time)
-    serving = world.serving
-    assert len(serving.open) <= 3 and serving.size <= 2_000 and len(serving.reliability.seen) <= 16
+    serving = world.service
+    assert (
+        len(serving.open) <= 3
+        and serving.kept_bytes <= 2_000
+        and len(serving.reliability.seen) <= 16
+    )
     for request, _ in world.asks:
-        serving.answered(request, 0, b"", 0, world.now)
+        serving.send_answer(request, 0, b"", 0, world.now)
     assert not serving.open and serving.counts["answered"] >= len(world.asks)
 
 
@@ -434,7 +446,7 @@
 def coap(make_site):
     def make(**more):
         site = make_site("coap 127.0.0.1:0", **more)
-        return site, site.edge.datagrams.getsockname()
+        return site, site.edge.datagram_socket.getsockname()
 
     return make
 
@@ -444,7 +456,7 @@
     device = CoapDevice(address, site.token())
     body = random.Random(2).randbytes(1_900)
     assert device.ask("look", body, 5_000).body == body * 2
-    assert device.ask("look", b"", 5_000, confirm=False).word == 0
+    assert device.ask("look", b"", 5_000, confirmable=False).word == 0
     assert sum(site.kernel.ran.values()) == 2
     with pytest.raises(ValueError, match=r"4\.04"):
         device.ask("nobody")
@@ -487,7 +499,7 @@
         while not site.inside(lambda _: site.edge.coap.counts["asked"]):
             pass
         site.event_loop.event_queue.post(site.event_loop.drain.start)
-        while not site.inside(lambda _: site.edge.coap.shut):
+        while not site.inside(lambda _: site.edge.coap.is_closing):
             pass
         late = other.ask("look", b"y", 2_000)
         assert late.word == 1 and late.come_back >= 1_000
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -27,7 +27,7 @@
     device = site.device()
     found = device.outcome(device.ask("look", b"hello"), PATIENCE)
     assert (found.word, found.body) == (0, b"<hello>") and sum(site.kernel.ran.values()) == 1
-    assert device.machine.doubled == 0
+    assert device.session.duplicate_answers == 0
 
 
 def test_devices_and_routers_are_served_beside_each_other(make_site):
@@ -46,7 +46,7 @@
     number = device.ask("move", b"x")
     while not site.inside(lambda each: each.counts["asked"]):
         pass
-    device.drop()
+    device.drop_connection()
     hold.set()
     found = device.outcome(number, PATIENCE)
     assert (found.word, found.body) == (0, b"made once")
@@ -71,7 +71,7 @@
         set(words) <= {0, 1, 2} and words.count(0) > 100
     )  # some the controller denies: they never ran
     assert max(site.kernel.ran.values()) == 1 and proxy.resets > 0
-    bodies = [device.machine.outcomes[number].body for device, number in asked]
+    bodies = [device.session.outcomes[number].body for device, number in asked]
     assert len({body for body in bodies if body}) == words.count(0)  # each its own
     proxy.end()
 
@@ -92,7 +92,7 @@
     assert len(found.body) == 4_000 and time.monotonic() - began > 0.9
     assert (
         device.connections == 1
-        and device.machine.doubled == 0
+        and device.session.duplicate_answers == 0
         and max(site.kernel.ran.values()) == 1
     )
     proxy.end()
@@ -108,9 +108,9 @@
     while first.inside(lambda each: each.counts["asked"]) < 2:
         pass
     second = make_site()
-    device.machine.token = second.token()
+    device.session.token = second.token()
     device.address = second.address
-    device.drop()
+    device.drop_connection()
     assert device.outcome(number, PATIENCE).word == 2  # it may have run: said at once
     assert device.outcome(look, PATIENCE).word == 0
     assert list(second.kernel.ran.values()) == [1]
@@ -174,8 +174,8 @@
         pass
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     with device.changed:
-        assert device.changed.wait_for(lambda: device.machine.leaving is not None, PATIENCE)
-    assert device.machine.leaving.open == 1 and device.machine.leaving.come_back > 0
+        assert device.changed.wait_for(lambda: device.session.leaving is not None, PATIENCE)
+    assert device.session.leaving.open == 1 and device.session.leaving.come_back > 0
     hold.set()
     assert device.outcome(number, PATIENCE).body == b"late"
     site.thread.join(PATIENCE)
@@ -188,23 +188,25 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     sock.connect(site.address)
     sock.sendall(frames.encode(Hello(1, site.token(), b"", 0, 1_000)))
-    while not site.inside(lambda each: list(each.sessions)):
+    while not site.inside(lambda each: list(each.session_table)):
         pass
     site.inside(  # a small buffer of the system's, so that it cannot take all of it
         lambda _: [
             each.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-            for each in site.edge.wires.values()
+            for each in site.edge.device_sockets.values()
         ]
     )
     for number in range(1, 2_001):
         sock.sendall(frames.encode(frames.Ask(number, "look", b"", 60_000, 0)))
-        while site.inside(lambda each: sum(len(one.open) for one in each.sessions)) > 32:
+        while site.inside(lambda each: sum(len(one.open) for one in each.session_table)) > 32:
             pass
-        unsent = site.inside(lambda each: max(one.unsent for one in each.connections.values()))
+        unsent = site.inside(
+            lambda each: max(one.unsent_bytes for one in each.connections.values())
+        )
         assert unsent <= 4_000 + 8_200
         if (
             site.inside(
-                lambda each: max((one.unsent for one in each.connections.values()), default=0)
+                lambda each: max((one.unsent_bytes for one in each.connections.values()), default=0)
             )
             > 4_000
         ):
@@ -283,9 +285,9 @@
     client.load_cert_chain(f"{tmp_path}/device.pem", f"{tmp_path}/device.key")
     device = site.device(token=b"", tls=client, server_name="127.0.0.1")
     assert device.outcome(device.ask("look", b"a"), PATIENCE).body == b"<a>"
-    assert site.inside(lambda each: [one.device for one in each.sessions]) == [b"till-7"]
+    assert site.inside(lambda each: [one.device for one in each.session_table]) == [b"till-7"]
     sign("edge-renewed", "edge")
-    site.event_loop.event_queue.post(site.event_loop.subsystems.apply, site.orders)
+    site.event_loop.event_queue.post(site.event_loop.subsystems.apply, site.config)
     stranger = ssl.create_default_context(cafile=top)
     with pytest.raises((ssl.SSLError, ConnectionError)):
         with stranger.wrap_socket(
--- a/tests/edge/test_machines.py
+++ b/tests/edge/test_machines.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from lilacwalk.edge import frames
-from lilacwalk.edge.client.state import Machine
-from lilacwalk.edge.connection_limiter import Arrivals
+from lilacwalk.edge.client.state import ClientSession
+from lilacwalk.edge.connection_limiter import ConnectionLimiter
 from lilacwalk.edge.frames import (
     Answer,
     Ask,
@@ -27,7 +27,7 @@
     Stream,
 )
 from lilacwalk.edge.link import Link
-from lilacwalk.edge.rates import Incoming
+from lilacwalk.edge.rates import FrameProgress
 from lilacwalk.edge.sketch import Sketch
 from lilacwalk.edge.timer_wheel import Wheel
 from lilacwalk.edge.tokens import DEVICE, SESSION, TokenError, Tokens
@@ -39,8 +39,8 @@
     world.say(number, ask(1, wait=1_000))
     plain = World(estimates=False)
     plain.say(plain.hello(), ask(1, wait=1_000))
-    assert plain.asks[0][2].wait == SECOND
-    assert 0 < world.asks[0][2].wait < SECOND and world.asks[0][2].arrived == START
+    assert plain.asks[0][2].timeout == SECOND
+    assert 0 < world.asks[0][2].timeout < SECOND and world.asks[0][2].arrived_at == START
     world.lose(number)
     world.wait(5 * SECOND)
     world.hello(world.welcome(number).session)
@@ -52,11 +52,11 @@
     number = world.hello()
     waits = []
     for turn, trip in enumerate((400, 20_000), 1):
-        session = world.serving.connections[number].session
+        session = world.service.connections[number].session
         for _ in range(30):
-            session.link.round_trip(trip)
+            session.link.record_round_trip(trip)
         world.say(number, ask(turn, wait=4_000, group="move"))
-        waits.append(world.asks[-1][2].wait)
+        waits.append(world.asks[-1][2].timeout)
     assert waits[0] > 4 * SECOND - 2_000 and waits[1] < 4 * SECOND - 9_000
 
 
@@ -66,18 +66,18 @@
     world.now += 500
     world.say(number, Pong(sent[0].stamp))
     world.wait(20 * SECOND).say(number, ask(1, wait=1_000))
-    assert world.asks[0][2].wait > SECOND - 1_000
+    assert world.asks[0][2].timeout > SECOND - 1_000
     world.say(number, Pong(5), Pong(START + 10**12))  # an echo of nothing
-    assert world.serving.connections[number].session.link.trip == 500
+    assert world.service.connections[number].session.link.mean_round_trip == 500
 
 
 def test_a_stall_in_an_echo_says_little_of_the_next_frame():
     link = Link()
     for _ in range(20):
-        link.round_trip(1_000)
+        link.record_round_trip(1_000)
     for _ in range(3):
-        link.round_trip(50_000)
-    assert link.answer_time(500) < 3_000
+        link.record_round_trip(50_000)
+    assert link.delivery_time(500) < 3_000
 
 
 def test_an_answer_is_kept_until_it_is_acknowledged_and_sent_again_the_same(world):
@@ -88,7 +88,7 @@
     assert world.answers(first) == world.answers(second) == [Answer(1, 1, 0, b"x")]
     world.say(second, Got(1)).lose(second)
     third = world.hello(world.welcome(first).session, got=1)
-    assert world.answers(third) == [] and world.serving.sessions.size == 0
+    assert world.answers(third) == [] and world.service.session_table.unacknowledged_bytes == 0
 
 
 def test_what_came_with_the_last_connection_is_not_sent_on_the_next(world):
@@ -139,7 +139,7 @@
         token = token[:-1] + bytes((token[-1] ^ 1,))
     elif spoil == "of another node":
         token = Tokens([bytes(range(32))], b"n2").make(
-            SESSION, next(iter(world.serving.sessions)).ident, 2**40
+            SESSION, next(iter(world.service.session_table)).ident, 2**40
         )
     elif spoil == "of another device":
         name = b"phone"
@@ -148,7 +148,7 @@
     else:
         token = token[:10]
     second = world.hello(token, name=name)
-    assert world.welcome(second).resumed is False and world.serving.counts["unknown"] == 1
+    assert world.welcome(second).resumed is False and world.service.counts["unknown"] == 1
     assert world.welcome(second).session != world.welcome(first).session
 
 
@@ -296,8 +296,8 @@
     slow.say(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
     for each in range(10):
         slow.answer(each, body=b"r" * 400)
-    assert len(slow.answers(number)) == 3 and slow.serving.connections[number].unsent < 2_000
-    slow.serving.sent(number, slow.serving.connections[number].unsent, slow.now)
+    assert len(slow.answers(number)) == 3 and slow.service.connections[number].unsent_bytes < 2_000
+    slow.service.bytes_sent(number, slow.service.connections[number].unsent_bytes, slow.now)
     assert len(slow.take().answers(number)) == 6
 
 
@@ -310,11 +310,11 @@
         world.wait(SECOND)
     world.hello(name=b"d3")
     world.hello(name=b"d4")
-    assert {each.device for each in world.serving.sessions} == {b"d0", b"d3", b"d4"}
+    assert {each.device for each in world.service.session_table} == {b"d0", b"d3", b"d4"}
     number = world.hello(
         name=b"d5"
     )  # only the unacknowledged effect and live ones are left: that one goes last
-    assert world.welcome(number) and len(world.serving.sessions) == 3
+    assert world.welcome(number) and len(world.service.session_table) == 3
 
 
 @pytest.mark.parametrize(
@@ -344,7 +344,7 @@
     world = World(sessions_each=2)
     for _ in range(5):
         world.lose(world.hello())
-    assert len(world.serving.sessions) == 2
+    assert len(world.service.session_table) == 2
 
 
 def test_answers_kept_for_all_are_bounded_and_the_cheapest_sessions_go():
@@ -353,8 +353,8 @@
         number = world.hello(name=b"d%d" % at)
         world.say(number, ask(1, "move" if at == 0 else "look")).lose(number)
         world.answer(body=b"r" * 1_000)
-    assert world.serving.sessions.size <= 20_000
-    assert b"d0" in {each.device for each in world.serving.sessions}
+    assert world.service.session_table.unacknowledged_bytes <= 20_000
+    assert b"d0" in {each.device for each in world.service.session_table}
 
 
 def test_a_device_that_acknowledges_nothing_is_denied_once_its_part_is_full_and_others_are_not():
@@ -364,7 +364,7 @@
         world.say(idle, ask(number, body=b"%d" % number))
         if len(world.asks) == number:
             world.answer(body=b"r" * 900)
-    assert len(world.asks) == 3 and world.serving.sessions.size < 6_000
+    assert len(world.asks) == 3 and world.service.session_table.unacknowledged_bytes < 6_000
     world.say(good, ask(1, body=b"other"))
     assert len(world.asks) == 4
     for order in range(1, 11):
@@ -379,9 +379,9 @@
     number = world.hello()
     world.say(number, ask(1)).lose(number)
     world.wait(599 * SECOND)
-    assert not world.gone and len(world.serving.sessions) == 1
+    assert not world.gone and len(world.service.session_table) == 1
     world.wait(2 * SECOND)
-    assert world.gone == [1] and len(world.serving.sessions) == 0 and not world.serving.links
+    assert world.gone == [1] and len(world.service.session_table) == 0 and not world.service.links
 
 
 def test_a_cancelled_exchange_is_given_up_unless_somebody_else_waits_for_it(world):
@@ -402,19 +402,19 @@
     assert world.refused(silent) == "no HELLO in time"
     trickle, bursty = world.hello(name=b"a"), world.hello(name=b"b")
     for second in range(12):
-        world.serving.came(trickle, 1, 0, True, world.now)
+        world.service.bytes_received(trickle, 1, 0, True, world.now)
         if second % 5 == 0:
-            world.serving.came(bursty, 2_000, 0, True, world.now)
+            world.service.bytes_received(bursty, 2_000, 0, True, world.now)
         world.wait(SECOND)
     assert world.refused(trickle) == "too slow" and world.refused(bursty) is None
 
 
 def test_the_floor_rises_with_what_a_connection_was_given():
-    incoming = Incoming()
-    incoming.came(10, 0, True, 0)
+    incoming = FrameProgress()
+    incoming.add_bytes(10, 0, True, 0)
     for second in range(1, 30):
-        incoming.came(100, 0, True, second * SECOND)
-        if incoming.too_slow(64, 60 * SECOND, second * SECOND):
+        incoming.add_bytes(100, 0, True, second * SECOND)
+        if incoming.is_too_slow(64, 60 * SECOND, second * SECOND):
             break
     assert 4 <= second < 9
 
@@ -424,25 +424,25 @@
     world.wait(31 * SECOND)
     assert any(isinstance(each, Ping) for each in world.read[number])
     world.wait(60 * SECOND)
-    assert number in world.closed and len(world.serving.sessions) == 1
+    assert number in world.closed and len(world.service.session_table) == 1
 
 
 def test_one_source_may_come_so_often_and_others_are_not_held_for_it():
     world = World(arrivals=20)
     for _ in range(40):
         world.open(b"\x0a\0\0\1")
-    assert world.let_in is False
+    assert world.is_admitted is False
     world.open(b"\x0a\0\0\2")
-    assert world.let_in is True
+    assert world.is_admitted is True
     world.wait(120 * SECOND)
     world.open(b"\x0a\0\0\1")
-    assert world.let_in is True
+    assert world.is_admitted is True
 
 
 def test_ipv6_sources_are_counted_by_their_network():
-    arrivals = Arrivals(10, 100, 1, 0)
+    arrivals = ConnectionLimiter(10, 100, 1, 0)
     whys = [
-        arrivals.come(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
+        arrivals.admit(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
         for each in range(12)
     ]
     assert whys.count("") == 10
@@ -451,24 +451,24 @@
 def test_a_drain_is_told_to_who_is_there_and_who_comes_back(world):
     first = world.hello()
     world.say(first, ask(1))
-    world.serving.leave(2 * SECOND)
+    world.service.start_draining(2 * SECOND)
     world.take()
     assert Leaving(2_000, 1) in world.read[first]
     world.lose(first)
     second = world.hello(world.welcome(first).session)
     assert Leaving(2_000, 1) in world.read[second]
-    world.serving.close_all()
+    world.service.stop_accepting()
     world.take()
     assert second not in world.closed
     world.answer()
-    world.serving.close_idle()
+    world.service.close_idle()
     assert second in world.take().closed
 
 
 def test_a_goodbye_forgets_what_is_done(world):
     number = world.hello()
     world.say(number, Bye())
-    assert number in world.closed and len(world.serving.sessions) == 0
+    assert number in world.closed and len(world.service.session_table) == 0
 
 
 # Any order at all: the client's machine against the edge's, over links that break anywhere
@@ -485,7 +485,7 @@
 )
 def test_whatever_breaks_each_number_has_one_outcome_and_one_run_at_most(order, seed, forgets):
     rng, world, device = random.Random(seed), World(window=4), None
-    device = Machine(world.token())
+    device = ClientSession(world.token())
     runs, sent, link, inbound = {}, {}, 0, b""
 
     def up():
@@ -498,7 +498,7 @@
         if link:
             world.lose(link)
         link = 0
-        device.taken()
+        device.take_output()
 
     for each in [*order, "up", *["answer"] * 8, "settle"]:
         if each in ("ask", "look"):
@@ -517,7 +517,9 @@
         elif each == "answer" and world.asks:
             session, number, about = world.asks.pop(rng.randrange(len(world.asks)))
             runs[id(session), number] = runs.get((id(session), number), 0) + 1
-            world.serving.answered(session, number, rng.randrange(2), about.ask.body, 0, world.now)
+            world.service.send_answer(
+                session, number, rng.randrange(2), about.frame.body, 0, world.now
+            )
             world.take()
         if each == "settle":
             for _ in range(300):
@@ -526,25 +528,25 @@
                     up()
                 step(world, device, link, rng, sent)
                 for session, number, about in world.asks:
-                    world.serving.answered(session, number, 0, about.ask.body, 0, world.now)
+                    world.service.send_answer(session, number, 0, about.frame.body, 0, world.now)
                 world.asks.clear()
                 world.take()
         elif link:
             step(world, device, link, rng, sent)
-    assert not device.waiting and set(device.outcomes) == set(range(1, device.next))
+    assert not device.unanswered and set(device.outcomes) == set(range(1, device.next_number))
     assert all(count == 1 for count in runs.values())
-    assert not world.serving.sessions.size or forgets
+    assert not world.service.session_table.unacknowledged_bytes or forgets
 
 
 def step(world, device, link, rng, sent):
     """What either side said so far reaches the other, the device's cut anywhere."""
     stream = sent.setdefault(link, Stream(1 << 16))
-    for frame in stream.feed(device.taken()):
-        world.serving.frame(link, frame, world.now)
+    for frame in stream.feed(device.take_output()):
+        world.service.frame_received(link, frame, world.now)
     world.take()
     read, world.read[link] = world.read.get(link, []), []
     for frame in read:
-        device.frame(frame)
+        device.frame_received(frame)
 
 
 # Frames
@@ -645,13 +647,13 @@
     wheel, now, due = Wheel(START), START, {}
     for name, ahead, step, drops in order:
         if drops:
-            assert wheel.drop(name) == (due.pop(name, None) is not None)
+            assert wheel.cancel(name) == (due.pop(name, None) is not None)
         else:
-            wheel.set(name, now + ahead)
+            wheel.schedule(name, now + ahead)
             due[name] = now + ahead
         asked = wheel.due()
         now += step
-        fired = set(wheel.fired(now))
+        fired = set(wheel.expire(now))
         assert all(due[each] <= now for each in fired)
         assert asked is None or not fired or asked <= now
         for each in fired:
@@ -661,11 +663,11 @@
 
 def test_a_timer_may_be_set_again_while_the_wheel_turns():
     wheel, fired = Wheel(0), []
-    wheel.set("a", 1_000)
-    for name in wheel.fired(10_000):
+    wheel.schedule("a", 1_000)
+    for name in wheel.expire(10_000):
         fired.append(name)
         if len(fired) < 5:
-            wheel.set(name, 1_000)
+            wheel.schedule(name, 1_000)
     assert fired == ["a"] * 5
 
 
@@ -673,10 +675,10 @@
     rng, wheel, heap = random.Random(3), Wheel(0), []
     for name in range(2_000):
         due = rng.randrange(50_000_000)
-        wheel.set(name, due)
+        wheel.schedule(name, due)
         heapq.heappush(heap, (-(-due // 100), name))
     slots = dict((name, slot) for slot, name in heap)
-    order = [slots[name] for name in wheel.fired(60_000_000)]
+    order = [slots[name] for name in wheel.expire(60_000_000)]
     assert order == sorted(order) and len(order) == 2_000
 
 
@@ -701,13 +703,13 @@
 def test_a_link_learns_its_trip_its_loss_and_its_rate():
     link = Link()
     for _ in range(40):
-        link.round_trip(500)
-    fast = link.answer_time(500)
+        link.record_round_trip(500)
+    fast = link.delivery_time(500)
     for _ in range(10):
-        link.lost()
-    assert link.answer_time(500) > fast
+        link.record_loss()
+    assert link.delivery_time(500) > fast
     for _ in range(100):
-        link.round_trip(500)
-        link.taken(50_000, 1_000)
-    assert link.answer_time(5_000) < 1_000 and link.rate > 30_000
-    assert SECOND * 3 <= link.heartbeat(30 * SECOND) <= 30 * SECOND
+        link.record_round_trip(500)
+        link.record_delivery(50_000, 1_000)
+    assert link.delivery_time(5_000) < 1_000 and link.throughput > 30_000
+    assert SECOND * 3 <= link.heartbeat_interval(30 * SECOND) <= 30 * SECOND
--- a/tests/storage/test_persistence.py
+++ b/tests/storage/test_persistence.py
@@ -72,10 +72,10 @@
         soak.start()
         assert device.outcome(second, SOON).word == TERMINATED
         assert soak.effects[b"two"] == 1
-        assert device.machine.welcome.resumed
+        assert device.session.welcome.resumed
         third = device.ask("move", b"three", 4_000)
         assert device.outcome(third, SOON).word == COMPLETED
-        assert device.machine.doubled == 0
+        assert device.session.duplicate_answers == 0
     finally:
         device.end()
 
