--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -1,5 +1,8 @@
-"""A CoAP client for the edge: one exchange at a time over one socket, with retransmission, the echo that
-proves its address, and bodies in pieces both ways."""
+"""A CoAP client of the edge: one request at a time over one socket.
+
+It supports retransmission, address validation by the Echo option, and block-wise transfer in both
+directions.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +17,25 @@
 
 ACK_TIMEOUT, ACK_RANDOM_FACTOR, MAX_RETRANSMIT = 2.0, 1.5, 4  # RFC 7252 section 4.8, in seconds
 BLOCK_BYTES = 1_024
-MAX_BLOCKWISE_ATTEMPTS = 3  # of a body in pieces of which one got lost on the other side
+MAX_BLOCKWISE_ATTEMPTS = 3  # after the server dropped a partial body
 
 
 class CoapDevice:
+    """A device that sends requests over CoAP."""
+
     def __init__(self, address: tuple[str, int], token: bytes, seed: int = 0) -> None:
+        """Opens a socket to the edge."""
         self.address, self.token, self.rng = address, token, random.Random(seed)
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.sock = socket.socket(family, socket.SOCK_DGRAM)
         self.sock.connect(address)
         self.message_id = self.rng.getrandbits(16)
         self.echo = b""
-        self.datagrams_sent = 0  # datagrams, with those sent again
-        self.answered: dict[
-            int, int
-        ] = {}  # our acknowledgements of separate answers, by their message id
+        self.datagrams_sent = 0  # including retransmissions
+        self.answered: dict[int, int] = {}  # acknowledgements of separate responses, by message id
 
     def end(self) -> None:
+        """Closes the socket."""
         self.sock.close()
 
     def ask(
@@ -42,8 +47,23 @@
         no_response: int = 0,
         **query_options: str,
     ) -> Outcome | None:
-        """`stated`: k, s, c as the page has them. None where no answer was wanted. Raises TimeoutError, or
-        ValueError with what the edge found wrong."""
+        """Sends a request and waits for its outcome.
+
+        Args:
+            group: Name of the request class.
+            body: Body of the request.
+            wait: Timeout in milliseconds.
+            confirmable: Whether to send confirmable messages.
+            no_response: Value of the No-Response option (RFC 7967).
+            query_options: Further queries: k (idempotency key), s (subject), c (tenant).
+
+        Returns:
+            The outcome, or None if no response is expected.
+
+        Raises:
+            TimeoutError: There is no response in time.
+            ValueError: The edge rejected the request.
+        """
         deadline = time.monotonic() + wait / 1000
         queries = [
             f"w={wait}",
@@ -78,7 +98,7 @@
             result += next_reply.payload
             raw = next_reply.first(Option.BLOCK2)
             if raw is None:
-                raise ValueError("an answer that ends in its middle")
+                raise ValueError("answer truncated: a later block has no Block2 option")
             block = Block.decode(raw)
         return self._outcome(reply, result)
 
@@ -131,7 +151,7 @@
         deadline: float,
         no_response_expected: bool,
     ) -> Message | None:
-        """One request to its answer, once more with the echo where that is asked for."""
+        """Sends one message and returns the response, repeating it with the echo value if required."""
         for _ in range(2):
             echo = [(Option.ECHO, self.echo)] if self.echo else []
             reply = self._transmit(
@@ -148,7 +168,7 @@
             ):
                 return reply
             self.echo = reply.first(Option.ECHO) or b""
-        raise ValueError("the edge does not take its own mark back")
+        raise ValueError("the edge rejected the echo value that it sent")
 
     def _transmit(
         self,
@@ -178,10 +198,10 @@
                     continue
                 if (
                     message.type is Type.CON and message.is_response
-                ):  # also one of an exchange given up
+                ):  # also if the request was given up
                     self.sock.send(messages.encode(Message(Type.ACK, messages.EMPTY, message.mid)))
                 if message.type is Type.RST and message.mid == self.message_id:
-                    raise ValueError("rejected")
+                    raise ValueError(f"the edge rejected message {message.mid} with RST")
                 if message.is_response and message.token == token:
                     return message
                 if message.type is Type.ACK and message.mid == self.message_id:
@@ -191,7 +211,7 @@
             if time.monotonic() >= deadline:
                 break
             wait *= 2
-        raise TimeoutError("no answer in time")
+        raise TimeoutError("no response from the edge within the timeout")
 
     def _receive(self, left: float) -> Message | None:
         self.sock.settimeout(left)
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -1,5 +1,8 @@
-"""A device's connection: one thread reads, the caller's own writes. It connects again by itself, with a pause
-that doubles and is drawn at random, so that many devices do not come back in one instant."""
+"""A device's connection: one thread reads, the threads of callers write.
+
+It reconnects by itself after a randomized delay that doubles, so that many devices do not reconnect
+at the same time.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,14 @@
 MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = (
     0.05,
     2.0,
-)  # seconds: a link that was lost for a moment, and one that is gone
+)  # seconds; after a brief loss, and while the edge is unreachable
 CONNECT_TIMEOUT = 10.0
 MAX_FRAME_BYTES = 65_536
 
 
 class Device:
+    """A device that sends requests over the device link."""
+
     def __init__(
         self,
         address: tuple[str, int],
@@ -30,6 +35,7 @@
         has_stable_numbers: bool = False,
         seed: int = 0,
     ) -> None:
+        """Starts the thread that connects to the edge."""
         self.address, self.tls, self.server_name = address, tls, server_name
         self.session, self.rng = ClientSession(token, has_stable_numbers), random.Random(seed)
         self.changed = threading.Condition()
@@ -40,19 +46,25 @@
         self.thread.start()
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
+        """Sends a request and returns its number; `wait` is its timeout in milliseconds."""
         with self.changed:
             number = self.session.ask(group, body, wait, **more)
             self._write()
         return number
 
     def outcome(self, number: int, timeout: float) -> Outcome:
-        """Raises TimeoutError; ConnectionRefusedError where the edge refuses this device for good."""
+        """Waits up to `timeout` seconds for the outcome of a request.
+
+        Raises:
+            TimeoutError: There is no outcome yet.
+            ConnectionRefusedError: The edge refuses this device permanently.
+        """
         with self.changed:
             session = self.session
             if not self.changed.wait_for(
                 lambda: number in session.outcomes or self.is_stopped, timeout
             ):
-                raise TimeoutError(f"no answer to {number}")
+                raise TimeoutError(f"no answer to request {number} within {timeout} s")
             if number not in session.outcomes:
                 raise ConnectionRefusedError(
                     session.refused.reason if session.refused else "closed"
@@ -60,7 +72,7 @@
             return session.outcomes[number]
 
     def drop_connection(self) -> None:
-        """Loses the connection, as a bad link would."""
+        """Resets the connection, as an unreliable link would."""
         with self.changed:
             if self.sock is not None:
                 try:
@@ -69,6 +81,7 @@
                     pass
 
     def end(self) -> None:
+        """Closes the connection and stops the thread."""
         with self.changed:
             self.is_stopped = True
             self.changed.notify_all()
@@ -81,7 +94,7 @@
             try:
                 self.sock.sendall(data)
             except OSError:
-                pass  # the reader sees it end, and connects again
+                pass  # the reading thread notices and reconnects
 
     def _run(self) -> None:
         delay = MIN_RECONNECT_DELAY
@@ -104,13 +117,13 @@
                     and not refused.come_back
                     and "taken over" not in refused.reason
                 ):
-                    self.is_stopped = True  # it would be refused again
+                    self.is_stopped = True  # another attempt would be refused as well
                 self.changed.notify_all()
                 self.changed.wait_for(lambda: self.is_stopped, delay * self.rng.uniform(0.5, 1.0))
             delay = min(MAX_RECONNECT_DELAY, 2 * delay)
 
     def _read(self, sock: socket.socket) -> bool:
-        """Whether it was welcomed."""
+        """Reads until the connection ends, and returns whether it was welcomed."""
         stream = Stream(MAX_FRAME_BYTES)
         with self.changed:
             self.sock = sock
@@ -139,7 +152,12 @@
     server_name: str | None = None,
     **more,
 ) -> Outcome:
-    """One exchange over as many connections as it takes within its time. Raises TimeoutError, OSError."""
+    """Sends one request, over several connections if needed, and returns its outcome.
+
+    Raises:
+        TimeoutError: There is no outcome in time.
+        OSError: The edge refused the device.
+    """
     device = Device(address, token, tls, server_name, seed=time.monotonic_ns())
     try:
         return device.outcome(device.ask(group, body, wait, **more), max(1, wait) / 1000 + 1.0)
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -1,5 +1,8 @@
-"""A device's side of the link without its socket: exchanges under numbers that only climb, asked again on
-each new connection until their answer has come; each answer taken once."""
+"""A device's side of a session without its socket.
+
+Requests have increasing numbers and are sent again on each new connection until they are answered.
+Each answer is accepted once.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,16 @@
 from lilacwalk.edge import frames
 from lilacwalk.edge.frames import Answer, Ask, Got, Hello, Leaving, Ping, Pong, Refused, Welcome
 
-WINDOW = 16  # answers that this client can hold unread
+WINDOW = 16  # answers that the client can hold unread
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of an exchange: completed, denied (it never ran) or terminated (it may have run)."""
+    """The outcome of a request.
+
+    `word` is 0 for completed, 1 for denied (not executed) and 2 for terminated (may have been
+    executed).
+    """
 
     word: int
     body: bytes
@@ -21,10 +28,15 @@
 
 
 class ClientSession:
+    """Requests without an answer, and the outcomes of the others."""
+
     def __init__(
         self, token: bytes = b"", has_stable_numbers: bool = False, first_number: int = 1
     ) -> None:
-        """`first`: the next number of a device whose numbers outlive it (`steady`)."""
+        """Creates a session that is not connected.
+
+        `first_number` is the next number of a device whose numbers outlive its sessions.
+        """
         self.token, self.has_stable_numbers, self.next_number = (
             token,
             has_stable_numbers,
@@ -33,17 +45,18 @@
         self.session = b""
         self.got = 0
         self.window = 1
-        self.unanswered: dict[int, Ask] = {}  # not answered yet, in order
-        self.sent_on_connection: set[int] = set()  # on this connection
-        self.sent_before: set[int] = set()  # on any
+        self.unanswered: dict[int, Ask] = {}  # in order of numbers
+        self.sent_on_connection: set[int] = set()  # requests sent on the current connection
+        self.sent_before: set[int] = set()  # requests sent on any connection
         self.outcomes: dict[int, Outcome] = {}
-        self.duplicate_answers = 0  # answers that came twice: never taken twice
+        self.duplicate_answers = 0  # repeated answers, which were ignored
         self.welcome: Welcome | None = None
         self.refused: Refused | None = None
         self.leaving: Leaving | None = None
         self.output: list[bytes] = []
 
     def take_output(self) -> bytes:
+        """Returns the bytes to send."""
         data, self.output = b"".join(self.output), []
         return data
 
@@ -51,6 +64,7 @@
         self.output.append(frames.encode(frame))
 
     def connected(self) -> None:
+        """Starts a new connection with a HELLO frame."""
         self.welcome = self.refused = None
         self.sent_on_connection.clear()
         self._queue_frame(
@@ -58,13 +72,17 @@
         )
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
-        """The exchange's number; `wait` in ms from now, 0: the group's own."""
+        """Sends a request and returns its number.
+
+        `wait` is the timeout in milliseconds from now, or 0 for the timeout of the request class.
+        """
         number, self.next_number = self.next_number, self.next_number + 1
         self.unanswered[number] = Ask(number, group, body, wait, self.got, **more)
         self._send_requests()
         return number
 
     def cancel(self, number: int) -> None:
+        """Cancels a request."""
         if self.unanswered.pop(number, None) is not None and number in self.sent_on_connection:
             self._queue_frame(frames.Cancel(number))
 
@@ -80,9 +98,10 @@
                 self.sent_before.add(number)
 
     def frame_received(self, frame: frames.Frame) -> None:
+        """Handles a frame."""
         if isinstance(frame, Welcome):
             if not frame.resumed:
-                self.got = 0  # its answers are counted anew
+                self.got = 0  # the new session counts answers from the start
             self.welcome, self.session, self.window = frame, frame.session, frame.window
             self._send_requests()
         elif isinstance(frame, Answer):
--- a/lilacwalk/edge/coap/__init__.py
+++ b/lilacwalk/edge/coap/__init__.py
@@ -1,3 +1,6 @@
-"""CoAP over UDP (RFC 7252) for devices that hold no connection. What decides: `reliability` (retransmission,
-duplicates, congestion), `blocks` (bodies in pieces), `proof` (whose address is whose) and `serving`.
-`messages` is the codec; the host is the edge's."""
+"""CoAP over UDP (RFC 7252) for devices that do not keep a connection.
+
+Modules without I/O: `reliability` (retransmission, duplicates, congestion control), `blocks`
+(block-wise transfer), `address_validation` (the Echo option) and `service`. `messages` is the
+codec; the edge's host owns the socket.
+"""
--- a/lilacwalk/edge/coap/address_validation.py
+++ b/lilacwalk/edge/coap/address_validation.py
@@ -1,6 +1,9 @@
-"""Whose address is whose (RFC 9175 section 2): a source that has echoed a mark of ours is there; until then
-nothing is done for it, and nothing larger than what it sent goes to it. The mark needs no memory: it is made
-from the address and a time by a secret of this process."""
+"""Validates source addresses by the Echo option (RFC 9175 section 2).
+
+A source that returns the echo value sent to it can receive at its address. Until then, none of its
+requests is processed, and it is not sent more bytes than it sent. Echo values need no state: each
+is a timestamp and a MAC of the address and the timestamp with a secret of this process.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,25 @@
 from collections import OrderedDict
 from collections.abc import Hashable
 
-MAC_BYTES, TIMESTAMP_BYTES = 8, 4  # bytes; the stamp in seconds of this process's clock
+MAC_BYTES, TIMESTAMP_BYTES = 8, 4  # the timestamp is in seconds of this process's clock
 SECOND = 10_000
 
 
 class AddressValidator:
+    """Makes and checks echo values, and remembers validated addresses."""
+
     def __init__(
         self, secret: bytes, echo_lifetime: int, validation_lifetime: int, max_validated: int
     ) -> None:
-        """A mark is good for `fresh`, an address proven for `holds` (tenths of a ms); `most` are remembered,
-        the others are asked again."""
+        """Creates a validator.
+
+        Args:
+            secret: Key of the MACs.
+            echo_lifetime: Time for which an echo value is accepted, in tenths of a millisecond.
+            validation_lifetime: Time for which an address remains validated.
+            max_validated: Maximum number of remembered addresses; others have to validate
+                again.
+        """
         self.secret, self.echo_lifetime, self.validation_lifetime, self.max_validated = (
             secret,
             echo_lifetime,
@@ -27,6 +39,7 @@
         self.validated_until: OrderedDict[Hashable, int] = OrderedDict()
 
     def make_echo(self, address: tuple, now: int) -> bytes:
+        """Returns the echo value for an address."""
         timestamp = (now // SECOND & 0xFFFFFFFF).to_bytes(TIMESTAMP_BYTES, "big")
         return timestamp + self._mac(address, timestamp)
 
@@ -34,7 +47,7 @@
         return hmac.digest(self.secret, timestamp + repr(address).encode(), "sha256")[:MAC_BYTES]
 
     def validate(self, address: tuple, echo: bytes | None, now: int) -> bool:
-        """Whether this source is where it says; an echo that is good proves it."""
+        """Whether the address is validated, or becomes so by this echo value."""
         valid_until = self.validated_until.get(address)
         if valid_until is not None and now < valid_until:
             return True
--- a/lilacwalk/edge/coap/blocks.py
+++ b/lilacwalk/edge/coap/blocks.py
@@ -1,5 +1,8 @@
-"""Bodies in pieces (RFC 7959): requests put together from Block1, answers taken apart by Block2; told apart
-by the endpoint and its Request-Tag (RFC 9175), bounded in count and bytes, and ended by silence."""
+"""Block-wise transfer (RFC 7959): assembles requests from Block1, and splits answers by Block2.
+
+Bodies are told apart by endpoint and Request-Tag (RFC 9175), bounded in number and bytes, and
+dropped after a timeout without a new block.
+"""
 
 from __future__ import annotations
 
@@ -7,49 +10,71 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-MAX_SIZE_EXPONENT = 6  # 2^(6+4): 1,024 bytes, the largest block there is
+MAX_SIZE_EXPONENT = 6  # 2^(6+4) = 1,024 bytes is the largest block size
 
 
 class BlockError(Exception):
-    """`incomplete`: a piece is missing, the device begins anew; else the body is larger than it may be."""
+    """A block cannot be used.
+
+    `incomplete` is true if a block is missing, so that the device has to start again, and false if
+    the body is too large.
+    """
 
     def __init__(self, incomplete: bool) -> None:
-        super().__init__("a piece is missing" if incomplete else "too large")
+        super().__init__(
+            "a block of the body is missing" if incomplete else "the body is too large"
+        )
         self.incomplete = incomplete
 
 
 @dataclass(frozen=True, slots=True)
 class Block:
+    """The value of a Block1 or Block2 option."""
+
     number: int
     more: bool
     size: int  # bytes
 
     @classmethod
     def decode(cls, value: bytes) -> Block | None:
-        """None for the size that is reserved."""
+        """Decodes an option; returns None for the reserved size."""
         raw = int.from_bytes(value, "big")
         return (
             None if raw & 7 > MAX_SIZE_EXPONENT else cls(raw >> 4, bool(raw & 8), 16 << (raw & 7))
         )
 
     def encode(self) -> bytes:
+        """Encodes the option."""
         raw = self.number << 4 | self.more << 3 | (self.size.bit_length() - 5)
         return raw.to_bytes((raw.bit_length() + 7) // 8, "big")
 
     @property
     def offset(self) -> int:
+        """Offset of the block in the body."""
         return self.number * self.size
 
 
 @dataclass(eq=False, slots=True)
 class PartialBody:
+    """The blocks of a body received so far."""
+
     data: bytes
     last_block_at: int
 
 
 class BlockAssembler:
+    """Assembles request bodies."""
+
     def __init__(self, max_bodies: int, max_bytes: int, max_body_bytes: int, timeout: int) -> None:
-        """`most` bodies under way, of `body` bytes each at most; `silence` ends one, in tenths of a ms."""
+        """Creates an assembler.
+
+        Args:
+            max_bodies: Maximum number of partial bodies.
+            max_bytes: Maximum size of all partial bodies.
+            max_body_bytes: Maximum size of one body.
+            timeout: Time without a block after which a partial body is dropped, in tenths of a
+                millisecond.
+        """
         self.max_bodies, self.max_bytes, self.max_body_bytes, self.timeout = (
             max_bodies,
             max_bytes,
@@ -62,8 +87,14 @@
     def add(
         self, key: tuple[Hashable, ...], block: Block, payload: bytes, now: int
     ) -> bytes | None:
-        """The whole body with its last piece. A piece that is doubled changes nothing; one out of its place
-        ends the body (RFC 7959 section 2.5). Raises BlockError."""
+        """Adds a block, and returns the whole body after its last block, otherwise None.
+
+        A duplicate block changes nothing; a block out of order drops the body (RFC 7959 section
+        2.5).
+
+        Raises:
+            BlockError: A block is missing, or the body is too large.
+        """
         if block.more and len(payload) != block.size:
             raise BlockError(True)
         if block.offset + len(payload) > self.max_body_bytes:
@@ -78,7 +109,7 @@
             raise BlockError(True)
         elif block.offset + len(payload) <= len(partial.data) and block.more:
             partial.last_block_at = now
-            return None  # it came before
+            return None  # duplicate
         data = (partial.data[: block.offset] if partial is not None else b"") + payload
         if not block.more:
             self.drop(key)
@@ -87,18 +118,19 @@
         self.partial_bodies[key] = PartialBody(data, now)
         self.buffered_bytes += len(data)
         while len(self.partial_bodies) > self.max_bodies or self.buffered_bytes > self.max_bytes:
-            self.drop(next(iter(self.partial_bodies)))  # the one that has waited longest
+            self.drop(next(iter(self.partial_bodies)))  # the one without a new block for longest
         if key not in self.partial_bodies:
             raise BlockError(False)
         return None
 
     def drop(self, key: tuple) -> None:
+        """Drops a partial body, if there is one."""
         partial = self.partial_bodies.pop(key, None)
         if partial is not None:
             self.buffered_bytes -= len(partial.data)
 
     def tick(self, now: int) -> int:
-        """How many were ended by silence."""
+        """Drops the bodies that timed out, and returns their number."""
         expired = [
             key
             for key, partial in self.partial_bodies.items()
@@ -112,8 +144,11 @@
 def select_block(
     body: bytes, requested: Block | None, max_block_bytes: int
 ) -> tuple[Block | None, bytes] | None:
-    """The piece of an answer that was asked for, with its Block2; no block where all fits in one. None: it
-    asks for what lies beyond the end."""
+    """Returns the requested block of an answer with its Block2 value.
+
+    The value is None if the body fits in one message. Returns None if the requested block is beyond
+    the end of the body.
+    """
     size = min(requested.size if requested is not None else max_block_bytes, max_block_bytes)
     number = requested.number if requested is not None else 0
     if requested is None and len(body) <= max_block_bytes:
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -1,5 +1,8 @@
-"""CoAP messages: bytes to records and back (RFC 7252 section 3). Total over any bytes: a Message, or a
-MessageError that says whether anything can be answered to it."""
+"""Encodes and decodes CoAP messages (RFC 7252 section 3).
+
+Any input is decoded to a Message or raises a MessageError, which says whether it is rejected or
+ignored.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,12 @@
 
 VERSION = 1
 MAX_TOKEN_BYTES = 8
-MAX_OPTIONS = 32  # our requests bear ten at most; each costs an object
+MAX_OPTIONS = 32  # requests of this service have at most ten; each option allocates an object
 
 
 class Type(IntEnum):
+    """Message types (RFC 7252 section 3)."""
+
     CON = 0
     NON = 1
     ACK = 2
@@ -20,8 +25,10 @@
 
 
 class Option(IntEnum):
-    """RFC 7252 5.10, 7641, 7959, 7967, 9175; the device's token is of the range for experiments, and
-    critical."""
+    """Option numbers (RFC 7252 section 5.10, RFC 7641, 7959, 7967 and 9175).
+
+    The device's token uses a critical option of the range for experiments.
+    """
 
     URI_HOST = 3
     OBSERVE = 6
@@ -42,6 +49,7 @@
 
 
 def code(code_class: int, detail: int) -> int:
+    """Returns the code of a class and a detail."""
     return code_class << 5 | detail
 
 
@@ -72,8 +80,11 @@
 
 
 class MessageError(Exception):
-    """`mid` is that of a message to be rejected with RST; None: it is ignored in silence (RFC 7252 section
-    3)."""
+    """The input is not a valid message.
+
+    `mid` is the id of a message to be rejected with RST, or None if the message is ignored (RFC
+    7252 section 3).
+    """
 
     def __init__(self, text: str, mid: int | None = None) -> None:
         super().__init__(text)
@@ -82,6 +93,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
+    """A CoAP message; `mid` is the message id."""
+
     type: Type
     code: int
     mid: int
@@ -90,12 +103,15 @@
     payload: bytes = b""
 
     def first(self, option: int) -> bytes | None:
+        """Returns the value of the first option with this number, or None."""
         return next((value for number, value in self.options if number == option), None)
 
     def all(self, option: int) -> list[bytes]:
+        """Returns the values of all options with this number."""
         return [value for number, value in self.options if number == option]
 
     def number(self, option: int, default: int) -> int:
+        """Returns the integer value of an option, or the default without one."""
         value = self.first(option)
         return default if value is None else int.from_bytes(value, "big")
 
@@ -109,24 +125,31 @@
 
 
 def uint(value: int) -> bytes:
-    """As few bytes as it takes (RFC 7252 section 3.2)."""
+    """Encodes an integer in as few bytes as possible (RFC 7252 section 3.2)."""
     return value.to_bytes((value.bit_length() + 7) // 8, "big")
 
 
 def decode(data: bytes) -> Message:
+    """Decodes a message.
+
+    Raises:
+        MessageError: The data is not a valid message.
+    """
     if len(data) < 4 or data[0] >> 6 != VERSION:
-        raise MessageError("no CoAP of version 1")
+        raise MessageError("expected a message of CoAP version 1")
     type_, token_length, code_value = Type(data[0] >> 4 & 3), data[0] & 15, data[1]
     mid = int.from_bytes(data[2:4], "big")
-    reject_mid = (
-        mid if type_ in (Type.CON, Type.NON) else None
-    )  # an ACK or RST that is wrong is ignored (4.2)
+    # An invalid ACK or RST is ignored (RFC 7252 section 4.2).
+    reject_mid = mid if type_ in (Type.CON, Type.NON) else None
     if token_length > MAX_TOKEN_BYTES or len(data) < 4 + token_length:
-        raise MessageError(f"a token of {token_length} bytes", reject_mid)
+        raise MessageError(
+            f"token of {token_length} bytes is truncated or above {MAX_TOKEN_BYTES} bytes",
+            reject_mid,
+        )
     if code_value == EMPTY and (len(data) > 4 or token_length):
-        raise MessageError("an empty message that is not", reject_mid)
+        raise MessageError("empty message with a token, options or payload", reject_mid)
     if 32 <= code_value < 64 or 192 <= code_value < 224 or code_value >> 5 in (1, 6):
-        raise MessageError(f"a code of a reserved class, {code_value >> 5}", reject_mid)
+        raise MessageError(f"code of the reserved class {code_value >> 5}", reject_mid)
     token, offset, number, options = data[4 : 4 + token_length], 4 + token_length, 0, []
     while offset < len(data) and data[offset] != 0xFF:
         delta, length = data[offset] >> 4, data[offset] & 15
@@ -135,29 +158,36 @@
         length, offset = decode_extended(data, offset, length, reject_mid)
         number += delta
         if offset + length > len(data) or len(options) == MAX_OPTIONS:
-            raise MessageError("an option runs past the end, or there are too many", reject_mid)
+            raise MessageError(
+                f"option {number} is truncated, or there are more than {MAX_OPTIONS} options",
+                reject_mid,
+            )
         options.append((number, data[offset : offset + length]))
         offset += length
     payload = data[offset + 1 :]
     if offset < len(data) and not payload:
-        raise MessageError("a payload marker without payload", reject_mid)
+        raise MessageError("payload marker without payload", reject_mid)
     return Message(type_, code_value, mid, token, tuple(options), payload)
 
 
 def decode_extended(
     data: bytes, offset: int, value: int, reject_mid: int | None
 ) -> tuple[int, int]:
+    """Decodes an option's delta or length, and returns it with the next offset."""
     if value < 13:
         return value, offset
     extension_length = value - 12
     if value == 15 or offset + extension_length > len(data):
-        raise MessageError("an option's head that is none", reject_mid)
+        raise MessageError(
+            f"option header has the reserved value 15 or is truncated at byte {offset}", reject_mid
+        )
     return int.from_bytes(data[offset : offset + extension_length], "big") + (
         13 if extension_length == 1 else 269
     ), offset + extension_length
 
 
 def encode(message: Message) -> bytes:
+    """Encodes a message."""
     parts = [
         struct.pack(
             "!BBH", VERSION << 6 | message.type << 4 | len(message.token), message.code, message.mid
@@ -176,14 +206,19 @@
 
 
 def encode_extended(value: int) -> tuple[int, bytes]:
+    """Returns the four-bit value and the extension of an option's delta or length."""
     if value < 13:
         return value, b""
     return (13, bytes((value - 13,))) if value < 269 else (14, struct.pack("!H", value - 269))
 
 
 def unknown_critical(message: Message) -> int | None:
-    """The first option that must be understood and is not, is too long or stands twice (RFC 7252 5.4.1 to
-    5.4.5); elective ones that are wrong are passed over."""
+    """Returns the first critical option that is unknown, has an invalid length or is repeated, or
+    None.
+
+    Such options make a request invalid; elective ones are ignored (RFC 7252 sections 5.4.1 to
+    5.4.5).
+    """
     seen = set()
     for number, value in message.options:
         is_valid = (
--- a/lilacwalk/edge/coap/reliability.py
+++ b/lilacwalk/edge/coap/reliability.py
@@ -1,10 +1,12 @@
-"""The message layer of CoAP without its socket (RFC 7252 section 4): duplicates are known and get the same
-reply, confirmable messages are sent again until they are acknowledged, and one endpoint has one of them out
-at a time.
+"""The message layer of CoAP without its socket (RFC 7252 section 4).
 
-The time until a message is sent again follows the link by CoCoA's idea (strong estimates from exchanges
-acknowledged at once, weak ones from those sent again, which may have been acknowledged for either copy): the
-two are weighed against each other, a long silence lets the estimate fall back towards the default."""
+Duplicates get the reply of the first copy, confirmable messages are retransmitted until they are
+acknowledged, and each endpoint has at most one confirmable message outstanding.
+
+The retransmission timeout follows CoCoA: strong estimates come from messages that were sent once,
+weak ones from retransmitted messages, whose acknowledgement may belong to any copy. Both are
+combined with weights. An estimate without new samples moves back towards the default.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +19,16 @@
 ACK_TIMEOUT, ACK_RANDOM, MAX_RETRANSMIT = 2 * SECOND, 1.5, 4  # RFC 7252 section 4.8
 EXCHANGE_LIFETIME, NON_LIFETIME = 247 * SECOND, 145 * SECOND  # section 4.8.2
 MIN_TIMEOUT, MAX_TIMEOUT = SECOND // 10, 32 * SECOND
-STRONG_WEIGHT, WEAK_WEIGHT = 0.5, 0.25  # CoCoA's weights of a new estimate in the overall one
-ESTIMATE_LIFETIME = 16 * SECOND  # CoCoA: an estimate so old by itself moves back to the default
+STRONG_WEIGHT, WEAK_WEIGHT = 0.5, 0.25  # CoCoA's weights of a new estimate in the timeout
+# CoCoA: after this time without a sample, a timeout moves back to the default.
+ESTIMATE_LIFETIME = 16 * SECOND
 
 
 class RttEstimate:
-    """One of CoCoA's two: RFC 6298, with K 4 for strong ones and 1 for weak."""
+    """One of CoCoA's two estimators (RFC 6298).
+
+    The deviation factor is 4 for the strong and 1 for the weak estimator.
+    """
 
     __slots__ = ("deviation", "deviation_factor", "round_trip")
 
@@ -31,6 +37,7 @@
         self.round_trip, self.deviation = 0.0, 0.0
 
     def add(self, time: int) -> float:
+        """Adds a sample, and returns the estimated timeout."""
         if not self.round_trip:
             self.round_trip, self.deviation = float(time), time / 2
         else:
@@ -40,7 +47,7 @@
 
 
 class RetransmissionTimeout:
-    """How long an endpoint's acknowledgement is waited for."""
+    """The retransmission timeout of one endpoint."""
 
     __slots__ = ("strong", "timeout", "updated_at", "weak")
 
@@ -49,8 +56,11 @@
         self.timeout, self.updated_at = float(ACK_TIMEOUT), now
 
     def record_acknowledgement(self, time: int, transmissions: int, now: int) -> None:
-        """An acknowledgement came so long after the first sending; of what was sent oftener than three times
-        nobody knows which copy it answers."""
+        """Records the time between the first transmission and the acknowledgement.
+
+        Samples with more than three transmissions are ignored, since it is unknown which copy was
+        acknowledged.
+        """
         if transmissions > 3:
             return
         estimate, weight = (
@@ -61,6 +71,7 @@
         self.updated_at = now
 
     def initial(self, now: int, rng: random.Random) -> int:
+        """Returns the randomized timeout of a first transmission."""
         if now - self.updated_at > ESTIMATE_LIFETIME:
             self.timeout = (self.timeout + ACK_TIMEOUT) / 2
             self.updated_at = now
@@ -68,13 +79,13 @@
 
     @staticmethod
     def backoff(first: int) -> float:
-        """CoCoA's variable back-off: short waits grow faster, long ones slower."""
+        """Returns CoCoA's variable back-off factor: short timeouts grow faster, long ones slower."""
         return 3.0 if first < SECOND else 1.5 if first > 3 * SECOND else 2.0
 
 
 @dataclass(eq=False, slots=True)
 class OutgoingMessage:
-    """A confirmable message on its way."""
+    """A confirmable message that awaits its acknowledgement."""
 
     mid: int
     data: bytes
@@ -87,6 +98,8 @@
 
 @dataclass(eq=False, slots=True)
 class Endpoint:
+    """State of a remote endpoint."""
+
     timeout: RetransmissionTimeout
     next_mid: int
     in_flight: OutgoingMessage | None = None
@@ -95,12 +108,20 @@
 
 
 class Reliability:
-    """`most` endpoints are known and `most_seen` messages remembered; what is forgotten early is said in
-    `forgotten`."""
+    """State of the message layer for all endpoints."""
 
     def __init__(
         self, max_endpoints: int, max_messages: int, max_queued: int, rng: random.Random
     ) -> None:
+        """Creates the state.
+
+        Args:
+            max_endpoints: Maximum number of endpoints with state.
+            max_messages: Maximum number of message ids remembered for duplicate detection;
+                `evicted_early` counts those evicted within their lifetime.
+            max_queued: Maximum number of messages that wait for one endpoint.
+            rng: Source of random message ids and timeouts.
+        """
         self.max_endpoints, self.max_messages, self.max_queued, self.rng = (
             max_endpoints,
             max_messages,
@@ -112,6 +133,7 @@
         self.evicted_early = 0
 
     def endpoint(self, address: Hashable, now: int) -> Endpoint:
+        """Returns the state of an endpoint, and evicts idle endpoints beyond the limit."""
         endpoint = self.endpoints.get(address)
         if endpoint is None:
             endpoint = self.endpoints[address] = Endpoint(
@@ -134,16 +156,17 @@
         return endpoint
 
     def next_message_id(self, address: Hashable, now: int) -> int:
+        """Returns a new message id for an endpoint."""
         endpoint = self.endpoint(address, now)
         endpoint.next_mid = endpoint.next_mid + 1 & 0xFFFF
         return endpoint.next_mid
 
-    # What comes
+    # Incoming messages
 
     def check_duplicate(
         self, address: Hashable, mid: int, confirmable: bool, now: int
     ) -> tuple[bool, bytes | None]:
-        """Whether this message came before within its lifetime, and what was replied to it then."""
+        """Returns whether the message was received within its lifetime, and the reply that it got."""
         lifetime = EXCHANGE_LIFETIME if confirmable else NON_LIFETIME
         row = self.seen.get((address, mid))
         if row is not None and now - row[0] < lifetime:
@@ -156,18 +179,21 @@
         return False, None
 
     def record_reply(self, address: Hashable, mid: int, data: bytes) -> None:
-        """What a duplicate of that message is to get: the same bytes."""
+        """Records the reply that duplicates of a message get."""
         row = self.seen.get((address, mid))
         if row is not None:
             self.seen[address, mid] = row[0], data
 
-    # What goes
+    # Outgoing messages
 
     def send(
         self, address: Hashable, mid: int, data: bytes, context: object, now: int
     ) -> bytes | None:
-        """The bytes to send now; None: it waits for the one that is out (NSTART is 1), or, where too many
-        wait, for nothing at all: `failed` then has it with the next tick."""
+        """Returns the bytes to send now, or None if the message has to wait.
+
+        A message waits while another one is outstanding (NSTART is 1). If the queue is full, its
+        oldest message is dropped.
+        """
         endpoint = self.endpoint(address, now)
         message = OutgoingMessage(mid, data, context)
         if endpoint.in_flight is not None:
@@ -187,8 +213,11 @@
     def acknowledge(
         self, address: Hashable, mid: int, now: int
     ) -> tuple[object | None, bytes | None]:
-        """What the acknowledgement (or RST) was for, None for nothing that is out; and what may be sent
-        next."""
+        """Handles an ACK or RST.
+
+        Returns the context of the message that it is for, or None if there is none, and the bytes
+        to send next, if any.
+        """
         endpoint = self.endpoints.get(address)
         if endpoint is None or endpoint.in_flight is None or endpoint.in_flight.mid != mid:
             return None, None
@@ -203,13 +232,16 @@
         return self._start(endpoint, endpoint.queue.popleft(), now) if endpoint.queue else None
 
     def due(self) -> int | None:
+        """Returns the time of the next retransmission, or None."""
         return min(
             (each.in_flight.due for each in self.endpoints.values() if each.in_flight is not None),
             default=None,
         )
 
     def tick(self, now: int) -> list[tuple[Hashable, bytes | None, object | None]]:
-        """(address, bytes to send, what is given up) for all that is due."""
+        """Returns (address, bytes to send, context of a message that was given up) for all due
+        messages.
+        """
         rows: list[tuple[Hashable, bytes | None, object | None]] = []
         for address, endpoint in list(self.endpoints.items()):
             message = endpoint.in_flight
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -1,14 +1,17 @@
-"""Exchanges over CoAP without the socket: datagrams in, datagrams and exchanges out.
+"""Requests over CoAP without the socket: handles datagrams, and collects actions for the host.
 
-POST /x/GROUP?w=MS&k=KEY&s=SUBJECT&c=CUSTOMER, the body as payload, the device's token as option 65001
+POST /x/GROUP?w=MS&k=KEY&s=SUBJECT&c=CUSTOMER, with the body as payload and the
+device's token as option 65001
 
-2.04 completed, the result as payload       4.29 denied, Max-Age the time to come back (RFC 8516)
-5.03 denied while leaving, with Max-Age     5.00 terminated; 4.xx what is wrong with the request
+2.04 completed, the result as payload       4.29 denied, with Max-Age as retry delay (RFC 8516)
+5.03 denied while draining, with Max-Age    5.00 terminated; 4.xx invalid request
 
-An answer that is there within a moment rides on the acknowledgement, a later one comes by itself (RFC 7252
-section 5.2.2). A retransmission gets the same reply; a device that asks anew under another message id is
-recognised as over the link (`repeats`); a source that has not echoed our mark gets that mark, nothing larger,
-and leaves no trace."""
+An answer that is available within `PIGGYBACK_DELAY` is sent with the acknowledgement, a later one
+as a separate response (RFC 7252 section 5.2.2). A retransmission gets the same reply. A device that
+repeats a request with another message id is recognised as on the device link
+(`duplicate_detector`). A source that has not returned its echo value gets only that value, in a
+reply no larger than its request, and leaves no state.
+"""
 
 from __future__ import annotations
 
@@ -36,29 +39,30 @@
 from lilacwalk.overload.model import Effect
 
 SECOND = 10_000
-PIGGYBACK_DELAY = SECOND // 5  # a tenth of the first retransmission: nobody sends again for it
+# A tenth of the first retransmission timeout, so that no device retransmits meanwhile.
+PIGGYBACK_DELAY = SECOND // 5
 BLOCK_BYTES = 1_024
 ECHO_LIFETIME, VALIDATION_LIFETIME = (
     60 * SECOND,
     600 * SECOND,
-)  # an echo may wait for a stalled link; addresses change with the network
-BLOCK_TIMEOUT = 30 * SECOND  # a body in pieces that stands still so long is over
-MAX_PARTIAL_BODIES = 256  # bodies under way at once
-MAX_QUEUED_PER_ENDPOINT = 8  # separate answers that wait for one endpoint
-REQUEST_OVERHEAD_BYTES = 400  # bytes that Python keeps of a request beside its answer
+)  # an echo may be delayed by a stalled link; addresses change with the network
+BLOCK_TIMEOUT = 30 * SECOND  # a partial body without a new block for this time is dropped
+MAX_PARTIAL_BODIES = 256  # bodies being assembled at once
+MAX_QUEUED_PER_ENDPOINT = 8  # separate responses that wait for one endpoint
+REQUEST_OVERHEAD_BYTES = 400  # memory of a request besides its answer
 CODES = {COMPLETED: messages.CHANGED, DENIED: messages.TOO_MANY, TERMINATED: messages.INTERNAL}
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """One exchange; also the caller that the deciding thread knows it by."""
+    """A request; the event loop uses it in place of a session."""
 
     address: tuple
     message: Message
     device: bytes
     effect: Effect
-    body_key: tuple  # under which further pieces of its answer are asked for
-    is_acknowledged: bool = False  # its own acknowledgement went out, empty
+    body_key: tuple  # identifies the request when further blocks of its answer are requested
+    is_acknowledged: bool = False  # whether an empty acknowledgement was sent
     is_finished: bool = False
     word: int = 0
     body: bytes = b""
@@ -70,6 +74,8 @@
 
 
 class CoapService:
+    """Handles CoAP datagrams, and collects actions for the host to perform."""
+
     def __init__(
         self,
         config: EdgeConfig,
@@ -78,6 +84,7 @@
         seed: int,
         now: int,
     ) -> None:
+        """Creates a service without requests."""
         self.config, self.request_classes, self.tokens = config, request_classes, tokens
         self.rng = random.Random(seed ^ 0xC0A9)
         self.reliability = Reliability(
@@ -95,9 +102,7 @@
             self.rng.getrandbits(64),
         )
         self.open: dict[Request, None] = {}
-        self.ack_timers = Wheel(
-            now
-        )  # requests whose answer is not there yet, until they are acknowledged empty
+        self.ack_timers = Wheel(now)  # for empty acknowledgements of requests without an answer
         self.kept_answers: dict[bool, OrderedDict[Request, int]] = {
             True: OrderedDict(),
             False: OrderedDict(),
@@ -113,15 +118,17 @@
         )
 
     def take_actions(self) -> list[Action]:
+        """Returns the collected actions."""
         actions, self.actions = self.actions, []
         return actions
 
     def _send_datagram(self, address: tuple, data: bytes) -> None:
         self.actions.append(Action(ActionType.DATAGRAM, number=0, payload=(address, data)))
 
-    # What comes
+    # Datagrams
 
     def datagram_received(self, address: tuple, data: bytes, now: int) -> None:
+        """Handles a datagram."""
         try:
             message = messages.decode(data)
         except MessageError as error:
@@ -135,7 +142,7 @@
             self._process_acknowledgement(address, message, now)
         elif message.is_request:
             self._process_request(address, message, len(data), now)
-        elif message.type is Type.CON:  # a ping, or an answer to nothing that was asked
+        elif message.type is Type.CON:  # a CoAP ping, or a response to an unknown request
             self._send_datagram(
                 address, messages.encode(Message(Type.RST, messages.EMPTY, message.mid))
             )
@@ -143,7 +150,8 @@
     def _process_acknowledgement(self, address: tuple, message: Message, now: int) -> None:
         request, data = self.reliability.acknowledge(address, message.mid, now)
         if isinstance(request, Request) and message.type is Type.ACK:
-            self.duplicate_detector.remove(request, 1)  # it has its answer: asking again is meant
+            # An equal request after the acknowledgement is intended, and not a duplicate.
+            self.duplicate_detector.remove(request, 1)
             self._drop_answer(request)
         if data is not None:
             self._send_datagram(address, data)
@@ -157,7 +165,7 @@
                 ((Option.ECHO, self.address_validator.make_echo(address, now)),),
                 mid=self.rng.getrandbits(16),
             )
-            if len(reply) <= size:  # never more than was asked, whoever asked
+            if len(reply) <= size:  # no amplification of spoofed requests
                 self._send_datagram(address, reply)
             return
         is_duplicate, reply = self.reliability.check_duplicate(
@@ -224,7 +232,11 @@
         )
 
     def _parse_query(self, message: Message) -> dict:
-        """What the queries say. Raises ValueError."""
+        """Returns the fields that the query states.
+
+        Raises:
+            ValueError: A query is unknown or invalid.
+        """
         names = {"w": "wait", "k": "key", "s": "subject", "c": "customer"}
         fields: dict = {}
         for raw in message.all(Option.URI_QUERY):
@@ -240,7 +252,7 @@
     def _assemble_body(
         self, address: tuple, message: Message, body_key: tuple, now: int
     ) -> bytes | None:
-        """The whole body, or None where this was a piece of one and has been answered."""
+        """Returns the whole body, or None if the message was a block and has been answered."""
         raw = message.first(Option.BLOCK1)
         if raw is None:
             if len(message.payload) > self.config.body:
@@ -264,7 +276,7 @@
             )
         return whole
 
-    # Exchanges
+    # Requests
 
     def _submit(
         self, address: tuple, message: Message, ask: Ask, device: bytes, body_key: tuple, now: int
@@ -314,7 +326,7 @@
     def send_answer(
         self, request: Request, word: int, body: bytes, come_back: int, now: int
     ) -> None:
-        """The one final answer, from the deciding thread."""
+        """Completes a request and its duplicates; called with the event loop's response."""
         if request not in self.open:
             return
         del self.open[request]
@@ -350,7 +362,7 @@
     ) -> None:
         message, address = request.message, request.address
         unwanted_classes = message.number(Option.NO_RESPONSE, 0)
-        if unwanted_classes >> ((code >> 5) - 1) & 1:  # RFC 7967: its class is not wanted
+        if unwanted_classes >> ((code >> 5) - 1) & 1:  # No-Response (RFC 7967) excludes this class
             if message.type is Type.CON and not request.is_acknowledged:
                 self._acknowledge(request)
             return
@@ -379,7 +391,7 @@
     def _send_block(
         self, address: tuple, message: Message, body_key: tuple, requested_block: Block, now: int
     ) -> None:
-        """A later piece of an answer that was given."""
+        """Sends a later block of an answer."""
         request = self.by_body_key.get(body_key)
         selected = (
             select_block(request.body, requested_block, BLOCK_BYTES)
@@ -404,7 +416,7 @@
         options: tuple = (),
         payload: bytes = b"",
     ) -> None:
-        """What needs no exchange rides on the acknowledgement."""
+        """Answers a request that is not submitted, in the acknowledgement if it is confirmable."""
         data = self._reply(
             message, code, options, payload, self.reliability.next_message_id(address, now)
         )
@@ -427,10 +439,14 @@
             )
         )
 
-    # What is kept
+    # Kept answers
 
     def _keep_answer(self, request: Request) -> None:
-        """For repeats and further pieces; where there is no room, answers that may be made again go first."""
+        """Keeps an answer for duplicates and further blocks.
+
+        Beyond the limit, answers of idempotent requests are dropped first, since they can be made
+        again.
+        """
         self.kept_answers[request.effect is Effect.IDEMPOTENT][request] = request.size
         self.by_body_key[request.body_key] = request
         self.kept_bytes += request.size
@@ -450,6 +466,7 @@
     # Time
 
     def due(self) -> int:
+        """Returns the time of the next call of `tick`."""
         times = [self.next_check_at]
         for each in (self.ack_timers.due(), self.reliability.due()):
             if each is not None:
@@ -457,6 +474,7 @@
         return min(times)
 
     def tick(self, now: int) -> None:
+        """Sends due acknowledgements and retransmissions, and drops expired state."""
         for request in self.ack_timers.expire(now):
             assert isinstance(request, Request)
             if request.message.type is Type.CON:
@@ -464,17 +482,20 @@
         for address, data, lost in self.reliability.tick(now):
             if data is not None:
                 self._send_datagram(address, data)
-            self.counts["lost"] += lost is not None  # its answer is kept for when it asks again
+            # The answer of a lost response is kept in case the device repeats the request.
+            self.counts["lost"] += lost is not None
         if now >= self.next_check_at:
             self.next_check_at = now + SECOND
             self.block_assembler.tick(now)
             self.duplicate_detector.remove_expired(now)
 
     def start_draining(self, come_back: int) -> None:
+        """Answers denied requests as unavailable from now on."""
         self.drain_retry_delay = come_back
 
     @property
     def is_idle(self) -> bool:
+        """Whether no request is in flight and no response awaits an acknowledgement."""
         return not self.open and not any(
             each.in_flight is not None for each in self.reliability.endpoints.values()
         )
--- a/lilacwalk/edge/config.py
+++ b/lilacwalk/edge/config.py
@@ -1,7 +1,7 @@
 """The operator's configuration of the edge.
 
-The records are immutable; the operator package checks them when it reads the operator's file.
-Times are in tenths of a millisecond, sizes in bytes.
+The records are immutable; the operator package checks them when it reads the operator's file. Times
+are in tenths of a millisecond, sizes in bytes.
 """
 
 from __future__ import annotations
@@ -27,9 +27,8 @@
 
     certificate: str
     key: str
-    authority: str | None = (
-        None  # file of the certificate authority that signs the devices' certificates
-    )
+    # File of the certificate authority that signs the devices' certificates.
+    authority: str | None = None
     mutual: bool = False
 
     def faults(self) -> list[tuple[str, str]]:
@@ -44,10 +43,8 @@
 
     ARGUMENTS: ClassVar = ()
     listen: Annotated[tuple[str, int], unit("endpoint")]
-    coap: Annotated[tuple[str, int], unit("endpoint")] | None = (
-        None  # address of the CoAP listener (UDP)
-    )
-    secrets: str  # file with a hexadecimal secret per line: tokens are signed with the first and verified with all
+    coap: Annotated[tuple[str, int], unit("endpoint")] | None = None  # UDP
+    secrets: str  # path of a file with one hexadecimal secret per line
     tls: Tls | None = None
     customer: str = ""  # tenant of requests that do not name one
     connections: Count = 2_000
@@ -57,27 +54,20 @@
     window: Annotated[int, Meta(ge=1, le=256)] = 16  # requests that one session may have in flight
     body: Size = 2_048  # maximum size of a request body; the same limit applies to proxies
     kept: Size = 4_000_000  # bytes of unacknowledged answers of all sessions together
-    kept_each: Size = 131_072
+    kept_each: Size = 131_072  # bytes of unacknowledged answers of one session
     buffer: Size = 32_768  # unsent bytes on one connection; further answers wait in the session
     session_time: Time = 600 * SECOND  # a session without a connection is removed after this time
     repeat_window: Time = 60 * SECOND
     heartbeat: Time = 30 * SECOND
-    hello: Time = (
-        5 * SECOND
-    )  # from the start of a connection until its HELLO frame has been received
+    # From the start of a connection until its HELLO frame has been received.
+    hello: Time = 5 * SECOND
     frame_time: Time = 60 * SECOND  # from the first byte of a frame to its last
-    slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = (
-        64  # minimum bytes per second, averaged over the seconds in which bytes arrived
-    )
-    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = (
-        60  # connections per source in about ten seconds
-    )
-    estimates: bool = (
-        True  # subtract the expected delivery time of the answer from the request's timeout
-    )
-    repeats: bool = (
-        True  # detect duplicates of requests that have no idempotency key across sessions
-    )
+    slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # minimum bytes per second
+    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = 60  # per source in about 10 s
+    # Subtract the expected delivery time of the answer from the request's timeout.
+    estimates: bool = True
+    # Detect duplicate requests across sessions, without relying on idempotency keys.
+    repeats: bool = True
     resume: bool = True
 
     def faults(self) -> list[tuple[str, str]]:
--- a/lilacwalk/edge/connection_limiter.py
+++ b/lilacwalk/edge/connection_limiter.py
@@ -8,9 +8,8 @@
 from lilacwalk.edge.sketch import Sketch
 
 HALF_LIFE = 100_000  # tenths of a ms; half-life of a source's connection count
-IPV6_PREFIX_BYTES = (
-    6  # IPv6 sources are counted by their /48 network, since one host can use many addresses of it
-)
+# IPv6 sources are counted by their /48 network, since one host can use many addresses of it.
+IPV6_PREFIX_BYTES = 6
 
 
 class ConnectionLimiter:
@@ -41,9 +40,8 @@
         """Counts a connection, and returns why it is rejected, or an empty string if it is
         admitted.
 
-        Rejected connections count as well, so that a source that keeps reconnecting stays
-        blocked until
-        it stops.
+        Rejected connections count as well, so that a source that keeps reconnecting stays blocked
+        until it stops.
         """
         if self.sketch.add(self.source(address), now) > self.max_per_source:
             self.rejected += 1
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -36,10 +36,9 @@
 VERSION = 1
 SECOND = 10_000
 ANSWER_SIZE_WEIGHT = 1 / 16  # weight of the newest answer in the mean size of answers
-INITIAL_ANSWER_BYTES = 500.0  # bytes
-DUPLICATE_ENTRIES_PER_SESSION = (
-    8  # per session of the limit; most devices have fewer requests in flight
-)
+INITIAL_ANSWER_BYTES = 500.0  # mean size before the first answer
+# Per session of the limit; most devices have fewer requests in flight.
+DUPLICATE_ENTRIES_PER_SESSION = 8
 CHECK_INTERVAL = SECOND  # between checks for slow and unidentified connections
 CLOSED_BY_DEVICE = "said goodbye"  # reason of the removal of a session
 MAX_MISSED_HEARTBEATS = 3  # intervals without received bytes after which a connection is closed
@@ -135,9 +134,8 @@
         self.links: dict[bytes, Link] = {}  # by device, for devices with a session
         self.actions: list[Action] = []
         self.mean_answer_bytes = INITIAL_ANSWER_BYTES
-        self.drain_retry_delay: int | None = (
-            None  # while draining: time after which devices should reconnect
-        )
+        # While draining: time after which devices should reconnect.
+        self.drain_retry_delay: int | None = None
         self.is_closing = False
         self.next_check_at = now + CHECK_INTERVAL
         self.persists_sessions = False  # whether sessions outlive the process
@@ -277,9 +275,8 @@
             self._process_acknowledgement(session, frame.got, now)
             self._send(connection, frames.encode(Pong(frame.stamp)))
         elif isinstance(frame, Pong):
-            if (
-                0 <= now - frame.stamp <= 2 * self.config.heartbeat
-            ):  # otherwise not the echo of a recent ping
+            # Any other stamp is not the echo of a recent ping.
+            if 0 <= now - frame.stamp <= 2 * self.config.heartbeat:
                 session.link.record_round_trip(now - frame.stamp)
         elif isinstance(frame, Cancel):
             self._cancel(session, frame.number)
@@ -573,9 +570,8 @@
                 if now - connection.last_received_at > MAX_MISSED_HEARTBEATS * max(
                     interval, self.config.heartbeat
                 ):
-                    self._close(
-                        connection
-                    )  # without a reason, since the device would not receive it
+                    # Without a reason, since the device would not receive it.
+                    self._close(connection)
                 elif (
                     now - connection.last_received_at > interval
                     and connection.unsent_bytes < self.config.buffer
--- a/lilacwalk/edge/duplicate_detector.py
+++ b/lilacwalk/edge/duplicate_detector.py
@@ -1,12 +1,12 @@
-"""Detects duplicates of requests without an idempotency key, from a device that lost its session.
-
-Within one session, two requests with different numbers are always two requests. For a device
-whose numbers outlive its sessions (`has_stable_numbers`), the number alone decides. Otherwise,
-requests of the same device with equal request class, tenant, subject and body within the window
-are duplicates, but only while the earlier one is in flight or its answer has not been
-acknowledged: a device that sends the request again after it acknowledged the answer intends a
-second one. A false positive loses an intended request; a false negative repeats an effect, and
-only where the request class allows it. In doubt, requests are therefore treated as different.
+"""Detects duplicate requests of a device that lost its session, without idempotency keys.
+
+Within one session, two requests with different numbers are always two requests. For a device whose
+numbers outlive its sessions (`has_stable_numbers`), the number alone decides. Otherwise, requests
+of the same device with equal request class, tenant, subject and body within the window are
+duplicates, but only while the earlier one is in flight or its answer has not been acknowledged: a
+device that sends the request again after it acknowledged the answer intends a second one. A false
+positive loses an intended request; a false negative repeats an effect, and only where the request
+class allows it. In doubt, requests are therefore treated as different.
 """
 
 from __future__ import annotations
@@ -30,9 +30,8 @@
     number: int
     effect: Effect
     received_at: int
-    outcome: int | None = (
-        None  # COMPLETED, DENIED or TERMINATED; None while the request is in flight
-    )
+    # COMPLETED, DENIED or TERMINATED; None while the request is in flight.
+    outcome: int | None = None
 
 
 class DuplicateDetector:
@@ -70,9 +69,7 @@
         entry = self.entries.get(fingerprint)
         if entry is None or entry.session is session or now - entry.received_at > self.window:
             return None
-        if (
-            entry.outcome == DENIED
-        ):  # the request was not executed, and the device was told to retry
+        if entry.outcome == DENIED:  # the request was not executed, and the device may retry it
             return None
         if entry.outcome == TERMINATED and effect is Effect.IDEMPOTENT:
             return None
--- a/lilacwalk/edge/frames.py
+++ b/lilacwalk/edge/frames.py
@@ -1,9 +1,8 @@
 """Frames of the device link: a length of four bytes and a CBOR array (RFC 8949).
 
-`docs/specs/device-link.md` specifies them. Any input is decoded to a record or raises a
-FrameError. The structure of a frame is checked before the CBOR library builds objects from it,
-so
-that depth, number of items and lengths are bounded.
+`docs/specs/device-link.md` specifies them. Any input is decoded to a record or raises a FrameError.
+The structure of a frame is checked before the CBOR library builds objects from it, so that depth,
+number of items and lengths are bounded.
 """
 
 from __future__ import annotations
@@ -236,9 +235,8 @@
 class Stream:
     """Splits a byte stream into frames.
 
-    Buffers at most one frame. A length above `max_frame_bytes` is rejected as soon as the
-    header has
-    been received.
+    Buffers at most one frame. A length above `max_frame_bytes` is rejected as soon as the header
+    has been received.
     """
 
     max_frame_bytes: int
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -1,7 +1,6 @@
 """The edge's host: one thread that polls the sockets of all devices and owns the `DeviceService`.
 
-A thread per connection costs more memory and CPU time; `docs/design/edge.md` has the
-measurements.
+A thread per connection costs more memory and CPU time; `docs/design/edge.md` has the measurements.
 """
 
 from __future__ import annotations
@@ -189,8 +188,7 @@
         """Returns the scope of session tokens.
 
         Unless sessions outlive the process, it differs at each start, so that tokens of the
-        previous process
-        are rejected at once.
+        previous process are rejected at once.
         """
         if self.persist_sessions is not None:
             return self.node
@@ -419,8 +417,8 @@
         return True
 
     def _read(self, device_socket: DeviceSocket) -> None:
-        """Reads until the TLS layer holds no more data, since the selector does not report
-        buffered data.
+        """Reads until the TLS layer holds no more data, since the selector does not report buffered
+        data.
         """
         while device_socket.number in self.device_sockets:
             chunk = device_socket.sock.recv(READ_BYTES)
--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -7,14 +7,12 @@
 from __future__ import annotations
 
 INITIAL_ROUND_TRIP = 3_000  # tenths of a ms; a typical mobile link has 300 ms
-MAX_ROUND_TRIP = (
-    100_000  # tenths of a ms; a longer round trip is a stall, which does not predict the next one
-)
+# Tenths of a ms; a longer round trip is a stall, which does not predict the next one.
+MAX_ROUND_TRIP = 100_000
 INITIAL_THROUGHPUT = 2_000.0  # bytes per 100 ms; 20 KB/s is a poor link
 MEAN_WEIGHT, DEVIATION_WEIGHT = 1 / 8, 1 / 4  # RFC 6298 section 2
-HEARTBEAT_DEVIATIONS = (
-    2  # mean deviations added to the round trip for heartbeats, not for delivery times
-)
+# Mean deviations added to the round trip for heartbeats, not for delivery times.
+HEARTBEAT_DEVIATIONS = 2
 STALL_FACTOR = 3  # multiple of the mean round trip; longer samples are stalls and are clipped to it
 LOSS_WEIGHT = 1 / 16
 
@@ -65,11 +63,9 @@
         """Returns the expected time until an answer of this size is delivered, in tenths of a
         millisecond.
 
-        This is half a round trip, the transmission time, and another round trip for the share
-        that is
-        lost and sent again. No deviation is added: an estimate that is too low makes an answer
-        late now
-        and then, one that is too high rejects requests that could have been answered.
+        This is half a round trip, the transmission time, and another round trip for the share that
+        is lost and sent again. No deviation is added: an estimate that is too low makes an answer
+        late now and then, one that is too high rejects requests that could have been answered.
         """
         one_delivery = self.mean_round_trip / 2 + size * 1_000 / max(1.0, self.throughput)
         return int(
@@ -80,8 +76,7 @@
         """Returns the time between probes of a quiet link.
 
         It detects a stall within a few round trips, but is never less than a tenth of
-        `max_interval`, so
-        that the radio of an unreachable device is not kept awake.
+        `max_interval`, so that the radio of an unreachable device is not kept awake.
         """
         return int(
             max(
--- a/lilacwalk/edge/rates.py
+++ b/lilacwalk/edge/rates.py
@@ -1,20 +1,17 @@
 """Detects connections that send a frame too slowly.
 
-A slow sender and a stalled link have a similar mean rate, but differ in the number of seconds
-in
-which bytes arrive: a stalled link delivers nothing and then a burst, a slow sender delivers a
-byte in every second.
+A slow sender and a stalled link have a similar mean rate, but differ in the number of seconds in
+which bytes arrive: a stalled link delivers nothing and then a burst, a slow sender delivers a byte
+in every second.
 """
 
 from __future__ import annotations
 
 SECOND = 10_000
-MIN_ACTIVE_SECONDS = (
-    3  # seconds with received bytes before the rate is checked; a frame's header may arrive alone
-)
-DOUBLING_SECONDS = (
-    10  # seconds after which the minimum rate has doubled, so that a slow frame cannot last
-)
+# Seconds with received bytes before the rate is checked; a frame's header may arrive alone.
+MIN_ACTIVE_SECONDS = 3
+# Seconds after which the minimum rate has doubled, so that a slow frame cannot last.
+DOUBLING_SECONDS = 10
 
 
 class FrameProgress:
@@ -50,8 +47,7 @@
     def is_too_slow(self, min_rate: int, max_duration: int, now: int) -> bool:
         """Whether the frame took longer than `max_duration`, or arrives below the minimum rate.
 
-        `min_rate` is in bytes per second in which any arrived. It doubles every
-        `DOUBLING_SECONDS`.
+        `min_rate` is in bytes per second in which any arrived. It doubles every `DOUBLING_SECONDS`.
         """
         if not self.started_at:
             return False
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -1,7 +1,7 @@
 """The state of one session: requests in flight and answers that the device has not acknowledged.
 
-A session outlives its connections. Each request number gets exactly one answer, which is kept
-until the device acknowledges it and is sent again, byte for byte, on the next connection.
+A session outlives its connections. Each request number gets exactly one answer, which is kept until
+the device acknowledges it and is sent again, byte for byte, on the next connection.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RequestStatus(Enum):
-    """What a session knows about the number of a received request."""
+    """State of a received request number in its session."""
 
     NEW = auto()
     IN_FLIGHT = auto()  # received before, not answered yet
@@ -47,14 +47,10 @@
 
     effect: Effect
     received_at: int
-    execution_key: tuple[str, str, str] = (
-        "",
-        "",
-        "",
-    )  # request class, tenant and idempotency key, which identify its execution
-    followers: list[tuple[Session, int]] = field(
-        default_factory=list
-    )  # sessions and numbers of duplicates, which get the same answer
+    # Request class, tenant and idempotency key, which identify the execution.
+    execution_key: tuple[str, str, str] = ("", "", "")
+    # Sessions and request numbers of duplicates, which get the same answer.
+    followers: list[tuple[Session, int]] = field(default_factory=list)
 
 
 class Session:
@@ -89,9 +85,8 @@
         self.device_window = 1  # unacknowledged answers that the device can hold
         self.highest_number = 0  # highest request number received
         self.open: dict[int, OpenRequest] = {}
-        self.unacknowledged: OrderedDict[int, UnacknowledgedAnswer] = (
-            OrderedDict()
-        )  # by answer order
+        # By answer order.
+        self.unacknowledged: OrderedDict[int, UnacknowledgedAnswer] = OrderedDict()
         self.by_number: dict[int, int] = {}
         self.last_order = 0  # order of the last answer
         self.acknowledged_order = 0
@@ -149,8 +144,7 @@
         """Removes and returns the answers up to this order that the device has acknowledged.
 
         Answers that were not sent on the current connection are not acknowledged, whatever the
-        device
-        claims.
+        device claims.
         """
         acknowledged = []
         while self.unacknowledged and (first := next(iter(self.unacknowledged))) <= upto:
@@ -202,9 +196,8 @@
         """What the eviction of the session would lose; sessions with lower values are evicted
         first.
 
-        The loss is highest if a non-idempotent effect may remain unknown to the device, and
-        lower if work
-        has to be repeated. Among equals, the session that was disconnected last is kept.
+        The loss is highest if a non-idempotent effect may remain unknown to the device, and lower
+        if work has to be repeated. Among equals, the session that was disconnected last is kept.
         """
         effects = [pending.effect for pending in self.unacknowledged.values()] + [
             each.effect for each in self.open.values()
--- a/lilacwalk/edge/session_codec.py
+++ b/lilacwalk/edge/session_codec.py
@@ -1,7 +1,6 @@
 """Encodes a session as a row of the store, and decodes it.
 
-One row holds the whole session, so that it is never restored in part: the requests in flight
-and
+One row holds the whole session, so that it is never restored in part: the requests in flight and
 the unacknowledged answers. After a restart, requests in flight are answered with their stored
 result, as terminated if they may have been executed, or as denied if they were not started.
 """
--- a/lilacwalk/edge/sessions.py
+++ b/lilacwalk/edge/sessions.py
@@ -100,8 +100,7 @@
     def add_bytes(self, session: Session, size: int) -> None:
         """Records the size of a new answer, or a negative size for acknowledged ones.
 
-        Beyond the limit, disconnected sessions are removed, cheapest first, but not this
-        session.
+        Beyond the limit, disconnected sessions are removed, cheapest first, but not this session.
         """
         self.unacknowledged_bytes += size
         if self.unacknowledged_bytes <= self.max_bytes:
--- a/lilacwalk/edge/sketch.py
+++ b/lilacwalk/edge/sketch.py
@@ -1,9 +1,9 @@
 """A count-min sketch whose counts decay (Cormode and Muthukrishnan, 2005, with exponential decay).
 
-It counts recent events per source, in memory that does not depend on the number of sources. A
-count may be too high if sources collide, but is never too low. A dict is not used because
-attackers choose the number of keys: spoofed sources would fill it. The seed is secret, so that
-nobody can construct collisions with another source's counters.
+It counts recent events per source, in memory that does not depend on the number of sources. A count
+may be too high if sources collide, but is never too low. A dict is not used because attackers
+choose the number of keys: spoofed sources would fill it. The seed is secret, so that nobody can
+construct collisions with another source's counters.
 """
 
 from __future__ import annotations
@@ -20,10 +20,8 @@
     def __init__(self, seed: int, half_life: int, now: int, columns: int = COLUMNS) -> None:
         """Creates an empty sketch; `half_life` is in tenths of a millisecond."""
         self.seed, self.half_life, self.updated_at = seed & (1 << 64) - 1, half_life, now
-        self.columns, self.scale = (
-            columns,
-            1.0,
-        )  # stored counts are multiplied by `scale`, so that decay changes this number only
+        # Stored counts are multiplied by `scale`, so that decay changes this number only.
+        self.columns, self.scale = columns, 1.0
         self.rows = [[0.0] * columns for _ in range(ROWS)]
 
     def _columns(self, key: bytes) -> list[int]:
@@ -36,9 +34,8 @@
 
     def _decay(self, now: int) -> None:
         if now > self.updated_at:
-            self.scale *= 2.0 ** min(
-                1_000.0, (now - self.updated_at) / self.half_life
-            )  # at 1,000 half-lives the counts are zero
+            # After 1,000 half-lives the counts are zero.
+            self.scale *= 2.0 ** min(1_000.0, (now - self.updated_at) / self.half_life)
             self.updated_at = now
             if self.scale > 1e12:
                 for row in self.rows:
--- a/lilacwalk/edge/timer_wheel.py
+++ b/lilacwalk/edge/timer_wheel.py
@@ -2,11 +2,10 @@
 
 Most timers are moved or cancelled before they expire. The wheel schedules, moves and cancels a
 timer in constant time, whatever their number; a heap takes log n for each and keeps cancelled
-timers until they are due. `heapq` is not used because sessions move several timers with each
-frame; `benchmarks/edge.py` compares both. A timer expires at the end of its slot: up to one
-slot
-late and never early. An empty interval is walked slot by slot, so callers use `due` to find the
-next slot with timers.
+timers until they are due. `heapq` is not used because sessions move several timers with each frame;
+`benchmarks/edge.py` compares both. A timer expires at the end of its slot: up to one slot late and
+never early. An empty interval is walked slot by slot, so callers use `due` to find the next slot
+with timers.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
         self.slot_duration, self.next_tick = (
             slot,
             now // slot,
-        )  # `next_tick`: number of the first slot that has not expired
+        )  # `next_tick`: first slot not expired
         self.levels: list[list[dict[Hashable, int]]] = [
             [{} for _ in range(SLOTS_PER_LEVEL)] for _ in range(LEVELS)
         ]
@@ -47,9 +46,8 @@
         remaining, index = tick - self.next_tick, 0
         while remaining >= SLOTS_PER_LEVEL ** (index + 1) and index < LEVELS - 1:
             index += 1
-        slot = min(
-            tick, self.next_tick + SLOTS_PER_LEVEL**LEVELS - 1
-        )  # a timer beyond the last level cascades early and is then inserted again
+        # A timer beyond the last level cascades early and is then inserted again.
+        slot = min(tick, self.next_tick + SLOTS_PER_LEVEL**LEVELS - 1)
         bucket = self.levels[index][slot // SLOTS_PER_LEVEL**index % SLOTS_PER_LEVEL]
         bucket[name] = tick
         self.slots_by_name[name] = bucket
--- a/lilacwalk/edge/tokens.py
+++ b/lilacwalk/edge/tokens.py
@@ -1,7 +1,6 @@
 """Tokens that authenticate devices and sessions: a name, an expiry time and a MAC.
 
-The MAC is a truncated HMAC-SHA256 (RFC 2104) and is compared in constant time. Secrets are
-rotated
+The MAC is a truncated HMAC-SHA256 (RFC 2104) and is compared in constant time. Secrets are rotated
 with an overlap: tokens are signed with the first secret of the file and verified with all.
 """
 
@@ -39,9 +38,8 @@
     def __init__(self, secrets: list[bytes], scope_name: bytes) -> None:
         """Creates a signer with these secrets.
 
-        `scope_name` is included in the MAC of session tokens, so that a session token of
-        another node is
-        rejected.
+        `scope_name` is included in the MAC of session tokens, so that a session token of another
+        node is rejected.
         """
         if not secrets:
             raise ValueError("at least one secret is required to sign tokens, got none")
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -1,4 +1,4 @@
-"""Parts for the devices' stories: a machine by hand, and an app server with its edge between stand-ins."""
+"""Fixtures: the device service without sockets, and an app server with its edge in this process."""
 
 import secrets as random_secrets
 import threading
@@ -30,7 +30,9 @@
 
 
 class World:
-    """The edge's machine; connections are numbers, and what is sent on each is read back as frames."""
+    """The device service without sockets; connections are numbers, and sent bytes are decoded to
+    frames.
+    """
 
     def __init__(self, **config):
         self.now = START
@@ -39,7 +41,7 @@
         self.config = EdgeConfig(**(base | config))
         self.service = DeviceService(self.config, GROUPS, self.tokens, 7, self.now)
         self.streams, self.read, self.closed, self.asks, self.gone = {}, {}, [], [], []
-        self.flowing = True  # what is sent is taken by the system at once
+        self.flowing = True  # whether the operating system accepts sent bytes at once
         self.numbers = 0
 
     def take(self):
@@ -121,7 +123,7 @@
 
 
 class EdgeSite:
-    """An app server in this process with its edge, a kernel stand-in behind it."""
+    """An app server in this process with its edge and a stand-in for the executor."""
 
     def __init__(
         self,
@@ -160,13 +162,13 @@
         return self.devices[-1]
 
     def decided(self, question):
-        """Asked of the event loop."""
+        """Calls `question` with the event loop in the event loop's thread."""
         answers = SimpleQueue()
         self.event_loop.event_queue.post(lambda: answers.put(question(self.event_loop)))
         return answers.get(timeout=10.0)
 
     def inside(self, question):
-        """Asked of the edge's machine in its own thread."""
+        """Calls `question` with the device service in the edge's thread."""
         answers = SimpleQueue()
         self.edge.post(lambda: answers.put(question(self.edge.service)))
         return answers.get(timeout=10.0)
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -1,5 +1,6 @@
-"""CoAP: the codec, the message layer, bodies in pieces, whose address is whose, and the whole over a bad
-link."""
+"""CoAP: codec, message layer, block-wise transfer, address validation, and the service over lossy
+links.
+"""
 
 import random
 import threading
@@ -48,12 +49,12 @@
 
 
 @given(wholes)
-def test_a_message_comes_back_as_it_was(message):
+def test_messages_survive_encoding_and_decoding(message):
     assert messages.decode(messages.encode(message)) == message
 
 
 @given(st.binary(max_size=60))
-def test_any_bytes_are_a_message_or_a_message_error(data):
+def test_any_bytes_decode_to_a_message_or_raise_message_error(data):
     try:
         messages.decode(data)
     except MessageError as error:
@@ -78,7 +79,7 @@
         (b"\x40\2\0\1" + b"\x10" * 40, True),
     ],
 )
-def test_what_is_no_message_is_rejected_where_it_may_be_and_else_ignored(data, rejected):
+def test_invalid_messages_are_rejected_with_rst_or_ignored(data, rejected):
     with pytest.raises(MessageError) as error:
         messages.decode(data)
     assert (error.value.mid is not None) is rejected
@@ -94,7 +95,7 @@
         self.proven = proven
 
     def take(self):
-        """What was sent since, as messages."""
+        """Returns the messages sent since the last call."""
         sent = []
         for action in self.service.take_actions():
             if action.type is ActionType.DATAGRAM:
@@ -139,14 +140,14 @@
         return self.take()
 
 
-def test_an_answer_that_is_there_at_once_rides_on_the_acknowledgement():
+def test_an_answer_within_the_piggyback_delay_is_sent_with_the_acknowledgement():
     world = World()
     assert world.say(world.request(queries=[b"w=1000", b"k=key"])) == []
     assert (world.asks[0][1].frame.key, world.asks[0][1].timeout) == ("key", SECOND)
     assert world.answer() == [Message(ACK, messages.CHANGED, 1, b"tk", (), b"ok")]
 
 
-def test_a_late_one_comes_by_itself_until_it_is_acknowledged():
+def test_a_late_answer_is_a_separate_response_retransmitted_until_acknowledged():
     world = World()
     world.say(world.request())
     assert world.wait(SECOND) == [Message(ACK, 0, 1)]
@@ -158,7 +159,7 @@
     assert world.service.is_idle
 
 
-def test_a_separate_answer_nobody_acknowledges_is_given_up_after_four_more_and_kept_for_who_asks_again():
+def test_an_unacknowledged_separate_response_is_given_up_after_four_retransmissions_but_kept_for_duplicates():
     world = World(repeat_window=300 * SECOND)
     world.say(world.request("move"))
     world.wait(SECOND)
@@ -168,7 +169,7 @@
 
 
 @pytest.mark.parametrize("when", ["before", "after", "acknowledged"])
-def test_a_doubled_request_is_one_exchange_and_gets_the_same_reply(when):
+def test_a_duplicate_message_is_not_submitted_again_and_gets_the_same_reply(when):
     world = World()
     request = world.request("move")
     world.say(request)
@@ -180,7 +181,7 @@
     assert len(world.asks) == 1 and again == ([] if when == "before" else [first])
 
 
-def test_a_message_id_used_after_its_lifetime_is_a_new_exchange():
+def test_a_message_id_reused_after_its_lifetime_is_a_new_request():
     world = World(repeat_window=SECOND)
     world.say(world.request("move", mid=9))
     world.answer()
@@ -196,10 +197,10 @@
     assert len(world.asks) == 4
 
 
-def test_a_device_that_asks_anew_is_joined_or_answered_and_one_that_has_its_answer_means_it():
+def test_a_repeated_request_shares_the_answer_until_the_answer_is_acknowledged():
     world = World()
     world.say(world.request("move"))
-    world.say(world.request("move"), THERE)  # its address changed with the network
+    world.say(world.request("move"), THERE)  # the device's address changed with the network
     assert len(world.asks) == 1 and len(world.answer()) == 2
     world.say(world.request("move"))
     assert len(world.asks) == 1
@@ -216,7 +217,7 @@
     "word, code, age",
     [(0, messages.CHANGED, None), (1, messages.TOO_MANY, b"\2"), (2, messages.INTERNAL, None)],
 )
-def test_the_three_answers_have_their_codes_and_a_denial_its_time_to_come_back(word, code, age):
+def test_each_outcome_has_its_response_code_and_a_denial_has_max_age(word, code, age):
     world = World()
     world.say(world.request())
     [reply] = world.answer(word=word, body=b"", come_back=15_000)
@@ -237,13 +238,13 @@
         (dict(options=[(Option.BLOCK2, b"\x16")]), messages.INCOMPLETE),
     ],
 )
-def test_what_is_wrong_with_a_request_is_said_by_its_code(spoil, code):
+def test_an_invalid_request_gets_the_matching_response_code(spoil, code):
     world = World()
     assert [each.code for each in world.say(world.request(**spoil))] == [code] and not world.asks
 
 
 @pytest.mark.parametrize("kind", [CON, NON])
-def test_a_class_of_answers_that_is_not_wanted_is_not_sent(kind):
+def test_a_response_class_excluded_by_no_response_is_not_sent(kind):
     world = World()
     world.say(world.request(kind=kind, options=[(Option.NO_RESPONSE, b"\2")]))
     assert world.answer() == ([Message(ACK, 0, 1)] if kind is CON else [])
@@ -251,17 +252,17 @@
     assert world.answer(word=2)[0].code == messages.INTERNAL
 
 
-def test_a_ping_is_answered_and_an_answer_to_nothing_rejected():
+def test_a_ping_and_an_unexpected_response_are_answered_with_rst():
     world = World()
     assert world.say(Message(CON, 0, 7)) == [Message(RST, 0, 7)]
     assert world.say(Message(CON, messages.CONTENT, 8, b"t")) == [Message(RST, 0, 8)]
     assert world.say(Message(NON, messages.CONTENT, 8, b"t")) == []
 
 
-# Bodies in pieces
+# Block-wise transfer
 
 
-def test_a_body_in_pieces_is_put_together_and_a_doubled_piece_changes_nothing():
+def test_a_block_wise_request_is_assembled_and_a_duplicate_block_is_ignored():
     world, body = World(), random.Random(1).randbytes(1_500)
     for number, at in enumerate((0, 512, 512, 1_024)):
         block = Block(at // 512, at < 1_024, 512)
@@ -275,7 +276,7 @@
     assert world.asks[0][1].frame.body == body and world.service.block_assembler.buffered_bytes == 0
 
 
-def test_a_long_answer_is_given_in_pieces():
+def test_a_long_answer_is_sent_in_blocks():
     world, body = World(), random.Random(1).randbytes(3_000)
     world.say(world.request())
     [first] = world.answer(body=body)
@@ -288,7 +289,7 @@
 
 
 @pytest.mark.parametrize("order, incomplete", [([1], True), ([0, 2], True), ([0, 1, 3], True)])
-def test_a_piece_out_of_its_place_ends_the_body(order, incomplete):
+def test_a_block_out_of_order_drops_the_body(order, incomplete):
     incoming = BlockAssembler(4, 10_000, 2_048, 30 * SECOND)
     with pytest.raises(BlockError) as error:
         for number in order:
@@ -296,7 +297,7 @@
     assert error.value.incomplete is incomplete and incoming.buffered_bytes == 0
 
 
-def test_bodies_under_way_are_bounded_in_count_bytes_size_and_time():
+def test_partial_bodies_are_bounded_in_number_bytes_size_and_time():
     incoming = BlockAssembler(4, 1_000, 300, 30 * SECOND)
     for name in range(20):
         incoming.add((name,), Block(0, True, 256), b"x" * 256, 0)
@@ -311,7 +312,7 @@
 
 
 @given(st.binary(max_size=5_000), st.sampled_from([16, 64, 1024]))
-def test_the_pieces_of_an_answer_are_the_answer(body, size):
+def test_the_blocks_of_an_answer_add_up_to_the_answer(body, size):
     found, number = b"", 0
     while True:
         block, part = select_block(body, Block(number, False, size), size)
@@ -321,10 +322,10 @@
     assert found == body and select_block(body, Block(number + 1, False, size), size) is None
 
 
-# Whose address is whose
+# Address validation
 
 
-def test_an_address_not_proven_gets_a_mark_no_larger_than_it_asked_and_leaves_no_trace():
+def test_an_unvalidated_address_gets_only_an_echo_no_larger_than_its_request_and_leaves_no_state():
     world = World(proven=False)
     request = world.request()
     [reply] = world.say(request)
@@ -339,16 +340,16 @@
     echo = reply.first(Option.ECHO)
     world.say(
         world.request(options=[(Option.ECHO, echo)]), THERE
-    )  # another's mark is worth nothing
+    )  # the echo value of another address is rejected
     assert not world.asks
     world.say(world.request(options=[(Option.ECHO, echo)]))
     world.say(world.request(payload=b"next"))
     assert len(world.asks) == 2
     tiny = Message(CON, POST, 1, b"12345678")
-    assert world.say(tiny, ("127.0.0.1", 9)) == []  # the mark would be larger than that
+    assert world.say(tiny, ("127.0.0.1", 9)) == []  # the reply with the echo value would be larger
 
 
-def test_marks_grow_old_and_proven_addresses_are_bounded():
+def test_echo_values_expire_and_validated_addresses_are_bounded():
     proof = AddressValidator(b"s" * 32, 60 * SECOND, 600 * SECOND, 3)
     mark = proof.make_echo(HERE, START)
     assert not proof.validate(HERE, mark, START + 62 * SECOND) and proof.validate(
@@ -363,7 +364,7 @@
     assert len(proof.validated_until) == 3
 
 
-def test_a_flood_of_spoofed_sources_costs_no_memory_and_one_small_reply_each():
+def test_spoofed_sources_leave_no_state_and_get_one_small_reply_each():
     world = World(proven=False)
     for port in range(2_000):
         world.say(world.request(), ("10.0.0.1", port))
@@ -373,7 +374,7 @@
 # The message layer
 
 
-def test_one_message_is_out_at_a_time_and_the_next_follows_its_acknowledgement():
+def test_one_confirmable_message_is_outstanding_and_the_next_follows_its_acknowledgement():
     layer = Reliability(10, 100, 4, random.Random(1))
     assert layer.send("a", 1, b"1", "one", 0) == b"1" and layer.send("a", 2, b"2", "two", 0) is None
     assert layer.acknowledge("a", 9, 100) == (None, None)
@@ -383,7 +384,7 @@
     )
 
 
-def test_endpoints_messages_and_queues_are_bounded():
+def test_endpoints_message_ids_and_queues_are_bounded():
     layer = Reliability(10, 100, 4, random.Random(1))
     for each in range(1_000):
         layer.check_duplicate(each, 1, True, 0)
@@ -393,17 +394,19 @@
     assert len(layer.endpoints["busy"].queue) == 4 and layer.evicted_early == 900
 
 
-def test_the_timeout_follows_the_link_both_ways_and_forgets():
+def test_the_retransmission_timeout_follows_the_link_and_returns_to_the_default():
     rng, timeout = random.Random(1), RetransmissionTimeout(0)
     for _ in range(20):
         timeout.record_acknowledgement(2_000, 1, 0)
     fast = timeout.initial(0, rng)
     assert fast < SECOND
     for _ in range(20):
-        timeout.record_acknowledgement(60_000, 2, 0)  # weak: it was sent again
+        timeout.record_acknowledgement(60_000, 2, 0)  # a weak estimate, since it was retransmitted
     slow = timeout.initial(0, rng)
     assert slow > 3 * SECOND
-    timeout.record_acknowledgement(10, 4, 0)  # nobody knows which copy that answers
+    timeout.record_acknowledgement(
+        10, 4, 0
+    )  # ignored, since it is unknown which copy was acknowledged
     assert timeout.initial(0, rng) > 3 * SECOND
     for turn in range(1, 8):
         timeout.initial(turn * 17 * SECOND, rng)
@@ -417,7 +420,7 @@
     ),
     st.booleans(),
 )
-def test_whatever_comes_each_request_read_is_answered_at_most_once_and_all_tables_stay_small(
+def test_any_order_of_messages_answers_each_request_at_most_once_and_keeps_tables_bounded(
     order, proven
 ):
     world = World(proven=proven, sessions=4, in_hand=3, kept=2_000, kept_each=1_000)
@@ -439,7 +442,7 @@
     assert not serving.open and serving.counts["answered"] >= len(world.asks)
 
 
-# Through the whole app server
+# With the app server
 
 
 @pytest.fixture
@@ -451,7 +454,7 @@
     return make
 
 
-def test_an_exchange_over_coap_is_run_once_with_long_bodies_both_ways(coap):
+def test_block_wise_requests_and_answers_are_executed_once_through_the_app_server(coap):
     site, address = coap(result=lambda group, body: body * 2)
     device = CoapDevice(address, site.token())
     body = random.Random(2).randbytes(1_900)
@@ -463,10 +466,10 @@
     device.end()
 
 
-def test_over_a_link_that_loses_doubles_and_reorders_no_effect_comes_twice(coap):
+def test_loss_duplication_and_reordering_execute_no_request_twice(coap):
     site, address = coap()
     weather = Weather(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
-    proxy = UdpProxy(address, weather, 3, loss=0.6, double=1.0)  # what is not lost comes twice
+    proxy = UdpProxy(address, weather, 3, loss=0.6, double=1.0)  # what is not lost is duplicated
     devices = [CoapDevice(proxy.address, site.token(b"c%d" % each), each) for each in range(8)]
 
     def work(device):
@@ -490,7 +493,7 @@
     proxy.end()
 
 
-def test_a_drain_answers_what_is_in_hand_and_says_unavailable_to_the_rest(coap):
+def test_a_drain_answers_requests_in_flight_and_denies_others_as_unavailable(coap):
     hold = threading.Event()
     site, address = coap(result=lambda group, body: hold.wait(PATIENCE) and b"late" or b"")
     device, other = (CoapDevice(address, site.token(name), 1) for name in (b"a", b"b"))
@@ -510,7 +513,7 @@
     device.end(), other.end()
 
 
-def test_the_command_asks_over_coap(coap):
+def test_the_device_command_sends_a_request_over_coap(coap):
     site, address = coap()
     told = CliRunner().invoke(
         lilacwalk,
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -1,4 +1,4 @@
-"""Devices over the link, through the whole app server on loopback."""
+"""Devices over the device link and the app server, on loopback."""
 
 import resource
 import socket
@@ -22,7 +22,7 @@
 PATIENCE = 10.0
 
 
-def test_an_exchange_of_a_device_is_run_once_and_answered_once(make_site):
+def test_a_request_is_executed_once_and_answered_once(make_site):
     site = make_site()
     device = site.device()
     found = device.outcome(device.ask("look", b"hello"), PATIENCE)
@@ -30,7 +30,7 @@
     assert device.session.duplicate_answers == 0
 
 
-def test_devices_and_routers_are_served_beside_each_other(make_site):
+def test_devices_and_proxies_are_served_at_the_same_time(make_site):
     site = make_site()
     device, till = site.device(), Till(site.event_loop.listener.address)
     for each in range(20):
@@ -39,7 +39,7 @@
     till.end()
 
 
-def test_a_link_reset_before_the_acknowledgement_gets_the_same_answer_again(make_site):
+def test_a_connection_reset_before_the_acknowledgement_gets_the_same_answer_again(make_site):
     hold = threading.Event()
     site = make_site(result=lambda group, body: hold.wait(PATIENCE) and b"made once" or b"")
     device = site.device()
@@ -53,7 +53,7 @@
     assert device.connections == 2 and sum(site.kernel.ran.values()) == 1
 
 
-def test_through_a_link_that_stalls_and_resets_each_has_one_answer_and_no_effect_twice(make_site):
+def test_stalls_and_resets_leave_each_request_one_answer_and_no_repeated_execution(make_site):
     site = make_site()
     proxy = Proxy(
         site.address,
@@ -69,14 +69,16 @@
     words = [device.outcome(number, 20.0).word for device, number in asked]
     assert (
         set(words) <= {0, 1, 2} and words.count(0) > 100
-    )  # some the controller denies: they never ran
+    )  # some are denied by the controller and not executed
     assert max(site.kernel.ran.values()) == 1 and proxy.resets > 0
     bodies = [device.session.outcomes[number].body for device, number in asked]
-    assert len({body for body in bodies if body}) == words.count(0)  # each its own
+    assert len({body for body in bodies if body}) == words.count(
+        0
+    )  # each answer belongs to its request
     proxy.end()
 
 
-def test_a_link_that_stalls_in_the_middle_of_a_reply_and_resumes_brings_it_whole_and_once(
+def test_a_stall_within_an_answer_delivers_it_whole_and_once(
     make_site,
 ):
     site = make_site(result=lambda group, body: b"r" * 4_000)
@@ -84,7 +86,9 @@
     device = site.device(address=proxy.address)
     device.outcome(device.ask("look", b"first"), PATIENCE)
     number, carried = device.ask("move", b"x"), proxy.bytes
-    while proxy.bytes < carried + 2_000:  # the ask went up, and part of the answer came down
+    while (
+        proxy.bytes < carried + 2_000
+    ):  # the request was sent, and part of the answer was received
         pass
     proxy.stall(1.0)
     began = time.monotonic()
@@ -98,7 +102,7 @@
     proxy.end()
 
 
-def test_a_node_that_restarted_says_so_and_a_mutating_exchange_is_not_run_by_guess(
+def test_after_a_restart_an_unknown_session_terminates_a_repeated_non_idempotent_request(
     make_site, tmp_path
 ):
     first = make_site(work=lambda group, body: 60.0)
@@ -111,13 +115,15 @@
     device.session.token = second.token()
     device.address = second.address
     device.drop_connection()
-    assert device.outcome(number, PATIENCE).word == 2  # it may have run: said at once
+    assert device.outcome(number, PATIENCE).word == 2  # it may have been executed; answered at once
     assert device.outcome(look, PATIENCE).word == 0
     assert list(second.kernel.ran.values()) == [1]
 
 
-def test_a_thousand_that_trickle_do_not_take_the_place_of_those_that_ask(make_site):
-    """Each sends a byte and is silent: no HELLO. Those that ask are let in, the silent ones make room."""
+def test_a_thousand_silent_connections_do_not_displace_active_devices(make_site):
+    """Each of the thousand sends one byte and no HELLO frame; a full table would reject active
+    devices.
+    """
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     )
@@ -130,7 +136,7 @@
     devices = [site.device(b"good%d" % each) for each in range(100)]
     for each in devices:
         assert each.outcome(each.ask("look", b"x"), PATIENCE).word == 0
-    for sock in trickling:  # each was told why before it was closed
+    for sock in trickling:  # each received the reason before it was closed
         sock.settimeout(PATIENCE)
         stream, told = frames.Stream(65_536), []
         try:
@@ -153,7 +159,9 @@
         struct.pack("!I", 1) + b"\x00",
     ],
 )
-def test_what_is_no_frame_is_refused_by_name_and_nobody_else_notices(make_site, sent):
+def test_invalid_frames_are_refused_with_a_reason_and_other_connections_are_not_affected(
+    make_site, sent
+):
     site = make_site()
     good = site.device()
     good.outcome(good.ask("look", b"x"), PATIENCE)
@@ -165,7 +173,7 @@
     assert good.outcome(good.ask("look", b"x"), PATIENCE).word == 0 and good.connections == 1
 
 
-def test_a_drain_answers_all_tells_where_it_stands_and_closes(make_site):
+def test_a_drain_answers_requests_in_flight_reports_their_number_and_closes(make_site):
     hold = threading.Event()
     site = make_site(result=lambda group, body: hold.wait(PATIENCE) and b"late" or b"")
     device = site.device()
@@ -182,7 +190,9 @@
     assert not site.thread.is_alive()
 
 
-def test_a_reader_that_takes_nothing_pins_no_buffer_and_its_answers_stay_in_its_session(make_site):
+def test_a_device_that_does_not_read_bounds_the_send_buffer_and_its_answers_stay_in_the_session(
+    make_site,
+):
     site = make_site("buffer 4KB", "window 64", result=lambda group, body: b"r" * 4_000)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -190,7 +200,7 @@
     sock.sendall(frames.encode(Hello(1, site.token(), b"", 0, 1_000)))
     while not site.inside(lambda each: list(each.session_table)):
         pass
-    site.inside(  # a small buffer of the system's, so that it cannot take all of it
+    site.inside(  # a small send buffer of the operating system, so that it cannot accept everything
         lambda _: [
             each.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             for each in site.edge.device_sockets.values()
@@ -212,7 +222,7 @@
         ):
             break
     else:
-        pytest.fail("the system took everything")
+        pytest.fail("the operating system accepted all answers")
     sock.close()
 
 
@@ -220,7 +230,7 @@
 
 
 def authority(tmp_path):
-    """A certificate authority and what it signs, made here."""
+    """Returns a function that signs certificates, and the path of the authority's certificate."""
     import ipaddress
 
     from cryptography import x509
@@ -267,7 +277,7 @@
     return sign, str(tmp_path / "top.pem")
 
 
-def test_over_tls_a_certificate_names_the_device_and_is_renewed_without_dropping_sessions(
+def test_a_certificate_identifies_the_device_and_is_renewed_without_dropping_sessions(
     make_site, tmp_path
 ):
     sign, top = authority(tmp_path)
@@ -313,7 +323,7 @@
         (lambda path: path.unlink(), "No such file"),
     ],
 )
-def test_check_tells_of_secrets_that_cannot_be_used(tmp_path, spoil, told):
+def test_check_reports_an_unusable_secrets_file(tmp_path, spoil, told):
     path, own = tmp_path / "secrets", tmp_path / "own.conf"
     path.touch(mode=0o600)
     path.write_text("00" * 32)
@@ -326,7 +336,7 @@
 
 
 @pytest.mark.parametrize("days, code", [(1, 0), (-1, 2)])
-def test_check_tells_of_a_certificate_whose_time_is_over_and_a_key_of_another(tmp_path, days, code):
+def test_check_reports_an_expired_certificate_and_a_key_that_does_not_match(tmp_path, days, code):
     sign, _ = authority(tmp_path)
     sign("edge", "edge", days=days)
     sign("other", "other")
@@ -342,7 +352,7 @@
         assert found.exit_code == expected
 
 
-def test_the_command_makes_a_token_and_asks_with_it(make_site):
+def test_the_device_command_makes_a_token_and_sends_a_request_with_it(make_site):
     site = make_site()
     made = CliRunner().invoke(lilacwalk, ["device", "token", str(site.path), "tablet"])
     address = f"127.0.0.1:{site.address[1]}"
@@ -369,7 +379,7 @@
     assert refused.exit_code == 5
 
 
-def test_what_a_device_sends_late_by_its_own_clock_counts_from_its_reading(make_site):
+def test_a_timeout_counts_from_the_reception_of_the_request(make_site):
     site = make_site()
     device = site.device()
     began = time.monotonic()
--- a/tests/edge/test_machines.py
+++ b/tests/edge/test_machines.py
@@ -1,5 +1,6 @@
-"""The edge's decisions by hand: sessions, repeats, links, rates, tokens, the listener, frames, wheel and
-sketch."""
+"""The edge without I/O: sessions, duplicates, links, rates, tokens, connection limits, frames,
+timer wheel and sketch.
+"""
 
 import heapq
 import random
@@ -34,7 +35,7 @@
 from tests.edge.conftest import SECOND, START, World, ask
 
 
-def test_the_due_time_is_fixed_at_the_first_reading_and_less_what_the_answer_needs(world):
+def test_a_timeout_counts_from_the_first_reception_less_the_delivery_time(world):
     number = world.hello()
     world.say(number, ask(1, wait=1_000))
     plain = World(estimates=False)
@@ -45,10 +46,10 @@
     world.wait(5 * SECOND)
     world.hello(world.welcome(number).session)
     world.say(2, ask(1, wait=1_000, again=True))
-    assert len(world.asks) == 1  # a stall and a reconnect stretch nothing
+    assert len(world.asks) == 1  # a stall and a reconnect do not extend the timeout
 
 
-def test_a_slow_link_leaves_less_time_and_a_fast_one_more(world):
+def test_a_slow_link_shortens_the_timeout_more_than_a_fast_one(world):
     number = world.hello()
     waits = []
     for turn, trip in enumerate((400, 20_000), 1):
@@ -60,18 +61,18 @@
     assert waits[0] > 4 * SECOND - 2_000 and waits[1] < 4 * SECOND - 9_000
 
 
-def test_a_device_that_is_quiet_for_long_does_not_look_like_a_slow_link(world):
+def test_silence_between_requests_does_not_count_as_round_trip(world):
     number = world.hello()
     sent = [each for each in world.read[number] if isinstance(each, Ping)]
     world.now += 500
     world.say(number, Pong(sent[0].stamp))
     world.wait(20 * SECOND).say(number, ask(1, wait=1_000))
     assert world.asks[0][2].timeout > SECOND - 1_000
-    world.say(number, Pong(5), Pong(START + 10**12))  # an echo of nothing
+    world.say(number, Pong(5), Pong(START + 10**12))  # echoes of pings that were not sent
     assert world.service.connections[number].session.link.mean_round_trip == 500
 
 
-def test_a_stall_in_an_echo_says_little_of_the_next_frame():
+def test_a_stall_of_a_ping_hardly_changes_the_delivery_time():
     link = Link()
     for _ in range(20):
         link.record_round_trip(1_000)
@@ -80,7 +81,7 @@
     assert link.delivery_time(500) < 3_000
 
 
-def test_an_answer_is_kept_until_it_is_acknowledged_and_sent_again_the_same(world):
+def test_an_answer_is_kept_and_sent_again_unchanged_until_acknowledged(world):
     first = world.hello()
     world.say(first, ask(1, "move")).answer(body=b"x")
     world.lose(first)
@@ -91,7 +92,7 @@
     assert world.answers(third) == [] and world.service.session_table.unacknowledged_bytes == 0
 
 
-def test_what_came_with_the_last_connection_is_not_sent_on_the_next(world):
+def test_an_answer_received_on_the_previous_connection_is_not_sent_again(world):
     first = world.hello()
     world.say(first, ask(1), ask(2)).answer(0, body=b"a").answer(1, body=b"b")
     world.lose(first)
@@ -100,7 +101,7 @@
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_a_number_asked_twice_is_one_exchange_whatever_became_of_it(world, again):
+def test_a_repeated_request_number_is_one_request_in_any_state(world, again):
     first = world.hello()
     world.say(first, ask(1, "move"), ask(1, "move", again=again))
     assert len(world.asks) == 1
@@ -110,7 +111,7 @@
     assert len(world.asks) == 1 and len(world.answers(first)) == 1
 
 
-def test_two_connections_at_once_with_one_session_leave_the_newer(world):
+def test_a_second_connection_for_a_session_replaces_the_first(world):
     first = world.hello()
     world.say(first, ask(1))
     second = world.hello(world.welcome(first).session)
@@ -120,7 +121,7 @@
     assert len(world.answers(second)) == 1 and not world.answers(first)
 
 
-def test_two_connections_with_a_session_each_are_both_served(world):
+def test_two_sessions_of_one_device_are_both_served(world):
     first, second = world.hello(), world.hello()
     world.say(first, ask(1, body=b"a")).say(second, ask(1, body=b"b")).answer(0, body=b"A").answer(
         1, body=b"B"
@@ -131,7 +132,7 @@
 @pytest.mark.parametrize(
     "spoil", ["guessed", "of another node", "of another device", "expired", "cut"]
 )
-def test_a_session_token_that_does_not_hold_opens_no_session_and_says_so(world, spoil):
+def test_an_invalid_session_token_opens_a_new_session(world, spoil):
     first = world.hello()
     world.say(first, ask(1, "move"))
     token, name = world.welcome(first).session, b"tablet"
@@ -162,7 +163,7 @@
         (Tokens([bytes(range(32))], b"n1").make(SESSION, b"t", 2**40), "unknown"),
     ],
 )
-def test_a_device_without_a_good_token_is_refused_by_name(world, token, why):
+def test_an_invalid_device_token_is_refused_with_its_reason(world, token, why):
     number = world.hello(token=token)
     assert why in world.refused(number) and world.closed == [number]
 
@@ -175,14 +176,14 @@
         Tokens([new], b"").check(DEVICE, made, 50)
 
 
-def test_a_resume_of_a_session_that_nobody_knows_runs_no_mutating_exchange_again(world):
+def test_a_non_idempotent_request_repeated_in_an_unknown_session_is_terminated(world):
     number = world.hello(b"\0" * 50)
     world.say(number, ask(1, "move", again=True), ask(2, "look", again=True), ask(3, "move"))
     assert [(each.number, each.word) for each in world.answers(number)] == [(1, 2)]
     assert [each for _, each, _ in world.asks] == [2, 3]
 
 
-# Repeats without a mark
+# Duplicates without an idempotency key
 
 
 def lost_session(world, group="move", body=b"pay 5", **more):
@@ -192,7 +193,7 @@
 
 
 @pytest.mark.parametrize("group", ["look", "swap", "move"])
-def test_a_device_that_lost_its_session_and_asks_again_is_joined_to_what_is_in_hand(world, group):
+def test_a_duplicate_in_a_new_session_shares_the_request_in_flight(world, group):
     first = lost_session(world, group)
     world.lose(first)
     second = world.hello()
@@ -202,7 +203,7 @@
     assert world.answers(second) == [Answer(1, 1, 0, b"paid")]
 
 
-def test_or_answered_from_what_is_kept_while_it_has_not_acknowledged_it(world):
+def test_a_duplicate_in_a_new_session_gets_the_unacknowledged_answer(world):
     first = lost_session(world)
     world.answer(body=b"paid").lose(first)
     second = world.hello()
@@ -210,7 +211,7 @@
     assert world.answers(second) == [Answer(1, 9, 0, b"paid")] and len(world.asks) == 1
 
 
-def test_what_it_has_acknowledged_and_asks_again_is_meant(world):
+def test_a_repeated_request_after_acknowledgement_is_executed(world):
     first = lost_session(world)
     world.answer().say(first, Got(1)).lose(first)
     world.say(world.hello(), ask(1, "move", b"pay 5"))
@@ -220,13 +221,13 @@
 @pytest.mark.parametrize(
     "change", [dict(group="swap"), dict(body=b"pay 6"), dict(subject="x"), dict(customer="c")]
 )
-def test_another_group_body_subject_or_customer_is_another_request(world, change):
+def test_a_different_class_body_subject_or_tenant_is_a_different_request(world, change):
     world.lose(lost_session(world))
     world.say(world.hello(), ask(**({"number": 1, "group": "move", "body": b"pay 5"} | change)))
     assert len(world.asks) == 2
 
 
-def test_another_device_the_same_session_and_a_later_time_are_other_requests(world):
+def test_another_device_the_same_session_and_a_later_time_make_different_requests(world):
     first = lost_session(world)
     world.say(first, ask(2, "move", b"pay 5"))
     world.lose(first)
@@ -236,7 +237,7 @@
     assert len(world.asks) == 4
 
 
-def test_where_numbers_outlive_sessions_they_alone_decide(world):
+def test_stable_request_numbers_alone_identify_duplicates(world):
     first = world.hello(steady=True)
     world.say(first, ask(7, "move", b"pay 5")).lose(first)
     second = world.hello(steady=True)
@@ -247,7 +248,7 @@
 @pytest.mark.parametrize(
     "word, group, runs", [(1, "move", 2), (2, "move", 1), (2, "look", 2), (0, "look", 1)]
 )
-def test_a_denied_one_may_run_now_a_terminated_one_only_if_it_may_run_twice(
+def test_a_denied_duplicate_is_executed_and_a_terminated_one_only_if_idempotent(
     world, word, group, runs
 ):
     first = lost_session(world, group)
@@ -256,17 +257,17 @@
     assert len(world.asks) == runs
 
 
-def test_switched_off_nothing_is_joined():
+def test_no_duplicates_are_detected_if_switched_off():
     world = World(repeats=False)
     world.lose(lost_session(world))
     world.say(world.hello(), ask(1, "move", b"pay 5"))
     assert len(world.asks) == 2
 
 
-# Bounds
+# Limits
 
 
-def test_beyond_its_window_an_ask_is_denied_with_a_time_to_come_back():
+def test_a_request_beyond_the_window_is_denied_with_a_retry_delay():
     world = World(window=2)
     number = world.hello()
     world.say(number, *[ask(each, body=b"%d" % each) for each in (1, 2, 3)])
@@ -275,13 +276,13 @@
 
 
 @pytest.mark.parametrize("wrong", [dict(group="nobody"), dict(body=b"x" * 3_000)])
-def test_an_ask_that_is_wrong_is_terminated_on_its_number(world, wrong):
+def test_an_invalid_request_is_terminated(world, wrong):
     number = world.hello()
     world.say(number, ask(**({"number": 1} | wrong)))
     assert [each.word for each in world.answers(number)] == [2] and not world.asks
 
 
-def test_the_window_of_the_device_bounds_what_is_sent_and_a_full_connection_what_is_written():
+def test_the_device_window_and_the_buffer_limit_bound_what_is_sent():
     world = World(window=64)
     number = world.hello(window=2)
     world.say(number, *[ask(each, body=b"%d" % each) for each in range(1, 6)])
@@ -301,7 +302,7 @@
     assert len(slow.take().answers(number)) == 6
 
 
-def test_sessions_are_forgotten_by_what_losing_them_costs():
+def test_the_session_that_costs_least_is_evicted():
     world = World(sessions=3)
     for at, group in enumerate(("move", "look", "swap")):
         number = world.hello(name=b"d%d" % at)
@@ -313,7 +314,7 @@
     assert {each.device for each in world.service.session_table} == {b"d0", b"d3", b"d4"}
     number = world.hello(
         name=b"d5"
-    )  # only the unacknowledged effect and live ones are left: that one goes last
+    )  # only connected sessions and the one with the unacknowledged effect are left; it is evicted last
     assert world.welcome(number) and len(world.service.session_table) == 3
 
 
@@ -321,33 +322,33 @@
     "group, goodbye, runs",
     [("move", False, 1), ("swap", False, 1), ("look", False, 2), ("move", True, 2)],
 )
-def test_what_ran_for_a_session_that_is_forgotten_is_not_run_again(group, goodbye, runs):
+def test_an_executed_request_of_a_removed_session_is_not_executed_again(group, goodbye, runs):
     world = World(sessions_each=1)
     first = lost_session(world, group)
     world.answer()
     if goodbye:
         world.say(first, Bye())
     world.lose(first)
-    second = world.hello()  # takes the only place
+    second = world.hello()  # evicts the other session of the device
     world.say(second, ask(1, group, b"pay 5"))
     assert len(world.asks) == runs
     assert [each.word for each in world.answers(second)] == ([2] if runs == 1 else [])
 
 
-def test_a_session_in_use_never_makes_room_for_another():
+def test_a_connected_session_is_not_evicted():
     world = World(sessions=2)
     world.hello(name=b"a"), world.hello(name=b"b")
     assert "no room" in world.refused(world.hello(name=b"c"))
 
 
-def test_one_device_has_so_many_sessions_and_no_more():
+def test_sessions_per_device_are_bounded():
     world = World(sessions_each=2)
     for _ in range(5):
         world.lose(world.hello())
     assert len(world.service.session_table) == 2
 
 
-def test_answers_kept_for_all_are_bounded_and_the_cheapest_sessions_go():
+def test_unacknowledged_answers_are_bounded_by_evicting_the_cheapest_sessions():
     world = World(kept=20_000, kept_each=20_000)
     for at in range(30):
         number = world.hello(name=b"d%d" % at)
@@ -357,7 +358,7 @@
     assert b"d0" in {each.device for each in world.service.session_table}
 
 
-def test_a_device_that_acknowledges_nothing_is_denied_once_its_part_is_full_and_others_are_not():
+def test_a_device_that_does_not_acknowledge_is_denied_and_others_are_not():
     world = World(kept_each=3_000, window=64)
     idle, good = world.hello(window=1, name=b"a"), world.hello(name=b"b")
     for number in range(1, 11):
@@ -373,7 +374,7 @@
     assert len(world.asks) == 5
 
 
-def test_a_session_without_a_connection_is_forgotten_after_its_time_and_its_exchange_given_up(
+def test_a_disconnected_session_expires_and_its_request_is_cancelled(
     world,
 ):
     number = world.hello()
@@ -384,7 +385,7 @@
     assert world.gone == [1] and len(world.service.session_table) == 0 and not world.service.links
 
 
-def test_a_cancelled_exchange_is_given_up_unless_somebody_else_waits_for_it(world):
+def test_a_cancelled_request_is_dropped_unless_a_duplicate_waits_for_it(world):
     first = lost_session(world)
     world.lose(first)
     second = world.hello()
@@ -396,7 +397,7 @@
     assert world.gone == [2]
 
 
-def test_who_says_nothing_or_trickles_is_refused_and_a_stalled_burst_is_not(world):
+def test_silent_and_slow_connections_are_refused_but_not_a_stalled_burst(world):
     silent = world.open()
     world.wait(7 * SECOND)
     assert world.refused(silent) == "no HELLO in time"
@@ -409,7 +410,7 @@
     assert world.refused(trickle) == "too slow" and world.refused(bursty) is None
 
 
-def test_the_floor_rises_with_what_a_connection_was_given():
+def test_the_minimum_rate_rises_with_the_duration_of_a_frame():
     incoming = FrameProgress()
     incoming.add_bytes(10, 0, True, 0)
     for second in range(1, 30):
@@ -419,7 +420,7 @@
     assert 4 <= second < 9
 
 
-def test_a_silent_session_is_tried_at_its_links_pace_and_given_up_after_three_beats(world):
+def test_a_silent_connection_is_probed_and_closed_after_three_heartbeats(world):
     number = world.hello()
     world.wait(31 * SECOND)
     assert any(isinstance(each, Ping) for each in world.read[number])
@@ -427,7 +428,7 @@
     assert number in world.closed and len(world.service.session_table) == 1
 
 
-def test_one_source_may_come_so_often_and_others_are_not_held_for_it():
+def test_the_connection_rate_is_limited_per_source():
     world = World(arrivals=20)
     for _ in range(40):
         world.open(b"\x0a\0\0\1")
@@ -439,7 +440,7 @@
     assert world.is_admitted is True
 
 
-def test_ipv6_sources_are_counted_by_their_network():
+def test_ipv6_sources_are_counted_by_network():
     arrivals = ConnectionLimiter(10, 100, 1, 0)
     whys = [
         arrivals.admit(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
@@ -448,7 +449,7 @@
     assert whys.count("") == 10
 
 
-def test_a_drain_is_told_to_who_is_there_and_who_comes_back(world):
+def test_a_drain_is_announced_to_connected_and_reconnecting_devices(world):
     first = world.hello()
     world.say(first, ask(1))
     world.service.start_draining(2 * SECOND)
@@ -465,13 +466,13 @@
     assert second in world.take().closed
 
 
-def test_a_goodbye_forgets_what_is_done(world):
+def test_a_bye_frame_removes_an_idle_session(world):
     number = world.hello()
     world.say(number, Bye())
     assert number in world.closed and len(world.service.session_table) == 0
 
 
-# Any order at all: the client's machine against the edge's, over links that break anywhere
+# Client and service over links that break at any point
 
 
 @settings(max_examples=150, deadline=None)
@@ -483,7 +484,9 @@
     st.integers(0, 2**32),
     st.booleans(),
 )
-def test_whatever_breaks_each_number_has_one_outcome_and_one_run_at_most(order, seed, forgets):
+def test_any_order_of_failures_gives_each_request_one_outcome_and_at_most_one_execution(
+    order, seed, forgets
+):
     rng, world, device = random.Random(seed), World(window=4), None
     device = ClientSession(world.token())
     runs, sent, link, inbound = {}, {}, 0, b""
@@ -539,7 +542,7 @@
 
 
 def step(world, device, link, rng, sent):
-    """What either side said so far reaches the other, the device's cut anywhere."""
+    """Delivers the frames sent so far in both directions."""
     stream = sent.setdefault(link, Stream(1 << 16))
     for frame in stream.feed(device.take_output()):
         world.service.frame_received(link, frame, world.now)
@@ -568,7 +571,7 @@
 
 
 @pytest.mark.parametrize("frame", SAMPLES)
-def test_each_frame_comes_back_as_it_was_cut_anywhere(frame):
+def test_each_frame_survives_encoding_and_any_split(frame):
     data = frames.encode(frame)
     for at in range(len(data)):
         stream = Stream(4_096)
@@ -598,7 +601,7 @@
         cbor2.dumps([2, 2**60]),
     ],
 )
-def test_what_is_no_frame_has_a_named_error_and_builds_nothing(data):
+def test_invalid_frames_raise_frame_error(data):
     with pytest.raises(FrameError):
         frames.decode(data)
 
@@ -616,19 +619,19 @@
         max_leaves=20,
     ).map(cbor2.dumps)
 )
-def test_any_bytes_are_a_frame_or_a_frame_error(data):
+def test_any_bytes_decode_to_a_frame_or_raise_frame_error(data):
     try:
         assert frames.encode(frames.decode(data))
     except FrameError:
         pass
 
 
-def test_a_frame_that_says_three_gigabytes_is_told_from_its_head():
+def test_an_excessive_frame_length_is_rejected_from_the_header():
     with pytest.raises(FrameError, match="3000000000"):
         list(Stream(4_096).feed(struct.pack("!I", 3_000_000_000)))
 
 
-# Structures
+# Data structures
 
 
 @settings(max_examples=60, deadline=None)
@@ -643,7 +646,7 @@
         max_size=40,
     )
 )
-def test_the_wheel_fires_as_a_heap_would_never_early_and_at_most_a_slot_late(order):
+def test_timers_expire_like_those_of_a_heap_never_early_and_at_most_a_slot_late(order):
     wheel, now, due = Wheel(START), START, {}
     for name, ahead, step, drops in order:
         if drops:
@@ -661,7 +664,7 @@
         assert all(time > now - 100 for time in due.values()) and len(wheel) == len(due)
 
 
-def test_a_timer_may_be_set_again_while_the_wheel_turns():
+def test_a_timer_can_be_rescheduled_while_timers_expire():
     wheel, fired = Wheel(0), []
     wheel.schedule("a", 1_000)
     for name in wheel.expire(10_000):
@@ -671,7 +674,7 @@
     assert fired == ["a"] * 5
 
 
-def test_a_heap_and_the_wheel_agree_on_the_order_of_slots():
+def test_timers_expire_in_the_order_of_slots():
     rng, wheel, heap = random.Random(3), Wheel(0), []
     for name in range(2_000):
         due = rng.randrange(50_000_000)
@@ -682,7 +685,7 @@
     assert order == sorted(order) and len(order) == 2_000
 
 
-def test_the_sketch_never_counts_too_low_and_seldom_too_high():
+def test_the_sketch_never_counts_too_low_and_rarely_too_high():
     rng, sketch, true = random.Random(1), Sketch(9, 100_000, 0), {}
     for _ in range(30_000):
         key = str(int(rng.paretovariate(0.8))).encode()
@@ -692,15 +695,15 @@
     assert min(over) >= 0 and sum(each > 30 for each in over) < len(over) / 100
 
 
-def test_the_sketch_forgets_by_half_lives():
+def test_sketch_counts_decay_by_half_lives():
     sketch = Sketch(9, 1_000, 0)
     sketch.add(b"a", 0, 64.0)
     assert sketch.count(b"a", 3_000) == pytest.approx(8.0)
-    sketch.add(b"b", 100_000, 1.0)  # far beyond: the scale is taken back
+    sketch.add(b"b", 100_000, 1.0)  # long after, so that the scale is reset
     assert sketch.count(b"a", 100_000) < 1e-6 and sketch.count(b"b", 100_000) == pytest.approx(1.0)
 
 
-def test_a_link_learns_its_trip_its_loss_and_its_rate():
+def test_link_estimates_follow_round_trip_loss_and_throughput():
     link = Link()
     for _ in range(40):
         link.record_round_trip(500)
