--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -39,7 +39,7 @@
 INITIAL_ANSWER_BYTES = 500.0  # mean size before the first answer
 # Per session of the limit; most devices have fewer requests in flight.
 DUPLICATE_ENTRIES_PER_SESSION = 8
-CHECK_INTERVAL = SECOND  # between checks for slow and unidentified connections
+CHECK_INTERVAL = SECOND  # time between checks for slow, silent and unidentified connections
 CLOSED_BY_DEVICE = "said goodbye"  # reason of the removal of a session
 MAX_MISSED_HEARTBEATS = 3  # intervals without received bytes after which a connection is closed
 SESSION_TOKEN_SECONDS = 7 * 24 * 3600  # sessions expire long before their tokens
@@ -139,9 +139,8 @@
         self.is_closing = False
         self.next_check_at = now + CHECK_INTERVAL
         self.persists_sessions = False  # whether sessions outlive the process
-        self.unpersisted_sessions: dict[
-            bytes, Session | None
-        ] = {}  # sessions changed since they were last persisted; None if removed
+        # Sessions changed since they were last persisted, by identifier; None if removed.
+        self.unpersisted_sessions: dict[bytes, Session | None] = {}
         self.counts = dict.fromkeys(
             ("asked", "answered", "resumed", "unknown", "joined", "slow", "turned_away"), 0
         )
@@ -168,8 +167,9 @@
             self.unpersisted_sessions[session.ident] = session
 
     def recover_sessions(self, rows: dict[bytes, bytes], now: int) -> None:
-        """Restores the sessions of the previous process, and requests that their open requests be
-        resolved.
+        """Restores the sessions of the previous process.
+
+        Each of their open requests is passed to the host as a `RECOVER` action.
         """
         for ident, value in rows.items():
             link = Link()
@@ -225,7 +225,7 @@
             connection.frame_progress.add_bytes(size, frame_count, is_partial, now)
 
     def bytes_sent(self, number: int, size: int, now: int) -> None:
-        """Records that the operating system accepted bytes, and sends further answers if there is
+        """Records that the operating system accepted bytes; sends further answers if there is
         room.
         """
         if (connection := self.connections.get(number)) is not None:
@@ -239,6 +239,7 @@
             self._refuse(connection, reason)
 
     def _refuse(self, connection: Connection, reason: str, come_back: int = 0) -> None:
+        """Sends a reason and closes the connection after it."""
         if not connection.is_closing:
             self._send(connection, frames.encode(Refused(reason, come_back // 10)))
             self._close(connection)
@@ -388,7 +389,7 @@
             or status is RequestStatus.IN_FLIGHT
             or status is RequestStatus.ANSWERED
         ):
-            return  # it is answered later, was sent on this connection, or is acknowledged
+            return  # the answer is pending, sent on this connection, or acknowledged
         self.counts["asked"] += 1
         request_class = self.request_classes.get(ask.group)
         effect = request_class.effect if request_class is not None else Effect.IDEMPOTENT
@@ -397,7 +398,7 @@
             or session.unacknowledged_bytes >= self.config.kept_each
             or self.session_table.is_full
         ):
-            # the window is exceeded, or unacknowledged answers fill the session's or the total limit
+            # The window is exceeded, or unacknowledged answers reach the session's or the total limit.
             session.highest_number = max(session.highest_number, ask.number)
             self._answer_without_execution(session, ask.number, effect, DENIED, now, SECOND)
             return
@@ -412,7 +413,7 @@
         if fingerprint and self._handle_duplicate(session, ask, fingerprint, effect, now):
             return
         if ask.again and effect is Effect.NON_IDEMPOTENT:
-            # it may have been executed for an unknown session, and must not be executed twice
+            # The request may have been executed in a session that is unknown here.
             self._answer_without_execution(session, ask.number, effect, TERMINATED, now)
             return
         session.open_request(
@@ -517,8 +518,9 @@
             self._send(connection, frames.encode(pending.answer))
 
     def _on_session_removed(self, session: Session, reason: str) -> None:
-        """Cancels the requests of a removed session, since their answers cannot be delivered any
-        more.
+        """Cancels the requests of a removed session.
+
+        Their answers cannot be delivered any more.
         """
         if self.persists_sessions:
             self.unpersisted_sessions[session.ident] = None
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -28,9 +28,9 @@
 
 log = logging.getLogger(__name__)
 SECOND = 10_000
-FRAME_OVERHEAD_BYTES = 512  # maximum size of a frame without its body
-MAX_FRAME_BYTES = 65_536  # for clients; results have at most 4 KiB, so this leaves room
-READ_BYTES = 16_384  # per read
+FRAME_OVERHEAD_BYTES = 512  # maximum size of a frame's fields besides the body
+MAX_FRAME_BYTES = 65_536  # limit for clients; results have at most 4 KiB
+READ_BYTES = 16_384
 MAX_DATAGRAMS_PER_ITERATION = 256  # about 10 ms of work
 MAX_ACCEPTS_PER_ITERATION = 64  # so that a flood of connections does not starve the others
 BACKLOG = 1_024
@@ -55,7 +55,7 @@
         raise EdgeError(f"secrets {path}: {getattr(error, 'strerror', None) or error}") from None
     if not secrets or any(len(each) < MIN_SECRET_BYTES for each in secrets):
         raise EdgeError(
-            f"secrets {path}: expected at least one line of {2 * MIN_SECRET_BYTES} hexadecimal digits or more"
+            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal digits or more"
         )
     if os.stat(path).st_mode & 0o077:
         raise EdgeError(f"secrets {path}: others than its owner may read it")
@@ -162,7 +162,7 @@
         self.invalid_frame_throttle = ReportThrottle()
         self.has_stopped = threading.Event()
         self.is_ending = False
-        self.is_idle = False  # listener closed and no connection left; set by this thread, read by the event loop's
+        self.is_idle = False  # listener closed, no connection left; read by the event loop's thread
         self.listener = listen(config.listen, BACKLOG)
         self.coap = self.datagram_socket = None
         if config.coap is not None:
@@ -417,8 +417,9 @@
         return True
 
     def _read(self, device_socket: DeviceSocket) -> None:
-        """Reads until the TLS layer holds no more data, since the selector does not report buffered
-        data.
+        """Reads until the TLS layer holds no more data.
+
+        The selector does not report data that the TLS layer has buffered.
         """
         while device_socket.number in self.device_sockets:
             chunk = device_socket.sock.recv(READ_BYTES)
--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-INITIAL_ROUND_TRIP = 3_000  # tenths of a ms; a typical mobile link has 300 ms
+INITIAL_ROUND_TRIP = 3_000  # tenths of a ms; 300 ms is typical of a mobile link
 # Tenths of a ms; a longer round trip is a stall, which does not predict the next one.
 MAX_ROUND_TRIP = 100_000
 INITIAL_THROUGHPUT = 2_000.0  # bytes per 100 ms; 20 KB/s is a poor link
--- a/lilacwalk/edge/rates.py
+++ b/lilacwalk/edge/rates.py
@@ -10,7 +10,7 @@
 SECOND = 10_000
 # Seconds with received bytes before the rate is checked; a frame's header may arrive alone.
 MIN_ACTIVE_SECONDS = 3
-# Seconds after which the minimum rate has doubled, so that a slow frame cannot last.
+# Seconds of a frame's transfer after which the minimum rate has doubled.
 DOUBLING_SECONDS = 10
 
 
@@ -47,7 +47,9 @@
     def is_too_slow(self, min_rate: int, max_duration: int, now: int) -> bool:
         """Whether the frame took longer than `max_duration`, or arrives below the minimum rate.
 
-        `min_rate` is in bytes per second in which any arrived. It doubles every `DOUBLING_SECONDS`.
+        `min_rate` is in bytes per second, averaged over the seconds in which any arrived. The
+        minimum
+        rises linearly and has doubled after `DOUBLING_SECONDS`.
         """
         if not self.started_at:
             return False
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -193,11 +193,11 @@
 
     @property
     def eviction_cost(self) -> tuple[int, int]:
-        """What the eviction of the session would lose; sessions with lower values are evicted
-        first.
+        """Rank of the loss if the session is evicted; lower ranks are evicted first.
 
-        The loss is highest if a non-idempotent effect may remain unknown to the device, and lower
-        if work has to be repeated. Among equals, the session that was disconnected last is kept.
+        The loss is highest if a non-idempotent effect may remain unknown to the device, and
+        lower if work
+        has to be repeated. Among equals, the session that was disconnected last is kept.
         """
         effects = [pending.effect for pending in self.unacknowledged.values()] + [
             each.effect for each in self.open.values()
--- a/lilacwalk/edge/sessions.py
+++ b/lilacwalk/edge/sessions.py
@@ -118,8 +118,9 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the limit of unacknowledged bytes is reached, so that no further request may be
-        accepted.
+        """Whether the limit of unacknowledged bytes is reached.
+
+        In that case no further request may be accepted.
         """
         return self.unacknowledged_bytes >= self.max_bytes
 
