--- a/lilacwalk/edge/client/__init__.py
+++ b/lilacwalk/edge/client/__init__.py
@@ -1,3 +1,5 @@
-"""The other end of the device link: `machine` decides what is sent and what an answer means,
-without I/O; `device` holds its connection.
+"""Client side of the device link and of CoAP.
+
+`state` implements the session protocol without I/O; `device` implements the connection. `coap` is
+the CoAP client.
 """
--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -17,7 +17,7 @@
 
 ACK_TIMEOUT, ACK_RANDOM_FACTOR, MAX_RETRANSMIT = 2.0, 1.5, 4  # RFC 7252 section 4.8, in seconds
 BLOCK_BYTES = 1_024
-MAX_BLOCKWISE_ATTEMPTS = 3  # after the server dropped a partial body
+MAX_BLOCKWISE_ATTEMPTS = 3  # transfers of a body whose blocks the server has lost
 
 
 class CoapDevice:
@@ -196,9 +196,8 @@
                 message = self._receive(left)
                 if message is None:
                     continue
-                if (
-                    message.type is Type.CON and message.is_response
-                ):  # also if the request was given up
+                # Acknowledges every confirmable response, also one to a request that timed out.
+                if message.type is Type.CON and message.is_response:
                     self.sock.send(messages.encode(Message(Type.ACK, messages.EMPTY, message.mid)))
                 if message.type is Type.RST and message.mid == self.message_id:
                     raise ValueError(f"the edge rejected message {message.mid} with RST")
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -20,7 +20,7 @@
     2.0,
 )  # seconds; after a brief loss, and while the edge is unreachable
 CONNECT_TIMEOUT = 10.0
-MAX_FRAME_BYTES = 65_536
+MAX_FRAME_BYTES = 65_536  # largest frame that a client accepts; results have at most 4 KiB
 
 
 class Device:
@@ -94,7 +94,7 @@
             try:
                 self.sock.sendall(data)
             except OSError:
-                pass  # the reading thread notices and reconnects
+                pass  # the reading thread detects the loss and reconnects
 
     def _run(self) -> None:
         delay = MIN_RECONNECT_DELAY
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -45,7 +45,9 @@
         self.session = b""
         self.got = 0
         self.window = 1
-        self.unanswered: dict[int, Ask] = {}  # in order of numbers
+        self.unanswered: dict[
+            int, Ask
+        ] = {}  # requests without an answer, in order of their numbers
         self.sent_on_connection: set[int] = set()  # requests sent on the current connection
         self.sent_before: set[int] = set()  # requests sent on any connection
         self.outcomes: dict[int, Outcome] = {}
@@ -56,7 +58,7 @@
         self.output: list[bytes] = []
 
     def take_output(self) -> bytes:
-        """Returns the bytes to send."""
+        """Returns the bytes to send, and clears the output."""
         data, self.output = b"".join(self.output), []
         return data
 
--- a/lilacwalk/edge/coap/reliability.py
+++ b/lilacwalk/edge/coap/reliability.py
@@ -166,7 +166,11 @@
     def check_duplicate(
         self, address: Hashable, mid: int, confirmable: bool, now: int
     ) -> tuple[bool, bytes | None]:
-        """Returns whether the message was received within its lifetime, and the reply that it got."""
+        """Records a message, and returns whether it is a duplicate and the reply to the first copy.
+
+        A message is a duplicate if one with the same id was received less than `EXCHANGE_LIFETIME`
+        ago, or `NON_LIFETIME` if it is non-confirmable. The reply is None if none has been sent.
+        """
         lifetime = EXCHANGE_LIFETIME if confirmable else NON_LIFETIME
         row = self.seen.get((address, mid))
         if row is not None and now - row[0] < lifetime:
@@ -239,8 +243,10 @@
         )
 
     def tick(self, now: int) -> list[tuple[Hashable, bytes | None, object | None]]:
-        """Returns (address, bytes to send, context of a message that was given up) for all due
-        messages.
+        """Returns the messages to retransmit or give up, as (address, data, context).
+
+        The context is that of a message without an acknowledgement after all retransmissions,
+        otherwise None. The data is None if there is nothing to send.
         """
         rows: list[tuple[Hashable, bytes | None, object | None]] = []
         for address, endpoint in list(self.endpoints.items()):
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -102,7 +102,9 @@
             self.rng.getrandbits(64),
         )
         self.open: dict[Request, None] = {}
-        self.ack_timers = Wheel(now)  # for empty acknowledgements of requests without an answer
+        self.ack_timers = Wheel(
+            now
+        )  # when to send an empty acknowledgement, for requests without an answer
         self.kept_answers: dict[bool, OrderedDict[Request, int]] = {
             True: OrderedDict(),
             False: OrderedDict(),
--- a/lilacwalk/edge/config.py
+++ b/lilacwalk/edge/config.py
@@ -59,14 +59,14 @@
     session_time: Time = 600 * SECOND  # a session without a connection is removed after this time
     repeat_window: Time = 60 * SECOND
     heartbeat: Time = 30 * SECOND
-    # From the start of a connection until its HELLO frame has been received.
+    # Time from the start of a connection until its HELLO frame has been received.
     hello: Time = 5 * SECOND
-    frame_time: Time = 60 * SECOND  # from the first byte of a frame to its last
+    frame_time: Time = 60 * SECOND  # time from the first byte of a frame to its last
     slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # minimum bytes per second
-    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = 60  # per source in about 10 s
-    # Subtract the expected delivery time of the answer from the request's timeout.
+    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = 60  # connections per source in about 10 s
+    # Whether to subtract the expected delivery time of the answer from a request's timeout.
     estimates: bool = True
-    # Detect duplicate requests across sessions, without relying on idempotency keys.
+    # Whether to detect duplicate requests across sessions, without relying on idempotency keys.
     repeats: bool = True
     resume: bool = True
 
--- a/lilacwalk/edge/connection_limiter.py
+++ b/lilacwalk/edge/connection_limiter.py
@@ -13,9 +13,7 @@
 
 
 class ConnectionLimiter:
-    """Counts the connections of each source, and keeps the unidentified connections in order of
-    age.
-    """
+    """Counts the connections of each source, and tracks unidentified connections by age."""
 
     def __init__(self, max_per_source: int, max_unidentified: int, seed: int, now: int) -> None:
         """Creates a limiter.
@@ -37,8 +35,7 @@
         return address[:IPV6_PREFIX_BYTES] if len(address) == 16 else address
 
     def admit(self, connection: int, address: bytes, now: int) -> str:
-        """Counts a connection, and returns why it is rejected, or an empty string if it is
-        admitted.
+        """Counts a connection, and returns the reason for its rejection, or "" if it is admitted.
 
         Rejected connections count as well, so that a source that keeps reconnecting stays blocked
         until it stops.
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -37,9 +37,9 @@
 SECOND = 10_000
 ANSWER_SIZE_WEIGHT = 1 / 16  # weight of the newest answer in the mean size of answers
 INITIAL_ANSWER_BYTES = 500.0  # mean size before the first answer
-# Per session of the limit; most devices have fewer requests in flight.
+# Entries of the duplicate detector per session; most devices have fewer requests in flight.
 DUPLICATE_ENTRIES_PER_SESSION = 8
-CHECK_INTERVAL = SECOND  # time between checks for slow, silent and unidentified connections
+CHECK_INTERVAL = SECOND  # time between checks for slow, idle and unidentified connections
 CLOSED_BY_DEVICE = "said goodbye"  # reason of the removal of a session
 MAX_MISSED_HEARTBEATS = 3  # intervals without received bytes after which a connection is closed
 SESSION_TOKEN_SECONDS = 7 * 24 * 3600  # sessions expire long before their tokens
@@ -131,7 +131,7 @@
         self.connection_limiter = ConnectionLimiter(
             config.arrivals, max(1, config.connections // 4), random_bits(64), now
         )
-        self.links: dict[bytes, Link] = {}  # by device, for devices with a session
+        self.links: dict[bytes, Link] = {}  # estimates by device, for devices with a session
         self.actions: list[Action] = []
         self.mean_answer_bytes = INITIAL_ANSWER_BYTES
         # While draining: time after which devices should reconnect.
@@ -225,9 +225,7 @@
             connection.frame_progress.add_bytes(size, frame_count, is_partial, now)
 
     def bytes_sent(self, number: int, size: int, now: int) -> None:
-        """Records that the operating system accepted bytes; sends further answers if there is
-        room.
-        """
+        """Records that the operating system accepted bytes; sends further answers if there is room."""
         if (connection := self.connections.get(number)) is not None:
             connection.unsent_bytes -= size
             if connection.session is not None:
@@ -550,7 +548,7 @@
         return self.next_check_at if wheel is None else min(wheel, self.next_check_at)
 
     def tick(self, now: int) -> None:
-        """Removes expired sessions, and probes or closes silent and slow connections."""
+        """Removes expired sessions, and probes or closes idle and slow connections."""
         self.session_table.tick(now)
         if now < self.next_check_at:
             return
--- a/lilacwalk/edge/frames.py
+++ b/lilacwalk/edge/frames.py
@@ -30,7 +30,7 @@
     version: int
     token: bytes  # the device's token; empty if a certificate identifies the device
     session: bytes  # token of the session to resume; empty to open a new one
-    got: int  # all answers up to this order have been received
+    got: int  # sequence number up to which all answers have been received
     window: int  # answers that the device can hold unread
     steady: bool = False  # whether the device's request numbers outlive its sessions
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Got:
-    """Acknowledges all answers up to an order."""
+    """Acknowledges all answers up to a sequence number."""
 
     upto: int
 
@@ -95,8 +95,8 @@
 class Answer:
     """The answer to a request."""
 
-    order: int  # of the answer in its session; `got` in other frames refers to it
-    number: int  # of the request
+    order: int  # sequence number of the answer in its session; `got` acknowledges answers up to one
+    number: int  # number of the answered request
     word: int  # 0 completed, 1 denied, 2 terminated
     body: bytes = b""
     come_back: int = 0  # ms
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -29,10 +29,10 @@
 log = logging.getLogger(__name__)
 SECOND = 10_000
 FRAME_OVERHEAD_BYTES = 512  # maximum size of a frame's fields besides the body
-MAX_FRAME_BYTES = 65_536  # limit for clients; results have at most 4 KiB
+MAX_FRAME_BYTES = 65_536  # largest frame that a client accepts; results have at most 4 KiB
 READ_BYTES = 16_384
-MAX_DATAGRAMS_PER_ITERATION = 256  # about 10 ms of work
-MAX_ACCEPTS_PER_ITERATION = 64  # so that a flood of connections does not starve the others
+MAX_DATAGRAMS_PER_ITERATION = 256  # processing them takes about 10 ms
+MAX_ACCEPTS_PER_ITERATION = 64  # bounds the time for which a flood of connections delays the others
 BACKLOG = 1_024
 
 
@@ -55,7 +55,7 @@
         raise EdgeError(f"secrets {path}: {getattr(error, 'strerror', None) or error}") from None
     if not secrets or any(len(each) < MIN_SECRET_BYTES for each in secrets):
         raise EdgeError(
-            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal digits or more"
+            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal digits or more, got {len(secrets)} lines of {[2 * len(each) for each in secrets]} digits"
         )
     if os.stat(path).st_mode & 0o077:
         raise EdgeError(f"secrets {path}: others than its owner may read it")
--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -1,5 +1,4 @@
-"""Estimates the round trip, loss and throughput of a device's link, and the delivery time of
-answers.
+"""Estimates round trip, loss and throughput of a device's link, and delivery times of answers.
 
 The estimates outlive connections: the next connection of the device starts with them.
 """
@@ -73,7 +72,7 @@
         )
 
     def heartbeat_interval(self, max_interval: int) -> int:
-        """Returns the time between probes of a quiet link.
+        """Returns the time between probes of an idle link.
 
         It detects a stall within a few round trips, but is never less than a tenth of
         `max_interval`, so that the radio of an unreachable device is not kept awake.
--- a/lilacwalk/edge/rates.py
+++ b/lilacwalk/edge/rates.py
@@ -48,8 +48,7 @@
         """Whether the frame took longer than `max_duration`, or arrives below the minimum rate.
 
         `min_rate` is in bytes per second, averaged over the seconds in which any arrived. The
-        minimum
-        rises linearly and has doubled after `DOUBLING_SECONDS`.
+        minimum rises linearly and has doubled after `DOUBLING_SECONDS`.
         """
         if not self.started_at:
             return False
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -33,7 +33,7 @@
 
     answer: Answer
     effect: Effect
-    sent_at: int | None = None  # on the current connection; None if it was not sent on it
+    sent_at: int | None = None  # time of sending on the current connection; None if not sent on it
 
     @property
     def size(self) -> int:
@@ -88,7 +88,7 @@
         # By answer order.
         self.unacknowledged: OrderedDict[int, UnacknowledgedAnswer] = OrderedDict()
         self.by_number: dict[int, int] = {}
-        self.last_order = 0  # order of the last answer
+        self.last_order = 0  # sequence number of the last answer
         self.acknowledged_order = 0
         self.unacknowledged_bytes = 0
         self.connection: int | None = None
@@ -141,7 +141,8 @@
         return pending
 
     def acknowledge(self, upto: int, now: int) -> list[UnacknowledgedAnswer]:
-        """Removes and returns the answers up to this order that the device has acknowledged.
+        """Removes and returns the answers up to sequence number `upto` that the device has
+        acknowledged.
 
         Answers that were not sent on the current connection are not acknowledged, whatever the
         device claims.
@@ -195,9 +196,9 @@
     def eviction_cost(self) -> tuple[int, int]:
         """Rank of the loss if the session is evicted; lower ranks are evicted first.
 
-        The loss is highest if a non-idempotent effect may remain unknown to the device, and
-        lower if work
-        has to be repeated. Among equals, the session that was disconnected last is kept.
+        The loss is highest if a non-idempotent effect may remain unknown to the device, and lower
+        if only work has to be repeated. Among equals, the session that was disconnected last is
+        kept.
         """
         effects = [pending.effect for pending in self.unacknowledged.values()] + [
             each.effect for each in self.open.values()
--- a/lilacwalk/edge/session_codec.py
+++ b/lilacwalk/edge/session_codec.py
@@ -1,7 +1,7 @@
-"""Encodes a session as a row of the store, and decodes it.
+"""Encodes a session for the store, and decodes it.
 
-One row holds the whole session, so that it is never restored in part: the requests in flight and
-the unacknowledged answers. After a restart, requests in flight are answered with their stored
+One stored row holds the whole session, so that it is never restored in part: the requests in flight
+and the unacknowledged answers. After a restart, requests in flight are answered with their stored
 result, as terminated if they may have been executed, or as denied if they were not started.
 """
 
@@ -15,14 +15,18 @@
 from lilacwalk.overload.model import Effect
 
 EFFECTS = list(Effect)
-# Added to the order of the last answer when a session is restored. Answers sent after the last row
-# was written are lost by a crash; if a new answer had the same order, the device would ignore it as a
-# duplicate. More answers than a window produces between two rows.
+# Added to the sequence number of the last answer when a session is restored. Answers sent after the
+# last write of the session are lost in a crash; the device would ignore a new answer with the same
+# number as a duplicate. The increment exceeds the number of answers that a window can produce between
+# two writes.
 ORDER_INCREMENT = 1_024
 
 
 class AnswerRow(msgspec.Struct, frozen=True, array_like=True):
-    """An unacknowledged answer; the order of the fields is the stored form."""
+    """A stored answer.
+
+    Fields are stored as an array, so they must not be reordered.
+    """
 
     order: int
     number: int
@@ -33,7 +37,10 @@
 
 
 class OpenRequestRow(msgspec.Struct, frozen=True, array_like=True):
-    """A request in flight; the order of the fields is the stored form."""
+    """A stored request in flight.
+
+    Fields are stored as an array, so they must not be reordered.
+    """
 
     number: int
     effect: int
@@ -43,7 +50,10 @@
 
 
 class SessionRow(msgspec.Struct, frozen=True, array_like=True):
-    """A session; the order of the fields is the stored form."""
+    """A stored session.
+
+    Fields are stored as an array, so they must not be reordered.
+    """
 
     device: bytes
     steady: bool
@@ -55,7 +65,7 @@
 
 
 def encode_session(session: Session) -> bytes:
-    """Returns the session as a row of the store."""
+    """Returns the stored form of a session."""
     open_requests = tuple(
         OpenRequestRow(number, EFFECTS.index(each.effect), *each.execution_key)
         for number, each in session.open.items()
@@ -85,7 +95,7 @@
 
 
 def decode_session(ident: bytes, data: bytes, link: Link, now: int) -> Session | None:
-    """Returns the session that the row holds, or None if the row is invalid."""
+    """Returns the session that the data encodes, or None if the data is invalid."""
     try:
         row = msgspec.msgpack.decode(data, type=SessionRow)
         effects = {each.number: EFFECTS[each.effect] for each in (*row.open, *row.answers)}
--- a/lilacwalk/edge/sessions.py
+++ b/lilacwalk/edge/sessions.py
@@ -78,7 +78,9 @@
         return True
 
     def _evict(self, candidates, reason: str) -> bool:
-        """Removes the cheapest session that has neither a connection nor requests in flight."""
+        """Removes the session with the lowest cost that has neither a connection nor requests in
+        flight.
+        """
         idle = [each for each in candidates if each.connection is None and not each.open]
         if not idle:
             return False
@@ -100,7 +102,7 @@
     def add_bytes(self, session: Session, size: int) -> None:
         """Records the size of a new answer, or a negative size for acknowledged ones.
 
-        Beyond the limit, disconnected sessions are removed, cheapest first, but not this session.
+        Beyond the limit, other disconnected sessions are removed in order of their eviction cost.
         """
         self.unacknowledged_bytes += size
         if self.unacknowledged_bytes <= self.max_bytes:
--- a/lilacwalk/edge/sketch.py
+++ b/lilacwalk/edge/sketch.py
@@ -25,8 +25,9 @@
         self.rows = [[0.0] * columns for _ in range(ROWS)]
 
     def _columns(self, key: bytes) -> list[int]:
-        """Returns the key's column in each row, derived from two hashes (Kirsch and Mitzenmacher,
-        2006).
+        """Returns the key's column in each row.
+
+        All columns are derived from two hashes (Kirsch and Mitzenmacher, 2006).
         """
         digest = xxhash.xxh3_128_intdigest(key, self.seed)
         low, high = digest & (1 << 64) - 1, digest >> 64 | 1
--- a/lilacwalk/edge/timer_wheel.py
+++ b/lilacwalk/edge/timer_wheel.py
@@ -1,10 +1,10 @@
 """A hierarchical timing wheel (Varghese and Lauck, 1987).
 
-Most timers are moved or cancelled before they expire. The wheel schedules, moves and cancels a
-timer in constant time, whatever their number; a heap takes log n for each and keeps cancelled
-timers until they are due. `heapq` is not used because sessions move several timers with each frame;
+Most timers are rescheduled or cancelled before they expire. The wheel schedules and cancels a timer
+in constant time, whatever their number; a heap takes log n for each and keeps cancelled timers
+until they are due. `heapq` is not used because sessions reschedule several timers with each frame;
 `benchmarks/edge.py` compares both. A timer expires at the end of its slot: up to one slot late and
-never early. An empty interval is walked slot by slot, so callers use `due` to find the next slot
+never early. An empty interval is scanned slot by slot, so callers use `due` to find the next slot
 with timers.
 """
 
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -29,9 +29,10 @@
 }
 
 
-class World:
-    """The device service without sockets; connections are numbers, and sent bytes are decoded to
-    frames.
+class ServiceHarness:
+    """The device service without sockets.
+
+    Connections are numbers, and sent bytes are decoded to frames.
     """
 
     def __init__(self, **config):
@@ -40,31 +41,37 @@
         base = {"listen": ("127.0.0.1", 0), "secrets": ""}
         self.config = EdgeConfig(**(base | config))
         self.service = DeviceService(self.config, GROUPS, self.tokens, 7, self.now)
-        self.streams, self.read, self.closed, self.asks, self.gone = {}, {}, [], [], []
+        self.streams, self.received, self.closed, self.submitted, self.cancelled = (
+            {},
+            {},
+            [],
+            [],
+            [],
+        )
         self.flowing = True  # whether the operating system accepts sent bytes at once
         self.numbers = 0
 
-    def take(self):
+    def collect(self):
         while actions := self.service.take_actions():
             for action in actions:
                 number = action.connection
                 if action.type is ActionType.SEND:
                     stream = self.streams.setdefault(number, frames.Stream(1 << 20))
-                    self.read.setdefault(number, []).extend(stream.feed(action.payload))
+                    self.received.setdefault(number, []).extend(stream.feed(action.payload))
                     if self.flowing:
                         self.service.bytes_sent(number, len(action.payload), self.now)
                 elif action.type is ActionType.CLOSE:
                     self.closed.append(number)
                 elif action.type is ActionType.SUBMIT:
-                    self.asks.append((action.session, action.number, action.payload))
+                    self.submitted.append((action.session, action.number, action.payload))
                 elif action.type is ActionType.CLIENT_GONE:
-                    self.gone.append(action.number)
+                    self.cancelled.append(action.number)
         return self
 
     def open(self, address=b"\x7f\0\0\1", identity=b""):
         self.numbers += 1
         self.is_admitted = self.service.connection_opened(self.numbers, address, identity, self.now)
-        self.take()
+        self.collect()
         return self.numbers
 
     def token(self, name=b"tablet", until=1_900_000_000):
@@ -74,43 +81,46 @@
         self, session=b"", got=0, window=16, token=None, steady=False, name=b"tablet", number=None
     ):
         number = self.open() if number is None else number
-        self.say(
+        self.send(
             number,
             Hello(1, self.token(name) if token is None else token, session, got, window, steady),
         )
         return number
 
-    def say(self, number, *said):
-        for each in said:
+    def send(self, number, *frames_sent):
+        for each in frames_sent:
             self.service.frame_received(number, each, self.now)
-        return self.take()
+        return self.collect()
 
     def welcome(self, number):
-        return next((each for each in self.read.get(number, []) if isinstance(each, Welcome)), None)
+        return next(
+            (each for each in self.received.get(number, []) if isinstance(each, Welcome)), None
+        )
 
     def refused(self, number):
         return next(
-            (each.reason for each in self.read.get(number, []) if isinstance(each, Refused)), None
+            (each.reason for each in self.received.get(number, []) if isinstance(each, Refused)),
+            None,
         )
 
     def answers(self, number):
-        return [each for each in self.read.get(number, []) if isinstance(each, Answer)]
+        return [each for each in self.received.get(number, []) if isinstance(each, Answer)]
 
-    def lose(self, number):
+    def disconnect(self, number):
         self.service.connection_closed(number, self.now)
-        return self.take()
+        return self.collect()
 
     def answer(self, at=-1, word=0, body=b"ok", come_back=0):
-        session, number, _ = self.asks[at]
+        session, number, _ = self.submitted[at]
         self.service.send_answer(session, number, word, body, come_back, self.now)
-        return self.take()
+        return self.collect()
 
     def wait(self, time):
         end = self.now + time
         while (due := self.service.due()) <= end:
             self.now = max(self.now, due)
             self.service.tick(self.now)
-            self.take()
+            self.collect()
         self.now = end
         return self
 
@@ -149,7 +159,7 @@
             each.start()
         self.edge = self.event_loop.subsystems.devices.edge
         self.address = self.edge.address
-        while not self.decided(lambda event_loop: event_loop.executor.is_ready):
+        while not self.call_in_event_loop(lambda event_loop: event_loop.executor.is_ready):
             pass
 
     def token(self, name=b"tablet"):
@@ -161,16 +171,16 @@
         )
         return self.devices[-1]
 
-    def decided(self, question):
+    def call_in_event_loop(self, function):
         """Calls `question` with the event loop in the event loop's thread."""
         answers = SimpleQueue()
-        self.event_loop.event_queue.post(lambda: answers.put(question(self.event_loop)))
+        self.event_loop.event_queue.post(lambda: answers.put(function(self.event_loop)))
         return answers.get(timeout=10.0)
 
-    def inside(self, question):
+    def call_in_edge_thread(self, function):
         """Calls `question` with the device service in the edge's thread."""
         answers = SimpleQueue()
-        self.edge.post(lambda: answers.put(question(self.edge.service)))
+        self.edge.post(lambda: answers.put(function(self.edge.service)))
         return answers.get(timeout=10.0)
 
     def end(self):
@@ -186,8 +196,8 @@
 
 
 @pytest.fixture
-def world():
-    return World()
+def harness():
+    return ServiceHarness()
 
 
 @pytest.fixture
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -30,25 +30,25 @@
 from lilacwalk.testing.lossy_proxy import UdpProxy, Weather
 from tests.edge.conftest import GROUPS, SECOND, SECRET, START
 
-HERE, THERE = ("127.0.0.1", 5000), ("127.0.0.1", 5001)
+ADDRESS, OTHER_ADDRESS = ("127.0.0.1", 5000), ("127.0.0.1", 5001)
 POST, ACK, CON, NON, RST = messages.POST, Type.ACK, Type.CON, Type.NON, Type.RST
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
-optioned = st.lists(st.tuples(st.integers(0, 3000), st.binary(max_size=300)), max_size=5).map(
+option_lists = st.lists(st.tuples(st.integers(0, 3000), st.binary(max_size=300)), max_size=5).map(
     lambda rows: tuple(sorted(rows, key=lambda each: each[0]))
 )
-wholes = st.builds(
+valid_messages = st.builds(
     Message,
     st.sampled_from(Type),
     st.sampled_from([1, 2, 5, 68, 69, 132, 160]),
     st.integers(0, 65535),
     st.binary(max_size=8),
-    optioned,
+    option_lists,
     st.binary(max_size=50),
 )
 
 
-@given(wholes)
+@given(valid_messages)
 def test_messages_survive_encoding_and_decoding(message):
     assert messages.decode(messages.encode(message)) == message
 
@@ -85,31 +85,31 @@
     assert (error.value.mid is not None) is rejected
 
 
-class World:
-    def __init__(self, proven=True, **config):
+class CoapHarness:
+    def __init__(self, is_validated=True, **config):
         self.now, self.mid = START, 0
         self.tokens = Tokens([SECRET], b"n1")
         self.config = EdgeConfig(**({"listen": ("127.0.0.1", 0), "secrets": ""} | config))
         self.service = CoapService(self.config, GROUPS, self.tokens, 7, self.now)
-        self.sent, self.asks = [], []
-        self.proven = proven
+        self.sent, self.submitted = [], []
+        self.is_validated = is_validated
 
-    def take(self):
+    def collect(self):
         """Returns the messages sent since the last call."""
         sent = []
         for action in self.service.take_actions():
             if action.type is ActionType.DATAGRAM:
                 sent.append(messages.decode(action.payload[1]))
             elif action.type is ActionType.SUBMIT:
-                self.asks.append((action.session, action.payload))
+                self.submitted.append((action.session, action.payload))
         self.sent += sent
         return sent
 
-    def say(self, message, address=HERE):
-        if self.proven:
+    def send(self, message, address=ADDRESS):
+        if self.is_validated:
             self.service.address_validator.validated_until[address] = self.now + 10**9
         self.service.datagram_received(address, messages.encode(message), self.now)
-        return self.take()
+        return self.collect()
 
     def request(
         self, group="look", payload=b"hello", kind=CON, options=(), queries=(), token=None, mid=None
@@ -128,8 +128,8 @@
         )
 
     def answer(self, at=-1, word=0, body=b"ok", come_back=0):
-        self.service.send_answer(self.asks[at][0], word, body, come_back, self.now)
-        return self.take()
+        self.service.send_answer(self.submitted[at][0], word, body, come_back, self.now)
+        return self.collect()
 
     def wait(self, time):
         end = self.now + time
@@ -137,80 +137,82 @@
             self.now = max(self.now, due)
             self.service.tick(self.now)
         self.now = end
-        return self.take()
+        return self.collect()
 
 
 def test_an_answer_within_the_piggyback_delay_is_sent_with_the_acknowledgement():
-    world = World()
-    assert world.say(world.request(queries=[b"w=1000", b"k=key"])) == []
-    assert (world.asks[0][1].frame.key, world.asks[0][1].timeout) == ("key", SECOND)
-    assert world.answer() == [Message(ACK, messages.CHANGED, 1, b"tk", (), b"ok")]
+    harness = CoapHarness()
+    assert harness.send(harness.request(queries=[b"w=1000", b"k=key"])) == []
+    assert (harness.submitted[0][1].frame.key, harness.submitted[0][1].timeout) == ("key", SECOND)
+    assert harness.answer() == [Message(ACK, messages.CHANGED, 1, b"tk", (), b"ok")]
 
 
 def test_a_late_answer_is_a_separate_response_retransmitted_until_acknowledged():
-    world = World()
-    world.say(world.request())
-    assert world.wait(SECOND) == [Message(ACK, 0, 1)]
-    [separate] = world.answer()
+    harness = CoapHarness()
+    harness.send(harness.request())
+    assert harness.wait(SECOND) == [Message(ACK, 0, 1)]
+    [separate] = harness.answer()
     assert (separate.type, separate.code, separate.payload) == (CON, messages.CHANGED, b"ok")
-    again = world.wait(4 * SECOND)
+    again = harness.wait(4 * SECOND)
     assert again and all(each == separate for each in again)
-    assert world.say(Message(ACK, 0, separate.mid)) == [] and world.wait(100 * SECOND) == []
-    assert world.service.is_idle
+    assert harness.send(Message(ACK, 0, separate.mid)) == [] and harness.wait(100 * SECOND) == []
+    assert harness.service.is_idle
 
 
 def test_an_unacknowledged_separate_response_is_given_up_after_four_retransmissions_but_kept_for_duplicates():
-    world = World(repeat_window=300 * SECOND)
-    world.say(world.request("move"))
-    world.wait(SECOND)
-    world.answer()
-    assert len(world.wait(200 * SECOND)) == 4 and world.service.counts["lost"] == 1
-    assert world.say(world.request("move"))[0].payload == b"ok" and len(world.asks) == 1
+    harness = CoapHarness(repeat_window=300 * SECOND)
+    harness.send(harness.request("move"))
+    harness.wait(SECOND)
+    harness.answer()
+    assert len(harness.wait(200 * SECOND)) == 4 and harness.service.counts["lost"] == 1
+    assert harness.send(harness.request("move"))[0].payload == b"ok" and len(harness.submitted) == 1
 
 
 @pytest.mark.parametrize("when", ["before", "after", "acknowledged"])
 def test_a_duplicate_message_is_not_submitted_again_and_gets_the_same_reply(when):
-    world = World()
-    request = world.request("move")
-    world.say(request)
+    harness = CoapHarness()
+    request = harness.request("move")
+    harness.send(request)
     if when == "acknowledged":
-        [first] = world.wait(SECOND)
+        [first] = harness.wait(SECOND)
     if when == "after":
-        [first] = world.answer()
-    again = world.say(request)
-    assert len(world.asks) == 1 and again == ([] if when == "before" else [first])
+        [first] = harness.answer()
+    again = harness.send(request)
+    assert len(harness.submitted) == 1 and again == ([] if when == "before" else [first])
 
 
 def test_a_message_id_reused_after_its_lifetime_is_a_new_request():
-    world = World(repeat_window=SECOND)
-    world.say(world.request("move", mid=9))
-    world.answer()
-    world.wait(EXCHANGE_LIFETIME - SECOND)
-    world.say(world.request("move", mid=9))
-    assert len(world.asks) == 1
-    world.wait(2 * SECOND)
-    world.say(world.request("move", mid=9))
-    assert len(world.asks) == 2
-    world.say(world.request("look", kind=NON, mid=10))
-    world.wait(NON_LIFETIME + 1)
-    world.say(world.request("look", kind=NON, mid=10))
-    assert len(world.asks) == 4
+    harness = CoapHarness(repeat_window=SECOND)
+    harness.send(harness.request("move", mid=9))
+    harness.answer()
+    harness.wait(EXCHANGE_LIFETIME - SECOND)
+    harness.send(harness.request("move", mid=9))
+    assert len(harness.submitted) == 1
+    harness.wait(2 * SECOND)
+    harness.send(harness.request("move", mid=9))
+    assert len(harness.submitted) == 2
+    harness.send(harness.request("look", kind=NON, mid=10))
+    harness.wait(NON_LIFETIME + 1)
+    harness.send(harness.request("look", kind=NON, mid=10))
+    assert len(harness.submitted) == 4
 
 
 def test_a_repeated_request_shares_the_answer_until_the_answer_is_acknowledged():
-    world = World()
-    world.say(world.request("move"))
-    world.say(world.request("move"), THERE)  # the device's address changed with the network
-    assert len(world.asks) == 1 and len(world.answer()) == 2
-    world.say(world.request("move"))
-    assert len(world.asks) == 1
-    late = World()
-    late.say(late.request("move"))
+    harness = CoapHarness()
+    harness.send(harness.request("move"))
+    harness.send(
+        harness.request("move"), OTHER_ADDRESS
+    )  # the device's address changed with the network
+    assert len(harness.submitted) == 1 and len(harness.answer()) == 2
+    harness.send(harness.request("move"))
+    assert len(harness.submitted) == 1
+    late = CoapHarness()
+    late.send(late.request("move"))
     late.wait(SECOND)
     [separate] = late.answer()
-    late.say(Message(ACK, 0, separate.mid))
-    late.say(late.request("move"))
-    assert len(late.asks) == 2
+    late.send(Message(ACK, 0, separate.mid))
+    late.send(late.request("move"))
+    assert len(late.submitted) == 2
 
 
 @pytest.mark.parametrize(
@@ -218,14 +220,14 @@
     [(0, messages.CHANGED, None), (1, messages.TOO_MANY, b"\2"), (2, messages.INTERNAL, None)],
 )
 def test_each_outcome_has_its_response_code_and_a_denial_has_max_age(word, code, age):
-    world = World()
-    world.say(world.request())
-    [reply] = world.answer(word=word, body=b"", come_back=15_000)
+    harness = CoapHarness()
+    harness.send(harness.request())
+    [reply] = harness.answer(word=word, body=b"", come_back=15_000)
     assert reply.code == code and reply.first(Option.MAX_AGE) == age
 
 
 @pytest.mark.parametrize(
-    "spoil, code",
+    "invalid, code",
     [
         (dict(group="nobody"), messages.NOT_FOUND),
         (dict(token=b"x" * 40), messages.UNAUTHORIZED),
@@ -238,54 +240,61 @@
         (dict(options=[(Option.BLOCK2, b"\x16")]), messages.INCOMPLETE),
     ],
 )
-def test_an_invalid_request_gets_the_matching_response_code(spoil, code):
-    world = World()
-    assert [each.code for each in world.say(world.request(**spoil))] == [code] and not world.asks
+def test_an_invalid_request_gets_the_matching_response_code(invalid, code):
+    harness = CoapHarness()
+    assert [each.code for each in harness.send(harness.request(**invalid))] == [
+        code
+    ] and not harness.submitted
 
 
 @pytest.mark.parametrize("kind", [CON, NON])
 def test_a_response_class_excluded_by_no_response_is_not_sent(kind):
-    world = World()
-    world.say(world.request(kind=kind, options=[(Option.NO_RESPONSE, b"\2")]))
-    assert world.answer() == ([Message(ACK, 0, 1)] if kind is CON else [])
-    world.say(world.request(payload=b"b", kind=kind, options=[(Option.NO_RESPONSE, b"\2")]))
-    assert world.answer(word=2)[0].code == messages.INTERNAL
+    harness = CoapHarness()
+    harness.send(harness.request(kind=kind, options=[(Option.NO_RESPONSE, b"\2")]))
+    assert harness.answer() == ([Message(ACK, 0, 1)] if kind is CON else [])
+    harness.send(harness.request(payload=b"b", kind=kind, options=[(Option.NO_RESPONSE, b"\2")]))
+    assert harness.answer(word=2)[0].code == messages.INTERNAL
 
 
 def test_a_ping_and_an_unexpected_response_are_answered_with_rst():
-    world = World()
-    assert world.say(Message(CON, 0, 7)) == [Message(RST, 0, 7)]
-    assert world.say(Message(CON, messages.CONTENT, 8, b"t")) == [Message(RST, 0, 8)]
-    assert world.say(Message(NON, messages.CONTENT, 8, b"t")) == []
+    harness = CoapHarness()
+    assert harness.send(Message(CON, 0, 7)) == [Message(RST, 0, 7)]
+    assert harness.send(Message(CON, messages.CONTENT, 8, b"t")) == [Message(RST, 0, 8)]
+    assert harness.send(Message(NON, messages.CONTENT, 8, b"t")) == []
 
 
 # Block-wise transfer
 
 
 def test_a_block_wise_request_is_assembled_and_a_duplicate_block_is_ignored():
-    world, body = World(), random.Random(1).randbytes(1_500)
+    harness, body = CoapHarness(), random.Random(1).randbytes(1_500)
     for number, at in enumerate((0, 512, 512, 1_024)):
         block = Block(at // 512, at < 1_024, 512)
-        made = world.request(
+        made = harness.request(
             "move",
             body[at : at + 512],
             options=[(Option.BLOCK1, block.encode()), (Option.REQUEST_TAG, b"a")],
         )
-        sent = world.say(made)
+        sent = harness.send(made)
         assert [each.code for each in sent] == ([messages.CONTINUE] if number < 3 else [])
-    assert world.asks[0][1].frame.body == body and world.service.block_assembler.buffered_bytes == 0
+    assert (
+        harness.submitted[0][1].frame.body == body
+        and harness.service.block_assembler.buffered_bytes == 0
+    )
 
 
 def test_a_long_answer_is_sent_in_blocks():
-    world, body = World(), random.Random(1).randbytes(3_000)
-    world.say(world.request())
-    [first] = world.answer(body=body)
+    harness, body = CoapHarness(), random.Random(1).randbytes(3_000)
+    harness.send(harness.request())
+    [first] = harness.answer(body=body)
     found, block = first.payload, Block.decode(first.first(Option.BLOCK2))
     while block.more:
         block = Block(block.number + 1, False, block.size)
-        [reply] = world.say(world.request(payload=b"", options=[(Option.BLOCK2, block.encode())]))
+        [reply] = harness.send(
+            harness.request(payload=b"", options=[(Option.BLOCK2, block.encode())])
+        )
         found, block = found + reply.payload, Block.decode(reply.first(Option.BLOCK2))
-    assert found == body and len(world.asks) == 1
+    assert found == body and len(harness.submitted) == 1
 
 
 @pytest.mark.parametrize("order, incomplete", [([1], True), ([0, 2], True), ([0, 1, 3], True)])
@@ -326,37 +335,36 @@
 
 
 def test_an_unvalidated_address_gets_only_an_echo_no_larger_than_its_request_and_leaves_no_state():
-    world = World(proven=False)
-    request = world.request()
-    [reply] = world.say(request)
+    harness = CoapHarness(is_validated=False)
+    request = harness.request()
+    [reply] = harness.send(request)
     assert reply.code == messages.UNAUTHORIZED and len(messages.encode(reply)) <= len(
         messages.encode(request)
     )
     assert (
-        not world.asks
-        and not world.service.reliability.seen
-        and not world.service.reliability.endpoints
+        not harness.submitted
+        and not harness.service.reliability.seen
+        and not harness.service.reliability.endpoints
     )
     echo = reply.first(Option.ECHO)
-    world.say(
-        world.request(options=[(Option.ECHO, echo)]), THERE
-    )  # the echo value of another address is rejected
-    assert not world.asks
-    world.say(world.request(options=[(Option.ECHO, echo)]))
-    world.say(world.request(payload=b"next"))
-    assert len(world.asks) == 2
+    # The echo value of another address is rejected.
+    harness.send(harness.request(options=[(Option.ECHO, echo)]), OTHER_ADDRESS)
+    assert not harness.submitted
+    harness.send(harness.request(options=[(Option.ECHO, echo)]))
+    harness.send(harness.request(payload=b"next"))
+    assert len(harness.submitted) == 2
     tiny = Message(CON, POST, 1, b"12345678")
-    assert world.say(tiny, ("127.0.0.1", 9)) == []  # the reply with the echo value would be larger
+    assert harness.send(tiny, ("127.0.0.1", 9)) == []  # the reply would be larger
 
 
 def test_echo_values_expire_and_validated_addresses_are_bounded():
     proof = AddressValidator(b"s" * 32, 60 * SECOND, 600 * SECOND, 3)
-    mark = proof.make_echo(HERE, START)
-    assert not proof.validate(HERE, mark, START + 62 * SECOND) and proof.validate(
-        HERE, mark, START + SECOND
+    echo = proof.make_echo(ADDRESS, START)
+    assert not proof.validate(ADDRESS, echo, START + 62 * SECOND) and proof.validate(
+        ADDRESS, echo, START + SECOND
     )
-    assert proof.validate(HERE, None, START + 599 * SECOND) and not proof.validate(
-        HERE, None, START + 700 * SECOND
+    assert proof.validate(ADDRESS, None, START + 599 * SECOND) and not proof.validate(
+        ADDRESS, None, START + 700 * SECOND
     )
     for port in range(10):
         address = ("127.0.0.1", port)
@@ -365,10 +373,14 @@
 
 
 def test_spoofed_sources_leave_no_state_and_get_one_small_reply_each():
-    world = World(proven=False)
+    harness = CoapHarness(is_validated=False)
     for port in range(2_000):
-        world.say(world.request(), ("10.0.0.1", port))
-    assert not world.service.reliability.endpoints and len(world.sent) == 2_000 and not world.asks
+        harness.send(harness.request(), ("10.0.0.1", port))
+    assert (
+        not harness.service.reliability.endpoints
+        and len(harness.sent) == 2_000
+        and not harness.submitted
+    )
 
 
 # The message layer
@@ -384,7 +396,7 @@
     )
 
 
-def test_endpoints_message_ids_and_queues_are_bounded():
+def test_a_thousand_endpoints_do_not_exceed_the_limits_of_endpoints_message_ids_and_queue():
     layer = Reliability(10, 100, 4, random.Random(1))
     for each in range(1_000):
         layer.check_duplicate(each, 1, True, 0)
@@ -404,9 +416,8 @@
         timeout.record_acknowledgement(60_000, 2, 0)  # a weak estimate, since it was retransmitted
     slow = timeout.initial(0, rng)
     assert slow > 3 * SECOND
-    timeout.record_acknowledgement(
-        10, 4, 0
-    )  # ignored, since it is unknown which copy was acknowledged
+    # Ignored, since it is unknown which of the four copies was acknowledged.
+    timeout.record_acknowledgement(10, 4, 0)
     assert timeout.initial(0, rng) > 3 * SECOND
     for turn in range(1, 8):
         timeout.initial(turn * 17 * SECOND, rng)
@@ -416,30 +427,35 @@
 @settings(max_examples=100, deadline=None)
 @given(
     st.lists(
-        st.tuples(wholes | st.none(), st.integers(0, 3), st.integers(0, 40 * SECOND)), max_size=25
+        st.tuples(valid_messages | st.none(), st.integers(0, 3), st.integers(0, 40 * SECOND)),
+        max_size=25,
     ),
     st.booleans(),
 )
 def test_any_order_of_messages_answers_each_request_at_most_once_and_keeps_tables_bounded(
-    order, proven
+    order, is_validated
 ):
-    world = World(proven=proven, sessions=4, in_hand=3, kept=2_000, kept_each=1_000)
+    harness = CoapHarness(
+        is_validated=is_validated, sessions=4, in_hand=3, kept=2_000, kept_each=1_000
+    )
     for message, port, time in order:
         if message is None:
-            message = world.request("move", options=[(Option.BLOCK1, b"\x08")] if port == 3 else ())
-        world.say(message, ("127.0.0.1", port))
-        if world.asks and time % 2:
-            world.answer(time % len(world.asks), word=time % 3, body=b"r" * (time % 900))
-        world.wait(time)
-    serving = world.service
+            message = harness.request(
+                "move", options=[(Option.BLOCK1, b"\x08")] if port == 3 else ()
+            )
+        harness.send(message, ("127.0.0.1", port))
+        if harness.submitted and time % 2:
+            harness.answer(time % len(harness.submitted), word=time % 3, body=b"r" * (time % 900))
+        harness.wait(time)
+    service = harness.service
     assert (
-        len(serving.open) <= 3
-        and serving.kept_bytes <= 2_000
-        and len(serving.reliability.seen) <= 16
+        len(service.open) <= 3
+        and service.kept_bytes <= 2_000
+        and len(service.reliability.seen) <= 16
     )
-    for request, _ in world.asks:
-        serving.send_answer(request, 0, b"", 0, world.now)
-    assert not serving.open and serving.counts["answered"] >= len(world.asks)
+    for request, _ in harness.submitted:
+        service.send_answer(request, 0, b"", 0, harness.now)
+    assert not service.open and service.counts["answered"] >= len(harness.submitted)
 
 
 # With the app server
@@ -469,7 +485,9 @@
 def test_loss_duplication_and_reordering_execute_no_request_twice(coap):
     site, address = coap()
     weather = Weather(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
-    proxy = UdpProxy(address, weather, 3, loss=0.6, double=1.0)  # what is not lost is duplicated
+    proxy = UdpProxy(
+        address, weather, 3, loss=0.6, double=1.0
+    )  # each datagram that is not lost is duplicated
     devices = [CoapDevice(proxy.address, site.token(b"c%d" % each), each) for each in range(8)]
 
     def work(device):
@@ -488,34 +506,34 @@
     assert (
         proxy.lost > 0
         and proxy.doubled > 0
-        and site.inside(lambda _: site.edge.coap.counts["duplicates"]) > 0
+        and site.call_in_edge_thread(lambda _: site.edge.coap.counts["duplicates"]) > 0
     )
     proxy.end()
 
 
 def test_a_drain_answers_requests_in_flight_and_denies_others_as_unavailable(coap):
     hold = threading.Event()
-    site, address = coap(result=lambda group, body: hold.wait(PATIENCE) and b"late" or b"")
+    site, address = coap(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"late" or b"")
     device, other = (CoapDevice(address, site.token(name), 1) for name in (b"a", b"b"))
     with ThreadPoolExecutor(1) as pool:
         asked = pool.submit(device.ask, "move", b"x", 8_000)
-        while not site.inside(lambda _: site.edge.coap.counts["asked"]):
+        while not site.call_in_edge_thread(lambda _: site.edge.coap.counts["asked"]):
             pass
         site.event_loop.event_queue.post(site.event_loop.drain.start)
-        while not site.inside(lambda _: site.edge.coap.is_closing):
+        while not site.call_in_edge_thread(lambda _: site.edge.coap.is_closing):
             pass
         late = other.ask("look", b"y", 2_000)
         assert late.word == 1 and late.come_back >= 1_000
         hold.set()
         assert asked.result().body == b"late"
-    site.thread.join(PATIENCE)
+    site.thread.join(TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
     device.end(), other.end()
 
 
 def test_the_device_command_sends_a_request_over_coap(coap):
     site, address = coap()
-    told = CliRunner().invoke(
+    result = CliRunner().invoke(
         lilacwalk,
         [
             "device",
@@ -529,4 +547,6 @@
             site.token().hex(),
         ],
     )
-    assert told.output == "outcome=completed come_back_ms=0 body='<hi>'\n" and told.exit_code == 0
+    assert (
+        result.output == "outcome=completed come_back_ms=0 body='<hi>'\n" and result.exit_code == 0
+    )
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -19,13 +19,13 @@
 from lilacwalk.testing.lossy_proxy import Proxy, Weather
 from lilacwalk.testing.proxy_client import Till
 
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 def test_a_request_is_executed_once_and_answered_once(make_site):
     site = make_site()
     device = site.device()
-    found = device.outcome(device.ask("look", b"hello"), PATIENCE)
+    found = device.outcome(device.ask("look", b"hello"), TIMEOUT_SECONDS)
     assert (found.word, found.body) == (0, b"<hello>") and sum(site.kernel.ran.values()) == 1
     assert device.session.duplicate_answers == 0
 
@@ -35,20 +35,22 @@
     device, till = site.device(), Till(site.event_loop.listener.address)
     for each in range(20):
         number, tag = device.ask("look", b"%d" % each), till.ask("look")
-        assert device.outcome(number, PATIENCE).word == 0 and till.answer(tag)[1] == "done"
+        assert device.outcome(number, TIMEOUT_SECONDS).word == 0 and till.answer(tag)[1] == "done"
     till.end()
 
 
-def test_a_connection_reset_before_the_acknowledgement_gets_the_same_answer_again(make_site):
+def test_after_a_connection_reset_during_execution_the_answer_follows_and_the_request_runs_once(
+    make_site,
+):
     hold = threading.Event()
-    site = make_site(result=lambda group, body: hold.wait(PATIENCE) and b"made once" or b"")
+    site = make_site(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"made once" or b"")
     device = site.device()
     number = device.ask("move", b"x")
-    while not site.inside(lambda each: each.counts["asked"]):
+    while not site.call_in_edge_thread(lambda each: each.counts["asked"]):
         pass
     device.drop_connection()
     hold.set()
-    found = device.outcome(number, PATIENCE)
+    found = device.outcome(number, TIMEOUT_SECONDS)
     assert (found.word, found.body) == (0, b"made once")
     assert device.connections == 2 and sum(site.kernel.ran.values()) == 1
 
@@ -67,14 +69,12 @@
         for at, device in enumerate(devices)
     ]
     words = [device.outcome(number, 20.0).word for device, number in asked]
-    assert (
-        set(words) <= {0, 1, 2} and words.count(0) > 100
-    )  # some are denied by the controller and not executed
+    # The controller may deny some requests without executing them.
+    assert set(words) <= {0, 1, 2} and words.count(0) > 100
     assert max(site.kernel.ran.values()) == 1 and proxy.resets > 0
     bodies = [device.session.outcomes[number].body for device, number in asked]
-    assert len({body for body in bodies if body}) == words.count(
-        0
-    )  # each answer belongs to its request
+    # No two requests got the same answer.
+    assert len({body for body in bodies if body}) == words.count(0)
     proxy.end()
 
 
@@ -84,15 +84,14 @@
     site = make_site(result=lambda group, body: b"r" * 4_000)
     proxy = Proxy(site.address, Weather(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
     device = site.device(address=proxy.address)
-    device.outcome(device.ask("look", b"first"), PATIENCE)
+    device.outcome(device.ask("look", b"first"), TIMEOUT_SECONDS)
     number, carried = device.ask("move", b"x"), proxy.bytes
-    while (
-        proxy.bytes < carried + 2_000
-    ):  # the request was sent, and part of the answer was received
+    # Until the request was sent, and part of the answer was received.
+    while proxy.bytes < carried + 2_000:
         pass
     proxy.stall(1.0)
     began = time.monotonic()
-    found = device.outcome(number, PATIENCE)
+    found = device.outcome(number, TIMEOUT_SECONDS)
     assert len(found.body) == 4_000 and time.monotonic() - began > 0.9
     assert (
         device.connections == 1
@@ -109,14 +108,16 @@
     device = first.device()
     number = device.ask("move", b"x")
     look = device.ask("look", b"y")
-    while first.inside(lambda each: each.counts["asked"]) < 2:
+    while first.call_in_edge_thread(lambda each: each.counts["asked"]) < 2:
         pass
     second = make_site()
     device.session.token = second.token()
     device.address = second.address
     device.drop_connection()
-    assert device.outcome(number, PATIENCE).word == 2  # it may have been executed; answered at once
-    assert device.outcome(look, PATIENCE).word == 0
+    assert (
+        device.outcome(number, TIMEOUT_SECONDS).word == 2
+    )  # it may have been executed; answered at once
+    assert device.outcome(look, TIMEOUT_SECONDS).word == 0
     assert list(second.kernel.ran.values()) == [1]
 
 
@@ -128,25 +129,26 @@
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     )
     site = make_site("connections 2000", "hello 1s", "arrivals 100000")
-    trickling = []
+    silent_sockets = []
     for _ in range(1_000):
-        sock = socket.create_connection(site.address, PATIENCE)
+        sock = socket.create_connection(site.address, TIMEOUT_SECONDS)
         sock.sendall(b"\0")
-        trickling.append(sock)
+        silent_sockets.append(sock)
     devices = [site.device(b"good%d" % each) for each in range(100)]
     for each in devices:
-        assert each.outcome(each.ask("look", b"x"), PATIENCE).word == 0
-    for sock in trickling:  # each received the reason before it was closed
-        sock.settimeout(PATIENCE)
-        stream, told = frames.Stream(65_536), []
+        assert each.outcome(each.ask("look", b"x"), TIMEOUT_SECONDS).word == 0
+    # A connection that received anything before the close received a Refused frame.
+    for sock in silent_sockets:
+        sock.settimeout(TIMEOUT_SECONDS)
+        stream, received = frames.Stream(65_536), []
         try:
             while chunk := sock.recv(4_096):
-                told += stream.feed(chunk)
+                received += stream.feed(chunk)
         except ConnectionResetError:
             pass
-        assert not told or isinstance(told[0], Refused)
+        assert not received or isinstance(received[0], Refused)
         sock.close()
-    assert site.inside(lambda each: len(each.connections)) == 100
+    assert site.call_in_edge_thread(lambda each: len(each.connections)) == 100
 
 
 @pytest.mark.parametrize(
@@ -164,29 +166,29 @@
 ):
     site = make_site()
     good = site.device()
-    good.outcome(good.ask("look", b"x"), PATIENCE)
-    with socket.create_connection(site.address, PATIENCE) as sock:
+    good.outcome(good.ask("look", b"x"), TIMEOUT_SECONDS)
+    with socket.create_connection(site.address, TIMEOUT_SECONDS) as sock:
         sock.sendall(sent)
-        [told] = frames.Stream(65_536).feed(sock.recv(4_096))
-        assert isinstance(told, Refused)
+        [refusal] = frames.Stream(65_536).feed(sock.recv(4_096))
+        assert isinstance(refusal, Refused)
         assert sock.recv(100) == b""
-    assert good.outcome(good.ask("look", b"x"), PATIENCE).word == 0 and good.connections == 1
+    assert good.outcome(good.ask("look", b"x"), TIMEOUT_SECONDS).word == 0 and good.connections == 1
 
 
 def test_a_drain_answers_requests_in_flight_reports_their_number_and_closes(make_site):
     hold = threading.Event()
-    site = make_site(result=lambda group, body: hold.wait(PATIENCE) and b"late" or b"")
+    site = make_site(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"late" or b"")
     device = site.device()
     number = device.ask("move", b"x")
-    while not site.inside(lambda each: each.counts["asked"]):
+    while not site.call_in_edge_thread(lambda each: each.counts["asked"]):
         pass
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     with device.changed:
-        assert device.changed.wait_for(lambda: device.session.leaving is not None, PATIENCE)
+        assert device.changed.wait_for(lambda: device.session.leaving is not None, TIMEOUT_SECONDS)
     assert device.session.leaving.open == 1 and device.session.leaving.come_back > 0
     hold.set()
-    assert device.outcome(number, PATIENCE).body == b"late"
-    site.thread.join(PATIENCE)
+    assert device.outcome(number, TIMEOUT_SECONDS).body == b"late"
+    site.thread.join(TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
 
 
@@ -198,9 +200,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     sock.connect(site.address)
     sock.sendall(frames.encode(Hello(1, site.token(), b"", 0, 1_000)))
-    while not site.inside(lambda each: list(each.session_table)):
+    while not site.call_in_edge_thread(lambda each: list(each.session_table)):
         pass
-    site.inside(  # a small send buffer of the operating system, so that it cannot accept everything
+    site.call_in_edge_thread(  # a small send buffer of the operating system, so that it cannot accept everything
         lambda _: [
             each.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             for each in site.edge.device_sockets.values()
@@ -208,14 +210,17 @@
     )
     for number in range(1, 2_001):
         sock.sendall(frames.encode(frames.Ask(number, "look", b"", 60_000, 0)))
-        while site.inside(lambda each: sum(len(one.open) for one in each.session_table)) > 32:
+        while (
+            site.call_in_edge_thread(lambda each: sum(len(one.open) for one in each.session_table))
+            > 32
+        ):
             pass
-        unsent = site.inside(
+        unsent = site.call_in_edge_thread(
             lambda each: max(one.unsent_bytes for one in each.connections.values())
         )
         assert unsent <= 4_000 + 8_200
         if (
-            site.inside(
+            site.call_in_edge_thread(
                 lambda each: max((one.unsent_bytes for one in each.connections.values()), default=0)
             )
             > 4_000
@@ -241,7 +246,7 @@
     def named(text):
         return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
-    top = ec.generate_private_key(ec.SECP256R1())
+    ca_key = ec.generate_private_key(ec.SECP256R1())
 
     def sign(name, file, key=None, is_authority=False, days=1):
         key = key or ec.generate_private_key(ec.SECP256R1())
@@ -260,7 +265,7 @@
                 False,
             )
         )
-        certificate = made.sign(top, hashes.SHA256())
+        certificate = made.sign(ca_key, hashes.SHA256())
         pem, private = tmp_path / f"{file}.pem", tmp_path / f"{file}.key"
         pem.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
         private.touch(mode=0o600)
@@ -273,49 +278,51 @@
         )
         return str(pem), str(private)
 
-    sign("test", "top", top, True)
+    sign("test", "top", ca_key, True)
     return sign, str(tmp_path / "top.pem")
 
 
 def test_a_certificate_identifies_the_device_and_is_renewed_without_dropping_sessions(
     make_site, tmp_path
 ):
-    sign, top = authority(tmp_path)
+    sign, ca_file = authority(tmp_path)
     sign("edge", "edge")
     sign("till-7", "device")
     site = make_site(
         "tls {",
         f" certificate {tmp_path}/edge.pem",
         f" key {tmp_path}/edge.key",
-        f" authority {top}",
+        f" authority {ca_file}",
         " mutual yes",
         "}",
     )
-    client = ssl.create_default_context(cafile=top)
+    client = ssl.create_default_context(cafile=ca_file)
     client.load_cert_chain(f"{tmp_path}/device.pem", f"{tmp_path}/device.key")
     device = site.device(token=b"", tls=client, server_name="127.0.0.1")
-    assert device.outcome(device.ask("look", b"a"), PATIENCE).body == b"<a>"
-    assert site.inside(lambda each: [one.device for one in each.session_table]) == [b"till-7"]
+    assert device.outcome(device.ask("look", b"a"), TIMEOUT_SECONDS).body == b"<a>"
+    assert site.call_in_edge_thread(lambda each: [one.device for one in each.session_table]) == [
+        b"till-7"
+    ]
     sign("edge-renewed", "edge")
     site.event_loop.event_queue.post(site.event_loop.subsystems.apply, site.config)
-    stranger = ssl.create_default_context(cafile=top)
+    without_certificate = ssl.create_default_context(cafile=ca_file)
     with pytest.raises((ssl.SSLError, ConnectionError)):
-        with stranger.wrap_socket(
-            socket.create_connection(site.address, PATIENCE), server_hostname="127.0.0.1"
+        with without_certificate.wrap_socket(
+            socket.create_connection(site.address, TIMEOUT_SECONDS), server_hostname="127.0.0.1"
         ) as sock:
             sock.sendall(frames.encode(Hello(1, b"", b"", 0, 1)))
             if not sock.recv(100):
                 raise ConnectionError
     again = site.device(token=b"", tls=client, server_name="127.0.0.1")
-    assert again.outcome(again.ask("look", b"b"), PATIENCE).body == b"<b>"
+    assert again.outcome(again.ask("look", b"b"), TIMEOUT_SECONDS).body == b"<b>"
     assert (
-        device.outcome(device.ask("look", b"c"), PATIENCE).body == b"<c>"
+        device.outcome(device.ask("look", b"c"), TIMEOUT_SECONDS).body == b"<c>"
         and device.connections == 1
     )
 
 
 @pytest.mark.parametrize(
-    "spoil, told",
+    "invalid, expected_text",
     [
         (lambda path: path.chmod(0o644), "others than its owner may read it"),
         (lambda path: path.write_text("abcd\n"), "hexadecimal digits or more"),
@@ -323,16 +330,16 @@
         (lambda path: path.unlink(), "No such file"),
     ],
 )
-def test_check_reports_an_unusable_secrets_file(tmp_path, spoil, told):
+def test_check_reports_an_unusable_secrets_file(tmp_path, invalid, expected_text):
     path, own = tmp_path / "secrets", tmp_path / "own.conf"
     path.touch(mode=0o600)
     path.write_text("00" * 32)
     own.write_text(f"edge {{\n listen 127.0.0.1:0\n secrets {path}\n}}\n")
     words = ["check", "--file", str(own)]
     assert CliRunner().invoke(lilacwalk, words, env={"ROUTER_CONFIG": ""}).exit_code == 0
-    spoil(path)
+    invalid(path)
     found = CliRunner().invoke(lilacwalk, words, env={"ROUTER_CONFIG": ""})
-    assert found.exit_code == 2 and told in found.output
+    assert found.exit_code == 2 and expected_text in found.output
 
 
 @pytest.mark.parametrize("days, code", [(1, 0), (-1, 2)])
@@ -356,7 +363,7 @@
     site = make_site()
     made = CliRunner().invoke(lilacwalk, ["device", "token", str(site.path), "tablet"])
     address = f"127.0.0.1:{site.address[1]}"
-    told = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -372,9 +379,11 @@
         ],
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_SECONDS,
+    )
+    assert (
+        result.returncode == 0 and result.stdout == "outcome=completed come_back_ms=0 body='<hi>'\n"
     )
-    assert told.returncode == 0 and told.stdout == "outcome=completed come_back_ms=0 body='<hi>'\n"
     refused = CliRunner().invoke(lilacwalk, ["device", "ask", address, "look", "--token", "00"])
     assert refused.exit_code == 5
 
@@ -383,5 +392,5 @@
     site = make_site()
     device = site.device()
     began = time.monotonic()
-    assert device.outcome(device.ask("look", b"x", 1_500), PATIENCE).word == 0
+    assert device.outcome(device.ask("look", b"x", 1_500), TIMEOUT_SECONDS).word == 0
     assert time.monotonic() - began < 1.5
--- a/tests/edge/test_machines.py
+++ b/tests/edge/test_machines.py
@@ -32,44 +32,46 @@
 from lilacwalk.edge.sketch import Sketch
 from lilacwalk.edge.timer_wheel import Wheel
 from lilacwalk.edge.tokens import DEVICE, SESSION, TokenError, Tokens
-from tests.edge.conftest import SECOND, START, World, ask
+from tests.edge.conftest import SECOND, START, ServiceHarness, ask
 
 
-def test_a_timeout_counts_from_the_first_reception_less_the_delivery_time(world):
-    number = world.hello()
-    world.say(number, ask(1, wait=1_000))
-    plain = World(estimates=False)
-    plain.say(plain.hello(), ask(1, wait=1_000))
-    assert plain.asks[0][2].timeout == SECOND
-    assert 0 < world.asks[0][2].timeout < SECOND and world.asks[0][2].arrived_at == START
-    world.lose(number)
-    world.wait(5 * SECOND)
-    world.hello(world.welcome(number).session)
-    world.say(2, ask(1, wait=1_000, again=True))
-    assert len(world.asks) == 1  # a stall and a reconnect do not extend the timeout
+def test_a_timeout_counts_from_the_first_reception_less_the_delivery_time(harness):
+    number = harness.hello()
+    harness.send(number, ask(1, wait=1_000))
+    plain = ServiceHarness(estimates=False)
+    plain.send(plain.hello(), ask(1, wait=1_000))
+    assert plain.submitted[0][2].timeout == SECOND
+    assert (
+        0 < harness.submitted[0][2].timeout < SECOND and harness.submitted[0][2].arrived_at == START
+    )
+    harness.disconnect(number)
+    harness.wait(5 * SECOND)
+    harness.hello(harness.welcome(number).session)
+    harness.send(2, ask(1, wait=1_000, again=True))
+    assert len(harness.submitted) == 1  # a stall and a reconnect do not extend the timeout
 
 
-def test_a_slow_link_shortens_the_timeout_more_than_a_fast_one(world):
-    number = world.hello()
+def test_a_slow_link_shortens_the_timeout_more_than_a_fast_one(harness):
+    number = harness.hello()
     waits = []
     for turn, trip in enumerate((400, 20_000), 1):
-        session = world.service.connections[number].session
+        session = harness.service.connections[number].session
         for _ in range(30):
             session.link.record_round_trip(trip)
-        world.say(number, ask(turn, wait=4_000, group="move"))
-        waits.append(world.asks[-1][2].timeout)
+        harness.send(number, ask(turn, wait=4_000, group="move"))
+        waits.append(harness.submitted[-1][2].timeout)
     assert waits[0] > 4 * SECOND - 2_000 and waits[1] < 4 * SECOND - 9_000
 
 
-def test_silence_between_requests_does_not_count_as_round_trip(world):
-    number = world.hello()
-    sent = [each for each in world.read[number] if isinstance(each, Ping)]
-    world.now += 500
-    world.say(number, Pong(sent[0].stamp))
-    world.wait(20 * SECOND).say(number, ask(1, wait=1_000))
-    assert world.asks[0][2].timeout > SECOND - 1_000
-    world.say(number, Pong(5), Pong(START + 10**12))  # echoes of pings that were not sent
-    assert world.service.connections[number].session.link.mean_round_trip == 500
+def test_silence_between_requests_does_not_count_as_round_trip(harness):
+    number = harness.hello()
+    sent = [each for each in harness.received[number] if isinstance(each, Ping)]
+    harness.now += 500
+    harness.send(number, Pong(sent[0].stamp))
+    harness.wait(20 * SECOND).send(number, ask(1, wait=1_000))
+    assert harness.submitted[0][2].timeout > SECOND - 1_000
+    harness.send(number, Pong(5), Pong(START + 10**12))  # echoes of pings that were not sent
+    assert harness.service.connections[number].session.link.mean_round_trip == 500
 
 
 def test_a_stall_of_a_ping_hardly_changes_the_delivery_time():
@@ -81,80 +83,80 @@
     assert link.delivery_time(500) < 3_000
 
 
-def test_an_answer_is_kept_and_sent_again_unchanged_until_acknowledged(world):
-    first = world.hello()
-    world.say(first, ask(1, "move")).answer(body=b"x")
-    world.lose(first)
-    second = world.hello(world.welcome(first).session)
-    assert world.answers(first) == world.answers(second) == [Answer(1, 1, 0, b"x")]
-    world.say(second, Got(1)).lose(second)
-    third = world.hello(world.welcome(first).session, got=1)
-    assert world.answers(third) == [] and world.service.session_table.unacknowledged_bytes == 0
+def test_an_answer_is_kept_and_sent_again_unchanged_until_acknowledged(harness):
+    first = harness.hello()
+    harness.send(first, ask(1, "move")).answer(body=b"x")
+    harness.disconnect(first)
+    second = harness.hello(harness.welcome(first).session)
+    assert harness.answers(first) == harness.answers(second) == [Answer(1, 1, 0, b"x")]
+    harness.send(second, Got(1)).disconnect(second)
+    third = harness.hello(harness.welcome(first).session, got=1)
+    assert harness.answers(third) == [] and harness.service.session_table.unacknowledged_bytes == 0
 
 
-def test_an_answer_received_on_the_previous_connection_is_not_sent_again(world):
-    first = world.hello()
-    world.say(first, ask(1), ask(2)).answer(0, body=b"a").answer(1, body=b"b")
-    world.lose(first)
-    second = world.hello(world.welcome(first).session, got=1)
-    assert [each.number for each in world.answers(second)] == [2]
+def test_an_answer_received_on_the_previous_connection_is_not_sent_again(harness):
+    first = harness.hello()
+    harness.send(first, ask(1), ask(2)).answer(0, body=b"a").answer(1, body=b"b")
+    harness.disconnect(first)
+    second = harness.hello(harness.welcome(first).session, got=1)
+    assert [each.number for each in harness.answers(second)] == [2]
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_a_repeated_request_number_is_one_request_in_any_state(world, again):
-    first = world.hello()
-    world.say(first, ask(1, "move"), ask(1, "move", again=again))
-    assert len(world.asks) == 1
-    world.answer()
-    world.say(first, ask(1, "move", again=again))
-    world.say(first, Got(1), ask(1, "move", again=again))
-    assert len(world.asks) == 1 and len(world.answers(first)) == 1
-
-
-def test_a_second_connection_for_a_session_replaces_the_first(world):
-    first = world.hello()
-    world.say(first, ask(1))
-    second = world.hello(world.welcome(first).session)
-    assert "taken over" in world.refused(first) and world.closed == [first]
-    world.lose(first)
-    world.answer()
-    assert len(world.answers(second)) == 1 and not world.answers(first)
-
-
-def test_two_sessions_of_one_device_are_both_served(world):
-    first, second = world.hello(), world.hello()
-    world.say(first, ask(1, body=b"a")).say(second, ask(1, body=b"b")).answer(0, body=b"A").answer(
-        1, body=b"B"
-    )
-    assert [each.body for each in world.answers(first) + world.answers(second)] == [b"A", b"B"]
+def test_a_repeated_request_number_is_one_request_in_any_state(harness, again):
+    first = harness.hello()
+    harness.send(first, ask(1, "move"), ask(1, "move", again=again))
+    assert len(harness.submitted) == 1
+    harness.answer()
+    harness.send(first, ask(1, "move", again=again))
+    harness.send(first, Got(1), ask(1, "move", again=again))
+    assert len(harness.submitted) == 1 and len(harness.answers(first)) == 1
+
+
+def test_a_second_connection_for_a_session_replaces_the_first(harness):
+    first = harness.hello()
+    harness.send(first, ask(1))
+    second = harness.hello(harness.welcome(first).session)
+    assert "taken over" in harness.refused(first) and harness.closed == [first]
+    harness.disconnect(first)
+    harness.answer()
+    assert len(harness.answers(second)) == 1 and not harness.answers(first)
+
+
+def test_two_sessions_of_one_device_are_both_served(harness):
+    first, second = harness.hello(), harness.hello()
+    harness.send(first, ask(1, body=b"a")).send(second, ask(1, body=b"b")).answer(
+        0, body=b"A"
+    ).answer(1, body=b"B")
+    assert [each.body for each in harness.answers(first) + harness.answers(second)] == [b"A", b"B"]
 
 
 @pytest.mark.parametrize(
-    "spoil", ["guessed", "of another node", "of another device", "expired", "cut"]
+    "invalid", ["guessed", "of another node", "of another device", "expired", "cut"]
 )
-def test_an_invalid_session_token_opens_a_new_session(world, spoil):
-    first = world.hello()
-    world.say(first, ask(1, "move"))
-    token, name = world.welcome(first).session, b"tablet"
-    if spoil == "guessed":
+def test_an_invalid_session_token_opens_a_new_session(harness, invalid):
+    first = harness.hello()
+    harness.send(first, ask(1, "move"))
+    token, name = harness.welcome(first).session, b"tablet"
+    if invalid == "guessed":
         token = token[:-1] + bytes((token[-1] ^ 1,))
-    elif spoil == "of another node":
+    elif invalid == "of another node":
         token = Tokens([bytes(range(32))], b"n2").make(
-            SESSION, next(iter(world.service.session_table)).ident, 2**40
+            SESSION, next(iter(harness.service.session_table)).ident, 2**40
         )
-    elif spoil == "of another device":
+    elif invalid == "of another device":
         name = b"phone"
-    elif spoil == "expired":
-        world.now += 8 * 24 * 3600 * SECOND
+    elif invalid == "expired":
+        harness.now += 8 * 24 * 3600 * SECOND
     else:
         token = token[:10]
-    second = world.hello(token, name=name)
-    assert world.welcome(second).resumed is False and world.service.counts["unknown"] == 1
-    assert world.welcome(second).session != world.welcome(first).session
+    second = harness.hello(token, name=name)
+    assert harness.welcome(second).resumed is False and harness.service.counts["unknown"] == 1
+    assert harness.welcome(second).session != harness.welcome(first).session
 
 
 @pytest.mark.parametrize(
-    "token, why",
+    "token, reason",
     [
         (b"", "unreadable"),
         (b"x" * 40, "unreadable"),
@@ -163,9 +165,9 @@
         (Tokens([bytes(range(32))], b"n1").make(SESSION, b"t", 2**40), "unknown"),
     ],
 )
-def test_an_invalid_device_token_is_refused_with_its_reason(world, token, why):
-    number = world.hello(token=token)
-    assert why in world.refused(number) and world.closed == [number]
+def test_an_invalid_device_token_is_refused_with_its_reason(harness, token, reason):
+    number = harness.hello(token=token)
+    assert reason in harness.refused(number) and harness.closed == [number]
 
 
 def test_secrets_are_rotated_with_an_overlap():
@@ -176,146 +178,152 @@
         Tokens([new], b"").check(DEVICE, made, 50)
 
 
-def test_a_non_idempotent_request_repeated_in_an_unknown_session_is_terminated(world):
-    number = world.hello(b"\0" * 50)
-    world.say(number, ask(1, "move", again=True), ask(2, "look", again=True), ask(3, "move"))
-    assert [(each.number, each.word) for each in world.answers(number)] == [(1, 2)]
-    assert [each for _, each, _ in world.asks] == [2, 3]
+def test_a_non_idempotent_request_repeated_in_an_unknown_session_is_terminated(harness):
+    number = harness.hello(b"\0" * 50)
+    harness.send(number, ask(1, "move", again=True), ask(2, "look", again=True), ask(3, "move"))
+    assert [(each.number, each.word) for each in harness.answers(number)] == [(1, 2)]
+    assert [each for _, each, _ in harness.submitted] == [2, 3]
 
 
 # Duplicates without an idempotency key
 
 
-def lost_session(world, group="move", body=b"pay 5", **more):
-    first = world.hello()
-    world.say(first, ask(1, group, body, **more))
+def lost_session(harness, group="move", body=b"pay 5", **more):
+    first = harness.hello()
+    harness.send(first, ask(1, group, body, **more))
     return first
 
 
 @pytest.mark.parametrize("group", ["look", "swap", "move"])
-def test_a_duplicate_in_a_new_session_shares_the_request_in_flight(world, group):
-    first = lost_session(world, group)
-    world.lose(first)
-    second = world.hello()
-    world.say(second, ask(1, group, b"pay 5"))
-    assert len(world.asks) == 1
-    world.answer(body=b"paid")
-    assert world.answers(second) == [Answer(1, 1, 0, b"paid")]
+def test_a_duplicate_in_a_new_session_shares_the_request_in_flight(harness, group):
+    first = lost_session(harness, group)
+    harness.disconnect(first)
+    second = harness.hello()
+    harness.send(second, ask(1, group, b"pay 5"))
+    assert len(harness.submitted) == 1
+    harness.answer(body=b"paid")
+    assert harness.answers(second) == [Answer(1, 1, 0, b"paid")]
 
 
-def test_a_duplicate_in_a_new_session_gets_the_unacknowledged_answer(world):
-    first = lost_session(world)
-    world.answer(body=b"paid").lose(first)
-    second = world.hello()
-    world.say(second, ask(9, "move", b"pay 5"))
-    assert world.answers(second) == [Answer(1, 9, 0, b"paid")] and len(world.asks) == 1
+def test_a_duplicate_in_a_new_session_gets_the_unacknowledged_answer(harness):
+    first = lost_session(harness)
+    harness.answer(body=b"paid").disconnect(first)
+    second = harness.hello()
+    harness.send(second, ask(9, "move", b"pay 5"))
+    assert harness.answers(second) == [Answer(1, 9, 0, b"paid")] and len(harness.submitted) == 1
 
 
-def test_a_repeated_request_after_acknowledgement_is_executed(world):
-    first = lost_session(world)
-    world.answer().say(first, Got(1)).lose(first)
-    world.say(world.hello(), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 2
+def test_a_repeated_request_after_acknowledgement_is_executed(harness):
+    first = lost_session(harness)
+    harness.answer().send(first, Got(1)).disconnect(first)
+    harness.send(harness.hello(), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 2
 
 
 @pytest.mark.parametrize(
     "change", [dict(group="swap"), dict(body=b"pay 6"), dict(subject="x"), dict(customer="c")]
 )
-def test_a_different_class_body_subject_or_tenant_is_a_different_request(world, change):
-    world.lose(lost_session(world))
-    world.say(world.hello(), ask(**({"number": 1, "group": "move", "body": b"pay 5"} | change)))
-    assert len(world.asks) == 2
+def test_a_different_class_body_subject_or_tenant_is_a_different_request(harness, change):
+    harness.disconnect(lost_session(harness))
+    harness.send(
+        harness.hello(), ask(**({"number": 1, "group": "move", "body": b"pay 5"} | change))
+    )
+    assert len(harness.submitted) == 2
 
 
-def test_another_device_the_same_session_and_a_later_time_make_different_requests(world):
-    first = lost_session(world)
-    world.say(first, ask(2, "move", b"pay 5"))
-    world.lose(first)
-    world.say(world.hello(name=b"phone"), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 3
-    world.wait(61 * SECOND).say(world.hello(), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 4
+def test_another_device_the_same_session_and_a_later_time_make_different_requests(harness):
+    first = lost_session(harness)
+    harness.send(first, ask(2, "move", b"pay 5"))
+    harness.disconnect(first)
+    harness.send(harness.hello(name=b"phone"), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 3
+    harness.wait(61 * SECOND).send(harness.hello(), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 4
 
 
-def test_stable_request_numbers_alone_identify_duplicates(world):
-    first = world.hello(steady=True)
-    world.say(first, ask(7, "move", b"pay 5")).lose(first)
-    second = world.hello(steady=True)
-    world.say(second, ask(7, "move", b"pay 5", again=True), ask(8, "move", b"pay 5"))
-    assert [each for _, each, _ in world.asks] == [7, 8]
+def test_stable_request_numbers_alone_identify_duplicates(harness):
+    first = harness.hello(steady=True)
+    harness.send(first, ask(7, "move", b"pay 5")).disconnect(first)
+    second = harness.hello(steady=True)
+    harness.send(second, ask(7, "move", b"pay 5", again=True), ask(8, "move", b"pay 5"))
+    assert [each for _, each, _ in harness.submitted] == [7, 8]
 
 
 @pytest.mark.parametrize(
     "word, group, runs", [(1, "move", 2), (2, "move", 1), (2, "look", 2), (0, "look", 1)]
 )
 def test_a_denied_duplicate_is_executed_and_a_terminated_one_only_if_idempotent(
-    world, word, group, runs
+    harness, word, group, runs
 ):
-    first = lost_session(world, group)
-    world.answer(word=word).lose(first)
-    world.say(world.hello(), ask(1, group, b"pay 5"))
-    assert len(world.asks) == runs
+    first = lost_session(harness, group)
+    harness.answer(word=word).disconnect(first)
+    harness.send(harness.hello(), ask(1, group, b"pay 5"))
+    assert len(harness.submitted) == runs
 
 
 def test_no_duplicates_are_detected_if_switched_off():
-    world = World(repeats=False)
-    world.lose(lost_session(world))
-    world.say(world.hello(), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 2
+    harness = ServiceHarness(repeats=False)
+    harness.disconnect(lost_session(harness))
+    harness.send(harness.hello(), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 2
 
 
 # Limits
 
 
 def test_a_request_beyond_the_window_is_denied_with_a_retry_delay():
-    world = World(window=2)
-    number = world.hello()
-    world.say(number, *[ask(each, body=b"%d" % each) for each in (1, 2, 3)])
-    [denied] = world.answers(number)
-    assert (denied.number, denied.word) == (3, 1) and denied.come_back > 0 and len(world.asks) == 2
+    harness = ServiceHarness(window=2)
+    number = harness.hello()
+    harness.send(number, *[ask(each, body=b"%d" % each) for each in (1, 2, 3)])
+    [denied] = harness.answers(number)
+    assert (
+        (denied.number, denied.word) == (3, 1)
+        and denied.come_back > 0
+        and len(harness.submitted) == 2
+    )
 
 
 @pytest.mark.parametrize("wrong", [dict(group="nobody"), dict(body=b"x" * 3_000)])
-def test_an_invalid_request_is_terminated(world, wrong):
-    number = world.hello()
-    world.say(number, ask(**({"number": 1} | wrong)))
-    assert [each.word for each in world.answers(number)] == [2] and not world.asks
+def test_an_invalid_request_is_terminated(harness, wrong):
+    number = harness.hello()
+    harness.send(number, ask(**({"number": 1} | wrong)))
+    assert [each.word for each in harness.answers(number)] == [2] and not harness.submitted
 
 
 def test_the_device_window_and_the_buffer_limit_bound_what_is_sent():
-    world = World(window=64)
-    number = world.hello(window=2)
-    world.say(number, *[ask(each, body=b"%d" % each) for each in range(1, 6)])
+    harness = ServiceHarness(window=64)
+    number = harness.hello(window=2)
+    harness.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 6)])
     for each in range(5):
-        world.answer(each)
-    assert len(world.answers(number)) == 2
-    world.say(number, Got(1))
-    assert len(world.answers(number)) == 3
-    slow = World(window=64, buffer=1_000)
+        harness.answer(each)
+    assert len(harness.answers(number)) == 2
+    harness.send(number, Got(1))
+    assert len(harness.answers(number)) == 3
+    slow = ServiceHarness(window=64, buffer=1_000)
     slow.flowing = False
     number = slow.hello(window=64)
-    slow.say(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
+    slow.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
     for each in range(10):
         slow.answer(each, body=b"r" * 400)
     assert len(slow.answers(number)) == 3 and slow.service.connections[number].unsent_bytes < 2_000
     slow.service.bytes_sent(number, slow.service.connections[number].unsent_bytes, slow.now)
-    assert len(slow.take().answers(number)) == 6
+    assert len(slow.collect().answers(number)) == 6
 
 
 def test_the_session_that_costs_least_is_evicted():
-    world = World(sessions=3)
+    harness = ServiceHarness(sessions=3)
     for at, group in enumerate(("move", "look", "swap")):
-        number = world.hello(name=b"d%d" % at)
-        world.say(number, ask(1, group)).answer()
-        world.lose(number)
-        world.wait(SECOND)
-    world.hello(name=b"d3")
-    world.hello(name=b"d4")
-    assert {each.device for each in world.service.session_table} == {b"d0", b"d3", b"d4"}
-    number = world.hello(
-        name=b"d5"
-    )  # only connected sessions and the one with the unacknowledged effect are left; it is evicted last
-    assert world.welcome(number) and len(world.service.session_table) == 3
+        number = harness.hello(name=b"d%d" % at)
+        harness.send(number, ask(1, group)).answer()
+        harness.disconnect(number)
+        harness.wait(SECOND)
+    harness.hello(name=b"d3")
+    harness.hello(name=b"d4")
+    assert {each.device for each in harness.service.session_table} == {b"d0", b"d3", b"d4"}
+    # d3 and d4 are connected, so d0 is evicted, although its non-idempotent request has an
+    # unacknowledged answer.
+    number = harness.hello(name=b"d5")
+    assert harness.welcome(number) and len(harness.service.session_table) == 3
 
 
 @pytest.mark.parametrize(
@@ -323,91 +331,97 @@
     [("move", False, 1), ("swap", False, 1), ("look", False, 2), ("move", True, 2)],
 )
 def test_an_executed_request_of_a_removed_session_is_not_executed_again(group, goodbye, runs):
-    world = World(sessions_each=1)
-    first = lost_session(world, group)
-    world.answer()
+    harness = ServiceHarness(sessions_each=1)
+    first = lost_session(harness, group)
+    harness.answer()
     if goodbye:
-        world.say(first, Bye())
-    world.lose(first)
-    second = world.hello()  # evicts the other session of the device
-    world.say(second, ask(1, group, b"pay 5"))
-    assert len(world.asks) == runs
-    assert [each.word for each in world.answers(second)] == ([2] if runs == 1 else [])
+        harness.send(first, Bye())
+    harness.disconnect(first)
+    second = harness.hello()  # evicts the other session of the device
+    harness.send(second, ask(1, group, b"pay 5"))
+    assert len(harness.submitted) == runs
+    assert [each.word for each in harness.answers(second)] == ([2] if runs == 1 else [])
 
 
 def test_a_connected_session_is_not_evicted():
-    world = World(sessions=2)
-    world.hello(name=b"a"), world.hello(name=b"b")
-    assert "no room" in world.refused(world.hello(name=b"c"))
+    harness = ServiceHarness(sessions=2)
+    harness.hello(name=b"a"), harness.hello(name=b"b")
+    assert "no room" in harness.refused(harness.hello(name=b"c"))
 
 
 def test_sessions_per_device_are_bounded():
-    world = World(sessions_each=2)
+    harness = ServiceHarness(sessions_each=2)
     for _ in range(5):
-        world.lose(world.hello())
-    assert len(world.service.session_table) == 2
+        harness.disconnect(harness.hello())
+    assert len(harness.service.session_table) == 2
 
 
 def test_unacknowledged_answers_are_bounded_by_evicting_the_cheapest_sessions():
-    world = World(kept=20_000, kept_each=20_000)
+    harness = ServiceHarness(kept=20_000, kept_each=20_000)
     for at in range(30):
-        number = world.hello(name=b"d%d" % at)
-        world.say(number, ask(1, "move" if at == 0 else "look")).lose(number)
-        world.answer(body=b"r" * 1_000)
-    assert world.service.session_table.unacknowledged_bytes <= 20_000
-    assert b"d0" in {each.device for each in world.service.session_table}
+        number = harness.hello(name=b"d%d" % at)
+        harness.send(number, ask(1, "move" if at == 0 else "look")).disconnect(number)
+        harness.answer(body=b"r" * 1_000)
+    assert harness.service.session_table.unacknowledged_bytes <= 20_000
+    assert b"d0" in {each.device for each in harness.service.session_table}
 
 
 def test_a_device_that_does_not_acknowledge_is_denied_and_others_are_not():
-    world = World(kept_each=3_000, window=64)
-    idle, good = world.hello(window=1, name=b"a"), world.hello(name=b"b")
+    harness = ServiceHarness(kept_each=3_000, window=64)
+    idle, good = harness.hello(window=1, name=b"a"), harness.hello(name=b"b")
     for number in range(1, 11):
-        world.say(idle, ask(number, body=b"%d" % number))
-        if len(world.asks) == number:
-            world.answer(body=b"r" * 900)
-    assert len(world.asks) == 3 and world.service.session_table.unacknowledged_bytes < 6_000
-    world.say(good, ask(1, body=b"other"))
-    assert len(world.asks) == 4
+        harness.send(idle, ask(number, body=b"%d" % number))
+        if len(harness.submitted) == number:
+            harness.answer(body=b"r" * 900)
+    assert (
+        len(harness.submitted) == 3 and harness.service.session_table.unacknowledged_bytes < 6_000
+    )
+    harness.send(good, ask(1, body=b"other"))
+    assert len(harness.submitted) == 4
     for order in range(1, 11):
-        world.say(idle, Got(order))
-    world.say(idle, ask(11, body=b"again"))
-    assert len(world.asks) == 5
+        harness.send(idle, Got(order))
+    harness.send(idle, ask(11, body=b"again"))
+    assert len(harness.submitted) == 5
 
 
 def test_a_disconnected_session_expires_and_its_request_is_cancelled(
-    world,
+    harness,
 ):
-    number = world.hello()
-    world.say(number, ask(1)).lose(number)
-    world.wait(599 * SECOND)
-    assert not world.gone and len(world.service.session_table) == 1
-    world.wait(2 * SECOND)
-    assert world.gone == [1] and len(world.service.session_table) == 0 and not world.service.links
-
-
-def test_a_cancelled_request_is_dropped_unless_a_duplicate_waits_for_it(world):
-    first = lost_session(world)
-    world.lose(first)
-    second = world.hello()
-    world.say(second, ask(1, "move", b"pay 5"))
-    third = world.hello(world.welcome(first).session)
-    world.say(third, Cancel(1))
-    assert not world.gone
-    world.say(second, ask(2, "look"), Cancel(2))
-    assert world.gone == [2]
-
-
-def test_silent_and_slow_connections_are_refused_but_not_a_stalled_burst(world):
-    silent = world.open()
-    world.wait(7 * SECOND)
-    assert world.refused(silent) == "no HELLO in time"
-    trickle, bursty = world.hello(name=b"a"), world.hello(name=b"b")
+    number = harness.hello()
+    harness.send(number, ask(1)).disconnect(number)
+    harness.wait(599 * SECOND)
+    assert not harness.cancelled and len(harness.service.session_table) == 1
+    harness.wait(2 * SECOND)
+    assert (
+        harness.cancelled == [1]
+        and len(harness.service.session_table) == 0
+        and not harness.service.links
+    )
+
+
+def test_a_cancelled_request_is_dropped_unless_a_duplicate_waits_for_it(harness):
+    first = lost_session(harness)
+    harness.disconnect(first)
+    second = harness.hello()
+    harness.send(second, ask(1, "move", b"pay 5"))
+    third = harness.hello(harness.welcome(first).session)
+    harness.send(third, Cancel(1))
+    assert not harness.cancelled
+    harness.send(second, ask(2, "look"), Cancel(2))
+    assert harness.cancelled == [2]
+
+
+def test_silent_and_slow_connections_are_refused_but_not_a_stalled_burst(harness):
+    silent = harness.open()
+    harness.wait(7 * SECOND)
+    assert harness.refused(silent) == "no HELLO in time"
+    trickle, bursty = harness.hello(name=b"a"), harness.hello(name=b"b")
     for second in range(12):
-        world.service.bytes_received(trickle, 1, 0, True, world.now)
+        harness.service.bytes_received(trickle, 1, 0, True, harness.now)
         if second % 5 == 0:
-            world.service.bytes_received(bursty, 2_000, 0, True, world.now)
-        world.wait(SECOND)
-    assert world.refused(trickle) == "too slow" and world.refused(bursty) is None
+            harness.service.bytes_received(bursty, 2_000, 0, True, harness.now)
+        harness.wait(SECOND)
+    assert harness.refused(trickle) == "too slow" and harness.refused(bursty) is None
 
 
 def test_the_minimum_rate_rises_with_the_duration_of_a_frame():
@@ -420,56 +434,56 @@
     assert 4 <= second < 9
 
 
-def test_a_silent_connection_is_probed_and_closed_after_three_heartbeats(world):
-    number = world.hello()
-    world.wait(31 * SECOND)
-    assert any(isinstance(each, Ping) for each in world.read[number])
-    world.wait(60 * SECOND)
-    assert number in world.closed and len(world.service.session_table) == 1
+def test_a_silent_connection_is_probed_and_closed_after_three_heartbeats(harness):
+    number = harness.hello()
+    harness.wait(31 * SECOND)
+    assert any(isinstance(each, Ping) for each in harness.received[number])
+    harness.wait(60 * SECOND)
+    assert number in harness.closed and len(harness.service.session_table) == 1
 
 
 def test_the_connection_rate_is_limited_per_source():
-    world = World(arrivals=20)
+    harness = ServiceHarness(arrivals=20)
     for _ in range(40):
-        world.open(b"\x0a\0\0\1")
-    assert world.is_admitted is False
-    world.open(b"\x0a\0\0\2")
-    assert world.is_admitted is True
-    world.wait(120 * SECOND)
-    world.open(b"\x0a\0\0\1")
-    assert world.is_admitted is True
+        harness.open(b"\x0a\0\0\1")
+    assert harness.is_admitted is False
+    harness.open(b"\x0a\0\0\2")
+    assert harness.is_admitted is True
+    harness.wait(120 * SECOND)
+    harness.open(b"\x0a\0\0\1")
+    assert harness.is_admitted is True
 
 
 def test_ipv6_sources_are_counted_by_network():
     arrivals = ConnectionLimiter(10, 100, 1, 0)
-    whys = [
+    reasons = [
         arrivals.admit(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
         for each in range(12)
     ]
-    assert whys.count("") == 10
+    assert reasons.count("") == 10
 
 
-def test_a_drain_is_announced_to_connected_and_reconnecting_devices(world):
-    first = world.hello()
-    world.say(first, ask(1))
-    world.service.start_draining(2 * SECOND)
-    world.take()
-    assert Leaving(2_000, 1) in world.read[first]
-    world.lose(first)
-    second = world.hello(world.welcome(first).session)
-    assert Leaving(2_000, 1) in world.read[second]
-    world.service.stop_accepting()
-    world.take()
-    assert second not in world.closed
-    world.answer()
-    world.service.close_idle()
-    assert second in world.take().closed
+def test_a_drain_is_announced_to_connected_and_reconnecting_devices(harness):
+    first = harness.hello()
+    harness.send(first, ask(1))
+    harness.service.start_draining(2 * SECOND)
+    harness.collect()
+    assert Leaving(2_000, 1) in harness.received[first]
+    harness.disconnect(first)
+    second = harness.hello(harness.welcome(first).session)
+    assert Leaving(2_000, 1) in harness.received[second]
+    harness.service.stop_accepting()
+    harness.collect()
+    assert second not in harness.closed
+    harness.answer()
+    harness.service.close_idle()
+    assert second in harness.collect().closed
 
 
-def test_a_bye_frame_removes_an_idle_session(world):
-    number = world.hello()
-    world.say(number, Bye())
-    assert number in world.closed and len(world.service.session_table) == 0
+def test_a_bye_frame_removes_an_idle_session(harness):
+    number = harness.hello()
+    harness.send(number, Bye())
+    assert number in harness.closed and len(harness.service.session_table) == 0
 
 
 # Client and service over links that break at any point
@@ -485,21 +499,21 @@
     st.booleans(),
 )
 def test_any_order_of_failures_gives_each_request_one_outcome_and_at_most_one_execution(
-    order, seed, forgets
+    order, seed, loses_session
 ):
-    rng, world, device = random.Random(seed), World(window=4), None
-    device = ClientSession(world.token())
+    rng, harness, device = random.Random(seed), ServiceHarness(window=4), None
+    device = ClientSession(harness.token())
     runs, sent, link, inbound = {}, {}, 0, b""
 
     def up():
         nonlocal link, inbound
-        link, inbound = world.open(), b""
+        link, inbound = harness.open(), b""
         device.connected()
 
     def down():
         nonlocal link
         if link:
-            world.lose(link)
+            harness.disconnect(link)
         link = 0
         device.take_output()
 
@@ -511,44 +525,46 @@
             up()
         elif each in ("down", "break"):
             down()
-        elif each == "lose" and forgets:
+        elif each == "lose" and loses_session:
             device.session = b""
             device.got = 0
             down()
         elif each == "stall":
-            world.wait(rng.randrange(5 * SECOND))
-        elif each == "answer" and world.asks:
-            session, number, about = world.asks.pop(rng.randrange(len(world.asks)))
+            harness.wait(rng.randrange(5 * SECOND))
+        elif each == "answer" and harness.submitted:
+            session, number, about = harness.submitted.pop(rng.randrange(len(harness.submitted)))
             runs[id(session), number] = runs.get((id(session), number), 0) + 1
-            world.service.send_answer(
-                session, number, rng.randrange(2), about.frame.body, 0, world.now
+            harness.service.send_answer(
+                session, number, rng.randrange(2), about.frame.body, 0, harness.now
             )
-            world.take()
+            harness.collect()
         if each == "settle":
             for _ in range(300):
-                if not link or link in world.closed:
+                if not link or link in harness.closed:
                     down()
                     up()
-                step(world, device, link, rng, sent)
-                for session, number, about in world.asks:
-                    world.service.send_answer(session, number, 0, about.frame.body, 0, world.now)
-                world.asks.clear()
-                world.take()
+                step(harness, device, link, rng, sent)
+                for session, number, about in harness.submitted:
+                    harness.service.send_answer(
+                        session, number, 0, about.frame.body, 0, harness.now
+                    )
+                harness.submitted.clear()
+                harness.collect()
         elif link:
-            step(world, device, link, rng, sent)
+            step(harness, device, link, rng, sent)
     assert not device.unanswered and set(device.outcomes) == set(range(1, device.next_number))
     assert all(count == 1 for count in runs.values())
-    assert not world.service.session_table.unacknowledged_bytes or forgets
+    assert not harness.service.session_table.unacknowledged_bytes or loses_session
 
 
-def step(world, device, link, rng, sent):
+def step(harness, device, link, rng, sent):
     """Delivers the frames sent so far in both directions."""
     stream = sent.setdefault(link, Stream(1 << 16))
     for frame in stream.feed(device.take_output()):
-        world.service.frame_received(link, frame, world.now)
-    world.take()
-    read, world.read[link] = world.read.get(link, []), []
-    for frame in read:
+        harness.service.frame_received(link, frame, harness.now)
+    harness.collect()
+    received, harness.received[link] = harness.received.get(link, []), []
+    for frame in received:
         device.frame_received(frame)
 
 
