--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -15,10 +15,8 @@
 from lilacwalk.edge.client.state import ClientSession, Outcome
 from lilacwalk.edge.frames import FrameError, Stream
 
-MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = (
-    0.05,
-    2.0,
-)  # seconds; after a brief loss, and while the edge is unreachable
+# Seconds; the delay after a brief loss, and the limit while the edge is unreachable.
+MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = 0.05, 2.0
 CONNECT_TIMEOUT = 10.0
 MAX_FRAME_BYTES = 65_536  # largest frame that a client accepts; results have at most 4 KiB
 
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -45,9 +45,7 @@
         self.session = b""
         self.got = 0
         self.window = 1
-        self.unanswered: dict[
-            int, Ask
-        ] = {}  # requests without an answer, in order of their numbers
+        self.unanswered: dict[int, Ask] = {}  # in ascending order of request numbers
         self.sent_on_connection: set[int] = set()  # requests sent on the current connection
         self.sent_before: set[int] = set()  # requests sent on any connection
         self.outcomes: dict[int, Outcome] = {}
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -213,8 +213,7 @@
 
 
 def unknown_critical(message: Message) -> int | None:
-    """Returns the first critical option that is unknown, has an invalid length or is repeated, or
-    None.
+    """Returns the first critical option that is unknown, malformed or repeated, or None.
 
     Such options make a request invalid; elective ones are ignored (RFC 7252 sections 5.4.1 to
     5.4.5).
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -42,10 +42,8 @@
 # A tenth of the first retransmission timeout, so that no device retransmits meanwhile.
 PIGGYBACK_DELAY = SECOND // 5
 BLOCK_BYTES = 1_024
-ECHO_LIFETIME, VALIDATION_LIFETIME = (
-    60 * SECOND,
-    600 * SECOND,
-)  # an echo may be delayed by a stalled link; addresses change with the network
+# A stalled link may delay an echo; a device's address changes with its network.
+ECHO_LIFETIME, VALIDATION_LIFETIME = 60 * SECOND, 600 * SECOND
 BLOCK_TIMEOUT = 30 * SECOND  # a partial body without a new block for this time is dropped
 MAX_PARTIAL_BODIES = 256  # bodies being assembled at once
 MAX_QUEUED_PER_ENDPOINT = 8  # separate responses that wait for one endpoint
@@ -102,9 +100,8 @@
             self.rng.getrandbits(64),
         )
         self.open: dict[Request, None] = {}
-        self.ack_timers = Wheel(
-            now
-        )  # when to send an empty acknowledgement, for requests without an answer
+        # Timers of requests without an answer; an empty acknowledgement is sent on expiry.
+        self.ack_timers = Wheel(now)
         self.kept_answers: dict[bool, OrderedDict[Request, int]] = {
             True: OrderedDict(),
             False: OrderedDict(),
--- a/lilacwalk/edge/duplicate_detector.py
+++ b/lilacwalk/edge/duplicate_detector.py
@@ -41,12 +41,10 @@
         """Creates an empty table of at most `max_entries` requests, each kept for `window`."""
         self.max_entries, self.window, self.seed = max_entries, window, seed & (1 << 64) - 1
         self.entries: OrderedDict[int, SeenRequest] = OrderedDict()
-        self.fingerprints: dict[
-            tuple[int, int], int
-        ] = {}  # fingerprint by session and request number
-        self.duplicates = self.evicted_early = (
-            0  # `evicted_early`: entries evicted within the window, whose duplicates are missed
-        )
+        # Fingerprints by session and request number.
+        self.fingerprints: dict[tuple[int, int], int] = {}
+        # `evicted_early` counts entries evicted within the window, whose duplicates are missed.
+        self.duplicates = self.evicted_early = 0
 
     def fingerprint(self, device: bytes, has_stable_numbers: bool, ask: Ask) -> int:
         """Returns a 128-bit hash that is equal for equal requests.
--- a/lilacwalk/edge/timer_wheel.py
+++ b/lilacwalk/edge/timer_wheel.py
@@ -25,10 +25,8 @@
 
     def __init__(self, now: int, slot: int = SLOT_DURATION) -> None:
         """Creates a wheel without timers."""
-        self.slot_duration, self.next_tick = (
-            slot,
-            now // slot,
-        )  # `next_tick`: first slot not expired
+        # `next_tick` is the number of the first slot that has not expired.
+        self.slot_duration, self.next_tick = slot, now // slot
         self.levels: list[list[dict[Hashable, int]]] = [
             [{} for _ in range(SLOTS_PER_LEVEL)] for _ in range(LEVELS)
         ]
@@ -81,8 +79,9 @@
         return False
 
     def expire(self, now: int) -> Iterator[Hashable]:
-        """Yields the timers whose slot has ended, in order of slots; timers may be scheduled
-        meanwhile.
+        """Yields the timers whose slot has ended, in order of slots.
+
+        Timers may be scheduled meanwhile.
         """
         last = now // self.slot_duration
         while self.next_tick <= last:
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -148,9 +148,9 @@
         self.path.touch(mode=0o600)
         self.secret = random_secrets.token_bytes(32)
         self.path.write_text(self.secret.hex() + "\n")
-        self.kernel = Kernel(cores, work, result)
+        self.executor = Kernel(cores, work, result)
         text = f"edge {{\n listen 127.0.0.1:0\n secrets {self.path}\n customer devices\n{block}}}\n"
-        self.event_loop, parts = build(handed(self.kernel.address, **given), EventQueue())
+        self.event_loop, parts = build(handed(self.executor.address, **given), EventQueue())
         self.config = parse_operator_file(text, "test")
         self.event_loop.subsystems.apply(self.config)
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
@@ -192,7 +192,7 @@
         self.edge.end()
         for part in self.parts:
             part.close()
-        self.kernel.end()
+        self.executor.end()
 
 
 @pytest.fixture
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -476,7 +476,7 @@
     body = random.Random(2).randbytes(1_900)
     assert device.ask("look", body, 5_000).body == body * 2
     assert device.ask("look", b"", 5_000, confirmable=False).word == 0
-    assert sum(site.kernel.ran.values()) == 2
+    assert sum(site.executor.ran.values()) == 2
     with pytest.raises(ValueError, match=r"4\.04"):
         device.ask("nobody")
     device.end()
@@ -502,7 +502,7 @@
 
     with ThreadPoolExecutor(8) as pool:
         words = [word for row in pool.map(work, devices) for word in row]
-    assert words.count(0) > 6 and max(site.kernel.ran.values()) == 1
+    assert words.count(0) > 6 and max(site.executor.ran.values()) == 1
     assert (
         proxy.lost > 0
         and proxy.doubled > 0
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -26,7 +26,7 @@
     site = make_site()
     device = site.device()
     found = device.outcome(device.ask("look", b"hello"), TIMEOUT_SECONDS)
-    assert (found.word, found.body) == (0, b"<hello>") and sum(site.kernel.ran.values()) == 1
+    assert (found.word, found.body) == (0, b"<hello>") and sum(site.executor.ran.values()) == 1
     assert device.session.duplicate_answers == 0
 
 
@@ -52,7 +52,7 @@
     hold.set()
     found = device.outcome(number, TIMEOUT_SECONDS)
     assert (found.word, found.body) == (0, b"made once")
-    assert device.connections == 2 and sum(site.kernel.ran.values()) == 1
+    assert device.connections == 2 and sum(site.executor.ran.values()) == 1
 
 
 def test_stalls_and_resets_leave_each_request_one_answer_and_no_repeated_execution(make_site):
@@ -71,7 +71,7 @@
     words = [device.outcome(number, 20.0).word for device, number in asked]
     # The controller may deny some requests without executing them.
     assert set(words) <= {0, 1, 2} and words.count(0) > 100
-    assert max(site.kernel.ran.values()) == 1 and proxy.resets > 0
+    assert max(site.executor.ran.values()) == 1 and proxy.resets > 0
     bodies = [device.session.outcomes[number].body for device, number in asked]
     # No two requests got the same answer.
     assert len({body for body in bodies if body}) == words.count(0)
@@ -96,7 +96,7 @@
     assert (
         device.connections == 1
         and device.session.duplicate_answers == 0
-        and max(site.kernel.ran.values()) == 1
+        and max(site.executor.ran.values()) == 1
     )
     proxy.end()
 
@@ -118,7 +118,7 @@
         device.outcome(number, TIMEOUT_SECONDS).word == 2
     )  # it may have been executed; answered at once
     assert device.outcome(look, TIMEOUT_SECONDS).word == 0
-    assert list(second.kernel.ran.values()) == [1]
+    assert list(second.executor.ran.values()) == [1]
 
 
 def test_a_thousand_silent_connections_do_not_displace_active_devices(make_site):
