--- a/lilacwalk/edge/config.py
+++ b/lilacwalk/edge/config.py
@@ -1,5 +1,8 @@
-"""What an operator orders of the edge: frozen records, checked where they are read (`operator/`). Times are
-tenths of a millisecond, sizes bytes."""
+"""The operator's configuration of the edge.
+
+The records are immutable; the operator package checks them when it reads the operator's file. Times
+are in tenths of a millisecond, sizes in bytes.
+"""
 
 from __future__ import annotations
 
@@ -20,49 +23,55 @@
 
 
 class Tls(Struct, frozen=True, kw_only=True):
+    """Certificate and key of the TLS listener."""
+
     certificate: str
     key: str
-    authority: str | None = None  # whose certificates devices must show
+    # File of the certificate authority that signs the devices' certificates.
+    authority: str | None = None
     mutual: bool = False
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid fields, each with what is expected."""
         return (
             [("mutual", "an authority beside it")] if self.mutual and self.authority is None else []
         )
 
 
 class EdgeConfig(Struct, frozen=True, kw_only=True):
-    """Devices on poor links."""
+    """Listeners, limits and timeouts of the service for devices."""
 
     ARGUMENTS: ClassVar = ()
     listen: Annotated[tuple[str, int], unit("endpoint")]
-    coap: Annotated[tuple[str, int], unit("endpoint")] | None = None  # over UDP
-    secrets: str  # a file: one secret a line in hexadecimal digits, the first makes tokens, all check them
+    coap: Annotated[tuple[str, int], unit("endpoint")] | None = None  # UDP
+    secrets: str  # path of a file with one hexadecimal secret per line
     tls: Tls | None = None
-    customer: str = ""  # of devices that name none
+    customer: str = ""  # tenant of requests that do not name one
     connections: Count = 2_000
     sessions: Count = 4_000
-    sessions_each: Annotated[int, Meta(ge=1, le=64)] = 4  # of one device
+    sessions_each: Annotated[int, Meta(ge=1, le=64)] = 4  # limit per device
     in_hand: Count = 500
-    window: Annotated[int, Meta(ge=1, le=256)] = 16  # exchanges that one session may have open
-    body: Size = 2_048  # also what routers may send
-    kept: Size = 4_000_000  # answers not acknowledged, of all sessions
-    kept_each: Size = 131_072
-    buffer: Size = 32_768  # unsent on one connection; what is beyond waits in its session
-    session_time: Time = 600 * SECOND  # without a connection, then forgotten
+    window: Annotated[int, Meta(ge=1, le=256)] = 16  # requests that one session may have in flight
+    body: Size = 2_048  # maximum size of a request body; the same limit applies to proxies
+    kept: Size = 4_000_000  # bytes of unacknowledged answers of all sessions together
+    kept_each: Size = 131_072  # bytes of unacknowledged answers of one session
+    buffer: Size = 32_768  # unsent bytes on one connection; further answers wait in the session
+    session_time: Time = 600 * SECOND  # a session without a connection is removed after this time
     repeat_window: Time = 60 * SECOND
     heartbeat: Time = 30 * SECOND
-    hello: Time = 5 * SECOND  # from connecting to a whole HELLO
-    frame_time: Time = 60 * SECOND  # from a frame's first byte to its last
-    slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # bytes a second in which any came
-    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = (
-        60  # connections of one source in about ten seconds
-    )
-    estimates: bool = True  # the time an answer needs is taken from the due time
-    repeats: bool = True  # asks without a mark are recognised over sessions
+    # Time from the start of a connection until its HELLO frame has been received.
+    hello: Time = 5 * SECOND
+    frame_time: Time = 60 * SECOND  # time from the first byte of a frame to its last
+    slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # minimum bytes per second
+    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = 60  # connections per source in about 10 s
+    # Whether to subtract the expected delivery time of the answer from a request's timeout.
+    estimates: bool = True
+    # Whether to detect duplicate requests across sessions, without relying on idempotency keys.
+    repeats: bool = True
     resume: bool = True
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid fields, each with what is expected."""
         if self.kept_each > self.kept:
             return [("kept-each", "no more than kept")]
         return []
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -1,4 +1,4 @@
-"""Parts for the devices' stories: a machine by hand, and an app server with its edge between stand-ins."""
+"""Fixtures: the device service without sockets, and an app server with its edge in this process."""
 
 import secrets as random_secrets
 import threading
@@ -9,7 +9,7 @@
 from lilacwalk.edge import frames
 from lilacwalk.edge.client.device import Device
 from lilacwalk.edge.config import EdgeConfig
-from lilacwalk.edge.device_service import Do, Group, Serving
+from lilacwalk.edge.device_service import ActionType, DeviceRequestClass, DeviceService
 from lilacwalk.edge.frames import Answer, Ask, Got, Hello, Refused, Welcome
 from lilacwalk.edge.tokens import DEVICE, Tokens
 from lilacwalk.event_queue import EventQueue
@@ -23,46 +23,55 @@
 START = 1_800_000_000 * SECOND
 SECRET = bytes(range(32))
 GROUPS = {
-    "look": Group(Effect.IDEMPOTENT, 2 * SECOND),
-    "swap": Group(Effect.DEDUPLICATED, 4 * SECOND),
-    "move": Group(Effect.NON_IDEMPOTENT, 4 * SECOND),
+    "look": DeviceRequestClass(Effect.IDEMPOTENT, 2 * SECOND),
+    "swap": DeviceRequestClass(Effect.DEDUPLICATED, 4 * SECOND),
+    "move": DeviceRequestClass(Effect.NON_IDEMPOTENT, 4 * SECOND),
 }
 
 
-class World:
-    """The edge's machine; connections are numbers, and what is sent on each is read back as frames."""
+class ServiceHarness:
+    """The device service without sockets.
 
-    def __init__(self, **orders):
+    Connections are numbers, and sent bytes are decoded to frames.
+    """
+
+    def __init__(self, **config):
         self.now = START
         self.tokens = Tokens([SECRET], b"n1")
         base = {"listen": ("127.0.0.1", 0), "secrets": ""}
-        self.orders = EdgeConfig(**(base | orders))
-        self.serving = Serving(self.orders, GROUPS, self.tokens, 7, self.now)
-        self.streams, self.read, self.closed, self.asks, self.gone = {}, {}, [], [], []
-        self.flowing = True  # what is sent is taken by the system at once
+        self.config = EdgeConfig(**(base | config))
+        self.service = DeviceService(self.config, GROUPS, self.tokens, 7, self.now)
+        self.streams, self.received, self.closed, self.submitted, self.cancelled = (
+            {},
+            {},
+            [],
+            [],
+            [],
+        )
+        self.flowing = True  # whether the operating system accepts sent bytes at once
         self.numbers = 0
 
-    def take(self):
-        while actions := self.serving.taken():
+    def collect(self):
+        while actions := self.service.take_actions():
             for action in actions:
                 number = action.connection
-                if action.do is Do.SEND:
+                if action.type is ActionType.SEND:
                     stream = self.streams.setdefault(number, frames.Stream(1 << 20))
-                    self.read.setdefault(number, []).extend(stream.feed(action.about))
+                    self.received.setdefault(number, []).extend(stream.feed(action.payload))
                     if self.flowing:
-                        self.serving.sent(number, len(action.about), self.now)
-                elif action.do is Do.CLOSE:
+                        self.service.bytes_sent(number, len(action.payload), self.now)
+                elif action.type is ActionType.CLOSE:
                     self.closed.append(number)
-                elif action.do is Do.ASK:
-                    self.asks.append((action.session, action.number, action.about))
-                elif action.do is Do.GONE:
-                    self.gone.append(action.number)
+                elif action.type is ActionType.SUBMIT:
+                    self.submitted.append((action.session, action.number, action.payload))
+                elif action.type is ActionType.CLIENT_GONE:
+                    self.cancelled.append(action.number)
         return self
 
     def open(self, address=b"\x7f\0\0\1", identity=b""):
         self.numbers += 1
-        self.let_in = self.serving.opened(self.numbers, address, identity, self.now)
-        self.take()
+        self.is_admitted = self.service.connection_opened(self.numbers, address, identity, self.now)
+        self.collect()
         return self.numbers
 
     def token(self, name=b"tablet", until=1_900_000_000):
@@ -72,43 +81,46 @@
         self, session=b"", got=0, window=16, token=None, steady=False, name=b"tablet", number=None
     ):
         number = self.open() if number is None else number
-        self.say(
+        self.send(
             number,
             Hello(1, self.token(name) if token is None else token, session, got, window, steady),
         )
         return number
 
-    def say(self, number, *said):
-        for each in said:
-            self.serving.frame(number, each, self.now)
-        return self.take()
+    def send(self, number, *frames_sent):
+        for each in frames_sent:
+            self.service.frame_received(number, each, self.now)
+        return self.collect()
 
     def welcome(self, number):
-        return next((each for each in self.read.get(number, []) if isinstance(each, Welcome)), None)
+        return next(
+            (each for each in self.received.get(number, []) if isinstance(each, Welcome)), None
+        )
 
     def refused(self, number):
         return next(
-            (each.reason for each in self.read.get(number, []) if isinstance(each, Refused)), None
+            (each.reason for each in self.received.get(number, []) if isinstance(each, Refused)),
+            None,
         )
 
     def answers(self, number):
-        return [each for each in self.read.get(number, []) if isinstance(each, Answer)]
+        return [each for each in self.received.get(number, []) if isinstance(each, Answer)]
 
-    def lose(self, number):
-        self.serving.closed(number, self.now)
-        return self.take()
+    def disconnect(self, number):
+        self.service.connection_closed(number, self.now)
+        return self.collect()
 
     def answer(self, at=-1, word=0, body=b"ok", come_back=0):
-        session, number, _ = self.asks[at]
-        self.serving.answered(session, number, word, body, come_back, self.now)
-        return self.take()
+        session, number, _ = self.submitted[at]
+        self.service.send_answer(session, number, word, body, come_back, self.now)
+        return self.collect()
 
     def wait(self, time):
         end = self.now + time
-        while (due := self.serving.due()) <= end:
+        while (due := self.service.due()) <= end:
             self.now = max(self.now, due)
-            self.serving.tick(self.now)
-            self.take()
+            self.service.tick(self.now)
+            self.collect()
         self.now = end
         return self
 
@@ -121,7 +133,7 @@
 
 
 class EdgeSite:
-    """An app server in this process with its edge, a kernel stand-in behind it."""
+    """An app server in this process with its edge and a stand-in for the executor."""
 
     def __init__(
         self,
@@ -136,18 +148,18 @@
         self.path.touch(mode=0o600)
         self.secret = random_secrets.token_bytes(32)
         self.path.write_text(self.secret.hex() + "\n")
-        self.kernel = Kernel(cores, work, result)
+        self.executor = Kernel(cores, work, result)
         text = f"edge {{\n listen 127.0.0.1:0\n secrets {self.path}\n customer devices\n{block}}}\n"
-        self.event_loop, parts = build(handed(self.kernel.address, **given), EventQueue())
-        self.orders = parse_operator_file(text, "test")
-        self.event_loop.subsystems.apply(self.orders)
+        self.event_loop, parts = build(handed(self.executor.address, **given), EventQueue())
+        self.config = parse_operator_file(text, "test")
+        self.event_loop.subsystems.apply(self.config)
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
         self.parts, self.devices = parts, []
         for each in [self.thread, *parts]:
             each.start()
         self.edge = self.event_loop.subsystems.devices.edge
         self.address = self.edge.address
-        while not self.decided(lambda event_loop: event_loop.executor.is_ready):
+        while not self.call_in_event_loop(lambda event_loop: event_loop.executor.is_ready):
             pass
 
     def token(self, name=b"tablet"):
@@ -159,16 +171,16 @@
         )
         return self.devices[-1]
 
-    def decided(self, question):
-        """Asked of the event loop."""
+    def call_in_event_loop(self, function):
+        """Calls `question` with the event loop in the event loop's thread."""
         answers = SimpleQueue()
-        self.event_loop.event_queue.post(lambda: answers.put(question(self.event_loop)))
+        self.event_loop.event_queue.post(lambda: answers.put(function(self.event_loop)))
         return answers.get(timeout=10.0)
 
-    def inside(self, question):
-        """Asked of the edge's machine in its own thread."""
+    def call_in_edge_thread(self, function):
+        """Calls `question` with the device service in the edge's thread."""
         answers = SimpleQueue()
-        self.edge.put(lambda: answers.put(question(self.edge.serving)))
+        self.edge.post(lambda: answers.put(function(self.edge.service)))
         return answers.get(timeout=10.0)
 
     def end(self):
@@ -180,12 +192,12 @@
         self.edge.end()
         for part in self.parts:
             part.close()
-        self.kernel.end()
+        self.executor.end()
 
 
 @pytest.fixture
-def world():
-    return World()
+def harness():
+    return ServiceHarness()
 
 
 @pytest.fixture
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -1,4 +1,4 @@
-"""Devices over the link, through the whole app server on loopback."""
+"""Devices over the device link and the app server, on loopback."""
 
 import resource
 import socket
@@ -19,41 +19,43 @@
 from lilacwalk.testing.lossy_proxy import Proxy, Weather
 from lilacwalk.testing.proxy_client import Till
 
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
-def test_an_exchange_of_a_device_is_run_once_and_answered_once(make_site):
+def test_a_request_is_executed_once_and_answered_once(make_site):
     site = make_site()
     device = site.device()
-    found = device.outcome(device.ask("look", b"hello"), PATIENCE)
-    assert (found.word, found.body) == (0, b"<hello>") and sum(site.kernel.ran.values()) == 1
-    assert device.machine.doubled == 0
+    found = device.outcome(device.ask("look", b"hello"), TIMEOUT_SECONDS)
+    assert (found.word, found.body) == (0, b"<hello>") and sum(site.executor.ran.values()) == 1
+    assert device.session.duplicate_answers == 0
 
 
-def test_devices_and_routers_are_served_beside_each_other(make_site):
+def test_devices_and_proxies_are_served_at_the_same_time(make_site):
     site = make_site()
     device, till = site.device(), Till(site.event_loop.listener.address)
     for each in range(20):
         number, tag = device.ask("look", b"%d" % each), till.ask("look")
-        assert device.outcome(number, PATIENCE).word == 0 and till.answer(tag)[1] == "done"
+        assert device.outcome(number, TIMEOUT_SECONDS).word == 0 and till.answer(tag)[1] == "done"
     till.end()
 
 
-def test_a_link_reset_before_the_acknowledgement_gets_the_same_answer_again(make_site):
+def test_after_a_connection_reset_during_execution_the_answer_follows_and_the_request_runs_once(
+    make_site,
+):
     hold = threading.Event()
-    site = make_site(result=lambda group, body: hold.wait(PATIENCE) and b"made once" or b"")
+    site = make_site(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"made once" or b"")
     device = site.device()
     number = device.ask("move", b"x")
-    while not site.inside(lambda each: each.counts["asked"]):
+    while not site.call_in_edge_thread(lambda each: each.counts["asked"]):
         pass
-    device.drop()
+    device.drop_connection()
     hold.set()
-    found = device.outcome(number, PATIENCE)
+    found = device.outcome(number, TIMEOUT_SECONDS)
     assert (found.word, found.body) == (0, b"made once")
-    assert device.connections == 2 and sum(site.kernel.ran.values()) == 1
+    assert device.connections == 2 and sum(site.executor.ran.values()) == 1
 
 
-def test_through_a_link_that_stalls_and_resets_each_has_one_answer_and_no_effect_twice(make_site):
+def test_stalls_and_resets_leave_each_request_one_answer_and_no_repeated_execution(make_site):
     site = make_site()
     proxy = Proxy(
         site.address,
@@ -67,80 +69,86 @@
         for at, device in enumerate(devices)
     ]
     words = [device.outcome(number, 20.0).word for device, number in asked]
-    assert (
-        set(words) <= {0, 1, 2} and words.count(0) > 100
-    )  # some the controller denies: they never ran
-    assert max(site.kernel.ran.values()) == 1 and proxy.resets > 0
-    bodies = [device.machine.outcomes[number].body for device, number in asked]
-    assert len({body for body in bodies if body}) == words.count(0)  # each its own
+    # The controller may deny some requests without executing them.
+    assert set(words) <= {0, 1, 2} and words.count(0) > 100
+    assert max(site.executor.ran.values()) == 1 and proxy.resets > 0
+    bodies = [device.session.outcomes[number].body for device, number in asked]
+    # No two requests got the same answer.
+    assert len({body for body in bodies if body}) == words.count(0)
     proxy.end()
 
 
-def test_a_link_that_stalls_in_the_middle_of_a_reply_and_resumes_brings_it_whole_and_once(
+def test_a_stall_within_an_answer_delivers_it_whole_and_once(
     make_site,
 ):
     site = make_site(result=lambda group, body: b"r" * 4_000)
     proxy = Proxy(site.address, Weather(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
     device = site.device(address=proxy.address)
-    device.outcome(device.ask("look", b"first"), PATIENCE)
+    device.outcome(device.ask("look", b"first"), TIMEOUT_SECONDS)
     number, carried = device.ask("move", b"x"), proxy.bytes
-    while proxy.bytes < carried + 2_000:  # the ask went up, and part of the answer came down
+    # Until the request was sent, and part of the answer was received.
+    while proxy.bytes < carried + 2_000:
         pass
     proxy.stall(1.0)
     began = time.monotonic()
-    found = device.outcome(number, PATIENCE)
+    found = device.outcome(number, TIMEOUT_SECONDS)
     assert len(found.body) == 4_000 and time.monotonic() - began > 0.9
     assert (
         device.connections == 1
-        and device.machine.doubled == 0
-        and max(site.kernel.ran.values()) == 1
+        and device.session.duplicate_answers == 0
+        and max(site.executor.ran.values()) == 1
     )
     proxy.end()
 
 
-def test_a_node_that_restarted_says_so_and_a_mutating_exchange_is_not_run_by_guess(
+def test_after_a_restart_an_unknown_session_terminates_a_repeated_non_idempotent_request(
     make_site, tmp_path
 ):
     first = make_site(work=lambda group, body: 60.0)
     device = first.device()
     number = device.ask("move", b"x")
     look = device.ask("look", b"y")
-    while first.inside(lambda each: each.counts["asked"]) < 2:
+    while first.call_in_edge_thread(lambda each: each.counts["asked"]) < 2:
         pass
     second = make_site()
-    device.machine.token = second.token()
+    device.session.token = second.token()
     device.address = second.address
-    device.drop()
-    assert device.outcome(number, PATIENCE).word == 2  # it may have run: said at once
-    assert device.outcome(look, PATIENCE).word == 0
-    assert list(second.kernel.ran.values()) == [1]
+    device.drop_connection()
+    assert (
+        device.outcome(number, TIMEOUT_SECONDS).word == 2
+    )  # it may have been executed; answered at once
+    assert device.outcome(look, TIMEOUT_SECONDS).word == 0
+    assert list(second.executor.ran.values()) == [1]
 
 
-def test_a_thousand_that_trickle_do_not_take_the_place_of_those_that_ask(make_site):
-    """Each sends a byte and is silent: no HELLO. Those that ask are let in, the silent ones make room."""
+def test_a_thousand_silent_connections_do_not_displace_active_devices(make_site):
+    """Each of the thousand sends one byte and no HELLO frame; a full table would reject active
+    devices.
+    """
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     )
     site = make_site("connections 2000", "hello 1s", "arrivals 100000")
-    trickling = []
+    silent_sockets = []
     for _ in range(1_000):
-        sock = socket.create_connection(site.address, PATIENCE)
+        sock = socket.create_connection(site.address, TIMEOUT_SECONDS)
         sock.sendall(b"\0")
-        trickling.append(sock)
+        silent_sockets.append(sock)
     devices = [site.device(b"good%d" % each) for each in range(100)]
     for each in devices:
-        assert each.outcome(each.ask("look", b"x"), PATIENCE).word == 0
-    for sock in trickling:  # each was told why before it was closed
-        sock.settimeout(PATIENCE)
-        stream, told = frames.Stream(65_536), []
+        assert each.outcome(each.ask("look", b"x"), TIMEOUT_SECONDS).word == 0
+    # A connection that received anything before the close received a Refused frame.
+    for sock in silent_sockets:
+        sock.settimeout(TIMEOUT_SECONDS)
+        stream, received = frames.Stream(65_536), []
         try:
             while chunk := sock.recv(4_096):
-                told += stream.feed(chunk)
+                received += stream.feed(chunk)
         except ConnectionResetError:
             pass
-        assert not told or isinstance(told[0], Refused)
+        assert not received or isinstance(received[0], Refused)
         sock.close()
-    assert site.inside(lambda each: len(each.connections)) == 100
+    assert site.call_in_edge_thread(lambda each: len(each.connections)) == 100
 
 
 @pytest.mark.parametrize(
@@ -153,64 +161,73 @@
         struct.pack("!I", 1) + b"\x00",
     ],
 )
-def test_what_is_no_frame_is_refused_by_name_and_nobody_else_notices(make_site, sent):
+def test_invalid_frames_are_refused_with_a_reason_and_other_connections_are_not_affected(
+    make_site, sent
+):
     site = make_site()
     good = site.device()
-    good.outcome(good.ask("look", b"x"), PATIENCE)
-    with socket.create_connection(site.address, PATIENCE) as sock:
+    good.outcome(good.ask("look", b"x"), TIMEOUT_SECONDS)
+    with socket.create_connection(site.address, TIMEOUT_SECONDS) as sock:
         sock.sendall(sent)
-        [told] = frames.Stream(65_536).feed(sock.recv(4_096))
-        assert isinstance(told, Refused)
+        [refusal] = frames.Stream(65_536).feed(sock.recv(4_096))
+        assert isinstance(refusal, Refused)
         assert sock.recv(100) == b""
-    assert good.outcome(good.ask("look", b"x"), PATIENCE).word == 0 and good.connections == 1
+    assert good.outcome(good.ask("look", b"x"), TIMEOUT_SECONDS).word == 0 and good.connections == 1
 
 
-def test_a_drain_answers_all_tells_where_it_stands_and_closes(make_site):
+def test_a_drain_answers_requests_in_flight_reports_their_number_and_closes(make_site):
     hold = threading.Event()
-    site = make_site(result=lambda group, body: hold.wait(PATIENCE) and b"late" or b"")
+    site = make_site(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"late" or b"")
     device = site.device()
     number = device.ask("move", b"x")
-    while not site.inside(lambda each: each.counts["asked"]):
+    while not site.call_in_edge_thread(lambda each: each.counts["asked"]):
         pass
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     with device.changed:
-        assert device.changed.wait_for(lambda: device.machine.leaving is not None, PATIENCE)
-    assert device.machine.leaving.open == 1 and device.machine.leaving.come_back > 0
+        assert device.changed.wait_for(lambda: device.session.leaving is not None, TIMEOUT_SECONDS)
+    assert device.session.leaving.open == 1 and device.session.leaving.come_back > 0
     hold.set()
-    assert device.outcome(number, PATIENCE).body == b"late"
-    site.thread.join(PATIENCE)
+    assert device.outcome(number, TIMEOUT_SECONDS).body == b"late"
+    site.thread.join(TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
 
 
-def test_a_reader_that_takes_nothing_pins_no_buffer_and_its_answers_stay_in_its_session(make_site):
+def test_a_device_that_does_not_read_bounds_the_send_buffer_and_its_answers_stay_in_the_session(
+    make_site,
+):
     site = make_site("buffer 4KB", "window 64", result=lambda group, body: b"r" * 4_000)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     sock.connect(site.address)
     sock.sendall(frames.encode(Hello(1, site.token(), b"", 0, 1_000)))
-    while not site.inside(lambda each: list(each.sessions)):
+    while not site.call_in_edge_thread(lambda each: list(each.session_table)):
         pass
-    site.inside(  # a small buffer of the system's, so that it cannot take all of it
+    site.call_in_edge_thread(  # a small send buffer of the operating system, so that it cannot accept everything
         lambda _: [
             each.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-            for each in site.edge.wires.values()
+            for each in site.edge.device_sockets.values()
         ]
     )
     for number in range(1, 2_001):
         sock.sendall(frames.encode(frames.Ask(number, "look", b"", 60_000, 0)))
-        while site.inside(lambda each: sum(len(one.open) for one in each.sessions)) > 32:
+        while (
+            site.call_in_edge_thread(lambda each: sum(len(one.open) for one in each.session_table))
+            > 32
+        ):
             pass
-        unsent = site.inside(lambda each: max(one.unsent for one in each.connections.values()))
+        unsent = site.call_in_edge_thread(
+            lambda each: max(one.unsent_bytes for one in each.connections.values())
+        )
         assert unsent <= 4_000 + 8_200
         if (
-            site.inside(
-                lambda each: max((one.unsent for one in each.connections.values()), default=0)
+            site.call_in_edge_thread(
+                lambda each: max((one.unsent_bytes for one in each.connections.values()), default=0)
             )
             > 4_000
         ):
             break
     else:
-        pytest.fail("the system took everything")
+        pytest.fail("the operating system accepted all answers")
     sock.close()
 
 
@@ -218,7 +235,7 @@
 
 
 def authority(tmp_path):
-    """A certificate authority and what it signs, made here."""
+    """Returns a function that signs certificates, and the path of the authority's certificate."""
     import ipaddress
 
     from cryptography import x509
@@ -229,7 +246,7 @@
     def named(text):
         return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
-    top = ec.generate_private_key(ec.SECP256R1())
+    ca_key = ec.generate_private_key(ec.SECP256R1())
 
     def sign(name, file, key=None, is_authority=False, days=1):
         key = key or ec.generate_private_key(ec.SECP256R1())
@@ -248,7 +265,7 @@
                 False,
             )
         )
-        certificate = made.sign(top, hashes.SHA256())
+        certificate = made.sign(ca_key, hashes.SHA256())
         pem, private = tmp_path / f"{file}.pem", tmp_path / f"{file}.key"
         pem.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
         private.touch(mode=0o600)
@@ -261,49 +278,51 @@
         )
         return str(pem), str(private)
 
-    sign("test", "top", top, True)
+    sign("test", "top", ca_key, True)
     return sign, str(tmp_path / "top.pem")
 
 
-def test_over_tls_a_certificate_names_the_device_and_is_renewed_without_dropping_sessions(
+def test_a_certificate_identifies_the_device_and_is_renewed_without_dropping_sessions(
     make_site, tmp_path
 ):
-    sign, top = authority(tmp_path)
+    sign, ca_file = authority(tmp_path)
     sign("edge", "edge")
     sign("till-7", "device")
     site = make_site(
         "tls {",
         f" certificate {tmp_path}/edge.pem",
         f" key {tmp_path}/edge.key",
-        f" authority {top}",
+        f" authority {ca_file}",
         " mutual yes",
         "}",
     )
-    client = ssl.create_default_context(cafile=top)
+    client = ssl.create_default_context(cafile=ca_file)
     client.load_cert_chain(f"{tmp_path}/device.pem", f"{tmp_path}/device.key")
     device = site.device(token=b"", tls=client, server_name="127.0.0.1")
-    assert device.outcome(device.ask("look", b"a"), PATIENCE).body == b"<a>"
-    assert site.inside(lambda each: [one.device for one in each.sessions]) == [b"till-7"]
+    assert device.outcome(device.ask("look", b"a"), TIMEOUT_SECONDS).body == b"<a>"
+    assert site.call_in_edge_thread(lambda each: [one.device for one in each.session_table]) == [
+        b"till-7"
+    ]
     sign("edge-renewed", "edge")
-    site.event_loop.event_queue.post(site.event_loop.subsystems.apply, site.orders)
-    stranger = ssl.create_default_context(cafile=top)
+    site.event_loop.event_queue.post(site.event_loop.subsystems.apply, site.config)
+    without_certificate = ssl.create_default_context(cafile=ca_file)
     with pytest.raises((ssl.SSLError, ConnectionError)):
-        with stranger.wrap_socket(
-            socket.create_connection(site.address, PATIENCE), server_hostname="127.0.0.1"
+        with without_certificate.wrap_socket(
+            socket.create_connection(site.address, TIMEOUT_SECONDS), server_hostname="127.0.0.1"
         ) as sock:
             sock.sendall(frames.encode(Hello(1, b"", b"", 0, 1)))
             if not sock.recv(100):
                 raise ConnectionError
     again = site.device(token=b"", tls=client, server_name="127.0.0.1")
-    assert again.outcome(again.ask("look", b"b"), PATIENCE).body == b"<b>"
+    assert again.outcome(again.ask("look", b"b"), TIMEOUT_SECONDS).body == b"<b>"
     assert (
-        device.outcome(device.ask("look", b"c"), PATIENCE).body == b"<c>"
+        device.outcome(device.ask("look", b"c"), TIMEOUT_SECONDS).body == b"<c>"
         and device.connections == 1
     )
 
 
 @pytest.mark.parametrize(
-    "spoil, told",
+    "invalid, expected_text",
     [
         (lambda path: path.chmod(0o644), "others than its owner may read it"),
         (lambda path: path.write_text("abcd\n"), "hexadecimal digits or more"),
@@ -311,20 +330,20 @@
         (lambda path: path.unlink(), "No such file"),
     ],
 )
-def test_check_tells_of_secrets_that_cannot_be_used(tmp_path, spoil, told):
+def test_check_reports_an_unusable_secrets_file(tmp_path, invalid, expected_text):
     path, own = tmp_path / "secrets", tmp_path / "own.conf"
     path.touch(mode=0o600)
     path.write_text("00" * 32)
     own.write_text(f"edge {{\n listen 127.0.0.1:0\n secrets {path}\n}}\n")
     words = ["check", "--file", str(own)]
     assert CliRunner().invoke(lilacwalk, words, env={"ROUTER_CONFIG": ""}).exit_code == 0
-    spoil(path)
+    invalid(path)
     found = CliRunner().invoke(lilacwalk, words, env={"ROUTER_CONFIG": ""})
-    assert found.exit_code == 2 and told in found.output
+    assert found.exit_code == 2 and expected_text in found.output
 
 
 @pytest.mark.parametrize("days, code", [(1, 0), (-1, 2)])
-def test_check_tells_of_a_certificate_whose_time_is_over_and_a_key_of_another(tmp_path, days, code):
+def test_check_reports_an_expired_certificate_and_a_key_that_does_not_match(tmp_path, days, code):
     sign, _ = authority(tmp_path)
     sign("edge", "edge", days=days)
     sign("other", "other")
@@ -340,11 +359,11 @@
         assert found.exit_code == expected
 
 
-def test_the_command_makes_a_token_and_asks_with_it(make_site):
+def test_the_device_command_makes_a_token_and_sends_a_request_with_it(make_site):
     site = make_site()
     made = CliRunner().invoke(lilacwalk, ["device", "token", str(site.path), "tablet"])
     address = f"127.0.0.1:{site.address[1]}"
-    told = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -360,16 +379,18 @@
         ],
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_SECONDS,
+    )
+    assert (
+        result.returncode == 0 and result.stdout == "outcome=completed come_back_ms=0 body='<hi>'\n"
     )
-    assert told.returncode == 0 and told.stdout == "outcome=completed come_back_ms=0 body='<hi>'\n"
     refused = CliRunner().invoke(lilacwalk, ["device", "ask", address, "look", "--token", "00"])
     assert refused.exit_code == 5
 
 
-def test_what_a_device_sends_late_by_its_own_clock_counts_from_its_reading(make_site):
+def test_a_timeout_counts_from_the_reception_of_the_request(make_site):
     site = make_site()
     device = site.device()
     began = time.monotonic()
-    assert device.outcome(device.ask("look", b"x", 1_500), PATIENCE).word == 0
+    assert device.outcome(device.ask("look", b"x", 1_500), TIMEOUT_SECONDS).word == 0
     assert time.monotonic() - began < 1.5
--- a/tests/edge/test_machines.py
+++ b/tests/edge/test_machines.py
@@ -1,5 +1,6 @@
-"""The edge's decisions by hand: sessions, repeats, links, rates, tokens, the listener, frames, wheel and
-sketch."""
+"""The edge without I/O: sessions, duplicates, links, rates, tokens, connection limits, frames,
+timer wheel and sketch.
+"""
 
 import heapq
 import random
@@ -11,8 +12,8 @@
 from hypothesis import strategies as st
 
 from lilacwalk.edge import frames
-from lilacwalk.edge.client.state import Machine
-from lilacwalk.edge.connection_limiter import Arrivals
+from lilacwalk.edge.client.state import ClientSession
+from lilacwalk.edge.connection_limiter import ConnectionLimiter
 from lilacwalk.edge.frames import (
     Answer,
     Ask,
@@ -27,133 +28,135 @@
     Stream,
 )
 from lilacwalk.edge.link import Link
-from lilacwalk.edge.rates import Incoming
+from lilacwalk.edge.rates import FrameProgress
 from lilacwalk.edge.sketch import Sketch
 from lilacwalk.edge.timer_wheel import Wheel
 from lilacwalk.edge.tokens import DEVICE, SESSION, TokenError, Tokens
-from tests.edge.conftest import SECOND, START, World, ask
+from tests.edge.conftest import SECOND, START, ServiceHarness, ask
 
 
-def test_the_due_time_is_fixed_at_the_first_reading_and_less_what_the_answer_needs(world):
-    number = world.hello()
-    world.say(number, ask(1, wait=1_000))
-    plain = World(estimates=False)
-    plain.say(plain.hello(), ask(1, wait=1_000))
-    assert plain.asks[0][2].wait == SECOND
-    assert 0 < world.asks[0][2].wait < SECOND and world.asks[0][2].arrived == START
-    world.lose(number)
-    world.wait(5 * SECOND)
-    world.hello(world.welcome(number).session)
-    world.say(2, ask(1, wait=1_000, again=True))
-    assert len(world.asks) == 1  # a stall and a reconnect stretch nothing
+def test_a_timeout_counts_from_the_first_reception_less_the_delivery_time(harness):
+    number = harness.hello()
+    harness.send(number, ask(1, wait=1_000))
+    plain = ServiceHarness(estimates=False)
+    plain.send(plain.hello(), ask(1, wait=1_000))
+    assert plain.submitted[0][2].timeout == SECOND
+    assert (
+        0 < harness.submitted[0][2].timeout < SECOND and harness.submitted[0][2].arrived_at == START
+    )
+    harness.disconnect(number)
+    harness.wait(5 * SECOND)
+    harness.hello(harness.welcome(number).session)
+    harness.send(2, ask(1, wait=1_000, again=True))
+    assert len(harness.submitted) == 1  # a stall and a reconnect do not extend the timeout
 
 
-def test_a_slow_link_leaves_less_time_and_a_fast_one_more(world):
-    number = world.hello()
+def test_a_slow_link_shortens_the_timeout_more_than_a_fast_one(harness):
+    number = harness.hello()
     waits = []
     for turn, trip in enumerate((400, 20_000), 1):
-        session = world.serving.connections[number].session
+        session = harness.service.connections[number].session
         for _ in range(30):
-            session.link.round_trip(trip)
-        world.say(number, ask(turn, wait=4_000, group="move"))
-        waits.append(world.asks[-1][2].wait)
+            session.link.record_round_trip(trip)
+        harness.send(number, ask(turn, wait=4_000, group="move"))
+        waits.append(harness.submitted[-1][2].timeout)
     assert waits[0] > 4 * SECOND - 2_000 and waits[1] < 4 * SECOND - 9_000
 
 
-def test_a_device_that_is_quiet_for_long_does_not_look_like_a_slow_link(world):
-    number = world.hello()
-    sent = [each for each in world.read[number] if isinstance(each, Ping)]
-    world.now += 500
-    world.say(number, Pong(sent[0].stamp))
-    world.wait(20 * SECOND).say(number, ask(1, wait=1_000))
-    assert world.asks[0][2].wait > SECOND - 1_000
-    world.say(number, Pong(5), Pong(START + 10**12))  # an echo of nothing
-    assert world.serving.connections[number].session.link.trip == 500
+def test_silence_between_requests_does_not_count_as_round_trip(harness):
+    number = harness.hello()
+    sent = [each for each in harness.received[number] if isinstance(each, Ping)]
+    harness.now += 500
+    harness.send(number, Pong(sent[0].stamp))
+    harness.wait(20 * SECOND).send(number, ask(1, wait=1_000))
+    assert harness.submitted[0][2].timeout > SECOND - 1_000
+    harness.send(number, Pong(5), Pong(START + 10**12))  # echoes of pings that were not sent
+    assert harness.service.connections[number].session.link.mean_round_trip == 500
 
 
-def test_a_stall_in_an_echo_says_little_of_the_next_frame():
+def test_a_stall_of_a_ping_hardly_changes_the_delivery_time():
     link = Link()
     for _ in range(20):
-        link.round_trip(1_000)
+        link.record_round_trip(1_000)
     for _ in range(3):
-        link.round_trip(50_000)
-    assert link.answer_time(500) < 3_000
+        link.record_round_trip(50_000)
+    assert link.delivery_time(500) < 3_000
 
 
-def test_an_answer_is_kept_until_it_is_acknowledged_and_sent_again_the_same(world):
-    first = world.hello()
-    world.say(first, ask(1, "move")).answer(body=b"x")
-    world.lose(first)
-    second = world.hello(world.welcome(first).session)
-    assert world.answers(first) == world.answers(second) == [Answer(1, 1, 0, b"x")]
-    world.say(second, Got(1)).lose(second)
-    third = world.hello(world.welcome(first).session, got=1)
-    assert world.answers(third) == [] and world.serving.sessions.size == 0
+def test_an_answer_is_kept_and_sent_again_unchanged_until_acknowledged(harness):
+    first = harness.hello()
+    harness.send(first, ask(1, "move")).answer(body=b"x")
+    harness.disconnect(first)
+    second = harness.hello(harness.welcome(first).session)
+    assert harness.answers(first) == harness.answers(second) == [Answer(1, 1, 0, b"x")]
+    harness.send(second, Got(1)).disconnect(second)
+    third = harness.hello(harness.welcome(first).session, got=1)
+    assert harness.answers(third) == [] and harness.service.session_table.unacknowledged_bytes == 0
 
 
-def test_what_came_with_the_last_connection_is_not_sent_on_the_next(world):
-    first = world.hello()
-    world.say(first, ask(1), ask(2)).answer(0, body=b"a").answer(1, body=b"b")
-    world.lose(first)
-    second = world.hello(world.welcome(first).session, got=1)
-    assert [each.number for each in world.answers(second)] == [2]
+def test_an_answer_received_on_the_previous_connection_is_not_sent_again(harness):
+    first = harness.hello()
+    harness.send(first, ask(1), ask(2)).answer(0, body=b"a").answer(1, body=b"b")
+    harness.disconnect(first)
+    second = harness.hello(harness.welcome(first).session, got=1)
+    assert [each.number for each in harness.answers(second)] == [2]
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_a_number_asked_twice_is_one_exchange_whatever_became_of_it(world, again):
-    first = world.hello()
-    world.say(first, ask(1, "move"), ask(1, "move", again=again))
-    assert len(world.asks) == 1
-    world.answer()
-    world.say(first, ask(1, "move", again=again))
-    world.say(first, Got(1), ask(1, "move", again=again))
-    assert len(world.asks) == 1 and len(world.answers(first)) == 1
-
-
-def test_two_connections_at_once_with_one_session_leave_the_newer(world):
-    first = world.hello()
-    world.say(first, ask(1))
-    second = world.hello(world.welcome(first).session)
-    assert "taken over" in world.refused(first) and world.closed == [first]
-    world.lose(first)
-    world.answer()
-    assert len(world.answers(second)) == 1 and not world.answers(first)
-
-
-def test_two_connections_with_a_session_each_are_both_served(world):
-    first, second = world.hello(), world.hello()
-    world.say(first, ask(1, body=b"a")).say(second, ask(1, body=b"b")).answer(0, body=b"A").answer(
-        1, body=b"B"
-    )
-    assert [each.body for each in world.answers(first) + world.answers(second)] == [b"A", b"B"]
+def test_a_repeated_request_number_is_one_request_in_any_state(harness, again):
+    first = harness.hello()
+    harness.send(first, ask(1, "move"), ask(1, "move", again=again))
+    assert len(harness.submitted) == 1
+    harness.answer()
+    harness.send(first, ask(1, "move", again=again))
+    harness.send(first, Got(1), ask(1, "move", again=again))
+    assert len(harness.submitted) == 1 and len(harness.answers(first)) == 1
+
+
+def test_a_second_connection_for_a_session_replaces_the_first(harness):
+    first = harness.hello()
+    harness.send(first, ask(1))
+    second = harness.hello(harness.welcome(first).session)
+    assert "taken over" in harness.refused(first) and harness.closed == [first]
+    harness.disconnect(first)
+    harness.answer()
+    assert len(harness.answers(second)) == 1 and not harness.answers(first)
+
+
+def test_two_sessions_of_one_device_are_both_served(harness):
+    first, second = harness.hello(), harness.hello()
+    harness.send(first, ask(1, body=b"a")).send(second, ask(1, body=b"b")).answer(
+        0, body=b"A"
+    ).answer(1, body=b"B")
+    assert [each.body for each in harness.answers(first) + harness.answers(second)] == [b"A", b"B"]
 
 
 @pytest.mark.parametrize(
-    "spoil", ["guessed", "of another node", "of another device", "expired", "cut"]
+    "invalid", ["guessed", "of another node", "of another device", "expired", "cut"]
 )
-def test_a_session_token_that_does_not_hold_opens_no_session_and_says_so(world, spoil):
-    first = world.hello()
-    world.say(first, ask(1, "move"))
-    token, name = world.welcome(first).session, b"tablet"
-    if spoil == "guessed":
+def test_an_invalid_session_token_opens_a_new_session(harness, invalid):
+    first = harness.hello()
+    harness.send(first, ask(1, "move"))
+    token, name = harness.welcome(first).session, b"tablet"
+    if invalid == "guessed":
         token = token[:-1] + bytes((token[-1] ^ 1,))
-    elif spoil == "of another node":
+    elif invalid == "of another node":
         token = Tokens([bytes(range(32))], b"n2").make(
-            SESSION, next(iter(world.serving.sessions)).ident, 2**40
+            SESSION, next(iter(harness.service.session_table)).ident, 2**40
         )
-    elif spoil == "of another device":
+    elif invalid == "of another device":
         name = b"phone"
-    elif spoil == "expired":
-        world.now += 8 * 24 * 3600 * SECOND
+    elif invalid == "expired":
+        harness.now += 8 * 24 * 3600 * SECOND
     else:
         token = token[:10]
-    second = world.hello(token, name=name)
-    assert world.welcome(second).resumed is False and world.serving.counts["unknown"] == 1
-    assert world.welcome(second).session != world.welcome(first).session
+    second = harness.hello(token, name=name)
+    assert harness.welcome(second).resumed is False and harness.service.counts["unknown"] == 1
+    assert harness.welcome(second).session != harness.welcome(first).session
 
 
 @pytest.mark.parametrize(
-    "token, why",
+    "token, reason",
     [
         (b"", "unreadable"),
         (b"x" * 40, "unreadable"),
@@ -162,9 +165,9 @@
         (Tokens([bytes(range(32))], b"n1").make(SESSION, b"t", 2**40), "unknown"),
     ],
 )
-def test_a_device_without_a_good_token_is_refused_by_name(world, token, why):
-    number = world.hello(token=token)
-    assert why in world.refused(number) and world.closed == [number]
+def test_an_invalid_device_token_is_refused_with_its_reason(harness, token, reason):
+    number = harness.hello(token=token)
+    assert reason in harness.refused(number) and harness.closed == [number]
 
 
 def test_secrets_are_rotated_with_an_overlap():
@@ -175,303 +178,315 @@
         Tokens([new], b"").check(DEVICE, made, 50)
 
 
-def test_a_resume_of_a_session_that_nobody_knows_runs_no_mutating_exchange_again(world):
-    number = world.hello(b"\0" * 50)
-    world.say(number, ask(1, "move", again=True), ask(2, "look", again=True), ask(3, "move"))
-    assert [(each.number, each.word) for each in world.answers(number)] == [(1, 2)]
-    assert [each for _, each, _ in world.asks] == [2, 3]
+def test_a_non_idempotent_request_repeated_in_an_unknown_session_is_terminated(harness):
+    number = harness.hello(b"\0" * 50)
+    harness.send(number, ask(1, "move", again=True), ask(2, "look", again=True), ask(3, "move"))
+    assert [(each.number, each.word) for each in harness.answers(number)] == [(1, 2)]
+    assert [each for _, each, _ in harness.submitted] == [2, 3]
 
 
-# Repeats without a mark
+# Duplicates without an idempotency key
 
 
-def lost_session(world, group="move", body=b"pay 5", **more):
-    first = world.hello()
-    world.say(first, ask(1, group, body, **more))
+def lost_session(harness, group="move", body=b"pay 5", **more):
+    first = harness.hello()
+    harness.send(first, ask(1, group, body, **more))
     return first
 
 
 @pytest.mark.parametrize("group", ["look", "swap", "move"])
-def test_a_device_that_lost_its_session_and_asks_again_is_joined_to_what_is_in_hand(world, group):
-    first = lost_session(world, group)
-    world.lose(first)
-    second = world.hello()
-    world.say(second, ask(1, group, b"pay 5"))
-    assert len(world.asks) == 1
-    world.answer(body=b"paid")
-    assert world.answers(second) == [Answer(1, 1, 0, b"paid")]
+def test_a_duplicate_in_a_new_session_shares_the_request_in_flight(harness, group):
+    first = lost_session(harness, group)
+    harness.disconnect(first)
+    second = harness.hello()
+    harness.send(second, ask(1, group, b"pay 5"))
+    assert len(harness.submitted) == 1
+    harness.answer(body=b"paid")
+    assert harness.answers(second) == [Answer(1, 1, 0, b"paid")]
 
 
-def test_or_answered_from_what_is_kept_while_it_has_not_acknowledged_it(world):
-    first = lost_session(world)
-    world.answer(body=b"paid").lose(first)
-    second = world.hello()
-    world.say(second, ask(9, "move", b"pay 5"))
-    assert world.answers(second) == [Answer(1, 9, 0, b"paid")] and len(world.asks) == 1
+def test_a_duplicate_in_a_new_session_gets_the_unacknowledged_answer(harness):
+    first = lost_session(harness)
+    harness.answer(body=b"paid").disconnect(first)
+    second = harness.hello()
+    harness.send(second, ask(9, "move", b"pay 5"))
+    assert harness.answers(second) == [Answer(1, 9, 0, b"paid")] and len(harness.submitted) == 1
 
 
-def test_what_it_has_acknowledged_and_asks_again_is_meant(world):
-    first = lost_session(world)
-    world.answer().say(first, Got(1)).lose(first)
-    world.say(world.hello(), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 2
+def test_a_repeated_request_after_acknowledgement_is_executed(harness):
+    first = lost_session(harness)
+    harness.answer().send(first, Got(1)).disconnect(first)
+    harness.send(harness.hello(), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 2
 
 
 @pytest.mark.parametrize(
     "change", [dict(group="swap"), dict(body=b"pay 6"), dict(subject="x"), dict(customer="c")]
 )
-def test_another_group_body_subject_or_customer_is_another_request(world, change):
-    world.lose(lost_session(world))
-    world.say(world.hello(), ask(**({"number": 1, "group": "move", "body": b"pay 5"} | change)))
-    assert len(world.asks) == 2
+def test_a_different_class_body_subject_or_tenant_is_a_different_request(harness, change):
+    harness.disconnect(lost_session(harness))
+    harness.send(
+        harness.hello(), ask(**({"number": 1, "group": "move", "body": b"pay 5"} | change))
+    )
+    assert len(harness.submitted) == 2
 
 
-def test_another_device_the_same_session_and_a_later_time_are_other_requests(world):
-    first = lost_session(world)
-    world.say(first, ask(2, "move", b"pay 5"))
-    world.lose(first)
-    world.say(world.hello(name=b"phone"), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 3
-    world.wait(61 * SECOND).say(world.hello(), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 4
+def test_another_device_the_same_session_and_a_later_time_make_different_requests(harness):
+    first = lost_session(harness)
+    harness.send(first, ask(2, "move", b"pay 5"))
+    harness.disconnect(first)
+    harness.send(harness.hello(name=b"phone"), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 3
+    harness.wait(61 * SECOND).send(harness.hello(), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 4
 
 
-def test_where_numbers_outlive_sessions_they_alone_decide(world):
-    first = world.hello(steady=True)
-    world.say(first, ask(7, "move", b"pay 5")).lose(first)
-    second = world.hello(steady=True)
-    world.say(second, ask(7, "move", b"pay 5", again=True), ask(8, "move", b"pay 5"))
-    assert [each for _, each, _ in world.asks] == [7, 8]
+def test_stable_request_numbers_alone_identify_duplicates(harness):
+    first = harness.hello(steady=True)
+    harness.send(first, ask(7, "move", b"pay 5")).disconnect(first)
+    second = harness.hello(steady=True)
+    harness.send(second, ask(7, "move", b"pay 5", again=True), ask(8, "move", b"pay 5"))
+    assert [each for _, each, _ in harness.submitted] == [7, 8]
 
 
 @pytest.mark.parametrize(
     "word, group, runs", [(1, "move", 2), (2, "move", 1), (2, "look", 2), (0, "look", 1)]
 )
-def test_a_denied_one_may_run_now_a_terminated_one_only_if_it_may_run_twice(
-    world, word, group, runs
+def test_a_denied_duplicate_is_executed_and_a_terminated_one_only_if_idempotent(
+    harness, word, group, runs
 ):
-    first = lost_session(world, group)
-    world.answer(word=word).lose(first)
-    world.say(world.hello(), ask(1, group, b"pay 5"))
-    assert len(world.asks) == runs
+    first = lost_session(harness, group)
+    harness.answer(word=word).disconnect(first)
+    harness.send(harness.hello(), ask(1, group, b"pay 5"))
+    assert len(harness.submitted) == runs
 
 
-def test_switched_off_nothing_is_joined():
-    world = World(repeats=False)
-    world.lose(lost_session(world))
-    world.say(world.hello(), ask(1, "move", b"pay 5"))
-    assert len(world.asks) == 2
+def test_no_duplicates_are_detected_if_switched_off():
+    harness = ServiceHarness(repeats=False)
+    harness.disconnect(lost_session(harness))
+    harness.send(harness.hello(), ask(1, "move", b"pay 5"))
+    assert len(harness.submitted) == 2
 
 
-# Bounds
+# Limits
 
 
-def test_beyond_its_window_an_ask_is_denied_with_a_time_to_come_back():
-    world = World(window=2)
-    number = world.hello()
-    world.say(number, *[ask(each, body=b"%d" % each) for each in (1, 2, 3)])
-    [denied] = world.answers(number)
-    assert (denied.number, denied.word) == (3, 1) and denied.come_back > 0 and len(world.asks) == 2
+def test_a_request_beyond_the_window_is_denied_with_a_retry_delay():
+    harness = ServiceHarness(window=2)
+    number = harness.hello()
+    harness.send(number, *[ask(each, body=b"%d" % each) for each in (1, 2, 3)])
+    [denied] = harness.answers(number)
+    assert (
+        (denied.number, denied.word) == (3, 1)
+        and denied.come_back > 0
+        and len(harness.submitted) == 2
+    )
 
 
 @pytest.mark.parametrize("wrong", [dict(group="nobody"), dict(body=b"x" * 3_000)])
-def test_an_ask_that_is_wrong_is_terminated_on_its_number(world, wrong):
-    number = world.hello()
-    world.say(number, ask(**({"number": 1} | wrong)))
-    assert [each.word for each in world.answers(number)] == [2] and not world.asks
+def test_an_invalid_request_is_terminated(harness, wrong):
+    number = harness.hello()
+    harness.send(number, ask(**({"number": 1} | wrong)))
+    assert [each.word for each in harness.answers(number)] == [2] and not harness.submitted
 
 
-def test_the_window_of_the_device_bounds_what_is_sent_and_a_full_connection_what_is_written():
-    world = World(window=64)
-    number = world.hello(window=2)
-    world.say(number, *[ask(each, body=b"%d" % each) for each in range(1, 6)])
+def test_the_device_window_and_the_buffer_limit_bound_what_is_sent():
+    harness = ServiceHarness(window=64)
+    number = harness.hello(window=2)
+    harness.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 6)])
     for each in range(5):
-        world.answer(each)
-    assert len(world.answers(number)) == 2
-    world.say(number, Got(1))
-    assert len(world.answers(number)) == 3
-    slow = World(window=64, buffer=1_000)
+        harness.answer(each)
+    assert len(harness.answers(number)) == 2
+    harness.send(number, Got(1))
+    assert len(harness.answers(number)) == 3
+    slow = ServiceHarness(window=64, buffer=1_000)
     slow.flowing = False
     number = slow.hello(window=64)
-    slow.say(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
+    slow.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
     for each in range(10):
         slow.answer(each, body=b"r" * 400)
-    assert len(slow.answers(number)) == 3 and slow.serving.connections[number].unsent < 2_000
-    slow.serving.sent(number, slow.serving.connections[number].unsent, slow.now)
-    assert len(slow.take().answers(number)) == 6
+    assert len(slow.answers(number)) == 3 and slow.service.connections[number].unsent_bytes < 2_000
+    slow.service.bytes_sent(number, slow.service.connections[number].unsent_bytes, slow.now)
+    assert len(slow.collect().answers(number)) == 6
 
 
-def test_sessions_are_forgotten_by_what_losing_them_costs():
-    world = World(sessions=3)
+def test_the_session_that_costs_least_is_evicted():
+    harness = ServiceHarness(sessions=3)
     for at, group in enumerate(("move", "look", "swap")):
-        number = world.hello(name=b"d%d" % at)
-        world.say(number, ask(1, group)).answer()
-        world.lose(number)
-        world.wait(SECOND)
-    world.hello(name=b"d3")
-    world.hello(name=b"d4")
-    assert {each.device for each in world.serving.sessions} == {b"d0", b"d3", b"d4"}
-    number = world.hello(
-        name=b"d5"
-    )  # only the unacknowledged effect and live ones are left: that one goes last
-    assert world.welcome(number) and len(world.serving.sessions) == 3
+        number = harness.hello(name=b"d%d" % at)
+        harness.send(number, ask(1, group)).answer()
+        harness.disconnect(number)
+        harness.wait(SECOND)
+    harness.hello(name=b"d3")
+    harness.hello(name=b"d4")
+    assert {each.device for each in harness.service.session_table} == {b"d0", b"d3", b"d4"}
+    # d3 and d4 are connected, so d0 is evicted, although its non-idempotent request has an
+    # unacknowledged answer.
+    number = harness.hello(name=b"d5")
+    assert harness.welcome(number) and len(harness.service.session_table) == 3
 
 
 @pytest.mark.parametrize(
     "group, goodbye, runs",
     [("move", False, 1), ("swap", False, 1), ("look", False, 2), ("move", True, 2)],
 )
-def test_what_ran_for_a_session_that_is_forgotten_is_not_run_again(group, goodbye, runs):
-    world = World(sessions_each=1)
-    first = lost_session(world, group)
-    world.answer()
+def test_an_executed_request_of_a_removed_session_is_not_executed_again(group, goodbye, runs):
+    harness = ServiceHarness(sessions_each=1)
+    first = lost_session(harness, group)
+    harness.answer()
     if goodbye:
-        world.say(first, Bye())
-    world.lose(first)
-    second = world.hello()  # takes the only place
-    world.say(second, ask(1, group, b"pay 5"))
-    assert len(world.asks) == runs
-    assert [each.word for each in world.answers(second)] == ([2] if runs == 1 else [])
+        harness.send(first, Bye())
+    harness.disconnect(first)
+    second = harness.hello()  # evicts the other session of the device
+    harness.send(second, ask(1, group, b"pay 5"))
+    assert len(harness.submitted) == runs
+    assert [each.word for each in harness.answers(second)] == ([2] if runs == 1 else [])
 
 
-def test_a_session_in_use_never_makes_room_for_another():
-    world = World(sessions=2)
-    world.hello(name=b"a"), world.hello(name=b"b")
-    assert "no room" in world.refused(world.hello(name=b"c"))
+def test_a_connected_session_is_not_evicted():
+    harness = ServiceHarness(sessions=2)
+    harness.hello(name=b"a"), harness.hello(name=b"b")
+    assert "no room" in harness.refused(harness.hello(name=b"c"))
 
 
-def test_one_device_has_so_many_sessions_and_no_more():
-    world = World(sessions_each=2)
+def test_sessions_per_device_are_bounded():
+    harness = ServiceHarness(sessions_each=2)
     for _ in range(5):
-        world.lose(world.hello())
-    assert len(world.serving.sessions) == 2
+        harness.disconnect(harness.hello())
+    assert len(harness.service.session_table) == 2
 
 
-def test_answers_kept_for_all_are_bounded_and_the_cheapest_sessions_go():
-    world = World(kept=20_000, kept_each=20_000)
+def test_unacknowledged_answers_are_bounded_by_evicting_the_cheapest_sessions():
+    harness = ServiceHarness(kept=20_000, kept_each=20_000)
     for at in range(30):
-        number = world.hello(name=b"d%d" % at)
-        world.say(number, ask(1, "move" if at == 0 else "look")).lose(number)
-        world.answer(body=b"r" * 1_000)
-    assert world.serving.sessions.size <= 20_000
-    assert b"d0" in {each.device for each in world.serving.sessions}
+        number = harness.hello(name=b"d%d" % at)
+        harness.send(number, ask(1, "move" if at == 0 else "look")).disconnect(number)
+        harness.answer(body=b"r" * 1_000)
+    assert harness.service.session_table.unacknowledged_bytes <= 20_000
+    assert b"d0" in {each.device for each in harness.service.session_table}
 
 
-def test_a_device_that_acknowledges_nothing_is_denied_once_its_part_is_full_and_others_are_not():
-    world = World(kept_each=3_000, window=64)
-    idle, good = world.hello(window=1, name=b"a"), world.hello(name=b"b")
+def test_a_device_that_does_not_acknowledge_is_denied_and_others_are_not():
+    harness = ServiceHarness(kept_each=3_000, window=64)
+    idle, good = harness.hello(window=1, name=b"a"), harness.hello(name=b"b")
     for number in range(1, 11):
-        world.say(idle, ask(number, body=b"%d" % number))
-        if len(world.asks) == number:
-            world.answer(body=b"r" * 900)
-    assert len(world.asks) == 3 and world.serving.sessions.size < 6_000
-    world.say(good, ask(1, body=b"other"))
-    assert len(world.asks) == 4
+        harness.send(idle, ask(number, body=b"%d" % number))
+        if len(harness.submitted) == number:
+            harness.answer(body=b"r" * 900)
+    assert (
+        len(harness.submitted) == 3 and harness.service.session_table.unacknowledged_bytes < 6_000
+    )
+    harness.send(good, ask(1, body=b"other"))
+    assert len(harness.submitted) == 4
     for order in range(1, 11):
-        world.say(idle, Got(order))
-    world.say(idle, ask(11, body=b"again"))
-    assert len(world.asks) == 5
+        harness.send(idle, Got(order))
+    harness.send(idle, ask(11, body=b"again"))
+    assert len(harness.submitted) == 5
 
 
-def test_a_session_without_a_connection_is_forgotten_after_its_time_and_its_exchange_given_up(
-    world,
+def test_a_disconnected_session_expires_and_its_request_is_cancelled(
+    harness,
 ):
-    number = world.hello()
-    world.say(number, ask(1)).lose(number)
-    world.wait(599 * SECOND)
-    assert not world.gone and len(world.serving.sessions) == 1
-    world.wait(2 * SECOND)
-    assert world.gone == [1] and len(world.serving.sessions) == 0 and not world.serving.links
-
-
-def test_a_cancelled_exchange_is_given_up_unless_somebody_else_waits_for_it(world):
-    first = lost_session(world)
-    world.lose(first)
-    second = world.hello()
-    world.say(second, ask(1, "move", b"pay 5"))
-    third = world.hello(world.welcome(first).session)
-    world.say(third, Cancel(1))
-    assert not world.gone
-    world.say(second, ask(2, "look"), Cancel(2))
-    assert world.gone == [2]
-
-
-def test_who_says_nothing_or_trickles_is_refused_and_a_stalled_burst_is_not(world):
-    silent = world.open()
-    world.wait(7 * SECOND)
-    assert world.refused(silent) == "no HELLO in time"
-    trickle, bursty = world.hello(name=b"a"), world.hello(name=b"b")
+    number = harness.hello()
+    harness.send(number, ask(1)).disconnect(number)
+    harness.wait(599 * SECOND)
+    assert not harness.cancelled and len(harness.service.session_table) == 1
+    harness.wait(2 * SECOND)
+    assert (
+        harness.cancelled == [1]
+        and len(harness.service.session_table) == 0
+        and not harness.service.links
+    )
+
+
+def test_a_cancelled_request_is_dropped_unless_a_duplicate_waits_for_it(harness):
+    first = lost_session(harness)
+    harness.disconnect(first)
+    second = harness.hello()
+    harness.send(second, ask(1, "move", b"pay 5"))
+    third = harness.hello(harness.welcome(first).session)
+    harness.send(third, Cancel(1))
+    assert not harness.cancelled
+    harness.send(second, ask(2, "look"), Cancel(2))
+    assert harness.cancelled == [2]
+
+
+def test_silent_and_slow_connections_are_refused_but_not_a_stalled_burst(harness):
+    silent = harness.open()
+    harness.wait(7 * SECOND)
+    assert harness.refused(silent) == "no HELLO in time"
+    trickle, bursty = harness.hello(name=b"a"), harness.hello(name=b"b")
     for second in range(12):
-        world.serving.came(trickle, 1, 0, True, world.now)
+        harness.service.bytes_received(trickle, 1, 0, True, harness.now)
         if second % 5 == 0:
-            world.serving.came(bursty, 2_000, 0, True, world.now)
-        world.wait(SECOND)
-    assert world.refused(trickle) == "too slow" and world.refused(bursty) is None
+            harness.service.bytes_received(bursty, 2_000, 0, True, harness.now)
+        harness.wait(SECOND)
+    assert harness.refused(trickle) == "too slow" and harness.refused(bursty) is None
 
 
-def test_the_floor_rises_with_what_a_connection_was_given():
-    incoming = Incoming()
-    incoming.came(10, 0, True, 0)
+def test_the_minimum_rate_rises_with_the_duration_of_a_frame():
+    incoming = FrameProgress()
+    incoming.add_bytes(10, 0, True, 0)
     for second in range(1, 30):
-        incoming.came(100, 0, True, second * SECOND)
-        if incoming.too_slow(64, 60 * SECOND, second * SECOND):
+        incoming.add_bytes(100, 0, True, second * SECOND)
+        if incoming.is_too_slow(64, 60 * SECOND, second * SECOND):
             break
     assert 4 <= second < 9
 
 
-def test_a_silent_session_is_tried_at_its_links_pace_and_given_up_after_three_beats(world):
-    number = world.hello()
-    world.wait(31 * SECOND)
-    assert any(isinstance(each, Ping) for each in world.read[number])
-    world.wait(60 * SECOND)
-    assert number in world.closed and len(world.serving.sessions) == 1
+def test_a_silent_connection_is_probed_and_closed_after_three_heartbeats(harness):
+    number = harness.hello()
+    harness.wait(31 * SECOND)
+    assert any(isinstance(each, Ping) for each in harness.received[number])
+    harness.wait(60 * SECOND)
+    assert number in harness.closed and len(harness.service.session_table) == 1
 
 
-def test_one_source_may_come_so_often_and_others_are_not_held_for_it():
-    world = World(arrivals=20)
+def test_the_connection_rate_is_limited_per_source():
+    harness = ServiceHarness(arrivals=20)
     for _ in range(40):
-        world.open(b"\x0a\0\0\1")
-    assert world.let_in is False
-    world.open(b"\x0a\0\0\2")
-    assert world.let_in is True
-    world.wait(120 * SECOND)
-    world.open(b"\x0a\0\0\1")
-    assert world.let_in is True
-
-
-def test_ipv6_sources_are_counted_by_their_network():
-    arrivals = Arrivals(10, 100, 1, 0)
-    whys = [
-        arrivals.come(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
+        harness.open(b"\x0a\0\0\1")
+    assert harness.is_admitted is False
+    harness.open(b"\x0a\0\0\2")
+    assert harness.is_admitted is True
+    harness.wait(120 * SECOND)
+    harness.open(b"\x0a\0\0\1")
+    assert harness.is_admitted is True
+
+
+def test_ipv6_sources_are_counted_by_network():
+    arrivals = ConnectionLimiter(10, 100, 1, 0)
+    reasons = [
+        arrivals.admit(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
         for each in range(12)
     ]
-    assert whys.count("") == 10
+    assert reasons.count("") == 10
 
 
-def test_a_drain_is_told_to_who_is_there_and_who_comes_back(world):
-    first = world.hello()
-    world.say(first, ask(1))
-    world.serving.leave(2 * SECOND)
-    world.take()
-    assert Leaving(2_000, 1) in world.read[first]
-    world.lose(first)
-    second = world.hello(world.welcome(first).session)
-    assert Leaving(2_000, 1) in world.read[second]
-    world.serving.close_all()
-    world.take()
-    assert second not in world.closed
-    world.answer()
-    world.serving.close_idle()
-    assert second in world.take().closed
+def test_a_drain_is_announced_to_connected_and_reconnecting_devices(harness):
+    first = harness.hello()
+    harness.send(first, ask(1))
+    harness.service.start_draining(2 * SECOND)
+    harness.collect()
+    assert Leaving(2_000, 1) in harness.received[first]
+    harness.disconnect(first)
+    second = harness.hello(harness.welcome(first).session)
+    assert Leaving(2_000, 1) in harness.received[second]
+    harness.service.stop_accepting()
+    harness.collect()
+    assert second not in harness.closed
+    harness.answer()
+    harness.service.close_idle()
+    assert second in harness.collect().closed
 
 
-def test_a_goodbye_forgets_what_is_done(world):
-    number = world.hello()
-    world.say(number, Bye())
-    assert number in world.closed and len(world.serving.sessions) == 0
+def test_a_bye_frame_removes_an_idle_session(harness):
+    number = harness.hello()
+    harness.send(number, Bye())
+    assert number in harness.closed and len(harness.service.session_table) == 0
 
 
-# Any order at all: the client's machine against the edge's, over links that break anywhere
+# Client and service over links that break at any point
 
 
 @settings(max_examples=150, deadline=None)
@@ -483,22 +498,24 @@
     st.integers(0, 2**32),
     st.booleans(),
 )
-def test_whatever_breaks_each_number_has_one_outcome_and_one_run_at_most(order, seed, forgets):
-    rng, world, device = random.Random(seed), World(window=4), None
-    device = Machine(world.token())
+def test_any_order_of_failures_gives_each_request_one_outcome_and_at_most_one_execution(
+    order, seed, loses_session
+):
+    rng, harness, device = random.Random(seed), ServiceHarness(window=4), None
+    device = ClientSession(harness.token())
     runs, sent, link, inbound = {}, {}, 0, b""
 
     def up():
         nonlocal link, inbound
-        link, inbound = world.open(), b""
+        link, inbound = harness.open(), b""
         device.connected()
 
     def down():
         nonlocal link
         if link:
-            world.lose(link)
+            harness.disconnect(link)
         link = 0
-        device.taken()
+        device.take_output()
 
     for each in [*order, "up", *["answer"] * 8, "settle"]:
         if each in ("ask", "look"):
@@ -508,43 +525,47 @@
             up()
         elif each in ("down", "break"):
             down()
-        elif each == "lose" and forgets:
+        elif each == "lose" and loses_session:
             device.session = b""
             device.got = 0
             down()
         elif each == "stall":
-            world.wait(rng.randrange(5 * SECOND))
-        elif each == "answer" and world.asks:
-            session, number, about = world.asks.pop(rng.randrange(len(world.asks)))
+            harness.wait(rng.randrange(5 * SECOND))
+        elif each == "answer" and harness.submitted:
+            session, number, about = harness.submitted.pop(rng.randrange(len(harness.submitted)))
             runs[id(session), number] = runs.get((id(session), number), 0) + 1
-            world.serving.answered(session, number, rng.randrange(2), about.ask.body, 0, world.now)
-            world.take()
+            harness.service.send_answer(
+                session, number, rng.randrange(2), about.frame.body, 0, harness.now
+            )
+            harness.collect()
         if each == "settle":
             for _ in range(300):
-                if not link or link in world.closed:
+                if not link or link in harness.closed:
                     down()
                     up()
-                step(world, device, link, rng, sent)
-                for session, number, about in world.asks:
-                    world.serving.answered(session, number, 0, about.ask.body, 0, world.now)
-                world.asks.clear()
-                world.take()
+                step(harness, device, link, rng, sent)
+                for session, number, about in harness.submitted:
+                    harness.service.send_answer(
+                        session, number, 0, about.frame.body, 0, harness.now
+                    )
+                harness.submitted.clear()
+                harness.collect()
         elif link:
-            step(world, device, link, rng, sent)
-    assert not device.waiting and set(device.outcomes) == set(range(1, device.next))
+            step(harness, device, link, rng, sent)
+    assert not device.unanswered and set(device.outcomes) == set(range(1, device.next_number))
     assert all(count == 1 for count in runs.values())
-    assert not world.serving.sessions.size or forgets
+    assert not harness.service.session_table.unacknowledged_bytes or loses_session
 
 
-def step(world, device, link, rng, sent):
-    """What either side said so far reaches the other, the device's cut anywhere."""
+def step(harness, device, link, rng, sent):
+    """Delivers the frames sent so far in both directions."""
     stream = sent.setdefault(link, Stream(1 << 16))
-    for frame in stream.feed(device.taken()):
-        world.serving.frame(link, frame, world.now)
-    world.take()
-    read, world.read[link] = world.read.get(link, []), []
-    for frame in read:
-        device.frame(frame)
+    for frame in stream.feed(device.take_output()):
+        harness.service.frame_received(link, frame, harness.now)
+    harness.collect()
+    received, harness.received[link] = harness.received.get(link, []), []
+    for frame in received:
+        device.frame_received(frame)
 
 
 # Frames
@@ -566,7 +587,7 @@
 
 
 @pytest.mark.parametrize("frame", SAMPLES)
-def test_each_frame_comes_back_as_it_was_cut_anywhere(frame):
+def test_each_frame_survives_encoding_and_any_split(frame):
     data = frames.encode(frame)
     for at in range(len(data)):
         stream = Stream(4_096)
@@ -596,7 +617,7 @@
         cbor2.dumps([2, 2**60]),
     ],
 )
-def test_what_is_no_frame_has_a_named_error_and_builds_nothing(data):
+def test_invalid_frames_raise_frame_error(data):
     with pytest.raises(FrameError):
         frames.decode(data)
 
@@ -614,19 +635,19 @@
         max_leaves=20,
     ).map(cbor2.dumps)
 )
-def test_any_bytes_are_a_frame_or_a_frame_error(data):
+def test_any_bytes_decode_to_a_frame_or_raise_frame_error(data):
     try:
         assert frames.encode(frames.decode(data))
     except FrameError:
         pass
 
 
-def test_a_frame_that_says_three_gigabytes_is_told_from_its_head():
+def test_an_excessive_frame_length_is_rejected_from_the_header():
     with pytest.raises(FrameError, match="3000000000"):
         list(Stream(4_096).feed(struct.pack("!I", 3_000_000_000)))
 
 
-# Structures
+# Data structures
 
 
 @settings(max_examples=60, deadline=None)
@@ -641,17 +662,17 @@
         max_size=40,
     )
 )
-def test_the_wheel_fires_as_a_heap_would_never_early_and_at_most_a_slot_late(order):
+def test_timers_expire_like_those_of_a_heap_never_early_and_at_most_a_slot_late(order):
     wheel, now, due = Wheel(START), START, {}
     for name, ahead, step, drops in order:
         if drops:
-            assert wheel.drop(name) == (due.pop(name, None) is not None)
+            assert wheel.cancel(name) == (due.pop(name, None) is not None)
         else:
-            wheel.set(name, now + ahead)
+            wheel.schedule(name, now + ahead)
             due[name] = now + ahead
         asked = wheel.due()
         now += step
-        fired = set(wheel.fired(now))
+        fired = set(wheel.expire(now))
         assert all(due[each] <= now for each in fired)
         assert asked is None or not fired or asked <= now
         for each in fired:
@@ -659,28 +680,28 @@
         assert all(time > now - 100 for time in due.values()) and len(wheel) == len(due)
 
 
-def test_a_timer_may_be_set_again_while_the_wheel_turns():
+def test_a_timer_can_be_rescheduled_while_timers_expire():
     wheel, fired = Wheel(0), []
-    wheel.set("a", 1_000)
-    for name in wheel.fired(10_000):
+    wheel.schedule("a", 1_000)
+    for name in wheel.expire(10_000):
         fired.append(name)
         if len(fired) < 5:
-            wheel.set(name, 1_000)
+            wheel.schedule(name, 1_000)
     assert fired == ["a"] * 5
 
 
-def test_a_heap_and_the_wheel_agree_on_the_order_of_slots():
+def test_timers_expire_in_the_order_of_slots():
     rng, wheel, heap = random.Random(3), Wheel(0), []
     for name in range(2_000):
         due = rng.randrange(50_000_000)
-        wheel.set(name, due)
+        wheel.schedule(name, due)
         heapq.heappush(heap, (-(-due // 100), name))
     slots = dict((name, slot) for slot, name in heap)
-    order = [slots[name] for name in wheel.fired(60_000_000)]
+    order = [slots[name] for name in wheel.expire(60_000_000)]
     assert order == sorted(order) and len(order) == 2_000
 
 
-def test_the_sketch_never_counts_too_low_and_seldom_too_high():
+def test_the_sketch_never_counts_too_low_and_rarely_too_high():
     rng, sketch, true = random.Random(1), Sketch(9, 100_000, 0), {}
     for _ in range(30_000):
         key = str(int(rng.paretovariate(0.8))).encode()
@@ -690,24 +711,24 @@
     assert min(over) >= 0 and sum(each > 30 for each in over) < len(over) / 100
 
 
-def test_the_sketch_forgets_by_half_lives():
+def test_sketch_counts_decay_by_half_lives():
     sketch = Sketch(9, 1_000, 0)
     sketch.add(b"a", 0, 64.0)
     assert sketch.count(b"a", 3_000) == pytest.approx(8.0)
-    sketch.add(b"b", 100_000, 1.0)  # far beyond: the scale is taken back
+    sketch.add(b"b", 100_000, 1.0)  # long after, so that the scale is reset
     assert sketch.count(b"a", 100_000) < 1e-6 and sketch.count(b"b", 100_000) == pytest.approx(1.0)
 
 
-def test_a_link_learns_its_trip_its_loss_and_its_rate():
+def test_link_estimates_follow_round_trip_loss_and_throughput():
     link = Link()
     for _ in range(40):
-        link.round_trip(500)
-    fast = link.answer_time(500)
+        link.record_round_trip(500)
+    fast = link.delivery_time(500)
     for _ in range(10):
-        link.lost()
-    assert link.answer_time(500) > fast
+        link.record_loss()
+    assert link.delivery_time(500) > fast
     for _ in range(100):
-        link.round_trip(500)
-        link.taken(50_000, 1_000)
-    assert link.answer_time(5_000) < 1_000 and link.rate > 30_000
-    assert SECOND * 3 <= link.heartbeat(30 * SECOND) <= 30 * SECOND
+        link.record_round_trip(500)
+        link.record_delivery(50_000, 1_000)
+    assert link.delivery_time(5_000) < 1_000 and link.throughput > 30_000
+    assert SECOND * 3 <= link.heartbeat_interval(30 * SECOND) <= 30 * SECOND
