--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -13,11 +13,11 @@
 
 from benchmarks.table import Table, quantile
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.announcement_policy import Node
+from lilacwalk.bgp.announcement_policy import NodeStatus
 from lilacwalk.bgp.attributes import SEQUENCE, Attributes
-from lilacwalk.bgp.capabilities import Agreed
+from lilacwalk.bgp.capabilities import NegotiatedCapabilities
 from lilacwalk.bgp.prefixes import Afi, Prefix
-from lilacwalk.bgp.routes import Received
+from lilacwalk.bgp.routes import AdjRibIn
 from lilacwalk.bgp.speaker_io import Speaker
 from lilacwalk.bgp.trie import Trie
 from lilacwalk.event_queue import EventQueue
@@ -63,13 +63,13 @@
 
 def decoding(table: Table, count: int) -> None:
     pieces = updates(count)
-    data, agreed = b"".join(pieces), Agreed(as4=True)
-    held = Received(count)
+    data, agreed = b"".join(pieces), NegotiatedCapabilities(as4=True)
+    held = AdjRibIn(count)
     framed = timed(lambda: sum(1 for _ in messages.Stream().feed(data)))
     bodies = [body for _, body in messages.Stream().feed(data)]
     decoded = timed(lambda: [messages.decode(2, body, agreed) for body in bodies])
     records = [messages.decode(2, body, agreed) for body in bodies]
-    stored = timed(lambda: [held.announce(*each.reached[0]) for each in records])
+    stored = timed(lambda: [held.announce(*each.reachable[0]) for each in records])
     total = len(bodies)
     table.rows(
         f"{count:,} prefixes in {total:,} UPDATEs",
@@ -211,9 +211,11 @@
     took = []
     for turn in range(20):
         began = time.monotonic()
-        speaker.node(Node.READY if turn % 2 == 0 else Node.COLD)
-        speaker.speaking.announcing.penalty.value = 0.0  # damping is not what is measured here
-        speaker.speaking.announcing.penalty.suppressed = False
+        speaker.set_node_status(NodeStatus.READY if turn % 2 == 0 else NodeStatus.COLD)
+        speaker.state.announcement_policy.penalty.value = (
+            0.0  # damping is not what is measured here
+        )
+        speaker.state.announcement_policy.penalty.suppressed = False
         wanted = turn // 2 + 1
         for each in routers:
             took.append(
--- a/benchmarks/bgp_restarts.py
+++ b/benchmarks/bgp_restarts.py
@@ -13,7 +13,7 @@
 import time
 
 from benchmarks.table import Table, quantile
-from lilacwalk.bgp.announcement_policy import Node
+from lilacwalk.bgp.announcement_policy import NodeStatus
 from lilacwalk.bgp.speaker_io import Speaker
 from lilacwalk.operator.loader import parse_operator_file
 from lilacwalk.testing.bgp_router import BgpRouter
@@ -43,7 +43,7 @@
     }
 }
 """
-NOT_READY = (Node.COLD, Node.WARMING, Node.SICK, Node.STANDING_STILL)
+NOT_READY = (NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.SICK, NodeStatus.STANDING_STILL)
 
 
 class Run:
@@ -59,16 +59,16 @@
         self.drained: list[float] = []
         self.listener: list[float] = []
 
-    def told(self, speaker: Speaker, node: Node) -> float:
+    def told(self, speaker: Speaker, node: NodeStatus) -> float:
         self.changes += 1
         self.state = node.value
         began = time.monotonic()
-        speaker.node(node)
+        speaker.set_node_status(node)
         return began
 
     def quiet(self, speaker: Speaker, count: int) -> None:
         """Between a state that is not ready and the next ready, nothing may be announced."""
-        speaker.ask(lambda each: None)
+        speaker.query(lambda each: None)
         self.breaches += self.router.count("announced") != count or bool(self.router.held)
 
     def life(self) -> None:
@@ -86,7 +86,7 @@
         router.wait(lambda: router.count("up") > sessions, "a session")
         self.quiet(speaker, count)
         for _ in range(rng.randrange(0, 3)):
-            began = self.told(speaker, Node.READY)
+            began = self.told(speaker, NodeStatus.READY)
             router.wait(lambda: router.held, "an announcement")
             self.announced.append(time.monotonic() - began)
             if rng.random() < 0.2:
@@ -102,13 +102,13 @@
     def end(self, speaker: Speaker) -> None:
         router, rng = self.router, self.rng
         if rng.random() < 0.5:
-            self.told(speaker, Node.READY)
+            self.told(speaker, NodeStatus.READY)
             router.wait(lambda: router.held, "an announcement")
         how = rng.random()
         if how < 0.25:  # a crash: the router learns of it by the connection's end alone
             self.crashes += 1
             speaker.inbox.put((self._crash,))
-            speaker.over.wait(10.0)
+            speaker.ended.wait(10.0)
         elif how < 0.6:
             self.drains += 1
             held, before = bool(router.held), len(self.listener)
@@ -120,7 +120,7 @@
             if held:
                 self.drained.append(gone - began)
             while len(self.listener) == before:
-                speaker.ask(lambda each: None)
+                speaker.query(lambda each: None)
             self.late_listeners += gone > self.listener[-1]
             if rng.random() < 0.3:
                 router.drop()
--- a/lilacwalk/bgp/admin.py
+++ b/lilacwalk/bgp/admin.py
@@ -4,11 +4,11 @@
 
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.speaker_io import Speaker
-from lilacwalk.bgp.speaker_state import Speaking
+from lilacwalk.bgp.speaker_state import SpeakerState
 from lilacwalk.protocols.admin_socket import AdminSocket
 
 
-def answer(line: str, speaking: Speaking) -> object:
+def answer(line: str, speaking: SpeakerState) -> object:
     words = line.split()
     if words == ["show"]:
         return speaking.shown()
@@ -23,8 +23,8 @@
     return {"error": "ask: show, received PEER, route PREFIX"}
 
 
-def answering(speaker: Speaker, path: str) -> AdminSocket:
+def create_admin_socket(speaker: Speaker, path: str) -> AdminSocket:
     """Raises OSError."""
     return AdminSocket(
-        path, lambda line: speaker.ask(lambda speaking: answer(line, speaking)), "bgp-answering"
+        path, lambda line: speaker.query(lambda speaking: answer(line, speaking)), "bgp-answering"
     )
--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -27,7 +27,7 @@
 )
 
 
-class Node(Enum):
+class NodeStatus(Enum):
     COLD = "cold"
     WARMING = "warming"
     READY = "ready"
@@ -45,7 +45,7 @@
     NORMAL = 4
 
 
-UNWELL = (Node.SICK, Node.STANDING_STILL)
+UNHEALTHY_STATUSES = (NodeStatus.SICK, NodeStatus.STANDING_STILL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,10 +55,10 @@
     again: int | None  # when time alone may change it
 
 
-class Announcing:
+class AnnouncementPolicy:
     def __init__(self, orders: BgpConfig, now: int) -> None:
         self.orders = orders
-        self.node, self.since = Node.COLD, now
+        self.node, self.since = NodeStatus.COLD, now
         self.level, self.reason = Level.NONE, "cold"
         self.penalty = Penalty(orders.damping)
         self.unwell_since: int | None = None  # until well again for long enough
@@ -73,29 +73,29 @@
 
     # What is told
 
-    def told(self, node: Node, now: int) -> None:
+    def set_node_status(self, node: NodeStatus, now: int) -> None:
         """The node's state, as often as it likes; only a change counts. Nothing follows on leaving but
         gone."""
         if (
             node is self.node
-            or self.node is Node.GONE
-            or self.node is Node.LEAVING
-            and node is not Node.GONE
+            or self.node is NodeStatus.GONE
+            or self.node is NodeStatus.LEAVING
+            and node is not NodeStatus.GONE
         ):
             return
-        if node is Node.LEAVING:
+        if node is NodeStatus.LEAVING:
             self.leave(now, None)
             return
         before, self.node, self.since = self.node, node, now
-        if node in UNWELL:
+        if node in UNHEALTHY_STATUSES:
             if self.unwell_since is None:
                 self.unwell_since = now
         elif node in (
-            Node.COLD,
-            Node.WARMING,
+            NodeStatus.COLD,
+            NodeStatus.WARMING,
         ):  # a new life: nothing of the old one counts but its flaps
             self.unwell_since, self.was_ready = None, False
-        if before is Node.READY and self.level is Level.NONE and node is not Node.GONE:
+        if before is NodeStatus.READY and self.level is Level.NONE and node is not NodeStatus.GONE:
             self.penalty.add(
                 FLAP, now
             )  # not announced, yet it flapped: steady is proven by staying ready
@@ -103,9 +103,9 @@
     def leave(self, now: int, listener_by: int | None) -> None:
         """A drain, whose listener closes at the latest at `listener_by`: the withdrawal comes early enough to
         have spread by then; the time of being less wanted gives way before the time of spreading does."""
-        if self.node in (Node.LEAVING, Node.GONE):
+        if self.node in (NodeStatus.LEAVING, NodeStatus.GONE):
             return
-        self.node, self.since, self.leaving_since = Node.LEAVING, now, now
+        self.node, self.since, self.leaving_since = NodeStatus.LEAVING, now, now
         wanted = now + self.orders.graceful_shutdown
         latest = wanted if listener_by is None else listener_by - self.orders.propagation
         self.withdraw_at = max(now, min(wanted, latest))
@@ -119,7 +119,7 @@
         """Nobody looked for a while (the process stood still): being ready is proven anew."""
         if self.level is Level.NONE:
             self.since = now
-        elif self.node is Node.READY and self.unwell_since is not None:
+        elif self.node is NodeStatus.READY and self.unwell_since is not None:
             self.since = now
 
     def ordered(self, orders: BgpConfig, now: int) -> None:
@@ -127,20 +127,22 @@
         self.orders = orders
         self.penalty.take_over(orders.damping, now)
 
-    def floor(self, may_go: bool) -> None:
+    def set_withdrawal_allowed(self, may_go: bool) -> None:
         """What the view of the fleet says: whether too many would be gone with this one. Whoever has gone
         stays so until it is well."""
         self.may_go = may_go
 
-    def capped(self, cap: Level) -> None:
+    def set_level_cap(self, cap: Level) -> None:
         """How much wanted this node may be when it is ready: less, or not at all, while its site comes
         back."""
         self.cap = cap
 
-    def recall(self, penalty: float, suppressed: bool, announced: bool, age: int, now: int) -> None:
+    def restore_penalty(
+        self, penalty: float, suppressed: bool, announced: bool, age: int, now: int
+    ) -> None:
         """What an earlier life put down. One that ended while it was announced flapped in its peers' eyes,
         and was not there to count it."""
-        self.penalty.recall(penalty, suppressed, age, now)
+        self.penalty.restore(penalty, suppressed, age, now)
         if announced:
             self.penalty.add(FLAP, now)
 
@@ -157,15 +159,15 @@
 
     def _count(self, level: Level, now: int) -> None:
         """Flaps count, a drain does not: it ends this node's part."""
-        if self.node in (Node.LEAVING, Node.GONE) or level > self.level:
+        if self.node in (NodeStatus.LEAVING, NodeStatus.GONE) or level > self.level:
             return
         whole = level is Level.NONE and self.level is Level.NORMAL
         self.penalty.add(FLAP if whole else CHANGE, now)
 
     def _decided(self, now: int) -> tuple[Level, str, int | None]:
-        if self.node is Node.GONE:
+        if self.node is NodeStatus.GONE:
             return Level.NONE, "gone", None
-        if self.node is Node.LEAVING:
+        if self.node is NodeStatus.LEAVING:
             if self.level is Level.NONE:
                 return Level.NONE, "leaving, and not announced before", None
             if now < self.withdraw_at:
@@ -173,9 +175,9 @@
                 worse = self.level in (Level.LESS_WANTED, Level.LAST_RESORT)
                 return self.level if worse else Level.LEAVING, "leaving", self.withdraw_at
             return Level.NONE, "leaving, withdrawn", None
-        if self.node in (Node.COLD, Node.WARMING):
+        if self.node in (NodeStatus.COLD, NodeStatus.WARMING):
             return Level.NONE, self.node.value, None
-        if self.node is Node.READY:
+        if self.node is NodeStatus.READY:
             return self._ready(now)
         return self._unwell(now)
 
@@ -191,7 +193,7 @@
         if self.level is not Level.NORMAL and self.penalty.holds(now):
             return (
                 self.level,
-                f"damped, penalty {self.penalty.now(now):.0f}",
+                f"damped, penalty {self.penalty.value_at(now):.0f}",
                 self.penalty.free_at(),
             )
         self.was_ready = True
@@ -207,7 +209,11 @@
         withdraw_at = self.unwell_since + sick.withdraw_after
         less_at = self.unwell_since + sick.less_wanted_after
         if now >= withdraw_at:
-            if self.orders.last_resort is not None and self.was_ready and self.node is Node.SICK:
+            if (
+                self.orders.last_resort is not None
+                and self.was_ready
+                and self.node is NodeStatus.SICK
+            ):
                 return Level.LAST_RESORT, f"{word}, the last resort", None
             if not self.may_go:
                 return (
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -64,7 +64,7 @@
 Path = tuple[tuple[int, tuple[int, ...]], ...]  # segments: kind and numbers
 
 
-class Weight(IntEnum):
+class Severity(IntEnum):
     """RFC 7606 section 2, lightest first."""
 
     DISCARD = 1
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    weight: Weight
+    severity: Severity
     kind: int
     text: str
 
@@ -121,18 +121,18 @@
     unreach: tuple[int, int, bytes] | None = None
     seen: set[int] = field(default_factory=set)
 
-    def fault(self, weight: Weight, kind: int, text: str) -> None:
-        self.faults.append(Fault(weight, kind, text))
+    def fault(self, severity: Severity, kind: int, text: str) -> None:
+        self.faults.append(Fault(severity, kind, text))
 
     @property
-    def weight(self) -> int:
-        return max((each.weight for each in self.faults), default=0)
+    def severity(self) -> int:
+        return max((each.severity for each in self.faults), default=0)
 
 
 class BadValueError(Exception):
-    def __init__(self, text: str, weight: Weight = Weight.WITHDRAW) -> None:
+    def __init__(self, text: str, severity: Severity = Severity.WITHDRAW) -> None:
         super().__init__(text)
-        self.weight = weight
+        self.severity = severity
 
 
 def read(data: bytes, as4: bool, internal: bool) -> Read:
@@ -144,7 +144,9 @@
         flags = data[at]
         head = 4 if flags & LONG else 3
         if len(data) - at < head:
-            found.fault(Weight.WITHDRAW, 0, "an attribute without its length")  # RFC 7606 section 4
+            found.fault(
+                Severity.WITHDRAW, 0, "an attribute without its length"
+            )  # RFC 7606 section 4
             break
         kind = data[at + 1]
         size = int.from_bytes(data[at + 2 : at + head], "big")
@@ -152,7 +154,7 @@
         if len(value) < size:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
                 raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, data[at:], "runs past the end")
-            found.fault(Weight.WITHDRAW, kind, "runs past the end")
+            found.fault(Severity.WITHDRAW, kind, "runs past the end")
             break
         whole = data[at : at + head + size]
         at += head + size
@@ -161,7 +163,7 @@
                 raise BgpError(
                     Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text=f"attribute {kind} twice"
                 )
-            found.fault(Weight.DISCARD, kind, "stands twice")
+            found.fault(Severity.DISCARD, kind, "stands twice")
             continue
         found.seen.add(kind)
         take(found, flags, kind, value, whole, as4, internal)
@@ -182,25 +184,25 @@
             found.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
         return
     if kind in ONLY_INTERNAL and not internal:
-        found.fault(Weight.DISCARD, kind, "from outside")
+        found.fault(Severity.DISCARD, kind, "from outside")
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
         if kind in (Type.MP_REACH, Type.MP_UNREACH):  # its routes are still known, and withdrawn
-            found.fault(Weight.WITHDRAW, kind, "wrong flags")
+            found.fault(Severity.WITHDRAW, kind, "wrong flags")
         else:
-            found.fault(Weight.WITHDRAW, kind, f"flags {flags:#04x}")
+            found.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
             return
     try:
         READERS[kind](found, value, as4)
     except BadValueError as error:
-        if error.weight is Weight.RESET:
+        if error.severity is Severity.RESET:
             raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, whole, str(error)) from None
-        found.fault(error.weight, kind, str(error))
+        found.fault(error.severity, kind, str(error))
 
 
-def sized(value: bytes, *sizes: int, weight: Weight = Weight.WITHDRAW) -> None:
+def sized(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
     if len(value) not in sizes:
-        raise BadValueError(f"{len(value)} bytes long", weight)
+        raise BadValueError(f"{len(value)} bytes long", severity)
 
 
 def origin(found: Read, value: bytes, as4: bool) -> None:
@@ -241,7 +243,7 @@
     try:
         found.values["as4_path"] = path_of(value, 4)
     except BadValueError as error:
-        raise BadValueError(str(error), Weight.DISCARD) from None  # RFC 6793 section 6
+        raise BadValueError(str(error), Severity.DISCARD) from None  # RFC 6793 section 6
 
 
 def next_hop(found: Read, value: bytes, as4: bool) -> None:
@@ -262,31 +264,31 @@
     return value
 
 
-def number(name: str, kind: Type, weight: Weight = Weight.WITHDRAW):
+def number(name: str, kind: Type, severity: Severity = Severity.WITHDRAW):
     def reader(found: Read, value: bytes, as4: bool) -> None:
-        sized(value, 4, weight=weight)
+        sized(value, 4, severity=severity)
         found.values[name] = int.from_bytes(value, "big")
 
     return reader
 
 
 def atomic(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 0, weight=Weight.DISCARD)
+    sized(value, 0, severity=Severity.DISCARD)
     found.values["atomic"] = True
 
 
 def aggregator(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 8 if as4 else 6, weight=Weight.DISCARD)
+    sized(value, 8 if as4 else 6, severity=Severity.DISCARD)
     asn = int.from_bytes(value[:-4], "big")
     if not asn:
-        raise BadValueError("AS 0", Weight.DISCARD)
+        raise BadValueError("AS 0", Severity.DISCARD)
     found.values["aggregator"] = asn, value[-4:]
 
 
 def as4_aggregator(found: Read, value: bytes, as4: bool) -> None:
     if as4:
         return
-    sized(value, 8, weight=Weight.DISCARD)
+    sized(value, 8, severity=Severity.DISCARD)
     found.values["as4_aggregator"] = int.from_bytes(value[:4], "big"), value[4:]
 
 
@@ -324,11 +326,11 @@
 
 def mp_reach(found: Read, value: bytes, as4: bool) -> None:
     if len(value) < 5 or len(value) < 5 + value[3]:
-        raise BadValueError("too short", Weight.RESET)
+        raise BadValueError("too short", Severity.RESET)
     afi, safi, size = struct.unpack("!HBB", value[:4])
     hop, prefixes = value[4 : 4 + size], value[5 + size :]
     if afi == 2 and size not in (16, 32) or afi == 1 and size not in (4, 16, 32):
-        raise BadValueError(f"a next hop of {size} bytes", Weight.RESET)  # RFC 7606 section 7.11
+        raise BadValueError(f"a next hop of {size} bytes", Severity.RESET)  # RFC 7606 section 7.11
     found.reach = afi, safi, hop[:16], prefixes
     if afi == 2:
         usable(hop[:16])
@@ -336,7 +338,7 @@
 
 def mp_unreach(found: Read, value: bytes, as4: bool) -> None:
     if len(value) < 3:
-        raise BadValueError("too short", Weight.RESET)
+        raise BadValueError("too short", Severity.RESET)
     found.unreach = *struct.unpack("!HB", value[:3]), value[3:]
 
 
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Agreed:
+class NegotiatedCapabilities:
     """What a session may use: what both sides can do, and what only one need say."""
 
     families: tuple[int, ...] = (Afi.IPV4,)
@@ -121,7 +121,7 @@
     @classmethod
     def between(
         cls, ours: Capabilities, theirs: Capabilities, our_role_strict: bool = False
-    ) -> Agreed:
+    ) -> NegotiatedCapabilities:
         """Raises BgpError where roles do not fit, or ours is strict and theirs is not told (RFC 9234 4.2)."""
         if ours.role is not None and (theirs.role is not None or our_role_strict):
             if theirs.role is None or FITS.get(theirs.role) != ours.role:
--- a/lilacwalk/bgp/damping.py
+++ b/lilacwalk/bgp/damping.py
@@ -23,11 +23,11 @@
         """Above this, it would take more than the longest time to be reused (RFC 2439 section 4.2)."""
         return self.given.reuse * 2.0 ** (self.given.longest / self.given.half_life)
 
-    def now(self, now: int) -> float:
+    def value_at(self, now: int) -> float:
         return self.value * 2.0 ** (-max(0, now - self.at) / self.given.half_life)
 
     def add(self, amount: int, now: int) -> None:
-        self.value = min(self.ceiling, self.now(now) + amount)
+        self.value = min(self.ceiling, self.value_at(now) + amount)
         self.at = max(now, self.at)
         if self.value >= self.given.suppress:
             self.suppressed = True
@@ -44,15 +44,15 @@
             return self.at
         return self.at + math.ceil(self.given.half_life * math.log2(self.value / self.given.reuse))
 
-    def recall(self, value: float, suppressed: bool, age: int, now: int) -> None:
+    def restore(self, value: float, suppressed: bool, age: int, now: int) -> None:
         """What an earlier life had, decayed since; on top of what this one has."""
         was = max(0.0, value) * 2.0 ** (-max(0, age) / self.given.half_life)
-        self.value, self.at = min(self.ceiling, self.now(now) + was), now
+        self.value, self.at = min(self.ceiling, self.value_at(now) + was), now
         self.suppressed = self.suppressed or suppressed and self.value > self.given.reuse
 
     def take_over(self, given: Damping, now: int) -> None:
         """New figures: the penalty stays what it is, under the new ceiling."""
-        self.value, self.at = self.now(now), now
+        self.value, self.at = self.value_at(now), now
         self.given = given
         self.value = min(self.value, self.ceiling)
         self.suppressed = (
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -11,13 +11,13 @@
 from lilacwalk.bgp import attributes as path_attributes
 from lilacwalk.bgp import capabilities as capability_codec
 from lilacwalk.bgp import prefixes as prefix_codec
-from lilacwalk.bgp.attributes import LONG, OPTIONAL, Attributes, Fault, Type, Weight, pack
-from lilacwalk.bgp.capabilities import Agreed, Capabilities
+from lilacwalk.bgp.attributes import LONG, OPTIONAL, Attributes, Fault, Severity, Type, pack
+from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.errors import BgpError, Code, Header, OpenFault, UpdateFault
 from lilacwalk.bgp.prefixes import UNICAST, Afi, Prefix
 
 MARKER = b"\xff" * 16
-HEAD, PLAIN, EXTENDED = 19, 4_096, 65_535
+HEAD, MAX_SIZE, MAX_EXTENDED_SIZE = 19, 4_096, 65_535
 OPEN, UPDATE, NOTIFICATION, KEEPALIVE, REFRESH = 1, 2, 3, 4, 5
 LEAST = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
 CAPABILITIES, LONG_PARAMETERS = 2, 255  # optional parameters: RFC 5492, RFC 9072
@@ -35,7 +35,7 @@
 @dataclass(frozen=True, slots=True)
 class Update:
     withdrawn: tuple[Prefix, ...] = ()
-    reached: tuple[
+    reachable: tuple[
         tuple[Attributes, tuple[Prefix, ...]], ...
     ] = ()  # at most one for each way to state them
     end_of_rib: int | None = None  # the family (RFC 4724 section 2)
@@ -43,7 +43,7 @@
 
     @property
     def announced(self) -> tuple[Prefix, ...]:
-        return tuple(prefix for _, prefixes in self.reached for prefix in prefixes)
+        return tuple(prefix for _, prefixes in self.reachable for prefix in prefixes)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
     __slots__ = ("rest", "most")
 
-    def __init__(self, most: int = PLAIN) -> None:
+    def __init__(self, most: int = MAX_SIZE) -> None:
         self.rest, self.most = b"", most
 
     def feed(self, chunk: bytes) -> Iterator[tuple[int, bytes]]:
@@ -102,7 +102,7 @@
                     or kind == KEEPALIVE
                     and size != HEAD
                     or kind == OPEN
-                    and size > PLAIN
+                    and size > MAX_SIZE
                 ):
                     raise BgpError(
                         Code.HEADER, Header.BAD_LENGTH, data[at + 16 : at + 18], f"length {size}"
@@ -122,7 +122,12 @@
     return MARKER + struct.pack("!HB", HEAD + len(body), kind) + body
 
 
-def decode(kind: int, body: bytes, agreed: Agreed = Agreed(), internal: bool = False) -> Message:
+def decode(
+    kind: int,
+    body: bytes,
+    agreed: NegotiatedCapabilities = NegotiatedCapabilities(),
+    internal: bool = False,
+) -> Message:
     """One message of a known type; `agreed` and `internal` say how an UPDATE is to be read. Raises
     BgpError."""
     if kind == OPEN:
@@ -189,7 +194,7 @@
     )
 
 
-def decode_update(body: bytes, agreed: Agreed, internal: bool) -> Update:
+def decode_update(body: bytes, agreed: NegotiatedCapabilities, internal: bool) -> Update:
     if len(body) < 4:
         raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
     gone = int.from_bytes(body[:2], "big")
@@ -222,10 +227,10 @@
             reached = prefixes_of(rows, Afi(afi))
     if announced or reached:
         missing(found, bool(announced), internal)
-    if found.weight >= Weight.WITHDRAW:
+    if found.severity >= Severity.WITHDRAW:
         if not (announced or reached) and (withdrawn or found.seen - {Type.MP_UNREACH}):
             # RFC 7606 section 5.2: nobody knows what was meant to be withdrawn
-            worst = max(found.faults, key=lambda each: each.weight)
+            worst = max(found.faults, key=lambda each: each.severity)
             raise BgpError(
                 Code.UPDATE,
                 UpdateFault.ATTRIBUTE_LIST,
@@ -257,7 +262,7 @@
         needed.append(Type.LOCAL_PREF)
     for kind in needed:
         if kind not in found.seen:
-            found.fault(Weight.WITHDRAW, kind, "is missing")
+            found.fault(Severity.WITHDRAW, kind, "is missing")
 
 
 def prefixes_of(data: bytes, afi: Afi) -> list[Prefix]:
@@ -315,7 +320,7 @@
 
 
 def announcements(
-    prefixes: list[Prefix], attributes: Attributes, as4: bool, internal: bool, most: int = PLAIN
+    prefixes: list[Prefix], attributes: Attributes, as4: bool, internal: bool, most: int = MAX_SIZE
 ) -> Iterator[bytes]:
     """UPDATEs for prefixes of one family that share their attributes, as few as fit."""
     plain = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
@@ -332,7 +337,7 @@
         yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(reach) + len(shared)) + reach + shared)
 
 
-def withdrawals(prefixes: list[Prefix], most: int = PLAIN) -> Iterator[bytes]:
+def withdrawals(prefixes: list[Prefix], most: int = MAX_SIZE) -> Iterator[bytes]:
     """UPDATEs that withdraw prefixes of one family."""
     if prefixes[0].afi == Afi.IPV4:
         for piece in packed(prefixes, most - HEAD - 4):
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -20,7 +20,7 @@
 from lilacwalk.bgp.messages import Notification, Refresh, Update
 from lilacwalk.bgp.policy import Rules, role_of
 from lilacwalk.bgp.prefixes import UNICAST, Afi, Prefix
-from lilacwalk.bgp.routes import Received, TooManyError
+from lilacwalk.bgp.routes import AdjRibIn, TooManyError
 from lilacwalk.bgp.session import Act, Ended, Event, Session, Side, State
 
 FAMILIES = (Afi.IPV4, Afi.IPV6)
@@ -77,7 +77,7 @@
             claims,
         )
         self.rules = Rules(announce, peer)
-        self.received = Received(peer.max_prefixes)
+        self.received = AdjRibIn(peer.max_prefixes)
         self.told: dict[Prefix, Attributes] = {}  # over the session that is up
         self.wanted: dict[Prefix, Attributes] = {}
         self.actions: list[Action] = []
@@ -382,7 +382,7 @@
                 (Code.CEASE, Cease.MAX_PREFIXES),
             )
         if asked is None or theirs is None or not theirs.time or not soft or self.stopped:
-            self.received = Received(self.peer.max_prefixes)
+            self.received = AdjRibIn(self.peer.max_prefixes)
             self.stale_until, self.kept_families = 0, ()
             return
         self.kept_families = tuple(
@@ -416,7 +416,7 @@
                 event="bgp_fault",
                 count=counts["faults"],
                 detail=f"attribute {worst.kind}: {worst.text}",
-                handled=worst.weight.name.lower(),
+                handled=worst.severity.name.lower(),
             )
         if update.end_of_rib is not None:
             self.told_end.add(update.end_of_rib)
@@ -425,7 +425,7 @@
             return
         counts["withdrawn"] += self.received.withdraw(update.withdrawn)
         try:
-            for attributes, prefixes in update.reached:
+            for attributes, prefixes in update.reachable:
                 self.received.announce(attributes, prefixes)
         except TooManyError as error:
             data = (
@@ -512,7 +512,7 @@
 
     @staticmethod
     def _most(link: Link) -> int:
-        return messages.EXTENDED if link.session.agreed.extended else messages.PLAIN
+        return messages.MAX_EXTENDED_SIZE if link.session.agreed.extended else messages.MAX_SIZE
 
     def _send(self, link: Link, data: bytes) -> None:
         self.actions.append(Action(Do.SEND, link.number, data))
--- a/lilacwalk/bgp/readiness.py
+++ b/lilacwalk/bgp/readiness.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-from lilacwalk.bgp.announcement_policy import Node
+from lilacwalk.bgp.announcement_policy import NodeStatus
 
 
 class Facts(NamedTuple):
@@ -17,17 +17,17 @@
     failed: bool = False
 
 
-def node(facts: Facts, now: int) -> Node:
+def node_status(facts: Facts, now: int) -> NodeStatus:
     """A lost link counts as standing still: nothing that is admitted could be started. That it is often back
     within 20 ms is for the hysteresis of what is announced, not for this."""
     if facts.failed:
-        return Node.GONE
+        return NodeStatus.GONE
     if facts.leaving:
-        return Node.LEAVING
+        return NodeStatus.LEAVING
     if not facts.booted:
-        return Node.COLD
+        return NodeStatus.COLD
     if not facts.linked:
-        return Node.STANDING_STILL
+        return NodeStatus.STANDING_STILL
     if now < facts.warm_at:
-        return Node.WARMING
-    return Node.READY if facts.healthy else Node.SICK
+        return NodeStatus.WARMING
+    return NodeStatus.READY if facts.healthy else NodeStatus.SICK
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -30,7 +30,7 @@
         self.afi, self.most = afi, most
 
 
-class Received:
+class AdjRibIn:
     def __init__(self, most: int) -> None:
         self.most = most
         self.tries: dict[Afi, Trie[Route]] = {afi: Trie(afi) for afi in Afi}
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -15,7 +15,7 @@
 from enum import Enum, IntEnum, auto
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.capabilities import Agreed, Capabilities
+from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.errors import UNEXPECTED_IN, BgpError, Cease, Code, OpenFault, reason
 from lilacwalk.bgp.messages import Keepalive, Notification, Open, Refresh, Update
 
@@ -248,7 +248,7 @@
         self.due: dict[Timer, int] = {}
         self.damped = False  # in Idle: a failure is waited out (DampPeerOscillations)
         self.failures = 0  # the ConnectRetryCounter: since the last session that held
-        self.agreed = Agreed()
+        self.agreed = NegotiatedCapabilities()
         self.peer_open: Open | None = None
         self.hold_time = 0  # agreed, tenths of a ms; 0: none
         self.up_since = 0
@@ -371,7 +371,7 @@
             self.done.append(
                 (Act.DOWN, Ended(why, by_peer, came, self.told, before is S.ESTABLISHED))
             )
-            self.told, self.agreed, self.error = None, Agreed(), None
+            self.told, self.agreed, self.error = None, NegotiatedCapabilities(), None
 
     def _taken(self) -> list[tuple[Act, object]]:
         done, self.done = self.done, []
@@ -488,7 +488,9 @@
         opened = self.came
         assert isinstance(opened, Open)
         self.peer_open = opened
-        self.agreed = Agreed.between(self.offered, opened.capabilities, self.side.strict_role)
+        self.agreed = NegotiatedCapabilities.between(
+            self.offered, opened.capabilities, self.side.strict_role
+        )
         self.hold_time = min(self.side.hold, opened.hold * SECOND)
         if self.hold_time:
             self._hold()
@@ -527,7 +529,9 @@
         if message.router_id == self.side.router_id and self.internal:
             return BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="our own router id")
         try:
-            Agreed.between(self.offered, message.capabilities, self.side.strict_role)
+            NegotiatedCapabilities.between(
+                self.offered, message.capabilities, self.side.strict_role
+            )
         except BgpError as error:
             return error
         return None
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -14,12 +14,12 @@
 from queue import Empty, SimpleQueue
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.announcement_policy import Level, Node
+from lilacwalk.bgp.announcement_policy import Level, NodeStatus
 from lilacwalk.bgp.config import SECOND, BgpConfig, Service
 from lilacwalk.bgp.errors import BgpError, Cease, Code
 from lilacwalk.bgp.messages import Stream
 from lilacwalk.bgp.peer import Action, Do, notification_of
-from lilacwalk.bgp.speaker_state import Speaking
+from lilacwalk.bgp.speaker_state import SpeakerState
 from lilacwalk.protocols.listener import listen
 from lilacwalk.protocols.send_buffer import SendBuffer, shut_down_socket
 
@@ -105,7 +105,7 @@
         return True
 
     def _read(self) -> None:
-        bounds, stream = self.host.bounds, Stream(messages.EXTENDED)
+        bounds, stream = self.host.bounds, Stream(messages.MAX_EXTENDED_SIZE)
         while chunk := self.sock.recv(bounds.read):
             if self.closing.is_set():
                 return self._read_out()
@@ -161,23 +161,28 @@
         self,
         orders: BgpConfig,
         seed: int,
-        on_listener: Callable[[int], None] = lambda wait: None,
+        on_withdrawal_sent: Callable[[int], None] = lambda wait: None,
         bounds: Bounds = Bounds(),
         clock: Callable[[], int] = time.monotonic_ns,
-        on_level: Callable[[Level], None] | None = None,
+        on_level_change: Callable[[Level], None] | None = None,
     ) -> None:
-        self.orders, self.bounds, self.on_listener, self.clock = orders, bounds, on_listener, clock
+        self.orders, self.bounds, self.on_withdrawal_sent, self.clock = (
+            orders,
+            bounds,
+            on_withdrawal_sent,
+            clock,
+        )
         self.inbox: SimpleQueue[tuple] = SimpleQueue()
         self.links: dict[int, Link] = {}
         self.going: dict[Link, None] = {}  # closed by us, their readers not yet at an end
         self.unsent: dict[Link, None] = {}
         self.listener_told = False
-        self.on_level, self.level = (
-            on_level,
+        self.on_level_change, self.level = (
+            on_level_change,
             Level.NONE,
         )  # told in the speaker's thread when it changes
-        self.over = threading.Event()
-        self.speaking = Speaking(orders, seed, self.now())
+        self.ended = threading.Event()
+        self.state = SpeakerState(orders, seed, self.now())
         self.listener = (
             listen(orders.listen, self.bounds.backlog) if orders.listen is not None else None
         )
@@ -194,24 +199,24 @@
         if self.listener is not None:
             threading.Thread(target=self._accept, name="bgp-listener", daemon=True).start()
 
-    def node(self, state: Node) -> None:
-        self.inbox.put((self._node, state))
+    def set_node_status(self, state: NodeStatus) -> None:
+        self.inbox.put((self._set_node_status, state))
 
-    def capped(self, cap: Level) -> None:
+    def set_level_cap(self, cap: Level) -> None:
         """How much wanted its own services may be."""
-        self.inbox.put((self._capped, cap))
+        self.inbox.put((self._set_level_cap, cap))
 
-    def stand_in(self, services: tuple[Service, ...]) -> None:
+    def set_failover_services(self, services: tuple[Service, ...]) -> None:
         """Other sites' services, from now on; none ends it."""
-        self.inbox.put((self._stand_in, services))
+        self.inbox.put((self._set_failover_services, services))
 
-    def recall(self, penalty: float, suppressed: bool, announced: bool, age: int) -> None:
+    def restore_penalty(self, penalty: float, suppressed: bool, announced: bool, age: int) -> None:
         """What an earlier life of this node put down, so long ago."""
-        self.inbox.put((self._recall, penalty, suppressed, announced, age))
+        self.inbox.put((self._restore_penalty, penalty, suppressed, announced, age))
 
-    def floor(self, may_go: bool) -> None:
+    def set_withdrawal_allowed(self, may_go: bool) -> None:
         """What the view of the fleet says of a withdrawal for sickness."""
-        self.inbox.put((self._floor, may_go))
+        self.inbox.put((self._set_withdrawal_allowed, may_go))
 
     def leave(self, listener_in: int | None) -> None:
         """A drain; the listener closes at the latest `listener_in` tenths of a ms from now."""
@@ -226,10 +231,10 @@
         if threading.current_thread() is not self.thread:
             self.thread.join(patience)
 
-    def ask(self, question: Callable[[Speaking], object], patience: float = 2.0) -> object:
+    def query(self, question: Callable[[SpeakerState], object], patience: float = 2.0) -> object:
         """The answer to a question that the speaker's thread puts to its state. Raises TimeoutError."""
         answers: SimpleQueue[object] = SimpleQueue()
-        self.inbox.put((lambda: answers.put(question(self.speaking)),))
+        self.inbox.put((lambda: answers.put(question(self.state)),))
         try:
             return answers.get(timeout=patience)
         except Empty:
@@ -239,9 +244,9 @@
 
     def _run(self) -> None:
         try:
-            self.speaking.start(self.now())
+            self.state.start(self.now())
             self._carry_out()
-            while not self.speaking.ended:
+            while not self.state.ended:
                 self._one_pass()
             self._last_words()
         except Exception:
@@ -250,50 +255,50 @@
             for link in list(self.links.values()):
                 shut_down_socket(link.sock)
         finally:
-            self.over.set()
+            self.ended.set()
             if self.listener is not None:
                 shut_down_socket(self.listener)
 
     def _one_pass(self) -> None:
-        due = self.speaking.due()
+        due = self.state.due()
         wait = SECOND if due is None else min(SECOND, max(0, due - self.now()))
         try:
             handler, *arguments = self.inbox.get(timeout=wait / SECOND)
             handler(*arguments)
             for _ in range(self.bounds.a_pass):  # then the timers, whatever still waits
-                if self.speaking.ended:
+                if self.state.ended:
                     break
                 handler, *arguments = self.inbox.get_nowait()
                 handler(*arguments)
         except Empty:
             pass
-        self.speaking.tick(self.now())
+        self.state.tick(self.now())
         self._carry_out()
         for link in list(self.unsent):
             if link.outbox.is_flushed:
                 del self.unsent[link]
-                self.speaking.flushed(link.peer, link.number, self.now())
+                self.state.flushed(link.peer, link.number, self.now())
 
     def _carry_out(self) -> None:
-        while actions := self.speaking.taken():
+        while actions := self.state.taken():
             for action in actions:
                 self._do(action)
         for link in list(self.unsent):
             link.outbox.flush()
-        level = self.speaking.decision.level
-        if self.on_level is not None and level is not self.level:
-            self.on_level(level)
+        level = self.state.decision.level
+        if self.on_level_change is not None and level is not self.level:
+            self.on_level_change(level)
         self.level = level
-        listener_at = self.speaking.listener_at
-        if listener_at is not None and not self.listener_told and self.speaking.decision.level == 0:
+        listener_at = self.state.listener_at
+        if listener_at is not None and not self.listener_told and self.state.decision.level == 0:
             self.listener_told = True
-            self.on_listener(max(0, listener_at - self.now()))
+            self.on_withdrawal_sent(max(0, listener_at - self.now()))
 
     def _do(self, action: Action) -> None:
         if action.do is Do.LOG:
             log.info(action.about)
         elif action.do is Do.CONNECT:
-            peer = self.speaking.peers.get(action.about)
+            peer = self.state.peers.get(action.about)
             link = Link(
                 self,
                 action.link,
@@ -324,7 +329,7 @@
         self.going[link] = None
         shut_down_socket(link.sock, reset=True)
         link.ahead.put(None)
-        self.speaking.lost(link.peer, link.number, self.now(), "stopped reading")
+        self.state.lost(link.peer, link.number, self.now(), "stopped reading")
 
     def _begin(self, link: Link) -> None:
         self.links[link.number] = link
@@ -348,24 +353,24 @@
             if link.sock is not None:
                 shut_down_socket(link.sock)
 
-    def _node(self, state: Node) -> None:
-        self.speaking.node(state, self.now())
+    def _set_node_status(self, state: NodeStatus) -> None:
+        self.state.set_node_status(state, self.now())
 
-    def _capped(self, cap: Level) -> None:
-        self.speaking.capped(cap, self.now())
+    def _set_level_cap(self, cap: Level) -> None:
+        self.state.set_level_cap(cap, self.now())
 
-    def _stand_in(self, services: tuple[Service, ...]) -> None:
-        self.speaking.stand_in(services, self.now())
+    def _set_failover_services(self, services: tuple[Service, ...]) -> None:
+        self.state.set_failover_services(services, self.now())
 
-    def _recall(self, *found) -> None:
-        self.speaking.recall(*found, self.now())
+    def _restore_penalty(self, *found) -> None:
+        self.state.restore_penalty(*found, self.now())
 
-    def _floor(self, may_go: bool) -> None:
-        self.speaking.floor(may_go, self.now())
+    def _set_withdrawal_allowed(self, may_go: bool) -> None:
+        self.state.set_withdrawal_allowed(may_go, self.now())
 
     def _leave(self, listener_in: int | None) -> None:
         now = self.now()
-        self.speaking.leave(now, None if listener_in is None else now + listener_in)
+        self.state.leave(now, None if listener_in is None else now + listener_in)
 
     def _reload(self, orders: BgpConfig) -> None:
         if orders.listen != self.orders.listen or orders.socket != self.orders.socket:
@@ -373,13 +378,13 @@
                 {"event": "bgp_reload", "detail": "listen and socket are for the next start"}
             )
         self.orders = orders
-        changed = self.speaking.reordered(orders, self.now())
+        changed = self.state.reordered(orders, self.now())
         log.info(
             {"event": "bgp_reloaded", "changed": ",".join(changed) or "nothing of its sessions"}
         )
 
     def _end(self) -> None:
-        self.speaking.end(self.now())
+        self.state.end(self.now())
         self._carry_out()
 
     # Told by the connections' threads
@@ -389,22 +394,22 @@
         if self.links.get(link.number) is not link:
             link.close()
             return
-        self.speaking.connected(link.peer, link.number, self.now())
+        self.state.connected(link.peer, link.number, self.now())
 
     def on_messages(self, link: Link, batch: list[tuple[int, bytes]]) -> None:
         link.ahead.put(None)
         for kind, body in batch:
             if self.links.get(link.number) is not link:
                 return
-            self.speaking.message(link.peer, link.number, kind, body, self.now())
-            if len(self.speaking.actions) > self.bounds.batch:
+            self.state.message(link.peer, link.number, kind, body, self.now())
+            if len(self.state.actions) > self.bounds.batch:
                 self._carry_out()
-            elif any(action.do is Do.CLOSE for action in self.speaking.actions):
+            elif any(action.do is Do.CLOSE for action in self.state.actions):
                 self._carry_out()
 
     def on_broken(self, link: Link, error: BgpError) -> None:
         if self.links.get(link.number) is link:
-            self.speaking.broken(link.peer, link.number, error, self.now())
+            self.state.broken(link.peer, link.number, error, self.now())
 
     def on_lost(self, link: Link, why: str) -> None:
         self.going.pop(link, None)
@@ -415,10 +420,10 @@
             link.sock.close()
         if self.links.get(link.number) is link:
             del self.links[link.number]
-            self.speaking.lost(link.peer, link.number, self.now(), why)
+            self.state.lost(link.peer, link.number, self.now(), why)
 
     def _accepted(self, sock: socket.socket, host: str) -> None:
-        taken = self.speaking.accepted(host, self.now())
+        taken = self.state.accepted(host, self.now())
         if taken is None:
             self._turn_away(sock)
             return
@@ -439,13 +444,13 @@
         """Its own thread. How many wait for the speaker's thread is bounded by the queue it can fill at
         once."""
         try:
-            while not self.over.is_set():
+            while not self.ended.is_set():
                 try:
                     sock, (host, *_) = self.listener.accept()
                 except OSError as error:
-                    if not self.over.is_set():
+                    if not self.ended.is_set():
                         log.warning({"event": "accept_failed", "detail": str(error)})
-                        self.over.wait(0.05)  # out of descriptors: not a busy loop
+                        self.ended.wait(0.05)  # out of descriptors: not a busy loop
                     continue
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 taken = threading.Event()
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -7,10 +7,10 @@
 from itertools import count
 
 from lilacwalk.bgp.announcement_policy import (
-    Announcing,
+    AnnouncementPolicy,
     Decision,
     Level,
-    Node,
+    NodeStatus,
     attributes,
     routable,
 )
@@ -28,10 +28,10 @@
 )
 
 
-class Speaking:
+class SpeakerState:
     def __init__(self, orders: BgpConfig, seed: int, now: int) -> None:
         self.orders, self.rng, self.now = orders, random.Random(seed), now
-        self.announcing = Announcing(orders, now)
+        self.announcement_policy = AnnouncementPolicy(orders, now)
         self.numbers = count(1)
         self.peers: dict[tuple[str, int], Peering] = {}
         self.actions: list[Action] = []
@@ -58,31 +58,33 @@
         serves."""
         asked = self.orders.graceful_restart
         lately = asked is not None and self.now - self.began < asked.time
-        return lately, self.announcing.level is not Level.NONE
+        return lately, self.announcement_policy.level is not Level.NONE
 
     # The node
 
-    def node(self, state: Node, now: int) -> None:
+    def set_node_status(self, state: NodeStatus, now: int) -> None:
         self._at(now)
-        self.announcing.told(state, now)
+        self.announcement_policy.set_node_status(state, now)
         self._follow(now)
 
-    def floor(self, may_go: bool, now: int) -> None:
+    def set_withdrawal_allowed(self, may_go: bool, now: int) -> None:
         self._at(now)
-        self.announcing.floor(may_go)
+        self.announcement_policy.set_withdrawal_allowed(may_go)
         self._follow(now)
 
-    def recall(self, penalty: float, suppressed: bool, announced: bool, age: int, now: int) -> None:
+    def restore_penalty(
+        self, penalty: float, suppressed: bool, announced: bool, age: int, now: int
+    ) -> None:
         self._at(now)
-        self.announcing.recall(penalty, suppressed, announced, age, now)
+        self.announcement_policy.restore_penalty(penalty, suppressed, announced, age, now)
         self._follow(now)
 
-    def capped(self, cap: Level, now: int) -> None:
+    def set_level_cap(self, cap: Level, now: int) -> None:
         self._at(now)
-        self.announcing.capped(cap)
+        self.announcement_policy.set_level_cap(cap)
         self._follow(now)
 
-    def stand_in(self, services: tuple[Service, ...], now: int) -> None:
+    def set_failover_services(self, services: tuple[Service, ...], now: int) -> None:
         """Other sites' services, told as less wanted than their own nodes' while this one is well: so their
         return alone draws the traffic home, whatever is withdrawn late here."""
         self._at(now)
@@ -97,22 +99,22 @@
 
     def leave(self, now: int, listener_by: int | None) -> None:
         self._at(now)
-        self.announcing.leave(now, listener_by)
+        self.announcement_policy.leave(now, listener_by)
         self._follow(now)
 
     @property
     def listener_at(self) -> int | None:
         """Once leaving: when the listener may close, at the earliest."""
         return (
-            self.announcing.listener_at
-            if self.announcing.node in (Node.LEAVING, Node.GONE)
+            self.announcement_policy.listener_at
+            if self.announcement_policy.node in (NodeStatus.LEAVING, NodeStatus.GONE)
             else None
         )
 
     def end(self, now: int) -> None:
         """The last words: all is withdrawn, then every session ends with a cease and the operator's text."""
         self._at(now)
-        self.announcing.told(Node.GONE, now)
+        self.announcement_policy.set_node_status(NodeStatus.GONE, now)
         self._follow(now)
         for each in self.peers.values():
             each.stop(now, Cease.SHUTDOWN, self.orders.shutdown_text)
@@ -179,7 +181,7 @@
         if now - self.expected > STALL:
             late = (now - self.expected) // 10
             self.actions.append(Action(Do.LOG, 0, {"event": "bgp_stalled", "ms": late}))
-            self.announcing.unwatched(now)
+            self.announcement_policy.unwatched(now)
             for peer in self.peers.values():
                 for link in peer._links():
                     link.session.stalled(now + CATCH_UP)
@@ -200,7 +202,7 @@
     # What follows
 
     def _follow(self, now: int) -> None:
-        before, self.decision = self.decision, self.announcing.decide(now)
+        before, self.decision = self.decision, self.announcement_policy.decide(now)
         if self.decision.level is not before.level:
             self.actions.append(
                 Action(
@@ -209,9 +211,9 @@
                     {
                         "event": "announcing",
                         "level": self.decision.level.name.lower(),
-                        "node": self.announcing.node.value,
+                        "node": self.announcement_policy.node.value,
                         "reason": self.decision.reason,
-                        "penalty": round(self.announcing.penalty.now(now)),
+                        "penalty": round(self.announcement_policy.penalty.value_at(now)),
                     },
                 )
             )
@@ -220,7 +222,7 @@
                 self.actions += peer.taken()
 
     def _routes(self, peer: Peer) -> dict[Prefix, Attributes]:
-        level = self.announcing.level
+        level = self.announcement_policy.level
         if level is Level.NONE:
             return {}
         found = {}
@@ -248,7 +250,7 @@
         self._at(now)
         changed = []
         before, self.orders = self.orders, orders
-        self.announcing.ordered(orders, now)
+        self.announcement_policy.ordered(orders, now)
         wanted = {peer.address: peer for peer in orders.peer}
         for address, peer in list(self.peers.items()):
             new = wanted.get(address)
@@ -268,7 +270,7 @@
                 self._add(new, now)
         if before.service != orders.service:
             changed.append("services")
-        self.decision = self.announcing.decide(now)
+        self.decision = self.announcement_policy.decide(now)
         for peer in self.peers.values():
             peer.want(self._routes(peer.peer))
             self.actions += peer.taken()
@@ -277,15 +279,15 @@
     # Shown
 
     def shown(self) -> dict[str, object]:
-        now, penalty = self.now, self.announcing.penalty
+        now, penalty = self.now, self.announcement_policy.penalty
         return {
             "as": self.orders.as_,
             "router_id": self.orders.router_id,
-            "node": self.announcing.node.value,
-            "level": self.announcing.level.name.lower(),
-            "reason": self.announcing.reason,
-            "changes": self.announcing.changes,
-            "penalty": round(penalty.now(now)),
+            "node": self.announcement_policy.node.value,
+            "level": self.announcement_policy.level.name.lower(),
+            "reason": self.announcement_policy.reason,
+            "changes": self.announcement_policy.changes,
+            "penalty": round(penalty.value_at(now)),
             "suppressed": penalty.suppressed,
             "free_in_s": max(0, penalty.free_at() - now) / SECOND if penalty.suppressed else 0,
             "services": [str(each.prefix) for each in self.orders.service],
--- a/lilacwalk/commands/announce.py
+++ b/lilacwalk/commands/announce.py
@@ -48,7 +48,7 @@
 
 def run_speaker(operator_file: str, config: BgpConfig) -> int:
     """Runs a speaker until it is asked to stop or ends by itself; returns the exit code."""
-    from lilacwalk.bgp.admin import answering as answering_at
+    from lilacwalk.bgp.admin import create_admin_socket as answering_at
     from lilacwalk.bgp.speaker_io import Speaker
 
     admin_socket = None
@@ -74,18 +74,18 @@
 
 def apply_states(states: NodeStateInput, speaker: Speaker, operator_file: str) -> None:
     """Hands node states to the speaker until a stop is asked for or the speaker has ended."""
-    from lilacwalk.bgp.announcement_policy import Node
+    from lilacwalk.bgp.announcement_policy import NodeStatus
 
-    nodes_by_word = {node.value: node for node in Node if node is not Node.GONE}
-    while (word := states.next()) is not Control.STOP and not speaker.over.is_set():
+    nodes_by_word = {node.value: node for node in NodeStatus if node is not NodeStatus.GONE}
+    while (word := states.next()) is not Control.STOP and not speaker.ended.is_set():
         if word is Control.RELOAD:
             reload_speaker(speaker, operator_file)
         elif word not in nodes_by_word:
             states.report_unknown(word, nodes_by_word)
-        elif nodes_by_word[word] is Node.LEAVING:
+        elif nodes_by_word[word] is NodeStatus.LEAVING:
             speaker.leave(None)
         else:
-            speaker.node(nodes_by_word[word])
+            speaker.set_node_status(nodes_by_word[word])
 
 
 def reload_speaker(speaker: Speaker, operator_file: str) -> None:
--- a/lilacwalk/commands/bgp.py
+++ b/lilacwalk/commands/bgp.py
@@ -128,12 +128,12 @@
 def decode(file: BinaryIO, as2: bool, internal: bool, as_hex: bool) -> None:
     """Prints captured messages; exits with 2 where one cannot be read."""
     from lilacwalk.bgp import messages
-    from lilacwalk.bgp.capabilities import Agreed
+    from lilacwalk.bgp.capabilities import NegotiatedCapabilities
     from lilacwalk.bgp.errors import BgpError
     from lilacwalk.bgp.prefixes import Afi
 
-    stream = messages.Stream(messages.EXTENDED)
-    agreed = Agreed(families=(Afi.IPV4, Afi.IPV6), as4=not as2)
+    stream = messages.Stream(messages.MAX_EXTENDED_SIZE)
+    agreed = NegotiatedCapabilities(families=(Afi.IPV4, Afi.IPV6), as4=not as2)
     failed = False
     try:
         while chunk := file.read(READ_BYTES):
@@ -208,9 +208,9 @@
     parts = [format_pairs(message="update")]
     if message.withdrawn:
         parts.append("withdrawn=" + ",".join(map(str, message.withdrawn)))
-    parts += [format_announced(attributes, prefixes) for attributes, prefixes in message.reached]
+    parts += [format_announced(attributes, prefixes) for attributes, prefixes in message.reachable]
     parts += [
-        f"fault={f'{fault.kind}: {fault.text}'!r} handled={fault.weight.name.lower()}"
+        f"fault={f'{fault.kind}: {fault.text}'!r} handled={fault.severity.name.lower()}"
         for fault in message.faults
     ]
     return " ".join(parts)
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lilacwalk.bgp.admin import answering
-from lilacwalk.bgp.announcement_policy import UNWELL, Level, Node
+from lilacwalk.bgp.admin import create_admin_socket
+from lilacwalk.bgp.announcement_policy import UNHEALTHY_STATUSES, Level, NodeStatus
 from lilacwalk.bgp.config import BgpConfig, Service
-from lilacwalk.bgp.readiness import Facts, node
+from lilacwalk.bgp.readiness import Facts, node_status
 from lilacwalk.bgp.speaker_io import Speaker
 from lilacwalk.event_queue import EventQueue
 
@@ -60,17 +60,17 @@
         self.now = now
         self.on_withdrawn = on_withdrawn
         self.speaker = Speaker(
-            config, seed, self._withdrawal_sent, on_level=self._announcement_level_changed
+            config, seed, self._withdrawal_sent, on_level_change=self._announcement_level_changed
         )
         self.admin_socket = None
         if config.socket is not None:
             try:
-                self.admin_socket = answering(self.speaker, config.socket)
+                self.admin_socket = create_admin_socket(self.speaker, config.socket)
             except OSError:
                 if self.speaker.listener is not None:
                     self.speaker.listener.close()
                 raise
-        self.reported_node: Node | None = None
+        self.reported_node: NodeStatus | None = None
         self.listener_closes_at: int | None = None  # known once the withdrawal was sent
 
     def start(self) -> None:
@@ -87,51 +87,51 @@
 
     def evaluate(self, facts: tuple, now: int) -> None:
         """Reports a changed node state; `facts` are those of `readiness.Facts`, in their order."""
-        if self.reported_node is Node.LEAVING:
+        if self.reported_node is NodeStatus.LEAVING:
             return
-        state = node(Facts(*facts), now)
-        if state is not self.reported_node and state is not Node.LEAVING:
+        state = node_status(Facts(*facts), now)
+        if state is not self.reported_node and state is not NodeStatus.LEAVING:
             self.reported_node = state
-            self.speaker.node(state)
+            self.speaker.set_node_status(state)
 
     def drain(self, listener_in: int) -> None:
         """Withdraws the announcements; `listener_in` is in tenths of a millisecond."""
-        self.reported_node = Node.LEAVING
+        self.reported_node = NodeStatus.LEAVING
         self.speaker.leave(listener_in)
 
     def listener_may_close(self, now: int) -> bool:
         """Whether a drain need not wait for the withdrawal any longer."""
-        if self.speaker.over.is_set():
+        if self.speaker.ended.is_set():
             return True
         return self.listener_closes_at is not None and now >= self.listener_closes_at
 
     def set_withdrawal_allowed(self, allowed: bool) -> None:
         """Whether the fleet has room for this node to withdraw as unhealthy."""
-        self.speaker.floor(allowed)
+        self.speaker.set_withdrawal_allowed(allowed)
 
     def set_own_service_mode(self, mode: str) -> None:
         """Limits the announcements of the own services: `whole`, `part` or `none` of them."""
-        self.speaker.capped(LEVELS_BY_SERVICE_MODE[mode])
+        self.speaker.set_level_cap(LEVELS_BY_SERVICE_MODE[mode])
 
     def announce_failover_prefixes(self, prefixes: tuple[object, ...]) -> None:
         """Announces the services of failed sites beside the own ones; replaces an earlier call."""
-        self.speaker.stand_in(tuple(Service(prefix=prefix) for prefix in prefixes))
+        self.speaker.set_failover_services(tuple(Service(prefix=prefix) for prefix in prefixes))
 
     def restore_flap_penalty(
         self, penalty: float, suppressed: bool, announced: bool, age: int
     ) -> None:
         """Takes over flap damping of an earlier process, from `age` tenths of a millisecond ago."""
-        self.speaker.recall(penalty, suppressed, announced, age)
+        self.speaker.restore_penalty(penalty, suppressed, announced, age)
 
     def flap_penalty_state(self) -> tuple[float, bool, bool]:
         """Returns the penalty, whether it suppresses announcements, and whether we are announced.
 
         The speaker's thread owns these; they are read as they are at this moment.
         """
-        announcing = self.speaker.speaking.announcing
-        is_leaving = announcing.node in (Node.LEAVING, Node.GONE)
+        announcing = self.speaker.state.announcement_policy
+        is_leaving = announcing.node in (NodeStatus.LEAVING, NodeStatus.GONE)
         return (
-            announcing.penalty.now(self.speaker.now()),
+            announcing.penalty.value_at(self.speaker.now()),
             announcing.penalty.suppressed,
             announcing.level is not Level.NONE and not is_leaving,
         )
@@ -141,7 +141,7 @@
         self.event_queue.post(self._apply_announcement_level, level)
 
     def _apply_announcement_level(self, level: Level) -> None:
-        self.on_withdrawn(level is Level.NONE and self.reported_node in UNWELL)
+        self.on_withdrawn(level is Level.NONE and self.reported_node in UNHEALTHY_STATUSES)
 
     def _withdrawal_sent(self, listener_in: int) -> None:
         """Runs in the speaker's thread."""
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -10,8 +10,8 @@
 from functools import partial
 from typing import TYPE_CHECKING, Protocol
 
-from lilacwalk.bgp.announcement_policy import Node
-from lilacwalk.bgp.readiness import Facts, node
+from lilacwalk.bgp.announcement_policy import NodeStatus
+from lilacwalk.bgp.readiness import Facts, node_status
 from lilacwalk.membership.admin import SiteCommandHandler, admin_socket
 from lilacwalk.membership.config import SECOND, FleetConfig
 from lilacwalk.membership.host import FleetHost
@@ -88,7 +88,7 @@
         self.storage_state = ""
         self.draining_peers = 0
         self.load_multiplier = 1.0  # known members over present ones, whose clients come to these
-        self.reported_state: Node | None = None
+        self.reported_state: NodeStatus | None = None
         self.next_report_at = 0
         self.last_evaluated_at = 0
         # core use times time since the last report: a gauge at one moment says little
@@ -147,7 +147,7 @@
         if storage_state != self.storage_state:
             self.storage_state = storage_state
             self.host.update_metadata(storage_state=storage_state)
-        state = node(Facts(*facts), now)
+        state = node_status(Facts(*facts), now)
         if state is not self.reported_state:
             self.reported_state = state
             self.host.update_metadata(NODE_STATES_BY_NAME[state.value])
--- a/lilacwalk/testing/bgp_router.py
+++ b/lilacwalk/testing/bgp_router.py
@@ -11,7 +11,7 @@
 
 from lilacwalk.bgp import messages
 from lilacwalk.bgp.attributes import SEQUENCE, Attributes
-from lilacwalk.bgp.capabilities import Agreed, Capabilities, GracefulRestart
+from lilacwalk.bgp.capabilities import Capabilities, GracefulRestart, NegotiatedCapabilities
 from lilacwalk.bgp.errors import BgpError
 from lilacwalk.bgp.messages import Keepalive, Notification, Open, Stream, Update
 from lilacwalk.bgp.prefixes import Afi, Prefix
@@ -187,12 +187,17 @@
             sock.close()
 
     def _read(self, sock: socket.socket, session: int) -> None:
-        habits, stream, agreed, up = self.habits, Stream(messages.EXTENDED), Agreed(), False
+        habits, stream, agreed, up = (
+            self.habits,
+            Stream(messages.MAX_EXTENDED_SIZE),
+            NegotiatedCapabilities(),
+            False,
+        )
         while chunk := sock.recv(65_536):
             for kind, body in stream.feed(chunk):
                 message = messages.decode(kind, body, agreed)
                 if isinstance(message, Open):
-                    agreed = Agreed.between(habits.able(), message.capabilities)
+                    agreed = NegotiatedCapabilities.between(habits.able(), message.capabilities)
                     self._note(session, "open", message)
                     if habits.keepalives:
                         self._say(sock, messages.encode(Keepalive()))
@@ -220,7 +225,7 @@
         with self.changed:
             for prefix in update.withdrawn:
                 self.held.pop(prefix, None)
-            for attributes, prefixes in update.reached:
+            for attributes, prefixes in update.reachable:
                 for prefix in prefixes:
                     self.held[prefix] = attributes
                     self.stale.discard(prefix)
@@ -230,7 +235,7 @@
                     self.held.pop(prefix, None)
         if update.end_of_rib is not None:
             self._note(session, "end_of_rib", update)
-        elif update.reached:
+        elif update.reachable:
             self._note(session, "announced", update)
         else:
             self._note(session, "withdrawn", update)
--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -13,7 +13,7 @@
 from lilacwalk.bgp.peer import Do, Peering
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.speaker_io import Speaker
-from lilacwalk.bgp.speaker_state import Speaking
+from lilacwalk.bgp.speaker_state import SpeakerState
 from lilacwalk.operator.loader import parse_operator_file
 from lilacwalk.testing.bgp_router import BgpRouter, Habits
 
@@ -179,7 +179,7 @@
 
 def speaking(more="", peers=("127.0.0.1:1790",), **changed):
     made = orders("".join(peer_block(each) for each in peers) + more, **changed)
-    machine = Speaking(made, 1, 1_000_000)
+    machine = SpeakerState(made, 1, 1_000_000)
     machine.start(1_000_000)
     machine.taken()
     return machine
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.announcement_policy import Announcing, Level, Node, attributes
+from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus, attributes
 from lilacwalk.bgp.attributes import GRACEFUL_SHUTDOWN
-from lilacwalk.bgp.capabilities import Agreed, Capabilities
+from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.config import Damping
 from lilacwalk.bgp.damping import Penalty
 from lilacwalk.bgp.peer import Do
-from lilacwalk.bgp.readiness import Facts, node
+from lilacwalk.bgp.readiness import Facts, node_status
 from tests.bgp.conftest import SECOND, THEM, orders, peer_block, speaking, update
 
 LAST = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
@@ -25,7 +25,7 @@
 
     def __init__(self, more="", **changed):
         self.now = 1_000_000
-        self.machine = Announcing(orders(more, **changed), self.now)
+        self.machine = AnnouncementPolicy(orders(more, **changed), self.now)
         self.levels = []
         self.look()
 
@@ -35,7 +35,7 @@
             self.levels.append((self.now, self.machine.level))
 
     def be(self, state, ms=0):
-        self.machine.told(state, self.now)
+        self.machine.set_node_status(state, self.now)
         self.look()
         return self.wait(ms)
 
@@ -54,60 +54,61 @@
 
 
 def test_a_node_is_announced_once_it_has_been_ready_for_long_enough():
-    life = Life().be(Node.COLD, 500).be(Node.WARMING, 500).be(Node.READY, 19)
+    life = Life().be(NodeStatus.COLD, 500).be(NodeStatus.WARMING, 500).be(NodeStatus.READY, 19)
     assert life.level is Level.NONE
     assert life.wait(1).level is Level.NORMAL
 
 
-@pytest.mark.parametrize("state", [Node.COLD, Node.WARMING, Node.GONE])
+@pytest.mark.parametrize("state", [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.GONE])
 def test_a_node_that_starts_anew_or_is_gone_is_withdrawn_at_once(state):
-    assert Life().be(Node.READY, 100).be(state).level is Level.NONE
+    assert Life().be(NodeStatus.READY, 100).be(state).level is Level.NONE
 
 
 def test_a_sick_node_is_less_wanted_then_withdrawn_and_well_again_only_after_a_while():
-    life = Life().be(Node.READY, 100).be(Node.SICK)
+    life = Life().be(NodeStatus.READY, 100).be(NodeStatus.SICK)
     assert life.level is Level.LESS_WANTED
-    assert life.be(Node.READY, 49).level is Level.LESS_WANTED
+    assert life.be(NodeStatus.READY, 49).level is Level.LESS_WANTED
     assert life.wait(1).level is Level.NORMAL
-    assert life.be(Node.SICK, 99).level is Level.LESS_WANTED
+    assert life.be(NodeStatus.SICK, 99).level is Level.LESS_WANTED
     assert life.wait(1).level is Level.NONE
-    assert life.be(Node.READY, 49).level is Level.NONE
+    assert life.be(NodeStatus.READY, 49).level is Level.NONE
     assert life.wait(1).level is Level.NORMAL
 
 
 def test_a_node_that_swings_between_sick_and_well_is_withdrawn_all_the_same():
-    life = Life().be(Node.READY, 100)
+    life = Life().be(NodeStatus.READY, 100)
     for _ in range(4):
-        life.be(Node.SICK, 20).be(Node.READY, 10)
-    assert life.be(Node.SICK).level is Level.NONE
+        life.be(NodeStatus.SICK, 20).be(NodeStatus.READY, 10)
+    assert life.be(NodeStatus.SICK).level is Level.NONE
 
 
 def test_standing_still_for_a_moment_changes_nothing_where_the_file_gives_it_one():
     life = Life(less_wanted_after="30ms")
-    life.be(Node.READY, 100).be(Node.STANDING_STILL, 29)
+    life.be(NodeStatus.READY, 100).be(NodeStatus.STANDING_STILL, 29)
     assert life.level is Level.NORMAL
     assert life.wait(1).level is Level.LESS_WANTED
 
 
 def test_the_last_resort_stands_for_a_sick_node_never_for_one_that_stands_still_or_never_was_ready():
-    life = Life(LAST).be(Node.READY, 100).be(Node.SICK, 150)
+    life = Life(LAST).be(NodeStatus.READY, 100).be(NodeStatus.SICK, 150)
     assert life.level is Level.LAST_RESORT
-    assert life.be(Node.STANDING_STILL).level is Level.NONE
-    assert Life(LAST).be(Node.SICK, 500).level is Level.NONE
+    assert life.be(NodeStatus.STANDING_STILL).level is Level.NONE
+    assert Life(LAST).be(NodeStatus.SICK, 500).level is Level.NONE
     assert (
-        Life(LAST).be(Node.READY, 100).be(Node.SICK, 500).be(Node.READY, 60).level is Level.NORMAL
+        Life(LAST).be(NodeStatus.READY, 100).be(NodeStatus.SICK, 500).be(NodeStatus.READY, 60).level
+        is Level.NORMAL
     )
 
 
 def test_a_drain_is_less_wanted_then_withdrawn_then_the_listener_may_close_and_nothing_comes_back():
-    life = Life().be(Node.READY, 100)
+    life = Life().be(NodeStatus.READY, 100)
     life.machine.leave(life.now, None)
     began = life.now
     life.look()
     assert life.level is Level.LEAVING
     life.wait(30)
     assert life.level is Level.NONE and life.machine.listener_at == began + 80 * MS
-    for state in (Node.READY, Node.COLD, Node.READY, Node.SICK):
+    for state in (NodeStatus.READY, NodeStatus.COLD, NodeStatus.READY, NodeStatus.SICK):
         assert life.be(state, 1000).level is Level.NONE
 
 
@@ -115,7 +116,7 @@
     "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST, 150, Level.LAST_RESORT)]
 )
 def test_a_sick_node_that_leaves_is_no_more_wanted_for_it(more, ms, level):
-    life = Life(more).be(Node.READY, 100).be(Node.SICK, ms)
+    life = Life(more).be(NodeStatus.READY, 100).be(NodeStatus.SICK, ms)
     life.machine.leave(life.now, None)
     life.look()
     assert life.level is level
@@ -128,7 +129,7 @@
 def test_a_short_grace_takes_from_the_time_of_being_less_wanted_never_from_the_spreading(
     grace, less_wanted, listener
 ):
-    life = Life().be(Node.READY, 100)
+    life = Life().be(NodeStatus.READY, 100)
     began = life.now
     life.machine.leave(began, began + grace * MS)
     life.look()
@@ -140,12 +141,12 @@
 def test_a_node_that_flaps_every_100_ms_for_a_minute_is_announced_a_handful_of_times_and_then_proves_itself():
     life = Life()
     for _ in range(300):
-        life.be(Node.READY, 100).be(Node.COLD, 100)
+        life.be(NodeStatus.READY, 100).be(NodeStatus.COLD, 100)
     announced = [at for at, level in life.levels if level is Level.NORMAL]
     assert 1 <= len(announced) <= 4
     assert life.machine.penalty.suppressed and life.machine.penalty.value <= 48_000
     since = life.now
-    life.be(Node.READY, 60_000)
+    life.be(NodeStatus.READY, 60_000)
     back = life.levels[-1]
     assert back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND  # `longest`
     assert all(level is Level.NONE for at, level in life.levels if since <= at < back[0])
@@ -154,15 +155,15 @@
 def test_one_that_flaps_too_fast_to_be_announced_is_held_back_for_it_as_well():
     life = Life(ready_for="200ms")
     for _ in range(20):
-        life.be(Node.READY, 100).be(Node.COLD, 100)
-    assert life.be(Node.READY, 1000).level is Level.NONE and "damped" in life.machine.reason
+        life.be(NodeStatus.READY, 100).be(NodeStatus.COLD, 100)
+    assert life.be(NodeStatus.READY, 1000).level is Level.NONE and "damped" in life.machine.reason
 
 
 def test_a_withdrawal_is_never_damped():
-    life = Life().be(Node.READY, 100)
+    life = Life().be(NodeStatus.READY, 100)
     for _ in range(10):
         life.machine.penalty.add(1000, life.now)
-    assert life.be(Node.COLD).level is Level.NONE
+    assert life.be(NodeStatus.COLD).level is Level.NONE
 
 
 def test_the_penalty_halves_in_its_half_life_whatever_the_times_it_is_asked_at():
@@ -171,14 +172,15 @@
         each.add(4000, 0)
     for now in range(0, 2 * SECOND, 777):
         asked.holds(now)
-    assert alone.now(SECOND) == 2000 and math.isclose(asked.now(2 * SECOND), 1000)
+    assert alone.value_at(SECOND) == 2000 and math.isclose(asked.value_at(2 * SECOND), 1000)
     free = alone.free_at()
     assert alone.holds(free - 1) and not alone.holds(free) and asked.holds(free - 1)
 
 
 states = st.lists(
     st.tuples(
-        st.sampled_from([each for each in Node if each is not Node.GONE]), st.integers(0, 400)
+        st.sampled_from([each for each in NodeStatus if each is not NodeStatus.GONE]),
+        st.integers(0, 400),
     ),
     max_size=40,
 )
@@ -193,9 +195,11 @@
         began = life.now
         if not left:
             ready_since = (
-                (ready_since if ready_since is not None else began) if state is Node.READY else None
+                (ready_since if ready_since is not None else began)
+                if state is NodeStatus.READY
+                else None
             )
-            left = state is Node.LEAVING
+            left = state is NodeStatus.LEAVING
         life.be(state, ms)
         for at, level in life.levels[:]:
             if level > before:
@@ -204,9 +208,11 @@
             before = level
         if left:
             assert (
-                life.now < began + 30 * MS or life.level is Level.NONE or state is not Node.LEAVING
+                life.now < began + 30 * MS
+                or life.level is Level.NONE
+                or state is not NodeStatus.LEAVING
             )
-        if state in (Node.COLD, Node.WARMING) and not left:
+        if state in (NodeStatus.COLD, NodeStatus.WARMING) and not left:
             assert life.level is Level.NONE
 
 
@@ -234,18 +240,18 @@
 @pytest.mark.parametrize(
     "change, state",
     [
-        ({}, Node.READY),
-        ({"booted": False, "linked": False}, Node.COLD),
-        ({"warm_at": 200}, Node.WARMING),
-        ({"warm_at": 50}, Node.READY),
-        ({"linked": False}, Node.STANDING_STILL),
-        ({"healthy": False}, Node.SICK),
-        ({"leaving": True, "booted": False}, Node.LEAVING),
-        ({"failed": True, "leaving": True}, Node.GONE),
+        ({}, NodeStatus.READY),
+        ({"booted": False, "linked": False}, NodeStatus.COLD),
+        ({"warm_at": 200}, NodeStatus.WARMING),
+        ({"warm_at": 50}, NodeStatus.READY),
+        ({"linked": False}, NodeStatus.STANDING_STILL),
+        ({"healthy": False}, NodeStatus.SICK),
+        ({"leaving": True, "booted": False}, NodeStatus.LEAVING),
+        ({"failed": True, "leaving": True}, NodeStatus.GONE),
     ],
 )
 def test_the_nodes_state_is_read_from_what_the_deciding_thread_knows(change, state):
-    assert node(READY._replace(**change), 100) is state
+    assert node_status(READY._replace(**change), 100) is state
 
 
 # Together with peers
@@ -289,7 +295,7 @@
             if action.do is Do.SEND:
                 for kind, body in messages.Stream().feed(action.about):
                     if kind == 2:
-                        each = messages.decode(2, body, Agreed(as4=True))
+                        each = messages.decode(2, body, NegotiatedCapabilities(as4=True))
                         found += ["+"] * len(each.announced) + ["-"] * len(each.withdrawn)
                     elif kind == 3:
                         found.append(f"cease/{body[1]}")
@@ -298,7 +304,7 @@
 
 def test_a_session_dropped_in_a_drain_before_its_withdrawal_gets_nothing_when_it_is_back():
     speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     assert speaker.tick(100 * MS).sent() == ["+"]
     speaker.machine.leave(speaker.now, speaker.now + 500 * MS)
     speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
@@ -310,7 +316,7 @@
 @pytest.mark.parametrize("wait", [0, 10])
 def test_a_session_that_comes_back_within_the_drains_first_part_learns_that_it_is_less_wanted(wait):
     speaker = Speaker(graceful_shutdown="1s").up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     speaker.tick(100 * MS).sent()
     speaker.machine.leave(speaker.now, None)
     speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
@@ -323,7 +329,7 @@
 
 def test_a_session_dropped_after_the_withdrawal_left_gets_nothing_when_it_is_back():
     speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     speaker.tick(100 * MS).sent()
     speaker.machine.leave(speaker.now, None)
     assert speaker.tick(60 * MS).sent() == ["+", "-"]
@@ -334,7 +340,7 @@
 
 def test_a_process_that_stood_still_gives_nobody_up_for_what_it_could_not_hear():
     speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     speaker.tick(100 * MS).sent()
     speaker.now += 60 * SECOND  # a stop and a continue, or a clock that leapt
     speaker.machine.tick(speaker.now)
@@ -349,7 +355,7 @@
 
 def test_a_new_file_adds_and_removes_services_and_peers_without_ending_the_sessions_that_stay():
     speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     speaker.tick(100 * MS).sent()
     two = "    service 192.0.2.11/32\n" + peer_block() + peer_block("127.0.0.1:1791")
     assert speaker.machine.reordered(orders(two), speaker.now) == [
@@ -371,7 +377,7 @@
 
 def test_a_drain_under_way_is_not_undone_by_a_new_file():
     speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     speaker.tick(100 * MS).sent()
     speaker.machine.leave(speaker.now, None)
     speaker.tick(60 * MS).sent()
@@ -381,7 +387,7 @@
 
 def test_the_end_withdraws_all_and_says_why_and_what_was_received_is_shown():
     speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
+    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
     address, link = speaker.peer.peer.address, speaker.peer.main.number
     speaker.machine.message(address, link, 2, update("10.0.0.0/8")[19:], speaker.now)
     [row] = speaker.machine.received(address)
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -9,8 +9,8 @@
 
 from lilacwalk.bgp import attributes as codec
 from lilacwalk.bgp import messages, prefixes
-from lilacwalk.bgp.attributes import SEQUENCE, SET, Attributes, Type, Weight
-from lilacwalk.bgp.capabilities import Agreed, Capabilities, GracefulRestart
+from lilacwalk.bgp.attributes import SEQUENCE, SET, Attributes, Severity, Type
+from lilacwalk.bgp.capabilities import Capabilities, GracefulRestart, NegotiatedCapabilities
 from lilacwalk.bgp.errors import BgpError
 from lilacwalk.bgp.messages import (
     Keepalive,
@@ -25,7 +25,7 @@
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from tests.bgp.conftest import route
 
-AGREED = Agreed(families=(Afi.IPV4, Afi.IPV6), as4=True)
+AGREED = NegotiatedCapabilities(families=(Afi.IPV4, Afi.IPV6), as4=True)
 asns = st.integers(1, 2**32 - 1)
 v4 = st.builds(
     lambda bits, length: Prefix(Afi.IPV4, bits >> (32 - length) << (32 - length), length),
@@ -54,7 +54,7 @@
 
 
 def read(data, agreed=AGREED, internal=False):
-    [(kind, body)] = Stream(messages.EXTENDED).feed(data)
+    [(kind, body)] = Stream(messages.MAX_EXTENDED_SIZE).feed(data)
     return decode(kind, body, agreed, internal)
 
 
@@ -95,21 +95,21 @@
     for at in range(0, len(data), 7):
         found += [decode(kind, body, AGREED) for kind, body in stream.feed(data[at : at + 7])]
     assert [prefix for each in found for prefix in each.announced] == rows
-    assert all(each.reached[0][0] == attributes for each in found)
+    assert all(each.reachable[0][0] == attributes for each in found)
 
 
 @given(wholes, st.lists(v6, min_size=1, max_size=20, unique=True))
 def test_ipv6_goes_by_mp_reach_and_mp_unreach(attributes, rows):
     attributes = replace(attributes, next_hop=b"\x20\x01" + bytes(13) + b"\1")
     [update] = [read(each) for each in messages.announcements(rows, attributes, True, False)]
-    assert update.reached == ((attributes, tuple(rows)),)
+    assert update.reachable == ((attributes, tuple(rows)),)
     [gone] = [read(each) for each in messages.withdrawals(rows)]
     assert gone == Update(tuple(rows))
 
 
 def test_many_prefixes_fill_messages_to_the_brim_and_no_further():
     rows = [Prefix(Afi.IPV4, each << 8, 24) for each in range(5000)]
-    for most in (messages.PLAIN, messages.EXTENDED):
+    for most in (messages.MAX_SIZE, messages.MAX_EXTENDED_SIZE):
         pieces = list(messages.announcements(rows, route(), True, False, most))
         assert (
             all(most - 4 <= len(each) <= most for each in pieces[:-1]) and len(pieces[-1]) <= most
@@ -120,7 +120,7 @@
 @given(st.binary(max_size=200), st.sampled_from([1, 2, 3, 4, 5, 9]), st.booleans(), st.booleans())
 def test_any_body_is_a_record_or_a_named_error(body, kind, as4, internal):
     try:
-        decode(kind, body, Agreed(families=(1, 2), as4=as4), internal)
+        decode(kind, body, NegotiatedCapabilities(families=(1, 2), as4=as4), internal)
     except BgpError as error:
         assert 1 <= error.code <= 8
 
@@ -134,7 +134,7 @@
                 decode(kind, body, AGREED)
     except BgpError:
         pass
-    assert len(stream.rest) <= messages.PLAIN + 100
+    assert len(stream.rest) <= messages.MAX_SIZE + 100
 
 
 @given(st.binary(max_size=120))
@@ -142,7 +142,7 @@
     body = b"\0\0" + struct.pack("!H", len(raw)) + raw + b"\x08\x0a"
     try:
         update = decode(2, body, AGREED)
-        assert update.reached or update.withdrawn == (Prefix.of("10.0.0.0/8"),)
+        assert update.reachable or update.withdrawn == (Prefix.of("10.0.0.0/8"),)
     except BgpError as error:
         assert error.code == 3
 
@@ -173,42 +173,42 @@
 
 
 @pytest.mark.parametrize(
-    "kind, flags, value, weight",
+    "kind, flags, value, severity",
     [
-        (Type.ORIGIN, 0x40, b"\3", Weight.WITHDRAW),
-        (Type.ORIGIN, 0x40, b"", Weight.WITHDRAW),
-        (Type.ORIGIN, 0xC0, b"\0", Weight.WITHDRAW),
-        (Type.AS_PATH, 0x40, b"\2\2\0\0\0\1", Weight.WITHDRAW),
-        (Type.AS_PATH, 0x40, b"\7\1\0\0\0\1", Weight.WITHDRAW),
-        (Type.AS_PATH, 0x40, b"\2\0", Weight.WITHDRAW),
-        (Type.AS_PATH, 0x40, b"\2\1\0\0\0\0", Weight.WITHDRAW),  # AS 0
-        (Type.NEXT_HOP, 0x40, b"\0\0\0\0", Weight.WITHDRAW),
-        (Type.NEXT_HOP, 0x40, b"\1", Weight.WITHDRAW),
-        (Type.NEXT_HOP, 0x40, bytes((224, 0, 0, 1)), Weight.WITHDRAW),
-        (Type.MED, 0x80, b"\0", Weight.WITHDRAW),
-        (Type.MED, 0x40, b"\0\0\0\1", Weight.WITHDRAW),
-        (Type.LOCAL_PREF, 0x40, b"\0\0\0\1", Weight.DISCARD),  # from outside
-        (Type.ATOMIC_AGGREGATE, 0x40, b"x", Weight.DISCARD),
-        (Type.AGGREGATOR, 0xC0, b"x", Weight.DISCARD),
-        (Type.AGGREGATOR, 0xC0, bytes(8), Weight.DISCARD),
-        (Type.COMMUNITIES, 0xC0, b"123", Weight.WITHDRAW),
-        (Type.COMMUNITIES, 0xC0, b"", Weight.WITHDRAW),
-        (Type.ORIGINATOR_ID, 0x80, b"1", Weight.DISCARD),
-        (Type.CLUSTER_LIST, 0x80, b"1", Weight.DISCARD),
-        (Type.EXTENDED_COMMUNITIES, 0xC0, b"1", Weight.WITHDRAW),
-        (Type.LARGE_COMMUNITIES, 0xC0, b"1", Weight.WITHDRAW),
-        (Type.ONLY_TO_CUSTOMER, 0xC0, b"1", Weight.WITHDRAW),
+        (Type.ORIGIN, 0x40, b"\3", Severity.WITHDRAW),
+        (Type.ORIGIN, 0x40, b"", Severity.WITHDRAW),
+        (Type.ORIGIN, 0xC0, b"\0", Severity.WITHDRAW),
+        (Type.AS_PATH, 0x40, b"\2\2\0\0\0\1", Severity.WITHDRAW),
+        (Type.AS_PATH, 0x40, b"\7\1\0\0\0\1", Severity.WITHDRAW),
+        (Type.AS_PATH, 0x40, b"\2\0", Severity.WITHDRAW),
+        (Type.AS_PATH, 0x40, b"\2\1\0\0\0\0", Severity.WITHDRAW),  # AS 0
+        (Type.NEXT_HOP, 0x40, b"\0\0\0\0", Severity.WITHDRAW),
+        (Type.NEXT_HOP, 0x40, b"\1", Severity.WITHDRAW),
+        (Type.NEXT_HOP, 0x40, bytes((224, 0, 0, 1)), Severity.WITHDRAW),
+        (Type.MED, 0x80, b"\0", Severity.WITHDRAW),
+        (Type.MED, 0x40, b"\0\0\0\1", Severity.WITHDRAW),
+        (Type.LOCAL_PREF, 0x40, b"\0\0\0\1", Severity.DISCARD),  # from outside
+        (Type.ATOMIC_AGGREGATE, 0x40, b"x", Severity.DISCARD),
+        (Type.AGGREGATOR, 0xC0, b"x", Severity.DISCARD),
+        (Type.AGGREGATOR, 0xC0, bytes(8), Severity.DISCARD),
+        (Type.COMMUNITIES, 0xC0, b"123", Severity.WITHDRAW),
+        (Type.COMMUNITIES, 0xC0, b"", Severity.WITHDRAW),
+        (Type.ORIGINATOR_ID, 0x80, b"1", Severity.DISCARD),
+        (Type.CLUSTER_LIST, 0x80, b"1", Severity.DISCARD),
+        (Type.EXTENDED_COMMUNITIES, 0xC0, b"1", Severity.WITHDRAW),
+        (Type.LARGE_COMMUNITIES, 0xC0, b"1", Severity.WITHDRAW),
+        (Type.ONLY_TO_CUSTOMER, 0xC0, b"1", Severity.WITHDRAW),
     ],
 )
 def test_each_attribute_broken_in_turn_has_the_weight_that_rfc_7606_gives_it(
-    kind, flags, value, weight
+    kind, flags, value, severity
 ):
     update = decode(2, with_attribute(kind, flags, value), AGREED)
-    assert [(each.weight, each.kind) for each in update.faults] == [(weight, kind)]
-    if weight is Weight.WITHDRAW:
-        assert update.withdrawn == TEN and not update.reached
+    assert [(each.severity, each.kind) for each in update.faults] == [(severity, kind)]
+    if severity is Severity.WITHDRAW:
+        assert update.withdrawn == TEN and not update.reachable
     else:
-        assert update.announced == TEN and update.reached[0][0].local_pref is None
+        assert update.announced == TEN and update.reachable[0][0].local_pref is None
 
 
 @pytest.mark.parametrize("kind", [Type.ORIGIN, Type.AS_PATH, Type.NEXT_HOP])
@@ -218,7 +218,7 @@
 
 def test_an_attribute_that_stands_twice_counts_once():
     update = decode(2, with_attribute(extra=attribute(0x40, Type.ORIGIN, b"\2")), AGREED)
-    assert update.reached[0][0].origin == 0 and update.faults[0].weight is Weight.DISCARD
+    assert update.reachable[0][0].origin == 0 and update.faults[0].severity is Severity.DISCARD
 
 
 REACH = struct.pack("!HBB", 2, 1, 16) + bytes(15) + b"\1\0"
@@ -272,7 +272,7 @@
     update = decode(
         2, with_attribute(extra=attribute(0xC0, 200, b"x") + attribute(0x80, 201, b"y")), AGREED
     )
-    assert update.reached[0][0].others == ((0xE0, 200, b"x"),)
+    assert update.reachable[0][0].others == ((0xE0, 200, b"x"),)
 
 
 OPENED = struct.pack("!BHHI", 4, 65020, 9, 1)
@@ -327,8 +327,8 @@
 def test_two_octet_peers_get_as_trans_and_the_path_is_put_together_again():
     wide = route(as_path=((SEQUENCE, (65020, 4_200_000_000, 7)),))
     [data] = messages.announcements([Prefix.of("10.0.0.0/8")], wide, False, False)
-    plain = read(data, Agreed(families=(1,)))
-    assert plain.reached[0][0].as_path == wide.as_path
+    plain = read(data, NegotiatedCapabilities(families=(1,)))
+    assert plain.reachable[0][0].as_path == wide.as_path
     merged = codec.Read(
         {"as_path": ((SEQUENCE, (9, 23456, 7)),), "as4_path": ((SEQUENCE, (70000, 7)),)}
     )
@@ -357,7 +357,7 @@
     assert [read(messages.end_of_rib(afi)).end_of_rib for afi in (1, 2)] == [1, 2]
     rows = [Prefix.of("2001:db8::/32")]
     [data] = messages.announcements(rows, route(next_hop=b"\x20" + bytes(14) + b"\1"), True, False)
-    assert read(data, Agreed(families=(1,), as4=True)) == Update()
+    assert read(data, NegotiatedCapabilities(families=(1,), as4=True)) == Update()
 
 
 def test_a_body_of_a_frame_is_what_was_framed():
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -14,8 +14,8 @@
 from click.testing import CliRunner
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.admin import answering as answering_at
-from lilacwalk.bgp.announcement_policy import Node
+from lilacwalk.bgp.admin import create_admin_socket as answering_at
+from lilacwalk.bgp.announcement_policy import NodeStatus
 from lilacwalk.bgp.attributes import GRACEFUL_SHUTDOWN
 from lilacwalk.bgp.capabilities import GracefulRestart
 from lilacwalk.bgp.peer import Action, Do
@@ -38,7 +38,7 @@
 def until(speaker, question):
     """Asked again and again, each time answered by the speaker's thread between two of its passes."""
     give_up = time.monotonic() + PATIENCE
-    while not speaker.ask(question, PATIENCE):
+    while not speaker.query(question, PATIENCE):
         assert time.monotonic() < give_up
 
 
@@ -48,9 +48,9 @@
     routers, listener = [make_router(), make_router(asn=65021)], threading.Event()
     left = []
     speaker = make_speaker(
-        beside(*routers), on_listener=lambda wait: (left.append(wait), listener.set())
+        beside(*routers), on_withdrawal_sent=lambda wait: (left.append(wait), listener.set())
     )
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     for router in routers:
         router.wait_held(SERVICE)
     speaker.leave(5000)
@@ -58,7 +58,7 @@
     for router in routers:
         router.wait_held()
         told = [
-            each.message.reached[0][0].communities
+            each.message.reachable[0][0].communities
             for each in router.seen
             if each.what == "announced"
         ]
@@ -68,13 +68,13 @@
 def test_ipv6_services_go_to_peers_of_either_family(make_router, make_speaker):
     router = make_router()
     made = beside(router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n")
-    make_speaker(made).node(Node.READY)
+    make_speaker(made).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE, "2001:db8::10/128")
 
 
 def test_a_router_that_comes_up_late_is_told_then(make_router, make_speaker):
     router = make_router(turn_away=3)
-    make_speaker(beside(router)).node(Node.READY)
+    make_speaker(beside(router)).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     router.drop()
     router.wait_count("up", 2)
@@ -94,7 +94,7 @@
     make_router, make_speaker, broken, code
 ):
     bad, good = make_router(sends=[broken]), make_router(asn=65021)
-    make_speaker(beside(bad, good)).node(Node.READY)
+    make_speaker(beside(bad, good)).set_node_status(NodeStatus.READY)
     told = bad.wait_count("notification").message
     assert (told.code, told.subcode) == code
     good.wait_held(SERVICE)
@@ -108,7 +108,7 @@
     bad, good = make_router(sends=flood), make_router(asn=65021, sends=table(100_000, 65021))
     made = orders(peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000"))
     speaker = make_speaker(made)
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     assert (bad.wait_count("notification").message.subcode) == 1
     good.wait_held(SERVICE)
     until(speaker, lambda each: len(each.peers[good.address].received) == 100_000)
@@ -119,7 +119,7 @@
     services = "".join(f"    service 198.51.{each >> 8}.{each & 255}/32\n" for each in range(20))
     router = make_router(reads=False)
     speaker = make_speaker(beside(router, more=services), bounds=Bounds(outbox=2_000))
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     until(speaker, lambda each: each.peers[router.address].told)
 
     def fill(
@@ -132,16 +132,16 @@
             ]
 
     while router.sessions == 1:
-        speaker.ask(fill)
-    ended = speaker.ask(lambda each: each.peers[router.address].last_end)
-    assert ended.reason == "stopped reading" and not speaker.over.is_set()
+        speaker.query(fill)
+    ended = speaker.query(lambda each: each.peers[router.address].last_end)
+    assert ended.reason == "stopped reading" and not speaker.ended.is_set()
 
 
 def test_a_peer_that_drips_one_byte_at_a_time_is_understood_and_holds_up_nobody(
     make_router, make_speaker
 ):
     slow, good = make_router(drip=0.002), make_router(asn=65021)
-    make_speaker(beside(slow, good)).node(Node.READY)
+    make_speaker(beside(slow, good)).set_node_status(NodeStatus.READY)
     good.wait_held(SERVICE)
     slow.wait_held(SERVICE)
 
@@ -150,16 +150,16 @@
     router = make_router(host="127.0.0.7")
     speaker = make_speaker(beside(router, peer=["mode both"], more="    listen 127.0.0.1:0\n"))
     router.connect(speaker.listener.getsockname())
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
-    shown = speaker.ask(lambda each: each.shown())
+    shown = speaker.query(lambda each: each.shown())
     assert [each["state"] for each in shown["peers"]] == ["established"]
 
 
 def test_who_is_no_peer_is_turned_away_and_a_passive_peer_is_waited_for(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
     speaker = make_speaker(beside(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n"))
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     stranger = socket.create_connection(speaker.listener.getsockname(), PATIENCE)
     assert stranger.recv(100)[18:21] == b"\3\6\5"
     assert router.sessions == 0
@@ -174,13 +174,13 @@
     router = make_router(keep_stale=True, restart=GracefulRestart(30, families=((1, 1, True),)))
     made = beside(router, more="    graceful-restart {\n        time 30s\n    }\n")
     first = make_speaker(made)
-    first.node(Node.READY)
+    first.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     crash(first)
     router.wait(lambda: router.stale, "a stale route")
     second = make_speaker(made)
     if serves:
-        second.node(Node.READY)
+        second.set_node_status(NodeStatus.READY)
     opened = router.wait_count("open", 2).message
     [kept] = {flag for _, _, flag in opened.capabilities.restart.families}
     assert (
@@ -197,7 +197,7 @@
         raise RuntimeError("a defect, made here")
 
     speaker.inbox.put((fail,))
-    assert speaker.over.wait(PATIENCE)
+    assert speaker.ended.wait(PATIENCE)
 
 
 def test_a_defect_in_the_speaker_closes_its_sessions_so_that_no_route_stays(
@@ -205,7 +205,7 @@
 ):
     router = make_router()
     speaker = make_speaker(beside(router))
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     crash(speaker)
     router.wait_held()
@@ -220,19 +220,21 @@
     for _ in range(200):
         sessions = router.count("up")
         speaker = make_speaker(made)
-        for state in rng.sample([Node.COLD, Node.WARMING, Node.STANDING_STILL, Node.SICK], 2):
-            speaker.node(state)
+        for state in rng.sample(
+            [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.STANDING_STILL, NodeStatus.SICK], 2
+        ):
+            speaker.set_node_status(state)
         router.wait(lambda least=sessions: router.count("up") > least, "a session")
-        speaker.ask(lambda each: None)
+        speaker.query(lambda each: None)
         assert not router.held
-        speaker.node(Node.READY)
+        speaker.set_node_status(NodeStatus.READY)
         router.wait_held(SERVICE)
         if rng.random() < 0.4:
-            speaker.node(Node.COLD)
+            speaker.set_node_status(NodeStatus.COLD)
             router.wait_held()
             count = router.count("announced")
-            speaker.node(Node.WARMING)
-            speaker.ask(lambda each: None)
+            speaker.set_node_status(NodeStatus.WARMING)
+            speaker.query(lambda each: None)
             assert router.count("announced") == count
         if rng.random() < 0.3:
             crash(speaker)
@@ -254,10 +256,10 @@
     from lilacwalk.operator.loader import load_operator_file as read
 
     speaker = make_speaker(read(str(own)).announce)
-    answering = answering_at(speaker, path)
-    answering.start()
+    create_admin_socket = answering_at(speaker, path)
+    create_admin_socket.start()
     assert os.stat(path).st_mode & 0o777 == 0o600
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     until(speaker, lambda each: len(each.peers[router.address].received) == 1)
 
@@ -276,7 +278,7 @@
     assert query(path, "sing")["error"].startswith("ask:")
     with pytest.raises(OSError):  # the name of one that answers is not taken from it
         answering_at(speaker, path)
-    answering.close()
+    create_admin_socket.close()
     assert run("show").exit_code == 2
     (tmp_path / "bgp.sock").touch()
     os.unlink(path)
@@ -300,7 +302,7 @@
     assert cut.exit_code == 2 and "unfinished message" in cut.output
 
 
-class Announcing:
+class AnnounceProcess:
     """`lilacwalk announce` as a process of its own."""
 
     def __init__(self, tmp_path, router, more=""):
@@ -331,7 +333,7 @@
 
     def make(more=""):
         router = make_router()
-        made.append(Announcing(tmp_path, router, more))
+        made.append(AnnounceProcess(tmp_path, router, more))
         return made[-1], router
 
     yield make
@@ -388,10 +390,10 @@
 def test_a_clock_that_jumps_ends_no_session(make_router, make_speaker):
     router, ahead = make_router(hold=3), [0]
     speaker = make_speaker(beside(router), clock=lambda: time.monotonic_ns() + ahead[0])
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     ahead[0] = 3600 * 10**9
-    speaker.ask(lambda each: None)
+    speaker.query(lambda each: None)
     router.send(messages.encode(messages.Keepalive()))
     sent = router.count("keepalive")
     router.wait(lambda: router.count("keepalive") > sent + 1, "keepalives after the jump")
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -121,33 +121,33 @@
 
 def test_only_nodes_that_may_withdraw_are_withdrawn_as_unhealthy():
     """The announcement policy; the rule itself is in test_minimum_healthy."""
-    from lilacwalk.bgp.announcement_policy import Announcing, Level, Node
+    from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
     from tests.bgp.conftest import orders
 
-    made = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
-    made.told(Node.READY, 0)
+    made = AnnouncementPolicy(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    made.set_node_status(NodeStatus.READY, 0)
     assert made.decide(100_000).level is Level.NORMAL
-    made.floor(False)
-    made.told(Node.SICK, 100_000)
+    made.set_withdrawal_allowed(False)
+    made.set_node_status(NodeStatus.SICK, 100_000)
     held = made.decide(500_000)
     assert held.level is Level.LESS_WANTED
     assert "may go" in held.reason
-    made.floor(True)
+    made.set_withdrawal_allowed(True)
     assert made.decide(500_001).level is Level.NONE
-    made.floor(False)
+    made.set_withdrawal_allowed(False)
     assert made.decide(600_000).level is Level.NONE  # gone stays gone until well
-    made.told(Node.LEAVING, 600_000)
+    made.set_node_status(NodeStatus.LEAVING, 600_000)
     assert made.decide(600_000).level is Level.NONE
 
 
 def test_a_drain_withdraws_without_regard_to_the_minimum_of_healthy_members():
-    from lilacwalk.bgp.announcement_policy import Announcing, Level, Node
+    from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
     from tests.bgp.conftest import orders
 
-    made = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
-    made.told(Node.READY, 0)
+    made = AnnouncementPolicy(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    made.set_node_status(NodeStatus.READY, 0)
     made.decide(100_000)
-    made.floor(False)
+    made.set_withdrawal_allowed(False)
     made.leave(100_000, None)
     assert made.decide(200_000).level is Level.NONE
 
@@ -211,9 +211,9 @@
 
 
 def test_member_states_have_the_words_of_the_node_states():
-    from lilacwalk.bgp.announcement_policy import Node
+    from lilacwalk.bgp.announcement_policy import NodeStatus
 
-    assert [node.value for node in Node] == [NODE_STATE_NAMES[state] for state in NodeState]
+    assert [node.value for node in NodeStatus] == [NODE_STATE_NAMES[state] for state in NodeState]
 
 
 def test_a_process_that_gets_sigterm_ends_within_two_seconds(running):
