--- a/lilacwalk/bgp/admin.py
+++ b/lilacwalk/bgp/admin.py
@@ -8,16 +8,18 @@
 from lilacwalk.protocols.admin_socket import AdminSocket
 
 
-def answer(line: str, speaking: SpeakerState) -> object:
+def answer_query(line: str, state: SpeakerState) -> object:
     words = line.split()
     if words == ["show"]:
-        return speaking.shown()
+        return state.status()
     if len(words) == 2 and words[0] == "received":
-        named = [address for address, peer in speaking.peers.items() if peer.name == words[1]]
-        return speaking.received(named[0]) if named else {"error": f"no peer {words[1]}"}
+        addresses = [address for address, peer in state.peers.items() if peer.name == words[1]]
+        return (
+            state.received_routes(addresses[0]) if addresses else {"error": f"no peer {words[1]}"}
+        )
     if len(words) == 2 and words[0] == "route":
         try:
-            return speaking.holding(Prefix.of(words[1]))
+            return state.usable_routes(Prefix.of(words[1]))
         except ValueError as error:
             return {"error": str(error)}
     return {"error": "ask: show, received PEER, route PREFIX"}
@@ -26,5 +28,5 @@
 def create_admin_socket(speaker: Speaker, path: str) -> AdminSocket:
     """Raises OSError."""
     return AdminSocket(
-        path, lambda line: speaker.query(lambda speaking: answer(line, speaking)), "bgp-answering"
+        path, lambda line: speaker.query(lambda state: answer_query(line, state)), "bgp-answering"
     )
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -9,7 +9,7 @@
 
 from lilacwalk.bgp.errors import BgpError, Code, UpdateFault
 
-OPTIONAL, TRANSITIVE, PARTIAL, LONG = 0x80, 0x40, 0x20, 0x10
+OPTIONAL, TRANSITIVE, PARTIAL, EXTENDED_LENGTH = 0x80, 0x40, 0x20, 0x10
 AS_TRANS = 23_456  # RFC 6793: stands for a number that two octets cannot hold
 SET, SEQUENCE, CONFED_SEQUENCE, CONFED_SET = 1, 2, 3, 4
 GRACEFUL_SHUTDOWN = 0xFFFF0000  # RFC 8326
@@ -99,7 +99,7 @@
     @property
     def path_length(self) -> int:
         """RFC 4271 section 9.1.2.2: a set counts one; confederations do not count (RFC 5065)."""
-        return length(self.as_path)
+        return as_path_length(self.as_path)
 
     @property
     def first_as(self) -> int | None:
@@ -112,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class Read:
+class ParsedAttributes:
     """One UPDATE's attributes as they came."""
 
     values: dict[str, object] = field(default_factory=dict)
@@ -129,129 +129,137 @@
         return max((each.severity for each in self.faults), default=0)
 
 
-class BadValueError(Exception):
+class MalformedAttributeError(Exception):
     def __init__(self, text: str, severity: Severity = Severity.WITHDRAW) -> None:
         super().__init__(text)
         self.severity = severity
 
 
-def read(data: bytes, as4: bool, internal: bool) -> Read:
+def parse_attributes(data: bytes, as4: bool, internal: bool) -> ParsedAttributes:
     """All attributes of one UPDATE. Raises BgpError where the session must end: an attribute that is unknown
     and said to be well-known, a second MP_REACH or MP_UNREACH, or one of them that cannot be read (then
     nobody knows which routes were meant; RFC 7606 sections 3g and 5.3)."""
-    found, at = Read(), 0
-    while at < len(data):
-        flags = data[at]
-        head = 4 if flags & LONG else 3
-        if len(data) - at < head:
-            found.fault(
+    parsed, offset = ParsedAttributes(), 0
+    while offset < len(data):
+        flags = data[offset]
+        head = 4 if flags & EXTENDED_LENGTH else 3
+        if len(data) - offset < head:
+            parsed.fault(
                 Severity.WITHDRAW, 0, "an attribute without its length"
             )  # RFC 7606 section 4
             break
-        kind = data[at + 1]
-        size = int.from_bytes(data[at + 2 : at + head], "big")
-        value = data[at + head : at + head + size]
+        kind = data[offset + 1]
+        size = int.from_bytes(data[offset + 2 : offset + head], "big")
+        value = data[offset + head : offset + head + size]
         if len(value) < size:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
-                raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, data[at:], "runs past the end")
-            found.fault(Severity.WITHDRAW, kind, "runs past the end")
+                raise BgpError(
+                    Code.UPDATE, UpdateFault.OPTIONAL, data[offset:], "runs past the end"
+                )
+            parsed.fault(Severity.WITHDRAW, kind, "runs past the end")
             break
-        whole = data[at : at + head + size]
-        at += head + size
-        if kind in found.seen:
+        raw = data[offset : offset + head + size]
+        offset += head + size
+        if kind in parsed.seen:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
                 raise BgpError(
                     Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text=f"attribute {kind} twice"
                 )
-            found.fault(Severity.DISCARD, kind, "stands twice")
+            parsed.fault(Severity.DISCARD, kind, "stands twice")
             continue
-        found.seen.add(kind)
-        take(found, flags, kind, value, whole, as4, internal)
+        parsed.seen.add(kind)
+        parse_attribute(parsed, flags, kind, value, raw, as4, internal)
     if not as4:
-        four_octets(found)
-    return found
-
-
-def take(
-    found: Read, flags: int, kind: int, value: bytes, whole: bytes, as4: bool, internal: bool
+        merge_four_octet_attributes(parsed)
+    return parsed
+
+
+def parse_attribute(
+    parsed: ParsedAttributes,
+    flags: int,
+    kind: int,
+    value: bytes,
+    raw: bytes,
+    as4: bool,
+    internal: bool,
 ) -> None:
     expected = FLAGS.get(kind)  # type: ignore[call-overload]
     if expected is None:
         if not flags & OPTIONAL:
-            raise BgpError(Code.UPDATE, UpdateFault.UNKNOWN_WELL_KNOWN, whole, f"attribute {kind}")
+            raise BgpError(Code.UPDATE, UpdateFault.UNKNOWN_WELL_KNOWN, raw, f"attribute {kind}")
         if flags & TRANSITIVE:
-            others = found.values.get("others", ())
-            found.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
+            others = parsed.values.get("others", ())
+            parsed.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
         return
     if kind in ONLY_INTERNAL and not internal:
-        found.fault(Severity.DISCARD, kind, "from outside")
+        parsed.fault(Severity.DISCARD, kind, "from outside")
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
         if kind in (Type.MP_REACH, Type.MP_UNREACH):  # its routes are still known, and withdrawn
-            found.fault(Severity.WITHDRAW, kind, "wrong flags")
+            parsed.fault(Severity.WITHDRAW, kind, "wrong flags")
         else:
-            found.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
+            parsed.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
             return
     try:
-        READERS[kind](found, value, as4)
-    except BadValueError as error:
+        PARSERS[kind](parsed, value, as4)
+    except MalformedAttributeError as error:
         if error.severity is Severity.RESET:
-            raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, whole, str(error)) from None
-        found.fault(error.severity, kind, str(error))
+            raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, raw, str(error)) from None
+        parsed.fault(error.severity, kind, str(error))
 
 
-def sized(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
+def check_size(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
     if len(value) not in sizes:
-        raise BadValueError(f"{len(value)} bytes long", severity)
+        raise MalformedAttributeError(f"{len(value)} bytes long", severity)
 
 
-def origin(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 1)
+def parse_origin(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 1)
     if value[0] > 2:
-        raise BadValueError(f"origin {value[0]}")
-    found.values["origin"] = value[0]
+        raise MalformedAttributeError(f"origin {value[0]}")
+    parsed.values["origin"] = value[0]
 
 
-def path_of(value: bytes, size: int) -> Path:
-    segments, at = [], 0
-    while at < len(value):
-        if len(value) < at + 2:
-            raise BadValueError("a segment without its length")
-        kind, count = value[at], value[at + 1]
-        end = at + 2 + count * size
+def parse_path(value: bytes, size: int) -> Path:
+    segments, offset = [], 0
+    while offset < len(value):
+        if len(value) < offset + 2:
+            raise MalformedAttributeError("a segment without its length")
+        kind, count = value[offset], value[offset + 1]
+        end = offset + 2 + count * size
         if (
             kind not in (SET, SEQUENCE, CONFED_SEQUENCE, CONFED_SET)
             or not count
             or end > len(value)
         ):
-            raise BadValueError(f"segment {kind} of {count}")
-        numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[at + 2 : end])
+            raise MalformedAttributeError(f"segment {kind} of {count}")
+        numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[offset + 2 : end])
         if 0 in numbers:
-            raise BadValueError("AS 0")  # RFC 7607 section 2
+            raise MalformedAttributeError("AS 0")  # RFC 7607 section 2
         segments.append((kind, numbers))
-        at = end
+        offset = end
     return tuple(segments)
 
 
-def as_path(found: Read, value: bytes, as4: bool) -> None:
-    found.values["as_path"] = path_of(value, 4 if as4 else 2)
+def parse_as_path(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    parsed.values["as_path"] = parse_path(value, 4 if as4 else 2)
 
 
-def as4_path(found: Read, value: bytes, as4: bool) -> None:
+def parse_as4_path(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if as4:
         return  # RFC 6793 section 4.1: means nothing here
     try:
-        found.values["as4_path"] = path_of(value, 4)
-    except BadValueError as error:
-        raise BadValueError(str(error), Severity.DISCARD) from None  # RFC 6793 section 6
+        parsed.values["as4_path"] = parse_path(value, 4)
+    except MalformedAttributeError as error:
+        raise MalformedAttributeError(str(error), Severity.DISCARD) from None  # RFC 6793 section 6
 
 
-def next_hop(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 4)
-    found.values["next_hop"] = usable(value)
+def parse_next_hop(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 4)
+    parsed.values["next_hop"] = check_next_hop(value)
 
 
-def usable(value: bytes) -> bytes:
+def check_next_hop(value: bytes) -> bytes:
     """RFC 4271 section 6.3: what can be no host's address makes the route unusable, not the session."""
     if (
         not any(value)
@@ -260,155 +268,157 @@
         or len(value) == 16
         and value[0] == 0xFF
     ):
-        raise BadValueError("a next hop that is no host")
+        raise MalformedAttributeError("a next hop that is no host")
     return value
 
 
-def number(name: str, kind: Type, severity: Severity = Severity.WITHDRAW):
-    def reader(found: Read, value: bytes, as4: bool) -> None:
-        sized(value, 4, severity=severity)
-        found.values[name] = int.from_bytes(value, "big")
+def number_parser(name: str, kind: Type, severity: Severity = Severity.WITHDRAW):
+    def parser(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+        check_size(value, 4, severity=severity)
+        parsed.values[name] = int.from_bytes(value, "big")
 
-    return reader
+    return parser
 
 
-def atomic(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 0, severity=Severity.DISCARD)
-    found.values["atomic"] = True
+def parse_atomic(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 0, severity=Severity.DISCARD)
+    parsed.values["atomic"] = True
 
 
-def aggregator(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 8 if as4 else 6, severity=Severity.DISCARD)
+def parse_aggregator(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 8 if as4 else 6, severity=Severity.DISCARD)
     asn = int.from_bytes(value[:-4], "big")
     if not asn:
-        raise BadValueError("AS 0", Severity.DISCARD)
-    found.values["aggregator"] = asn, value[-4:]
+        raise MalformedAttributeError("AS 0", Severity.DISCARD)
+    parsed.values["aggregator"] = asn, value[-4:]
 
 
-def as4_aggregator(found: Read, value: bytes, as4: bool) -> None:
+def parse_as4_aggregator(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if as4:
         return
-    sized(value, 8, severity=Severity.DISCARD)
-    found.values["as4_aggregator"] = int.from_bytes(value[:4], "big"), value[4:]
+    check_size(value, 8, severity=Severity.DISCARD)
+    parsed.values["as4_aggregator"] = int.from_bytes(value[:4], "big"), value[4:]
 
 
-def multiple(value: bytes, size: int) -> None:
+def check_multiple(value: bytes, size: int) -> None:
     if not value or len(value) % size:
-        raise BadValueError(f"{len(value)} bytes long")
+        raise MalformedAttributeError(f"{len(value)} bytes long")
 
 
-def communities(found: Read, value: bytes, as4: bool) -> None:
-    multiple(value, 4)
-    found.values["communities"] = struct.unpack(f"!{len(value) // 4}I", value)
+def parse_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_multiple(value, 4)
+    parsed.values["communities"] = struct.unpack(f"!{len(value) // 4}I", value)
 
 
-def extended_communities(found: Read, value: bytes, as4: bool) -> None:
-    multiple(value, 8)
-    found.values["extended"] = value
+def parse_extended_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_multiple(value, 8)
+    parsed.values["extended"] = value
 
 
-def large_communities(found: Read, value: bytes, as4: bool) -> None:
-    multiple(value, 12)
-    found.values["large"] = tuple(
+def parse_large_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_multiple(value, 12)
+    parsed.values["large"] = tuple(
         dict.fromkeys(struct.iter_unpack("!III", value))
     )  # RFC 8092 section 3
 
 
-def only_to_customer(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 4)  # RFC 9234 section 5: treated as withdrawn
-    found.values["only_to_customer"] = int.from_bytes(value, "big")
+def parse_only_to_customer(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 4)  # RFC 9234 section 5: treated as withdrawn
+    parsed.values["only_to_customer"] = int.from_bytes(value, "big")
 
 
-def checked(found: Read, value: bytes, as4: bool) -> None:
+def parse_unused(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     """Internal peers' own; nothing here reflects routes, so only its form counts."""
-    multiple(value, 4)
+    check_multiple(value, 4)
 
 
-def mp_reach(found: Read, value: bytes, as4: bool) -> None:
+def parse_mp_reach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 5 or len(value) < 5 + value[3]:
-        raise BadValueError("too short", Severity.RESET)
+        raise MalformedAttributeError("too short", Severity.RESET)
     afi, safi, size = struct.unpack("!HBB", value[:4])
-    hop, prefixes = value[4 : 4 + size], value[5 + size :]
+    next_hop, prefixes = value[4 : 4 + size], value[5 + size :]
     if afi == 2 and size not in (16, 32) or afi == 1 and size not in (4, 16, 32):
-        raise BadValueError(f"a next hop of {size} bytes", Severity.RESET)  # RFC 7606 section 7.11
-    found.reach = afi, safi, hop[:16], prefixes
+        raise MalformedAttributeError(
+            f"a next hop of {size} bytes", Severity.RESET
+        )  # RFC 7606 section 7.11
+    parsed.reach = afi, safi, next_hop[:16], prefixes
     if afi == 2:
-        usable(hop[:16])
+        check_next_hop(next_hop[:16])
 
 
-def mp_unreach(found: Read, value: bytes, as4: bool) -> None:
+def parse_mp_unreach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 3:
-        raise BadValueError("too short", Severity.RESET)
-    found.unreach = *struct.unpack("!HB", value[:3]), value[3:]
-
-
-READERS = {
-    Type.ORIGIN: origin,
-    Type.AS_PATH: as_path,
-    Type.NEXT_HOP: next_hop,
-    Type.MED: number("med", Type.MED),
-    Type.LOCAL_PREF: number("local_pref", Type.LOCAL_PREF),
-    Type.ATOMIC_AGGREGATE: atomic,
-    Type.AGGREGATOR: aggregator,
-    Type.COMMUNITIES: communities,
-    Type.ORIGINATOR_ID: checked,
-    Type.CLUSTER_LIST: checked,
-    Type.MP_REACH: mp_reach,
-    Type.MP_UNREACH: mp_unreach,
-    Type.EXTENDED_COMMUNITIES: extended_communities,
-    Type.AS4_PATH: as4_path,
-    Type.AS4_AGGREGATOR: as4_aggregator,
-    Type.LARGE_COMMUNITIES: large_communities,
-    Type.ONLY_TO_CUSTOMER: only_to_customer,
+        raise MalformedAttributeError("too short", Severity.RESET)
+    parsed.unreach = *struct.unpack("!HB", value[:3]), value[3:]
+
+
+PARSERS = {
+    Type.ORIGIN: parse_origin,
+    Type.AS_PATH: parse_as_path,
+    Type.NEXT_HOP: parse_next_hop,
+    Type.MED: number_parser("med", Type.MED),
+    Type.LOCAL_PREF: number_parser("local_pref", Type.LOCAL_PREF),
+    Type.ATOMIC_AGGREGATE: parse_atomic,
+    Type.AGGREGATOR: parse_aggregator,
+    Type.COMMUNITIES: parse_communities,
+    Type.ORIGINATOR_ID: parse_unused,
+    Type.CLUSTER_LIST: parse_unused,
+    Type.MP_REACH: parse_mp_reach,
+    Type.MP_UNREACH: parse_mp_unreach,
+    Type.EXTENDED_COMMUNITIES: parse_extended_communities,
+    Type.AS4_PATH: parse_as4_path,
+    Type.AS4_AGGREGATOR: parse_as4_aggregator,
+    Type.LARGE_COMMUNITIES: parse_large_communities,
+    Type.ONLY_TO_CUSTOMER: parse_only_to_customer,
 }
 
 
-def four_octets(found: Read) -> None:
+def merge_four_octet_attributes(parsed: ParsedAttributes) -> None:
     """RFC 6793 section 4.2.3: a peer of two octets' path and aggregator, completed by what others put
     beside."""
-    wide, narrow = found.values.pop("as4_path", None), found.values.get("as_path")
-    aggregated = found.values.pop("as4_aggregator", None)
-    plain = found.values.get("aggregator")
-    if plain is not None and aggregated is not None:
-        if plain[0] != AS_TRANS:  # type: ignore[index]
-            return  # whoever aggregated knew no four octets: what is beside is older than that
-        found.values["aggregator"] = aggregated
-    if wide is None or narrow is None:
+    as4_path, as_path = parsed.values.pop("as4_path", None), parsed.values.get("as_path")
+    as4_aggregator = parsed.values.pop("as4_aggregator", None)
+    aggregator = parsed.values.get("aggregator")
+    if aggregator is not None and as4_aggregator is not None:
+        if aggregator[0] != AS_TRANS:  # type: ignore[index]
+            return  # whoever as4_aggregator knew no four octets: what is beside is older than that
+        parsed.values["aggregator"] = as4_aggregator
+    if as4_path is None or as_path is None:
         return
-    ours, theirs = length(narrow), length(wide)  # type: ignore[arg-type]
-    if ours < theirs:
+    path_length, as4_length = as_path_length(as_path), as_path_length(as4_path)  # type: ignore[arg-type]
+    if path_length < as4_length:
         return
-    missing, head = ours - theirs, []
-    for kind, numbers in narrow:  # type: ignore[attr-defined]
+    missing, head = path_length - as4_length, []
+    for kind, numbers in as_path:  # type: ignore[attr-defined]
         if missing <= 0:
             break
         part = numbers[:missing] if kind in (SEQUENCE, CONFED_SEQUENCE) else numbers
         head.append((kind, part))
         missing -= len(part) if kind == SEQUENCE else 1 if kind == SET else 0
-    if head and wide and head[-1][0] == SEQUENCE == wide[0][0]:  # type: ignore[index]
-        joined = (SEQUENCE, (*head.pop()[1], *wide[0][1]))  # type: ignore[index]
-        wide = (joined, *wide[1:])  # type: ignore[index]
-    found.values["as_path"] = (*head, *wide)  # type: ignore[misc]
+    if head and as4_path and head[-1][0] == SEQUENCE == as4_path[0][0]:  # type: ignore[index]
+        joined = (SEQUENCE, (*head.pop()[1], *as4_path[0][1]))  # type: ignore[index]
+        as4_path = (joined, *as4_path[1:])  # type: ignore[index]
+    parsed.values["as_path"] = (*head, *as4_path)  # type: ignore[misc]
 
 
-def length(path: Path) -> int:
+def as_path_length(path: Path) -> int:
     return sum(
         1 if kind == SET else len(numbers) for kind, numbers in path if kind in (SET, SEQUENCE)
     )
 
 
-def pack(flags: int, kind: int, value: bytes) -> bytes:
+def encode_attribute(flags: int, kind: int, value: bytes) -> bytes:
     if len(value) > 255:
-        return struct.pack("!BBH", flags | LONG, kind, len(value)) + value
+        return struct.pack("!BBH", flags | EXTENDED_LENGTH, kind, len(value)) + value
     return struct.pack("!BBB", flags, kind, len(value)) + value
 
 
-def pack_path(path: Path, size: int) -> bytes:
-    most = 255  # numbers in one segment
+def encode_path(path: Path, size: int) -> bytes:
+    max_numbers = 255  # numbers in one segment
     pieces = []
     for kind, numbers in path:
-        for at in range(0, len(numbers), most):
-            part = numbers[at : at + most]
+        for offset in range(0, len(numbers), max_numbers):
+            part = numbers[offset : offset + max_numbers]
             if size == 2:
                 part = tuple(each if each < 65_536 else AS_TRANS for each in part)
             pieces.append(
@@ -421,40 +431,53 @@
     """In the order of their types (RFC 4271 appendix F.3). The next hop of IPv6 goes into MP_REACH
     instead."""
     parts = [
-        pack(WELL_KNOWN, Type.ORIGIN, bytes((attributes.origin,))),
-        pack(WELL_KNOWN, Type.AS_PATH, pack_path(attributes.as_path, 4 if as4 else 2)),
+        encode_attribute(WELL_KNOWN, Type.ORIGIN, bytes((attributes.origin,))),
+        encode_attribute(
+            WELL_KNOWN, Type.AS_PATH, encode_path(attributes.as_path, 4 if as4 else 2)
+        ),
     ]
     if with_next_hop:
-        parts.append(pack(WELL_KNOWN, Type.NEXT_HOP, attributes.next_hop))
+        parts.append(encode_attribute(WELL_KNOWN, Type.NEXT_HOP, attributes.next_hop))
     if attributes.med is not None:
-        parts.append(pack(OPTIONAL, Type.MED, struct.pack("!I", attributes.med)))
+        parts.append(encode_attribute(OPTIONAL, Type.MED, struct.pack("!I", attributes.med)))
     if internal and attributes.local_pref is not None:
-        parts.append(pack(WELL_KNOWN, Type.LOCAL_PREF, struct.pack("!I", attributes.local_pref)))
+        parts.append(
+            encode_attribute(WELL_KNOWN, Type.LOCAL_PREF, struct.pack("!I", attributes.local_pref))
+        )
     if attributes.atomic:
-        parts.append(pack(WELL_KNOWN, Type.ATOMIC_AGGREGATE, b""))
+        parts.append(encode_attribute(WELL_KNOWN, Type.ATOMIC_AGGREGATE, b""))
     if attributes.aggregator is not None:
         asn, address = attributes.aggregator
         narrow = asn if asn < 65_536 else AS_TRANS
         value = struct.pack("!I", asn) if as4 else struct.pack("!H", narrow)
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.AGGREGATOR, value + address))
+        parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.AGGREGATOR, value + address))
     if attributes.communities:
         value = struct.pack(f"!{len(attributes.communities)}I", *attributes.communities)
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.COMMUNITIES, value))
+        parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.COMMUNITIES, value))
     if attributes.extended:
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.EXTENDED_COMMUNITIES, attributes.extended))
+        parts.append(
+            encode_attribute(OPTIONAL | TRANSITIVE, Type.EXTENDED_COMMUNITIES, attributes.extended)
+        )
     wide = any(each > 65_535 for _, numbers in attributes.as_path for each in numbers)
     if not as4 and wide:
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.AS4_PATH, pack_path(attributes.as_path, 4)))
+        parts.append(
+            encode_attribute(
+                OPTIONAL | TRANSITIVE, Type.AS4_PATH, encode_path(attributes.as_path, 4)
+            )
+        )
     if attributes.large:
         value = b"".join(struct.pack("!III", *each) for each in attributes.large)
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.LARGE_COMMUNITIES, value))
+        parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.LARGE_COMMUNITIES, value))
     if attributes.only_to_customer is not None:
         parts.append(
-            pack(
+            encode_attribute(
                 OPTIONAL | TRANSITIVE,
                 Type.ONLY_TO_CUSTOMER,
                 struct.pack("!I", attributes.only_to_customer),
             )
         )
-    parts += [pack(flags & ~LONG, kind, value) for flags, kind, value in attributes.others]
+    parts += [
+        encode_attribute(flags & ~EXTENDED_LENGTH, kind, value)
+        for flags, kind, value in attributes.others
+    ]
     return b"".join(parts)
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -13,7 +13,7 @@
 RESTARTED, NOTIFICATION = 0x8, 0x4  # restart flags: RFC 4724 section 3, RFC 8538 section 2
 FORWARDING = 0x80  # of a family: its routes are still in use there
 ROLES = {"provider": 0, "rs": 1, "rs-client": 2, "customer": 3, "peer": 4}  # RFC 9234 section 4.1
-FITS = {0: 3, 3: 0, 1: 2, 2: 1, 4: 4}  # which role the other side must have
+COMPATIBLE_ROLES = {0: 3, 3: 0, 1: 2, 2: 1, 4: 4}  # which role the other side must have
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     restart: GracefulRestart | None = None
     unknown: tuple[tuple[int, bytes], ...] = field(default=(), compare=False)
 
-    def encoded(self) -> bytes:
+    def encode(self) -> bytes:
         parts = [(MULTIPROTOCOL, struct.pack("!HBB", afi, 0, safi)) for afi, safi in self.families]
         if self.refresh:
             parts.append((REFRESH, b""))
@@ -46,15 +46,15 @@
         if self.role is not None:
             parts.append((ROLE, bytes((self.role,))))
         if self.restart is not None:
-            told = self.restart
-            flags = RESTARTED * told.restarted | NOTIFICATION * told.notification
+            restart = self.restart
+            flags = RESTARTED * restart.restarted | NOTIFICATION * restart.notification
             parts.append(
                 (
                     GRACEFUL_RESTART,
-                    struct.pack("!H", flags << 12 | told.time)
+                    struct.pack("!H", flags << 12 | restart.time)
                     + b"".join(
-                        struct.pack("!HBB", afi, safi, FORWARDING * kept)
-                        for afi, safi, kept in told.families
+                        struct.pack("!HBB", afi, safi, FORWARDING * forwarding)
+                        for afi, safi, forwarding in restart.families
                     ),
                 )
             )
@@ -63,12 +63,12 @@
         return b"".join(bytes((code, len(value))) + value for code, value in parts)
 
 
-def decoded(data: bytes) -> Capabilities:
+def decode(data: bytes) -> Capabilities:
     """One capability stated twice counts once, the last for those of one value (RFC 5492 section 4). Raises
     BgpError for lengths that lie; a known capability whose value has another length than its RFC says is
     passed over as one not understood, as a session without it is still of use."""
     families: dict[tuple[int, int], None] = {}
-    got: dict[str, object] = {}
+    values: dict[str, object] = {}
     unknown, at = [], 0
     while at < len(data):
         if len(data) < at + 2 or len(data) < at + 2 + data[at + 1]:
@@ -80,30 +80,32 @@
         if code == MULTIPROTOCOL and len(value) == 4:
             families[struct.unpack("!HxB", value)] = None
         elif code == REFRESH and not value:
-            got["refresh"] = True
+            values["refresh"] = True
         elif code == ENHANCED_REFRESH and not value:
-            got["enhanced_refresh"] = True
+            values["enhanced_refresh"] = True
         elif code == EXTENDED_MESSAGES and not value:
-            got["extended"] = True
+            values["extended"] = True
         elif code == ROLE and len(value) == 1:
-            if got.get("role", value[0]) != value[0]:  # RFC 9234 section 4.2: several that differ
+            if (
+                values.get("role", value[0]) != value[0]
+            ):  # RFC 9234 section 4.2: several that differ
                 raise BgpError(Code.OPEN, OpenFault.ROLE_MISMATCH, text="two roles")
-            got["role"] = value[0]
+            values["role"] = value[0]
         elif code == GRACEFUL_RESTART and len(value) >= 2 and len(value) % 4 == 2:
             flags, rows = value[0] >> 4, struct.iter_unpack("!HBB", value[2:])
-            got["restart"] = GracefulRestart(
+            values["restart"] = GracefulRestart(
                 int.from_bytes(value[:2], "big") & 0xFFF,
                 bool(flags & RESTARTED),
                 bool(flags & NOTIFICATION),
-                tuple((afi, safi, bool(kept & FORWARDING)) for afi, safi, kept in rows),
+                tuple((afi, safi, bool(forwarding & FORWARDING)) for afi, safi, forwarding in rows),
             )
         elif code == FOUR_OCTET_AS and len(value) == 4:
-            got["as4"] = int.from_bytes(value, "big")
-            if not got["as4"]:  # RFC 7607 section 2
+            values["as4"] = int.from_bytes(value, "big")
+            if not values["as4"]:  # RFC 7607 section 2
                 raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="AS 0")
         else:
             unknown.append((code, value))
-    return Capabilities(families=tuple(families), unknown=tuple(unknown), **got)  # type: ignore[arg-type]
+    return Capabilities(families=tuple(families), unknown=tuple(unknown), **values)  # type: ignore[arg-type]
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,16 +126,18 @@
     ) -> NegotiatedCapabilities:
         """Raises BgpError where roles do not fit, or ours is strict and theirs is not told (RFC 9234 4.2)."""
         if ours.role is not None and (theirs.role is not None or our_role_strict):
-            if theirs.role is None or FITS.get(theirs.role) != ours.role:
+            if theirs.role is None or COMPATIBLE_ROLES.get(theirs.role) != ours.role:
                 raise BgpError(Code.OPEN, OpenFault.ROLE_MISMATCH, text=f"role {theirs.role}")
         # who states no family at all means IPv4 unicast (RFC 4760 section 8)
-        stated = (
+        peer_families = (
             [afi for afi, safi in theirs.families if safi == UNICAST]
             if theirs.families
             else [Afi.IPV4]
         )
         return cls(
-            families=tuple(afi for afi, safi in ours.families if safi == UNICAST and afi in stated),
+            families=tuple(
+                afi for afi, safi in ours.families if safi == UNICAST and afi in peer_families
+            ),
             as4=ours.as4 is not None and theirs.as4 is not None,
             refresh=ours.refresh and theirs.refresh,
             enhanced_refresh=ours.enhanced_refresh and theirs.enhanced_refresh,
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -11,16 +11,24 @@
 from lilacwalk.bgp import attributes as path_attributes
 from lilacwalk.bgp import capabilities as capability_codec
 from lilacwalk.bgp import prefixes as prefix_codec
-from lilacwalk.bgp.attributes import LONG, OPTIONAL, Attributes, Fault, Severity, Type, pack
+from lilacwalk.bgp.attributes import (
+    EXTENDED_LENGTH,
+    OPTIONAL,
+    Attributes,
+    Fault,
+    Severity,
+    Type,
+    encode_attribute,
+)
 from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.errors import BgpError, Code, Header, OpenFault, UpdateFault
 from lilacwalk.bgp.prefixes import UNICAST, Afi, Prefix
 
 MARKER = b"\xff" * 16
-HEAD, MAX_SIZE, MAX_EXTENDED_SIZE = 19, 4_096, 65_535
+HEADER_SIZE, MAX_SIZE, MAX_EXTENDED_SIZE = 19, 4_096, 65_535
 OPEN, UPDATE, NOTIFICATION, KEEPALIVE, REFRESH = 1, 2, 3, 4, 5
-LEAST = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
-CAPABILITIES, LONG_PARAMETERS = 2, 255  # optional parameters: RFC 5492, RFC 9072
+MIN_SIZES = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
+CAPABILITIES, EXTENDED_PARAMETERS = 2, 255  # optional parameters: RFC 5492, RFC 9072
 VERSION = 4
 
 
@@ -82,44 +90,50 @@
     """Chunks as they were read, cut anywhere, to whole messages. Holds one message at most, as long as `most`
     allows; raises BgpError on what can be no header, and is of no use after that."""
 
-    __slots__ = ("rest", "most")
+    __slots__ = ("rest", "max_size")
 
-    def __init__(self, most: int = MAX_SIZE) -> None:
-        self.rest, self.most = b"", most
+    def __init__(self, max_size: int = MAX_SIZE) -> None:
+        self.rest, self.max_size = b"", max_size
 
     def feed(self, chunk: bytes) -> Iterator[tuple[int, bytes]]:
         """(type, body) each."""
-        data, at = self.rest + chunk if self.rest else chunk, 0
+        data, offset = self.rest + chunk if self.rest else chunk, 0
         try:
-            while len(data) - at >= HEAD:
-                size, kind = int.from_bytes(data[at + 16 : at + 18], "big"), data[at + 18]
-                if data[at : at + 16] != MARKER:
+            while len(data) - offset >= HEADER_SIZE:
+                size, kind = (
+                    int.from_bytes(data[offset + 16 : offset + 18], "big"),
+                    data[offset + 18],
+                )
+                if data[offset : offset + 16] != MARKER:
                     raise BgpError(Code.HEADER, Header.NOT_SYNCHRONIZED)
                 if (
-                    not HEAD <= size <= self.most
-                    or kind in LEAST
-                    and size < LEAST[kind]
+                    not HEADER_SIZE <= size <= self.max_size
+                    or kind in MIN_SIZES
+                    and size < MIN_SIZES[kind]
                     or kind == KEEPALIVE
-                    and size != HEAD
+                    and size != HEADER_SIZE
                     or kind == OPEN
                     and size > MAX_SIZE
                 ):
                     raise BgpError(
-                        Code.HEADER, Header.BAD_LENGTH, data[at + 16 : at + 18], f"length {size}"
+                        Code.HEADER,
+                        Header.BAD_LENGTH,
+                        data[offset + 16 : offset + 18],
+                        f"length {size}",
                     )
-                if kind not in LEAST:
+                if kind not in MIN_SIZES:
                     raise BgpError(Code.HEADER, Header.BAD_TYPE, bytes((kind,)), f"type {kind}")
-                if len(data) - at < size:
+                if len(data) - offset < size:
                     break
-                body = data[at + HEAD : at + size]
-                at += size
+                body = data[offset + HEADER_SIZE : offset + size]
+                offset += size
                 yield kind, body
         finally:
-            self.rest = data[at:]
+            self.rest = data[offset:]
 
 
 def frame(kind: int, body: bytes) -> bytes:
-    return MARKER + struct.pack("!HB", HEAD + len(body), kind) + body
+    return MARKER + struct.pack("!HB", HEADER_SIZE + len(body), kind) + body
 
 
 def decode(
@@ -136,7 +150,9 @@
         return decode_update(body, agreed, internal)
     if kind == NOTIFICATION:
         if len(body) < 2:  # also where no stream counted its bytes first
-            raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
+            raise BgpError(
+                Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body))
+            )
         return Notification(body[0], body[1], body[2:])
     if kind == KEEPALIVE:
         return Keepalive()
@@ -152,120 +168,130 @@
 
 def decode_open(body: bytes) -> Open:
     if len(body) < 10:
-        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
-    version, asn, hold, ident, size = struct.unpack("!BHHIB", body[:10])
+        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
+    version, asn, hold, router_id, parameters_size = struct.unpack("!BHHIB", body[:10])
     if version != VERSION:
         raise BgpError(
             Code.OPEN, OpenFault.VERSION, struct.pack("!H", VERSION), f"version {version}"
         )
-    parameters, head = body[10:], 2
-    if size == LONG_PARAMETERS and parameters[:1] == b"\xff":  # RFC 9072: lengths of two octets
+    parameters, parameter_header_size = body[10:], 2
+    if (
+        parameters_size == EXTENDED_PARAMETERS and parameters[:1] == b"\xff"
+    ):  # RFC 9072: lengths of two octets
         if len(parameters) < 3:
             raise BgpError(Code.OPEN, 0, text="parameters without their length")
-        size, parameters, head = int.from_bytes(parameters[1:3], "big"), parameters[3:], 3
-    if size != len(parameters):
+        parameters_size, parameters, parameter_header_size = (
+            int.from_bytes(parameters[1:3], "big"),
+            parameters[3:],
+            3,
+        )
+    if parameters_size != len(parameters):
         raise BgpError(
-            Code.OPEN, 0, text=f"{len(parameters)} bytes of parameters, said to be {size}"
+            Code.OPEN,
+            0,
+            text=f"{len(parameters)} bytes of parameters, said to be {parameters_size}",
         )
-    stated, at = b"", 0
-    while at < len(parameters):
-        length = int.from_bytes(parameters[at + 1 : at + head], "big")
-        value = parameters[at + head : at + head + length]
-        if len(parameters) < at + head or len(value) < length:
+    capability_data, offset = b"", 0
+    while offset < len(parameters):
+        length = int.from_bytes(parameters[offset + 1 : offset + parameter_header_size], "big")
+        value = parameters[offset + parameter_header_size : offset + parameter_header_size + length]
+        if len(parameters) < offset + parameter_header_size or len(value) < length:
             raise BgpError(Code.OPEN, 0, text="a parameter runs past the end")
-        if parameters[at] != CAPABILITIES:
+        if parameters[offset] != CAPABILITIES:
             raise BgpError(
-                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text=f"parameter {parameters[at]}"
+                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text=f"parameter {parameters[offset]}"
             )
-        stated += value
-        at += head + length
-    capabilities = capability_codec.decoded(stated)
+        capability_data += value
+        offset += parameter_header_size + length
+    capabilities = capability_codec.decode(capability_data)
     if not asn:
         raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="AS 0")
     if hold in (1, 2):
         raise BgpError(Code.OPEN, OpenFault.HOLD_TIME, text=f"{hold} s")
-    if not ident:
+    if not router_id:
         raise BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="0.0.0.0")
     return Open(
         asn if capabilities.as4 is None else capabilities.as4,
         hold,
-        str(ipaddress.IPv4Address(ident)),
+        str(ipaddress.IPv4Address(router_id)),
         capabilities,
     )
 
 
 def decode_update(body: bytes, agreed: NegotiatedCapabilities, internal: bool) -> Update:
     if len(body) < 4:
-        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
-    gone = int.from_bytes(body[:2], "big")
-    if len(body) < gone + 4:
+        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
+    withdrawn_size = int.from_bytes(body[:2], "big")
+    if len(body) < withdrawn_size + 4:
         raise BgpError(
             Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text="withdrawn routes run past the end"
         )
-    size = int.from_bytes(body[2 + gone : 4 + gone], "big")
-    if len(body) < 4 + gone + size:
+    attributes_size = int.from_bytes(body[2 + withdrawn_size : 4 + withdrawn_size], "big")
+    if len(body) < 4 + withdrawn_size + attributes_size:
         raise BgpError(Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text="attributes run past the end")
     if len(body) == 4:
         return Update(end_of_rib=Afi.IPV4)
-    withdrawn = prefixes_of(body[2 : 2 + gone], Afi.IPV4)
+    withdrawn = decode_prefixes(body[2 : 2 + withdrawn_size], Afi.IPV4)
     raw, announced = (
-        body[4 + gone : 4 + gone + size],
-        prefixes_of(body[4 + gone + size :], Afi.IPV4),
+        body[4 + withdrawn_size : 4 + withdrawn_size + attributes_size],
+        decode_prefixes(body[4 + withdrawn_size + attributes_size :], Afi.IPV4),
     )
-    found = path_attributes.read(raw, agreed.as4, internal)
-    if found.unreach is not None:
-        afi, safi, rows = found.unreach
+    parsed = path_attributes.parse_attributes(raw, agreed.as4, internal)
+    if parsed.unreach is not None:
+        afi, safi, nlri = parsed.unreach
         if safi == UNICAST and afi in (Afi.IPV4, Afi.IPV6):
-            if not rows and found.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
-                return Update(end_of_rib=afi, faults=tuple(found.faults))
+            if not nlri and parsed.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
+                return Update(end_of_rib=afi, faults=tuple(parsed.faults))
             if afi in agreed.families:  # what was not agreed on is passed over (RFC 4760 section 7)
-                withdrawn += prefixes_of(rows, Afi(afi))
-    reached: list[Prefix] = []
-    if found.reach is not None:
-        afi, safi, hop, rows = found.reach
+                withdrawn += decode_prefixes(nlri, Afi(afi))
+    mp_reached: list[Prefix] = []
+    if parsed.reach is not None:
+        afi, safi, next_hop, nlri = parsed.reach
         if safi == UNICAST and afi in agreed.families:
-            reached = prefixes_of(rows, Afi(afi))
-    if announced or reached:
-        missing(found, bool(announced), internal)
-    if found.severity >= Severity.WITHDRAW:
-        if not (announced or reached) and (withdrawn or found.seen - {Type.MP_UNREACH}):
+            mp_reached = decode_prefixes(nlri, Afi(afi))
+    if announced or mp_reached:
+        check_mandatory(parsed, bool(announced), internal)
+    if parsed.severity >= Severity.WITHDRAW:
+        if not (announced or mp_reached) and (withdrawn or parsed.seen - {Type.MP_UNREACH}):
             # RFC 7606 section 5.2: nobody knows what was meant to be withdrawn
-            worst = max(found.faults, key=lambda each: each.severity)
+            worst = max(parsed.faults, key=lambda each: each.severity)
             raise BgpError(
                 Code.UPDATE,
                 UpdateFault.ATTRIBUTE_LIST,
                 text=f"attribute {worst.kind}: {worst.text}, and no route it was meant for",
             )
         return Update(
-            tuple(dict.fromkeys([*withdrawn, *announced, *reached])), faults=tuple(found.faults)
+            tuple(dict.fromkeys([*withdrawn, *announced, *mp_reached])), faults=tuple(parsed.faults)
         )
-    groups = []
+    reachable = []
     if announced:
-        groups.append((Attributes(**found.values), tuple(announced)))  # type: ignore[arg-type]
-    if reached:
-        values = found.values | {"next_hop": hop}
-        groups.append((Attributes(**values), tuple(reached)))  # type: ignore[arg-type]
+        reachable.append((Attributes(**parsed.values), tuple(announced)))  # type: ignore[arg-type]
+    if mp_reached:
+        values = parsed.values | {"next_hop": next_hop}
+        reachable.append((Attributes(**values), tuple(mp_reached)))  # type: ignore[arg-type]
     if (
-        withdrawn and groups
+        withdrawn and reachable
     ):  # who withdraws and announces a prefix at once announces it (RFC 4271 4.3)
-        both = {*announced, *reached}
-        withdrawn = [each for each in withdrawn if each not in both]
-    return Update(tuple(withdrawn), tuple(groups), faults=tuple(found.faults))
+        announced_again = {*announced, *mp_reached}
+        withdrawn = [each for each in withdrawn if each not in announced_again]
+    return Update(tuple(withdrawn), tuple(reachable), faults=tuple(parsed.faults))
 
 
-def missing(found: path_attributes.Read, plain: bool, internal: bool) -> None:
+def check_mandatory(
+    parsed: path_attributes.ParsedAttributes, has_ipv4_nlri: bool, internal: bool
+) -> None:
     """RFC 7606 section 3d: a route without one of these cannot be used."""
-    needed = [Type.ORIGIN, Type.AS_PATH]
-    if plain:
-        needed.append(Type.NEXT_HOP)
+    mandatory = [Type.ORIGIN, Type.AS_PATH]
+    if has_ipv4_nlri:
+        mandatory.append(Type.NEXT_HOP)
     if internal:
-        needed.append(Type.LOCAL_PREF)
-    for kind in needed:
-        if kind not in found.seen:
-            found.fault(Severity.WITHDRAW, kind, "is missing")
+        mandatory.append(Type.LOCAL_PREF)
+    for kind in mandatory:
+        if kind not in parsed.seen:
+            parsed.fault(Severity.WITHDRAW, kind, "is missing")
 
 
-def prefixes_of(data: bytes, afi: Afi) -> list[Prefix]:
+def decode_prefixes(data: bytes, afi: Afi) -> list[Prefix]:
     try:
         return prefix_codec.decode(data, afi)
     except ValueError as error:
@@ -285,12 +311,14 @@
 
 
 def encode_open(message: Open) -> bytes:
-    stated = message.capabilities.encoded()
-    parameters = bytes((CAPABILITIES, len(stated))) + stated if stated else b""
-    narrow = message.asn if message.asn < 65_536 else path_attributes.AS_TRANS
-    ident = int(ipaddress.IPv4Address(message.router_id))
-    head = struct.pack("!BHHIB", VERSION, narrow, message.hold, ident, len(parameters))
-    return frame(OPEN, head + parameters)
+    capability_data = message.capabilities.encode()
+    parameters = (
+        bytes((CAPABILITIES, len(capability_data))) + capability_data if capability_data else b""
+    )
+    two_octet_as = message.asn if message.asn < 65_536 else path_attributes.AS_TRANS
+    router_id = int(ipaddress.IPv4Address(message.router_id))
+    fixed = struct.pack("!BHHIB", VERSION, two_octet_as, message.hold, router_id, len(parameters))
+    return frame(OPEN, fixed + parameters)
 
 
 def shutdown_data(text: str) -> bytes:
@@ -302,11 +330,11 @@
 def end_of_rib(afi: int) -> bytes:
     if afi == Afi.IPV4:
         return frame(UPDATE, b"\0\0\0\0")
-    unreach = pack(OPTIONAL, Type.MP_UNREACH, struct.pack("!HB", afi, UNICAST))
+    unreach = encode_attribute(OPTIONAL, Type.MP_UNREACH, struct.pack("!HB", afi, UNICAST))
     return frame(UPDATE, b"\0\0" + struct.pack("!H", len(unreach)) + unreach)
 
 
-def packed(prefixes: list[Prefix], room: int) -> Iterator[bytes]:
+def pack_prefixes(prefixes: list[Prefix], room: int) -> Iterator[bytes]:
     """As many prefixes in each piece as fit."""
     piece = bytearray()
     for each in prefixes:
@@ -320,30 +348,47 @@
 
 
 def announcements(
-    prefixes: list[Prefix], attributes: Attributes, as4: bool, internal: bool, most: int = MAX_SIZE
+    prefixes: list[Prefix],
+    attributes: Attributes,
+    as4: bool,
+    internal: bool,
+    max_size: int = MAX_SIZE,
 ) -> Iterator[bytes]:
     """UPDATEs for prefixes of one family that share their attributes, as few as fit."""
-    plain = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
-    shared = path_attributes.encode(attributes, as4, internal, plain)
-    if plain:
-        for piece in packed(prefixes, most - HEAD - 4 - len(shared)):
-            yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(shared)) + shared + piece)
+    uses_next_hop_attribute = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
+    encoded_attributes = path_attributes.encode(attributes, as4, internal, uses_next_hop_attribute)
+    if uses_next_hop_attribute:
+        for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4 - len(encoded_attributes)):
+            yield frame(
+                UPDATE,
+                b"\0\0" + struct.pack("!H", len(encoded_attributes)) + encoded_attributes + piece,
+            )
         return
-    hop = attributes.next_hop
-    head = struct.pack("!HBB", prefixes[0].afi, UNICAST, len(hop)) + hop + b"\0"
-    for piece in packed(prefixes, most - HEAD - 4 - len(shared) - len(head) - 4):
-        value = head + piece
-        reach = struct.pack("!BBH", OPTIONAL | LONG, Type.MP_REACH, len(value)) + value
-        yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(reach) + len(shared)) + reach + shared)
+    next_hop = attributes.next_hop
+    reach_header = struct.pack("!HBB", prefixes[0].afi, UNICAST, len(next_hop)) + next_hop + b"\0"
+    for piece in pack_prefixes(
+        prefixes, max_size - HEADER_SIZE - 4 - len(encoded_attributes) - len(reach_header) - 4
+    ):
+        value = reach_header + piece
+        reach = struct.pack("!BBH", OPTIONAL | EXTENDED_LENGTH, Type.MP_REACH, len(value)) + value
+        yield frame(
+            UPDATE,
+            b"\0\0"
+            + struct.pack("!H", len(reach) + len(encoded_attributes))
+            + reach
+            + encoded_attributes,
+        )
 
 
-def withdrawals(prefixes: list[Prefix], most: int = MAX_SIZE) -> Iterator[bytes]:
+def withdrawals(prefixes: list[Prefix], max_size: int = MAX_SIZE) -> Iterator[bytes]:
     """UPDATEs that withdraw prefixes of one family."""
     if prefixes[0].afi == Afi.IPV4:
-        for piece in packed(prefixes, most - HEAD - 4):
+        for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4):
             yield frame(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0")
         return
-    for piece in packed(prefixes, most - HEAD - 4 - 7):
+    for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4 - 7):
         value = struct.pack("!HB", prefixes[0].afi, UNICAST) + piece
-        unreach = struct.pack("!BBH", OPTIONAL | LONG, Type.MP_UNREACH, len(value)) + value
+        unreach = (
+            struct.pack("!BBH", OPTIONAL | EXTENDED_LENGTH, Type.MP_UNREACH, len(value)) + value
+        )
         yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(unreach)) + unreach)
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -18,18 +18,18 @@
 from lilacwalk.bgp.config import SECOND, BgpConfig, Peer
 from lilacwalk.bgp.errors import BgpError, Cease, Code
 from lilacwalk.bgp.messages import Notification, Refresh, Update
-from lilacwalk.bgp.policy import Rules, role_of
+from lilacwalk.bgp.policy import PeerPolicy, role_code
 from lilacwalk.bgp.prefixes import UNICAST, Afi, Prefix
-from lilacwalk.bgp.routes import AdjRibIn, TooManyError
-from lilacwalk.bgp.session import Act, Ended, Event, Session, Side, State
+from lilacwalk.bgp.routes import AdjRibIn, PrefixLimitError
+from lilacwalk.bgp.session import Event, Session, SessionAction, SessionConfig, SessionEnd, State
 
 FAMILIES = (Afi.IPV4, Afi.IPV6)
-REFRESH_SPACING = (
+MIN_REFRESH_INTERVAL = (
     SECOND  # a person who asks twice waits a second; routers ask once a session or less
 )
 
 
-class Do(Enum):
+class ActionKind(Enum):
     """What the host is to carry out."""
 
     CONNECT = auto()  # the link's number: open it to the peer's address
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    do: Do
+    kind: ActionKind
     link: int
-    about: object = None
+    value: object = None
 
 
 @dataclass(eq=False, slots=True)
@@ -57,74 +57,79 @@
     )
 
 
-class Peering:
+class PeerState:
     def __init__(
         self,
-        announce: BgpConfig,
+        config: BgpConfig,
         peer: Peer,
-        numbers: count,
+        link_numbers: count,
         rng: random.Random,
         now: int,
-        claims: Callable[[], tuple[bool, bool]],
+        restart_claims: Callable[[], tuple[bool, bool]],
     ) -> None:
         """`claims`: whether this process has just begun, and whether the node serves now: what an OPEN may
         say of a graceful restart."""
-        self.announce, self.peer, self.numbers, self.rng, self.claims = (
-            announce,
+        self.config, self.peer, self.link_numbers, self.rng, self.restart_claims = (
+            config,
             peer,
-            numbers,
+            link_numbers,
             rng,
-            claims,
+            restart_claims,
         )
-        self.rules = Rules(announce, peer)
-        self.received = AdjRibIn(peer.max_prefixes)
-        self.told: dict[Prefix, Attributes] = {}  # over the session that is up
-        self.wanted: dict[Prefix, Attributes] = {}
+        self.policy = PeerPolicy(config, peer)
+        self.adj_rib_in = AdjRibIn(peer.max_prefixes)
+        self.adj_rib_out: dict[Prefix, Attributes] = {}  # over the session that is up
+        self.routes: dict[Prefix, Attributes] = {}
         self.actions: list[Action] = []
-        self.main = self._new(now, peer.mode == "passive")
-        self.second: Link | None = None  # a connection that came while `main` had its own
-        self.up: Link | None = None
+        self.primary = self._new_link(now, peer.mode == "passive")
+        self.secondary: Link | None = None  # a connection that came while `main` had its own
+        self.established_link: Link | None = None
         self.stopped = False
         self.stale_until = 0  # 0: nothing stale is kept
-        self.kept_families: tuple[Afi, ...] = ()
-        self.last_end: Ended | None = None
+        self.stale_families: tuple[Afi, ...] = ()
+        self.last_end: SessionEnd | None = None
         self.ups = self.downs = 0
-        self.told_end: set[int] = set()
-        self.refreshed: dict[Afi, int] = {}  # when the last refresh that was asked for was given
+        self.end_of_rib_received: set[int] = set()
+        self.refresh_sent_at: dict[
+            Afi, int
+        ] = {}  # when the last refresh that was asked for was given
         self.refresh_due: dict[Afi, int] = {}
 
-    def _new(self, now: int, passive: bool) -> Link:
-        peer, announce = self.peer, self.announce
-        side = Side(
-            announce.as_,
-            announce.router_id,
+    def _new_link(self, now: int, passive: bool) -> Link:
+        peer, config = self.peer, self.config
+        session_config = SessionConfig(
+            config.as_,
+            config.router_id,
             peer.as_,
-            announce.hold_time if peer.hold_time is None else peer.hold_time,
+            config.hold_time if peer.hold_time is None else peer.hold_time,
             peer.connect_retry,
             peer.idle_hold,
             peer.delay_open,
             passive,
             peer.strict_role,
         )
-        return Link(Session(side, self._offered(), self.rng, now))
+        return Link(Session(session_config, self._capabilities(), self.rng, now))
 
-    def _offered(self) -> Capabilities:
+    def _capabilities(self) -> Capabilities:
         """Made anew for each OPEN, for what it says of a restart must be true then. A node that does not
         serve claims no forwarding: its peer then drops what it kept of the life before at once (RFC 4724
         4.2)."""
         restart = None
-        if (asked := self.announce.graceful_restart) is not None:
-            begun, serves = self.claims()
+        if (restart_config := self.config.graceful_restart) is not None:
+            restarted, forwarding = self.restart_claims()
             restart = GracefulRestart(
-                asked.time // SECOND, begun, True, tuple((afi, UNICAST, serves) for afi in FAMILIES)
+                restart_config.time // SECOND,
+                restarted,
+                True,
+                tuple((afi, UNICAST, forwarding) for afi in FAMILIES),
             )
         return Capabilities(
             families=tuple((afi, UNICAST) for afi in FAMILIES),
-            as4=self.announce.as_,
+            as4=self.config.as_,
             refresh=True,
             enhanced_refresh=True,
             extended=self.peer.extended_messages,
-            role=role_of(self.peer),
+            role=role_code(self.peer),
             restart=restart,
         )
 
@@ -134,15 +139,15 @@
 
     @property
     def established(self) -> bool:
-        return self.up is not None
+        return self.established_link is not None
 
-    def _links(self) -> list[Link]:
-        return [self.main] + ([self.second] if self.second is not None else [])
+    def links(self) -> list[Link]:
+        return [self.primary] + ([self.secondary] if self.secondary is not None else [])
 
-    def _of(self, number: int) -> Link | None:
-        return next((each for each in self._links() if each.number == number and number), None)
+    def find_link(self, number: int) -> Link | None:
+        return next((each for each in self.links() if each.number == number and number), None)
 
-    def taken(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         actions, self.actions = self.actions, []
         return actions
 
@@ -150,10 +155,10 @@
 
     def start(self, now: int) -> None:
         passive = self.peer.mode == "passive"
-        self._run(
-            self.main,
+        self._execute(
+            self.primary,
             now,
-            self.main.session.event(
+            self.primary.session.event(
                 Event.MANUAL_START_PASSIVE if passive else Event.MANUAL_START, now
             ),
         )
@@ -163,87 +168,87 @@
         keep our routes as if we restarted: it goes as a hard reset, which carries the plain one (section
         3.1)."""
         self.stopped = True
-        for each in self._links():
+        for each in self.links():
             data = messages.shutdown_data(text) if subcode in (Cease.SHUTDOWN, Cease.RESET) else b""
             code = int(subcode)
-            theirs = each.session.agreed.restart
+            peer_restart = each.session.agreed.restart
             if (
-                self.announce.graceful_restart is not None
-                and theirs is not None
-                and theirs.notification
+                self.config.graceful_restart is not None
+                and peer_restart is not None
+                and peer_restart.notification
             ):
                 code, data = int(Cease.HARD_RESET), bytes((Code.CEASE, code)) + data
-            self._run(each, now, each.session.cease(Event.MANUAL_STOP, now, code, data))
+            self._execute(each, now, each.session.cease(Event.MANUAL_STOP, now, code, data))
 
     # What became of connections
 
     def connected(self, number: int, now: int) -> None:
-        if (link := self._of(number)) is not None:
-            link.session.offered = self._offered()
-            self._run(link, now, link.session.event(Event.TCP_ACKED, now))
+        if (link := self.find_link(number)) is not None:
+            link.session.local_capabilities = self._capabilities()
+            self._execute(link, now, link.session.event(Event.TCP_ACKED, now))
         else:  # no longer wanted: a collision was lost, or the retry timer gave it up
-            self.actions.append(Action(Do.CLOSE, number))
+            self.actions.append(Action(ActionKind.CLOSE, number))
 
-    def lost(self, number: int, now: int, why: str = "connection lost") -> None:
-        if (link := self._of(number)) is not None:
+    def connection_lost(self, number: int, now: int, cause: str = "connection lost") -> None:
+        if (link := self.find_link(number)) is not None:
             link.number = 0
-            self._run(link, now, link.session.event(Event.TCP_FAILS, now, why))
-            if link is self.second and link.session.state is State.ACTIVE:
-                self.second = None  # nothing will be connected for it again
+            self._execute(link, now, link.session.event(Event.TCP_FAILS, now, cause))
+            if link is self.secondary and link.session.state is State.ACTIVE:
+                self.secondary = None  # nothing will be connected for it again
 
     def accepted(self, now: int) -> int:
         """The number of a connection that the peer opened; 0: it is not taken. In Idle none is (section
         8.2.2); a second one waits for its OPEN, and then one of both is dropped."""
         if self.stopped or self.peer.mode == "active":
             return 0
-        state = self.main.session.state
-        if state is State.IDLE and self.main.session.damped:
+        state = self.primary.session.state
+        if state is State.IDLE and self.primary.session.damped:
             return 0  # a failure is waited out
-        if state in (State.ACTIVE, State.IDLE) and not self.main.number:
-            link = self.main
+        if state in (State.ACTIVE, State.IDLE) and not self.primary.number:
+            link = self.primary
             if state is State.IDLE:  # it only waits for its next try to connect
-                link.session.due.clear()
-                self._run(link, now, link.session.event(Event.MANUAL_START_PASSIVE, now))
-        elif self.second is None:
-            link = self.second = self._new(now, True)
-            self._run(link, now, link.session.event(Event.MANUAL_START_PASSIVE, now))
+                link.session.timers.clear()
+                self._execute(link, now, link.session.event(Event.MANUAL_START_PASSIVE, now))
+        elif self.secondary is None:
+            link = self.secondary = self._new_link(now, True)
+            self._execute(link, now, link.session.event(Event.MANUAL_START_PASSIVE, now))
         else:
             return 0
-        link.number, link.inbound = next(self.numbers), True
-        link.session.offered = self._offered()
-        self._run(link, now, link.session.event(Event.TCP_CONFIRMED, now))
+        link.number, link.inbound = next(self.link_numbers), True
+        link.session.local_capabilities = self._capabilities()
+        self._execute(link, now, link.session.event(Event.TCP_CONFIRMED, now))
         return link.number
 
     def message(self, number: int, kind: int, body: bytes, now: int) -> None:
-        link = self._of(number)
+        link = self.find_link(number)
         if link is None:
             return
         link.counts["received"] += 1
         if kind == messages.OPEN:
-            self._open(link, body, now)
+            self._handle_open(link, body, now)
         else:
-            self._run(link, now, link.session.received(kind, body, now))
+            self._execute(link, now, link.session.received(kind, body, now))
 
-    def broken(self, number: int, error: BgpError, now: int) -> None:
-        if (link := self._of(number)) is not None:
-            self._run(link, now, link.session.broken(error, now))
+    def decode_failed(self, number: int, error: BgpError, now: int) -> None:
+        if (link := self.find_link(number)) is not None:
+            self._execute(link, now, link.session.decode_failed(error, now))
 
     def flushed(self, number: int, now: int) -> None:
-        if (link := self._of(number)) is not None:
+        if (link := self.find_link(number)) is not None:
             link.session.flushed(now)
 
     def tick(self, now: int) -> None:
-        for each in self._links():
-            if any(due <= now for due in each.session.due.values()):
-                self._run(each, now, each.session.tick(now))
-        if self.up is not None and self.refresh_due:
-            self._give_refreshes(self.up, now)
+        for each in self.links():
+            if any(due <= now for due in each.session.timers.values()):
+                self._execute(each, now, each.session.tick(now))
+        if self.established_link is not None and self.refresh_due:
+            self._send_due_refreshes(self.established_link, now)
         if self.stale_until and now >= self.stale_until:
-            self._flush_stale(self.kept_families, "time is over")
+            self._drop_stale(self.stale_families, "time is over")
 
-    def due(self) -> int | None:
-        times = [time for each in self._links() for time in each.session.due.values()]
-        if self.up is not None:
+    def next_due(self) -> int | None:
+        times = [time for each in self.links() for time in each.session.timers.values()]
+        if self.established_link is not None:
             times += self.refresh_due.values()
         if self.stale_until:
             times.append(self.stale_until)
@@ -251,11 +256,11 @@
 
     # Collisions
 
-    def _open(self, link: Link, body: bytes, now: int) -> None:
+    def _handle_open(self, link: Link, body: bytes, now: int) -> None:
         """Section 6.8: of two connections the one stays that the side with the higher identifier opened (RFC
-        6286 2.3: or AS, where those are the same). One that is established stays, unless the peer has said
+        6286 2.3: or AS, where those are the same). One that is established stays, unless the peer has peer_open
         that it can restart gracefully: then a new connection proves that it did (RFC 4724 section 5)."""
-        other = next((each for each in self._links() if each is not link and each.number), None)
+        other = next((each for each in self.links() if each is not link and each.number), None)
         try:
             opened = messages.decode_open(body)
         except BgpError:
@@ -263,148 +268,163 @@
         if other is not None and opened is not None and opened.asn == self.peer.as_:
             state = other.session.state
             if state is State.ESTABLISHED:
-                said = other.session.peer_open
-                if said is not None and said.capabilities.restart is not None:
-                    self._run(
+                peer_open = other.session.peer_open
+                if peer_open is not None and peer_open.capabilities.restart is not None:
+                    self._execute(
                         other, now, other.session.event(Event.TCP_FAILS, now, "the peer restarted")
                     )
                 else:
-                    self._dump(link, now)
+                    self._close_collided(link, now)
                     return
             elif state is State.OPEN_CONFIRM:
-                ours = self._rank(self.announce.router_id, self.announce.as_)
-                keep_ours = ours > self._rank(opened.router_id, opened.asn)
+                ours = self._collision_rank(self.config.router_id, self.config.as_)
+                keep_ours = ours > self._collision_rank(opened.router_id, opened.asn)
                 loser = link if link.inbound == keep_ours else other
-                self._dump(loser, now)
+                self._close_collided(loser, now)
                 if loser is link:
                     return
-        self._run(link, now, link.session.received(messages.OPEN, body, now))
+        self._execute(link, now, link.session.received(messages.OPEN, body, now))
 
     @staticmethod
-    def _rank(router_id: str, asn: int) -> tuple[int, int]:
+    def _collision_rank(router_id: str, asn: int) -> tuple[int, int]:
         return int(ipaddress.IPv4Address(router_id)), asn
 
-    def _dump(self, link: Link, now: int) -> None:
-        self._run(link, now, link.session.cease(Event.COLLISION_DUMP, now, Cease.COLLISION))
+    def _close_collided(self, link: Link, now: int) -> None:
+        self._execute(link, now, link.session.cease(Event.COLLISION_DUMP, now, Cease.COLLISION))
 
     # What a session asks for
 
-    def _run(self, link: Link, now: int, done: list[tuple[Act, object]]) -> None:
-        for act, about in done:
-            if act is Act.CONNECT:
-                link.number, link.inbound = next(self.numbers), False
-                self.actions.append(Action(Do.CONNECT, link.number, self.peer.address))
-            elif act is Act.SEND:
+    def _execute(self, link: Link, now: int, actions: list[tuple[SessionAction, object]]) -> None:
+        for action, value in actions:
+            if action is SessionAction.CONNECT:
+                link.number, link.inbound = next(self.link_numbers), False
+                self.actions.append(Action(ActionKind.CONNECT, link.number, self.peer.address))
+            elif action is SessionAction.SEND:
                 if link.number:
-                    self.actions.append(Action(Do.SEND, link.number, about))
-            elif act is Act.CLOSE:
+                    self.actions.append(Action(ActionKind.SEND, link.number, value))
+            elif action is SessionAction.CLOSE:
                 if link.number:
-                    self.actions.append(Action(Do.CLOSE, link.number))
+                    self.actions.append(Action(ActionKind.CLOSE, link.number))
                 link.number = 0
-            elif act is Act.UP:
-                self._came_up(link, now)
-            elif act is Act.DOWN:
-                assert isinstance(about, Ended)
-                self._went_down(link, about, now)
-            elif act is Act.ROUTES:
-                assert isinstance(about, Update)
-                self._routes(link, about, now)
-            elif act is Act.REFRESH:
-                assert isinstance(about, Refresh)
-                self._refresh(link, about, now)
+            elif action is SessionAction.UP:
+                self._session_established(link, now)
+            elif action is SessionAction.DOWN:
+                assert isinstance(value, SessionEnd)
+                self._session_ended(link, value, now)
+            elif action is SessionAction.ROUTES:
+                assert isinstance(value, Update)
+                self._handle_update(link, value, now)
+            elif action is SessionAction.REFRESH:
+                assert isinstance(value, Refresh)
+                self._handle_refresh(link, value, now)
 
     def _log(self, **pairs: object) -> None:
-        self.actions.append(Action(Do.LOG, 0, {**pairs, "peer": self.name, "as": self.peer.as_}))
+        self.actions.append(
+            Action(ActionKind.LOG, 0, {**pairs, "peer": self.name, "as": self.peer.as_})
+        )
 
-    def _came_up(self, link: Link, now: int) -> None:
-        self.up, self.told, self.ups = link, {}, self.ups + 1
-        self.told_end.clear()
-        self.refreshed.clear()
+    def _session_established(self, link: Link, now: int) -> None:
+        self.established_link, self.adj_rib_out, self.ups = link, {}, self.ups + 1
+        self.end_of_rib_received.clear()
+        self.refresh_sent_at.clear()
         self.refresh_due.clear()
-        self.received.begin()
+        self.adj_rib_in.start_session()
         agreed = link.session.agreed
         if self.stale_until:
-            still = {
+            preserved = {
                 afi
-                for afi, safi, kept in (agreed.restart.families if agreed.restart else ())
-                if kept and safi == UNICAST
+                for afi, safi, forwarding in (agreed.restart.families if agreed.restart else ())
+                if forwarding and safi == UNICAST
             }
-            self._flush_stale(
-                [afi for afi in self.kept_families if afi not in still], "not kept by the peer"
+            self._drop_stale(
+                [afi for afi in self.stale_families if afi not in preserved],
+                "not forwarding by the peer",
             )
-            if self.kept_families and self.announce.graceful_restart is not None:
-                self.stale_until = now + self.announce.graceful_restart.stale
+            if self.stale_families and self.config.graceful_restart is not None:
+                self.stale_until = now + self.config.graceful_restart.stale
         self._log(
             event="bgp_up",
             hold_s=link.session.hold_time // SECOND,
             families=",".join(Afi(each).name.lower() for each in agreed.families),
         )
-        self._tell(link)
+        self._send_changes(link)
         for afi in agreed.families:
             self._send(link, messages.end_of_rib(afi))
 
-    def _went_down(self, link: Link, ended: Ended, now: int) -> None:
+    def _session_ended(self, link: Link, ended: SessionEnd, now: int) -> None:
         self.last_end = ended
-        if link is self.up:
-            self.up, self.told, self.downs = None, {}, self.downs + 1
+        if link is self.established_link:
+            self.established_link, self.adj_rib_out, self.downs = None, {}, self.downs + 1
             self._log(
                 event="bgp_down",
                 reason=ended.reason,
-                text=ended.notified.text if ended.notified is not None else "",
+                text=ended.received.text if ended.received is not None else "",
             )
-            self._keep_or_drop(link, ended, now)
-        elif ended.notified is not None or ended.told is not None:
+            self._retain_or_drop_routes(link, ended, now)
+        elif ended.received is not None or ended.sent is not None:
             self._log(event="bgp_not_up", reason=ended.reason)
-        if link is self.second:
-            self.second = None
-        elif self.second is not None:  # the connection that stays becomes the peer's own
-            self.second.session.side = self.main.session.side
-            self.second.session.failures = 0
-            self.main, self.second = self.second, None
+        if link is self.secondary:
+            self.secondary = None
+        elif self.secondary is not None:  # the connection that stays becomes the peer's own
+            self.secondary.session.config = self.primary.session.config
+            self.secondary.session.failures = 0
+            self.primary, self.secondary = self.secondary, None
         elif self.stopped:
-            link.session.due.clear()
+            link.session.timers.clear()
 
-    def _keep_or_drop(self, link: Link, ended: Ended, now: int) -> None:
+    def _retain_or_drop_routes(self, link: Link, ended: SessionEnd, now: int) -> None:
         """RFC 4724 section 4.2 and 8538 section 4: the peer's routes are kept for its restart time where it
-        asked for that and the session broke, or ended by what both sides let count as a restart."""
-        asked = self.announce.graceful_restart
-        theirs = (
+        restart_config for that and the session broke, or ended by what both sides let count as a restart."""
+        restart_config = self.config.graceful_restart
+        peer_restart = (
             link.session.peer_open.capabilities.restart
             if link.session.peer_open is not None
             else None
         )
-        soft = ended.notified is None and ended.told is None
-        if theirs is not None and theirs.notification:
-            came = ended.notified
-            codes = (came.code, came.subcode) if came is not None else ended.told
-            soft = soft or codes not in (
+        is_restart = ended.received is None and ended.sent is None
+        if peer_restart is not None and peer_restart.notification:
+            received = ended.received
+            codes = (received.code, received.subcode) if received is not None else ended.sent
+            is_restart = is_restart or codes not in (
                 (Code.CEASE, Cease.HARD_RESET),
                 (Code.CEASE, Cease.MAX_PREFIXES),
             )
-        if asked is None or theirs is None or not theirs.time or not soft or self.stopped:
-            self.received = AdjRibIn(self.peer.max_prefixes)
-            self.stale_until, self.kept_families = 0, ()
+        if (
+            restart_config is None
+            or peer_restart is None
+            or not peer_restart.time
+            or not is_restart
+            or self.stopped
+        ):
+            self.adj_rib_in = AdjRibIn(self.peer.max_prefixes)
+            self.stale_until, self.stale_families = 0, ()
             return
-        self.kept_families = tuple(
-            Afi(afi) for afi, safi, _ in theirs.families if safi == UNICAST and afi in FAMILIES
+        self.stale_families = tuple(
+            Afi(afi)
+            for afi, safi, _ in peer_restart.families
+            if safi == UNICAST and afi in FAMILIES
         )
         for afi in FAMILIES:
-            if afi not in self.kept_families:
-                self.received.drop_family(afi)
-        self.stale_until = now + min(theirs.time * SECOND, asked.stale)
+            if afi not in self.stale_families:
+                self.adj_rib_in.drop_family(afi)
+        self.stale_until = now + min(peer_restart.time * SECOND, restart_config.stale)
 
-    def _flush_stale(self, families: Iterable[Afi], why: str) -> None:
+    def _drop_stale(self, families: Iterable[Afi], cause: str) -> None:
         dropped = 0
         for afi in tuple(families):
-            drop = self.received.drop_stale if self.up is not None else self.received.drop_family
+            drop = (
+                self.adj_rib_in.drop_stale
+                if self.established_link is not None
+                else self.adj_rib_in.drop_family
+            )
             dropped += drop(afi)
-            self.kept_families = tuple(each for each in self.kept_families if each is not afi)
-        if not self.kept_families:
+            self.stale_families = tuple(each for each in self.stale_families if each is not afi)
+        if not self.stale_families:
             self.stale_until = 0
         if dropped:
-            self._log(event="bgp_stale_dropped", count=dropped, reason=why)
+            self._log(event="bgp_stale_dropped", count=dropped, reason=cause)
 
-    def _routes(self, link: Link, update: Update, now: int) -> None:
+    def _handle_update(self, link: Link, update: Update, now: int) -> None:
         counts = link.counts
         counts["updates"] += 1
         counts["faults"] += len(update.faults)
@@ -419,109 +439,119 @@
                 handled=worst.severity.name.lower(),
             )
         if update.end_of_rib is not None:
-            self.told_end.add(update.end_of_rib)
-            if update.end_of_rib in self.kept_families:
-                self._flush_stale([Afi(update.end_of_rib)], "end of rib")
+            self.end_of_rib_received.add(update.end_of_rib)
+            if update.end_of_rib in self.stale_families:
+                self._drop_stale([Afi(update.end_of_rib)], "end of rib")
             return
-        counts["withdrawn"] += self.received.withdraw(update.withdrawn)
+        counts["withdrawn"] += self.adj_rib_in.withdraw(update.withdrawn)
         try:
             for attributes, prefixes in update.reachable:
-                self.received.announce(attributes, prefixes)
-        except TooManyError as error:
+                self.adj_rib_in.announce(attributes, prefixes)
+        except PrefixLimitError as error:
             data = (
                 int(error.afi).to_bytes(2, "big")
                 + bytes((UNICAST,))
-                + error.most.to_bytes(4, "big")
+                + error.max_prefixes.to_bytes(4, "big")
             )
-            self._run(
+            self._execute(
                 link, now, link.session.cease(Event.AUTOMATIC_STOP, now, Cease.MAX_PREFIXES, data)
             )
 
-    def _refresh(self, link: Link, asked: Refresh, now: int) -> None:
+    def _handle_refresh(self, link: Link, request: Refresh, now: int) -> None:
         """RFC 2918, 7313. Requests that come faster than one a second are answered by one: a flood of them,
         of 23 bytes each, would cost a table each."""
-        if asked.safi != UNICAST or asked.afi not in link.session.agreed.families:
+        if request.safi != UNICAST or request.afi not in link.session.agreed.families:
             return
-        afi = Afi(asked.afi)
+        afi = Afi(request.afi)
         enhanced = link.session.agreed.enhanced_refresh
-        if asked.kind == 0:
-            due = self.refreshed.get(afi, now - REFRESH_SPACING) + REFRESH_SPACING
+        if request.kind == 0:
+            due = self.refresh_sent_at.get(afi, now - MIN_REFRESH_INTERVAL) + MIN_REFRESH_INTERVAL
             self.refresh_due.setdefault(afi, max(now, due))
-            self._give_refreshes(link, now)
-        elif asked.kind == 1 and enhanced:
-            self.received.refresh_begins(afi)
-        elif asked.kind == 2 and enhanced:
-            self.received.refresh_ends(afi)
+            self._send_due_refreshes(link, now)
+        elif request.kind == 1 and enhanced:
+            self.adj_rib_in.start_refresh(afi)
+        elif request.kind == 2 and enhanced:
+            self.adj_rib_in.end_refresh(afi)
 
-    def _give_refreshes(self, link: Link, now: int) -> None:
+    def _send_due_refreshes(self, link: Link, now: int) -> None:
         """Whole, between marks where both sides know them."""
         enhanced = link.session.agreed.enhanced_refresh
         for afi in [afi for afi, due in self.refresh_due.items() if due <= now]:
             del self.refresh_due[afi]
-            self.refreshed[afi] = now
+            self.refresh_sent_at[afi] = now
             if enhanced:
                 self._send(link, messages.encode(Refresh(afi, UNICAST, 1)))
-            self._announce(
-                link, {prefix: each for prefix, each in self.told.items() if prefix.afi == afi}
+            self._send_announcements(
+                link,
+                {prefix: each for prefix, each in self.adj_rib_out.items() if prefix.afi == afi},
             )
             if enhanced:
                 self._send(link, messages.encode(Refresh(afi, UNICAST, 2)))
 
-    def ask_again(self) -> None:
+    def request_refresh(self) -> None:
         """Where an import policy changed: RFC 2918 spares the session."""
-        if self.up is not None and self.up.session.agreed.refresh:
-            for afi in self.up.session.agreed.families:
-                self._send(self.up, messages.encode(Refresh(afi, UNICAST)))
+        if self.established_link is not None and self.established_link.session.agreed.refresh:
+            for afi in self.established_link.session.agreed.families:
+                self._send(self.established_link, messages.encode(Refresh(afi, UNICAST)))
 
     # What it is told
 
-    def want(self, routes: dict[Prefix, Attributes]) -> None:
+    def set_routes(self, routes: dict[Prefix, Attributes]) -> None:
         """All that it is to know of us from now on; what changed leaves at once, withdrawals first."""
-        self.wanted = routes
-        if self.up is not None:
-            self._tell(self.up)
+        self.routes = routes
+        if self.established_link is not None:
+            self._send_changes(self.established_link)
 
-    def _tell(self, link: Link) -> None:
+    def _send_changes(self, link: Link) -> None:
         families = link.session.agreed.families
-        due: dict[Prefix, Attributes] = {}
-        for prefix, attributes in self.wanted.items():
+        exports: dict[Prefix, Attributes] = {}
+        for prefix, attributes in self.routes.items():
             if prefix.afi in families:
-                told = self.rules.told(prefix, attributes)
-                if told is not None:
-                    due[prefix] = told
-        gone = [prefix for prefix in self.told if prefix not in due]
+                exported = self.policy.export_route(prefix, attributes)
+                if exported is not None:
+                    exports[prefix] = exported
+        withdrawn = [prefix for prefix in self.adj_rib_out if prefix not in exports]
         for afi in FAMILIES:
-            if rows := sorted(each for each in gone if each.afi == afi):
-                for piece in messages.withdrawals(rows, self._most(link)):
+            if prefixes := sorted(each for each in withdrawn if each.afi == afi):
+                for piece in messages.withdrawals(prefixes, self._max_message_size(link)):
                     self._send(link, piece)
-        self._announce(
-            link, {prefix: each for prefix, each in due.items() if self.told.get(prefix) != each}
+        self._send_announcements(
+            link,
+            {
+                prefix: each
+                for prefix, each in exports.items()
+                if self.adj_rib_out.get(prefix) != each
+            },
         )
-        self.told = due
+        self.adj_rib_out = exports
 
-    def _announce(self, link: Link, routes: dict[Prefix, Attributes]) -> None:
+    def _send_announcements(self, link: Link, routes: dict[Prefix, Attributes]) -> None:
         groups: dict[tuple[Afi, Attributes], list[Prefix]] = {}
         for prefix in sorted(routes):
             groups.setdefault((prefix.afi, routes[prefix]), []).append(prefix)
         session = link.session
         for (_, attributes), prefixes in groups.items():
             for piece in messages.announcements(
-                prefixes, attributes, session.agreed.as4, session.internal, self._most(link)
+                prefixes,
+                attributes,
+                session.agreed.as4,
+                session.internal,
+                self._max_message_size(link),
             ):
                 self._send(link, piece)
 
     @staticmethod
-    def _most(link: Link) -> int:
+    def _max_message_size(link: Link) -> int:
         return messages.MAX_EXTENDED_SIZE if link.session.agreed.extended else messages.MAX_SIZE
 
     def _send(self, link: Link, data: bytes) -> None:
-        self.actions.append(Action(Do.SEND, link.number, data))
+        self.actions.append(Action(ActionKind.SEND, link.number, data))
 
     # A new file
 
-    def reordered(self, announce: BgpConfig, peer: Peer) -> bool:
+    def reconfigure(self, config: BgpConfig, peer: Peer) -> bool:
         """Takes over what needs no new session; False where one is needed."""
-        same = (
+        peer_fields = (
             "as_",
             "mode",
             "hold_time",
@@ -530,49 +560,49 @@
             "extended_messages",
             "local_address",
         )
-        whole = ("as_", "router_id", "hold_time", "graceful_restart")
-        if any(getattr(peer, name) != getattr(self.peer, name) for name in same) or any(
-            getattr(announce, name) != getattr(self.announce, name) for name in whole
+        global_fields = ("as_", "router_id", "hold_time", "graceful_restart")
+        if any(getattr(peer, name) != getattr(self.peer, name) for name in peer_fields) or any(
+            getattr(config, name) != getattr(self.config, name) for name in global_fields
         ):
             return False
-        importing = (self.peer.import_, self.announce.policy, self.announce.prefix_list)
-        self.announce, self.peer = announce, peer
-        self.rules = Rules(announce, peer)
-        self.received.most = peer.max_prefixes
-        for each in self._links():
-            side = each.session.side
-            each.session.side = Side(
-                side.asn,
-                side.router_id,
-                side.peer_as,
-                side.hold,
+        import_settings = (self.peer.import_, self.config.policy, self.config.prefix_list)
+        self.config, self.peer = config, peer
+        self.policy = PeerPolicy(config, peer)
+        self.adj_rib_in.max_prefixes = peer.max_prefixes
+        for each in self.links():
+            session_config = each.session.config
+            each.session.config = SessionConfig(
+                session_config.asn,
+                session_config.router_id,
+                session_config.peer_as,
+                session_config.hold,
                 peer.connect_retry,
                 peer.idle_hold,
                 peer.delay_open,
-                side.passive,
-                side.strict_role,
+                session_config.passive,
+                session_config.strict_role,
             )
-        if importing != (peer.import_, announce.policy, announce.prefix_list):
-            self.ask_again()
+        if import_settings != (peer.import_, config.policy, config.prefix_list):
+            self.request_refresh()
         return True
 
-    def shown(self, now: int) -> dict[str, object]:
-        link = self.up or self.main
+    def status(self, now: int) -> dict[str, object]:
+        link = self.established_link or self.primary
         session = link.session
         return {
             "peer": self.name,
             "as": self.peer.as_,
             "state": session.state.name.lower(),
-            "up_s": (now - session.up_since) // SECOND if self.up is not None else 0,
-            "hold_s": session.hold_time // SECOND if self.up is not None else 0,
+            "up_s": (now - session.up_since) // SECOND if self.established_link is not None else 0,
+            "hold_s": session.hold_time // SECOND if self.established_link is not None else 0,
             "ups": self.ups,
             "downs": self.downs,
             "messages": link.counts["received"],
             "updates": link.counts["updates"],
             "faults": link.counts["faults"],
-            "received": {afi.name.lower(): len(self.received.tries[afi]) for afi in FAMILIES},
-            "stale": {afi.name.lower(): self.received.stale(afi) for afi in self.kept_families},
-            "end_of_rib": sorted(Afi(each).name.lower() for each in self.told_end),
+            "received": {afi.name.lower(): len(self.adj_rib_in.tries[afi]) for afi in FAMILIES},
+            "stale": {afi.name.lower(): self.adj_rib_in.stale(afi) for afi in self.stale_families},
+            "end_of_rib": sorted(Afi(each).name.lower() for each in self.end_of_rib_received),
             "told": [
                 {
                     "prefix": str(prefix),
@@ -580,12 +610,12 @@
                     "path": each.path_length,
                     "communities": [f"{one >> 16}:{one & 0xFFFF}" for one in each.communities],
                 }
-                for prefix, each in sorted(self.told.items(), key=lambda item: item[0])
+                for prefix, each in sorted(self.adj_rib_out.items(), key=lambda item: item[0])
             ],
             "last_end": self.last_end.reason if self.last_end is not None else "",
         }
 
 
-def notification_of(code: int, subcode: int) -> bytes:
+def encode_notification(code: int, subcode: int) -> bytes:
     """For a connection that no peer of ours opened."""
     return messages.encode(Notification(code, subcode))
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from lilacwalk.bgp.attributes import Attributes
-from lilacwalk.bgp.policy import Refused, Rules
+from lilacwalk.bgp.policy import PeerPolicy, Refused
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from lilacwalk.bgp.trie import Trie
 
@@ -22,30 +22,30 @@
     session: int  # which of the peer's sessions brought it
 
 
-class TooManyError(Exception):
+class PrefixLimitError(Exception):
     """The peer has told more prefixes than it may."""
 
-    def __init__(self, afi: Afi, most: int) -> None:
-        super().__init__(f"more than {most} prefixes")
-        self.afi, self.most = afi, most
+    def __init__(self, afi: Afi, max_prefixes: int) -> None:
+        super().__init__(f"more than {max_prefixes} prefixes")
+        self.afi, self.max_prefixes = afi, max_prefixes
 
 
 class AdjRibIn:
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_prefixes: int) -> None:
+        self.max_prefixes = max_prefixes
         self.tries: dict[Afi, Trie[Route]] = {afi: Trie(afi) for afi in Afi}
         self.session = 0  # the one that is told now
-        self.fresh_begun: dict[
+        self.refresh_sessions: dict[
             Afi, int
         ] = {}  # a refresh under way, by the session number it counts as
 
     def __len__(self) -> int:
         return sum(len(trie) for trie in self.tries.values())
 
-    def begin(self) -> None:
+    def start_session(self) -> None:
         """A session has come up: what is there is stale until it is said again."""
         self.session += 1
-        self.fresh_begun.clear()
+        self.refresh_sessions.clear()
 
     def announce(self, attributes: Attributes, prefixes: Iterable[Prefix]) -> None:
         """Raises TooManyError; what came before in the same message is then kept, and the session's end drops
@@ -53,9 +53,12 @@
         route = Route(attributes, self.session)
         for prefix in prefixes:
             trie = self.tries[prefix.afi]
-            if trie.set(prefix.bits, prefix.length, route) is None and len(self) > self.most:
+            if (
+                trie.set(prefix.bits, prefix.length, route) is None
+                and len(self) > self.max_prefixes
+            ):
                 trie.drop(prefix.bits, prefix.length)
-                raise TooManyError(prefix.afi, self.most)
+                raise PrefixLimitError(prefix.afi, self.max_prefixes)
 
     def withdraw(self, prefixes: Iterable[Prefix]) -> int:
         """How many of them stood there."""
@@ -76,29 +79,33 @@
         trie, self.tries[afi] = self.tries[afi], Trie(afi)
         return len(trie)
 
-    def refresh_begins(self, afi: Afi) -> None:
+    def start_refresh(self, afi: Afi) -> None:
         """RFC 7313 section 4: what is not told again by the refresh's end is gone."""
         self.session += 1
-        self.fresh_begun[afi] = self.session
+        self.refresh_sessions[afi] = self.session
         for other in Afi:
             if other is not afi:  # the other family's routes are none the older for it
                 for _, route in self.tries[other].walk():
                     if route.session == self.session - 1:
                         route.session = self.session
 
-    def refresh_ends(self, afi: Afi) -> int:
-        return self.drop_stale(afi) if self.fresh_begun.pop(afi, None) is not None else 0
+    def end_refresh(self, afi: Afi) -> int:
+        return self.drop_stale(afi) if self.refresh_sessions.pop(afi, None) is not None else 0
 
-    def used(self, rules: Rules, afi: Afi) -> Iterator[tuple[Prefix, Attributes | Refused]]:
+    def evaluate(
+        self, policy: PeerPolicy, afi: Afi
+    ) -> Iterator[tuple[Prefix, Attributes | Refused]]:
         """In order, each as the rules would have it."""
         for prefix, route in self.tries[afi].walk():
-            yield prefix, rules.taken(prefix, route.attributes)
+            yield prefix, policy.import_route(prefix, route.attributes)
 
-    def holding(self, rules: Rules, prefix: Prefix) -> tuple[Prefix, Attributes] | None:
+    def longest_usable(
+        self, policy: PeerPolicy, prefix: Prefix
+    ) -> tuple[Prefix, Attributes] | None:
         """The longest usable route for it."""
         best = None
         for found, route in self.tries[prefix.afi].covering(prefix.bits, prefix.length):
-            taken = rules.taken(found, route.attributes)
-            if isinstance(taken, Attributes):
-                best = found, taken
+            result = policy.import_route(found, route.attributes)
+            if isinstance(result, Attributes):
+                best = found, result
         return best
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -20,12 +20,12 @@
 from lilacwalk.bgp.messages import Keepalive, Notification, Open, Refresh, Update
 
 SECOND = 10_000  # tenths of a ms
-LONG_HOLD = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN has come
-LEAST_JITTER = 0.75  # RFC 4271 section 10
-MOST_IDLE_HOLD = (
+OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN has come
+MIN_JITTER = 0.75  # RFC 4271 section 10
+MAX_IDLE_HOLD = (
     120 * SECOND
 )  # RFC 4271 names no figure: doubling ends where a person would look again
-KEEPALIVES = 3  # in one hold time (section 10)
+KEEPALIVES_PER_HOLD_TIME = 3  # in one hold time (section 10)
 
 
 class State(IntEnum):
@@ -79,7 +79,7 @@
     SEND_HOLD = auto()  # RFC 9687
 
 
-EXPIRES = {
+EXPIRY_EVENTS = {
     Timer.CONNECT_RETRY: Event.CONNECT_RETRY_EXPIRES,
     Timer.HOLD: Event.HOLD_EXPIRES,
     Timer.KEEPALIVE: Event.KEEPALIVE_EXPIRES,
@@ -88,7 +88,7 @@
 }
 
 
-class Act(Enum):
+class SessionAction(Enum):
     """What a session asks of who holds it, with the value beside."""
 
     CONNECT = auto()
@@ -101,18 +101,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class SessionEnd:
     """Why a session ended, as logs say it in full."""
 
     reason: str
     by_peer: bool = False
-    notified: Notification | None = None  # the one that came
-    told: tuple[int, int] | None = None  # the one that we sent
+    received: Notification | None = None  # the one that came
+    sent: tuple[int, int] | None = None  # the one that we sent
     was_up: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Side:
+class SessionConfig:
     """What a session is told of both ends at its making."""
 
     asn: int
@@ -132,14 +132,20 @@
 ]  # steps in order, and the next state; None: a step decides
 
 STAY: Row = ((), None)
-FAILED: Row = (("stop_timers", "drop", "count", "idle_hold"), S.IDLE)
-FAULT: Row = (("stop_timers", "notify", "drop", "count", "idle_hold"), S.IDLE)
-STOP: Row = (("stop_timers", "drop", "zero"), S.IDLE)
-STOP_TOLD: Row = (("stop_timers", "cease", "drop", "zero"), S.IDLE)
-OUT_OF_TURN: Row = (("stop_timers", "out_of_turn", "drop", "count", "idle_hold"), S.IDLE)
+FAIL: Row = (("stop_timers", "close", "count_failure", "start_idle_hold"), S.IDLE)
+NOTIFY_AND_FAIL: Row = (
+    ("stop_timers", "send_notification", "close", "count_failure", "start_idle_hold"),
+    S.IDLE,
+)
+STOP: Row = (("stop_timers", "close", "reset_failures"), S.IDLE)
+STOP_WITH_CEASE: Row = (("stop_timers", "send_cease", "close", "reset_failures"), S.IDLE)
+UNEXPECTED_MESSAGE: Row = (
+    ("stop_timers", "send_state_machine_error", "close", "count_failure", "start_idle_hold"),
+    S.IDLE,
+)
 
 
-def rows(*lines: tuple[Iterable[Event], Row], others: Row) -> dict[Event, Row]:
+def state_rows(*lines: tuple[Iterable[Event], Row], others: Row) -> dict[Event, Row]:
     table = dict.fromkeys(Event, others)
     for events, row in lines:
         for event in events:
@@ -147,7 +153,7 @@
     return table
 
 
-STARTS = (
+START_EVENTS = (
     E.MANUAL_START,
     E.AUTOMATIC_START,
     E.MANUAL_START_PASSIVE,
@@ -155,140 +161,158 @@
     E.AUTOMATIC_START_DAMPED,
     E.AUTOMATIC_START_DAMPED_PASSIVE,
 )
-ASKED_FOR = (E.TCP_VALID, E.TCP_INVALID)  # of a connection that is not this session's own yet
+TCP_REQUESTED = (E.TCP_VALID, E.TCP_INVALID)  # of a connection that is not this session's own yet
 
 TABLE: dict[State, dict[Event, Row]] = {
-    S.IDLE: rows(
+    S.IDLE: state_rows(
         (
             (E.MANUAL_START, E.AUTOMATIC_START, E.AUTOMATIC_START_DAMPED),
-            (("stop_timers", "connect_retry", "connect"), S.CONNECT),
+            (("stop_timers", "start_connect_retry", "connect"), S.CONNECT),
         ),
         (
             (E.MANUAL_START_PASSIVE, E.AUTOMATIC_START_PASSIVE, E.AUTOMATIC_START_DAMPED_PASSIVE),
-            (("stop_timers", "connect_retry"), S.ACTIVE),
+            (("stop_timers", "start_connect_retry"), S.ACTIVE),
         ),
-        ((E.MANUAL_STOP,), (("stop_timers", "zero"), S.IDLE)),
-        ((E.IDLE_HOLD_EXPIRES,), (("start_again",), None)),
+        ((E.MANUAL_STOP,), (("stop_timers", "reset_failures"), S.IDLE)),
+        ((E.IDLE_HOLD_EXPIRES,), (("leave_idle",), None)),
         others=STAY,
     ),
-    S.CONNECT: rows(
-        ((*STARTS, *ASKED_FOR), STAY),
+    S.CONNECT: state_rows(
+        ((*START_EVENTS, *TCP_REQUESTED), STAY),
         ((E.MANUAL_STOP,), STOP),
         (
             (E.CONNECT_RETRY_EXPIRES,),
-            (("drop", "connect_retry", "stop_delay", "connect"), S.CONNECT),
+            (("close", "start_connect_retry", "stop_delay_open", "connect"), S.CONNECT),
         ),
-        ((E.DELAY_OPEN_EXPIRES,), (("stop_timers", "long_hold", "open"), S.OPEN_SENT)),
-        ((E.TCP_ACKED, E.TCP_CONFIRMED), (("opened",), None)),
+        ((E.DELAY_OPEN_EXPIRES,), (("stop_timers", "start_open_hold", "send_open"), S.OPEN_SENT)),
+        ((E.TCP_ACKED, E.TCP_CONFIRMED), (("connection_opened",), None)),
         ((E.TCP_FAILS,), (("connect_failed",), None)),
-        ((E.OPEN_WITH_DELAY,), (("stop_timers", "open", "keepalive", "agree"), S.OPEN_CONFIRM)),
-        ((E.HEADER_ERROR, E.OPEN_ERROR), FAULT),
-        others=FAILED,
+        (
+            (E.OPEN_WITH_DELAY,),
+            (("stop_timers", "send_open", "send_keepalive", "negotiate"), S.OPEN_CONFIRM),
+        ),
+        ((E.HEADER_ERROR, E.OPEN_ERROR), NOTIFY_AND_FAIL),
+        others=FAIL,
     ),
-    S.ACTIVE: rows(
-        ((*STARTS, *ASKED_FOR), STAY),
+    S.ACTIVE: state_rows(
+        ((*START_EVENTS, *TCP_REQUESTED), STAY),
         ((E.MANUAL_STOP,), STOP),
-        ((E.CONNECT_RETRY_EXPIRES,), (("drop", "stop_delay", "retry"), None)),
-        ((E.DELAY_OPEN_EXPIRES,), (("stop_timers", "long_hold", "open"), S.OPEN_SENT)),
-        ((E.TCP_ACKED, E.TCP_CONFIRMED), (("opened",), None)),
-        ((E.OPEN_WITH_DELAY,), (("stop_timers", "open", "keepalive", "agree"), S.OPEN_CONFIRM)),
-        ((E.HEADER_ERROR, E.OPEN_ERROR), FAULT),
-        others=FAILED,
+        ((E.CONNECT_RETRY_EXPIRES,), (("close", "stop_delay_open", "retry_connection"), None)),
+        ((E.DELAY_OPEN_EXPIRES,), (("stop_timers", "start_open_hold", "send_open"), S.OPEN_SENT)),
+        ((E.TCP_ACKED, E.TCP_CONFIRMED), (("connection_opened",), None)),
+        (
+            (E.OPEN_WITH_DELAY,),
+            (("stop_timers", "send_open", "send_keepalive", "negotiate"), S.OPEN_CONFIRM),
+        ),
+        ((E.HEADER_ERROR, E.OPEN_ERROR), NOTIFY_AND_FAIL),
+        others=FAIL,
     ),
-    S.OPEN_SENT: rows(
-        ((*STARTS, *ASKED_FOR, E.TCP_ACKED, E.TCP_CONFIRMED), STAY),
-        ((E.MANUAL_STOP,), STOP_TOLD),
+    S.OPEN_SENT: state_rows(
+        ((*START_EVENTS, *TCP_REQUESTED, E.TCP_ACKED, E.TCP_CONFIRMED), STAY),
+        ((E.MANUAL_STOP,), STOP_WITH_CEASE),
         (
             (E.AUTOMATIC_STOP, E.COLLISION_DUMP),
-            (("stop_timers", "cease", "drop", "count", "idle_hold"), S.IDLE),
+            (("stop_timers", "send_cease", "close", "count_failure", "start_idle_hold"), S.IDLE),
         ),
-        ((E.HOLD_EXPIRES,), FAULT),
-        ((E.TCP_FAILS,), (("stop_timers", "drop", "connect_retry"), S.ACTIVE)),
-        ((E.OPEN,), (("stop_timers", "keepalive", "agree"), S.OPEN_CONFIRM)),
-        ((E.HEADER_ERROR, E.OPEN_ERROR), FAULT),
-        ((E.VERSION_ERROR,), (("stop_timers", "drop", "idle_hold"), S.IDLE)),
-        ((E.NOTIFICATION,), FAILED),
-        others=OUT_OF_TURN,
+        ((E.HOLD_EXPIRES,), NOTIFY_AND_FAIL),
+        ((E.TCP_FAILS,), (("stop_timers", "close", "start_connect_retry"), S.ACTIVE)),
+        ((E.OPEN,), (("stop_timers", "send_keepalive", "negotiate"), S.OPEN_CONFIRM)),
+        ((E.HEADER_ERROR, E.OPEN_ERROR), NOTIFY_AND_FAIL),
+        ((E.VERSION_ERROR,), (("stop_timers", "close", "start_idle_hold"), S.IDLE)),
+        ((E.NOTIFICATION,), FAIL),
+        others=UNEXPECTED_MESSAGE,
     ),
-    S.OPEN_CONFIRM: rows(
-        ((*STARTS, *ASKED_FOR, E.TCP_ACKED, E.TCP_CONFIRMED), STAY),
-        ((E.MANUAL_STOP,), STOP_TOLD),
+    S.OPEN_CONFIRM: state_rows(
+        ((*START_EVENTS, *TCP_REQUESTED, E.TCP_ACKED, E.TCP_CONFIRMED), STAY),
+        ((E.MANUAL_STOP,), STOP_WITH_CEASE),
         (
             (E.AUTOMATIC_STOP, E.COLLISION_DUMP),
-            (("stop_timers", "cease", "drop", "count", "idle_hold"), S.IDLE),
+            (("stop_timers", "send_cease", "close", "count_failure", "start_idle_hold"), S.IDLE),
+        ),
+        ((E.HOLD_EXPIRES, E.HEADER_ERROR, E.OPEN_ERROR), NOTIFY_AND_FAIL),
+        ((E.KEEPALIVE_EXPIRES,), (("send_keepalive", "start_keepalive_timer"), S.OPEN_CONFIRM)),
+        ((E.TCP_FAILS, E.NOTIFICATION), FAIL),
+        ((E.VERSION_ERROR,), (("stop_timers", "close", "start_idle_hold"), S.IDLE)),
+        (
+            (E.KEEPALIVE,),
+            (("restart_hold", "start_send_hold", "report_established"), S.ESTABLISHED),
         ),
-        ((E.HOLD_EXPIRES, E.HEADER_ERROR, E.OPEN_ERROR), FAULT),
-        ((E.KEEPALIVE_EXPIRES,), (("keepalive", "keepalive_timer"), S.OPEN_CONFIRM)),
-        ((E.TCP_FAILS, E.NOTIFICATION), FAILED),
-        ((E.VERSION_ERROR,), (("stop_timers", "drop", "idle_hold"), S.IDLE)),
-        ((E.KEEPALIVE,), (("hold", "send_hold", "up"), S.ESTABLISHED)),
-        others=OUT_OF_TURN,
+        others=UNEXPECTED_MESSAGE,
     ),
-    S.ESTABLISHED: rows(
-        ((*STARTS, *ASKED_FOR, E.TCP_ACKED, E.TCP_CONFIRMED), STAY),
-        ((E.MANUAL_STOP,), STOP_TOLD),
+    S.ESTABLISHED: state_rows(
+        ((*START_EVENTS, *TCP_REQUESTED, E.TCP_ACKED, E.TCP_CONFIRMED), STAY),
+        ((E.MANUAL_STOP,), STOP_WITH_CEASE),
         (
             (E.AUTOMATIC_STOP, E.COLLISION_DUMP),
-            (("stop_timers", "cease", "drop", "count", "idle_hold"), S.IDLE),
+            (("stop_timers", "send_cease", "close", "count_failure", "start_idle_hold"), S.IDLE),
         ),
-        ((E.HOLD_EXPIRES, E.UPDATE_ERROR, E.HEADER_ERROR), FAULT),
-        ((E.KEEPALIVE_EXPIRES,), (("keepalive", "keepalive_timer"), S.ESTABLISHED)),
-        ((E.TCP_FAILS, E.NOTIFICATION, E.VERSION_ERROR), FAILED),
-        ((E.KEEPALIVE,), (("hold",), S.ESTABLISHED)),
-        ((E.UPDATE,), (("hold", "routes"), S.ESTABLISHED)),
-        others=OUT_OF_TURN,
+        ((E.HOLD_EXPIRES, E.UPDATE_ERROR, E.HEADER_ERROR), NOTIFY_AND_FAIL),
+        ((E.KEEPALIVE_EXPIRES,), (("send_keepalive", "start_keepalive_timer"), S.ESTABLISHED)),
+        ((E.TCP_FAILS, E.NOTIFICATION, E.VERSION_ERROR), FAIL),
+        ((E.KEEPALIVE,), (("restart_hold",), S.ESTABLISHED)),
+        ((E.UPDATE,), (("restart_hold", "report_update"), S.ESTABLISHED)),
+        others=UNEXPECTED_MESSAGE,
     ),
 }
 
 
 class Session:
-    def __init__(self, side: Side, offered: Capabilities, rng: random.Random, now: int) -> None:
-        self.side, self.offered, self.rng, self.now = side, offered, rng, now
+    def __init__(
+        self, config: SessionConfig, local_capabilities: Capabilities, rng: random.Random, now: int
+    ) -> None:
+        self.config, self.local_capabilities, self.rng, self.now = (
+            config,
+            local_capabilities,
+            rng,
+            now,
+        )
         self.state = State.IDLE
-        self.due: dict[Timer, int] = {}
+        self.timers: dict[Timer, int] = {}
         self.damped = False  # in Idle: a failure is waited out (DampPeerOscillations)
         self.failures = 0  # the ConnectRetryCounter: since the last session that held
         self.agreed = NegotiatedCapabilities()
         self.peer_open: Open | None = None
         self.hold_time = 0  # agreed, tenths of a ms; 0: none
         self.up_since = 0
-        self.done: list[tuple[Act, object]] = []
+        self.actions: list[tuple[SessionAction, object]] = []
         self.error: BgpError | None = None  # what `notify` tells
-        self.subcode, self.data = int(Cease.SHUTDOWN), b""  # what `cease` tells
-        self.came: object = None
-        self.why = ""
-        self.told: tuple[int, int] | None = None
+        self.cease_subcode, self.cease_data = int(Cease.SHUTDOWN), b""  # what `cease` tells
+        self.last_message: object = None
+        self.cause = ""
+        self.sent_codes: tuple[int, int] | None = None
 
     @property
     def internal(self) -> bool:
-        return self.side.asn == self.side.peer_as
+        return self.config.asn == self.config.peer_as
 
     # From outside
 
-    def event(self, event: Event, now: int, why: str = "") -> list[tuple[Act, object]]:
+    def event(self, event: Event, now: int, cause: str = "") -> list[tuple[SessionAction, object]]:
         """One event of section 8.1 by itself; its name is the reason where none is given."""
-        self._handle(event, now, why or event.name.lower())
-        return self._taken()
+        self._handle(event, now, cause or event.name.lower())
+        return self._take_actions()
 
     def cease(
         self, event: Event, now: int, subcode: int, data: bytes = b""
-    ) -> list[tuple[Act, object]]:
+    ) -> list[tuple[SessionAction, object]]:
         """ManualStop, AutomaticStop or a collision's dump, told with this subcode (RFC 4486)."""
-        self.subcode, self.data = int(subcode), data
+        self.cease_subcode, self.cease_data = int(subcode), data
         self._handle(event, now, reason(Code.CEASE, subcode))
-        return self._taken()
+        return self._take_actions()
 
-    def received(self, kind: int, body: bytes, now: int) -> list[tuple[Act, object]]:
+    def received(self, kind: int, body: bytes, now: int) -> list[tuple[SessionAction, object]]:
         """One whole message. What it holds decides which event it is."""
         try:
             message = messages.decode(kind, body, self.agreed, self.internal)
         except BgpError as error:
-            return self.broken(error, now)
-        self.came = message
+            return self.decode_failed(error, now)
+        self.last_message = message
         if isinstance(message, Open):
-            if fault := self._unfit(message):
-                return self.broken(fault, now)
-            self._handle(E.OPEN_WITH_DELAY if Timer.DELAY_OPEN in self.due else E.OPEN, now, "open")
+            if fault := self._check_open(message):
+                return self.decode_failed(fault, now)
+            self._handle(
+                E.OPEN_WITH_DELAY if Timer.DELAY_OPEN in self.timers else E.OPEN, now, "open"
+            )
         elif isinstance(message, Notification):
             version = (message.code, message.subcode) == (Code.OPEN, OpenFault.VERSION)
             self._handle(
@@ -304,154 +328,161 @@
             self.state is S.ESTABLISHED
         ):  # RFC 2918 has no event of its own: it is an UPDATE's equal
             self.now = now
-            self._hold()
+            self._restart_hold()
             if self.agreed.refresh:  # else it was not offered, and is passed over
-                self.done.append((Act.REFRESH, message))
+                self.actions.append((SessionAction.REFRESH, message))
         else:
             self._handle(E.UPDATE, now, "refresh")
-        return self._taken()
+        return self._take_actions()
 
-    def broken(self, error: BgpError, now: int) -> list[tuple[Act, object]]:
+    def decode_failed(self, error: BgpError, now: int) -> list[tuple[SessionAction, object]]:
         """What came can be no message, or one that ends the session."""
         events = {Code.HEADER: E.HEADER_ERROR, Code.OPEN: E.OPEN_ERROR}
         self.error = error
         self._handle(events.get(error.code, E.UPDATE_ERROR), now, str(error))  # type: ignore[call-overload]
-        return self._taken()
+        return self._take_actions()
 
     def flushed(self, now: int) -> None:
         """All that was sent has been taken by the system."""
-        if Timer.SEND_HOLD in self.due:
-            self._send_hold_from(now)
+        if Timer.SEND_HOLD in self.timers:
+            self._start_send_hold_at(now)
 
-    def tick(self, now: int) -> list[tuple[Act, object]]:
+    def tick(self, now: int) -> list[tuple[SessionAction, object]]:
         """Every timer that is due, in the order of their times."""
         while expired := [
-            (time, timer.value, timer) for timer, time in self.due.items() if time <= now
+            (time, timer.value, timer) for timer, time in self.timers.items() if time <= now
         ]:
             timer = min(expired)[2]
-            del self.due[timer]
+            del self.timers[timer]
             if timer is Timer.SEND_HOLD:
                 self.error = BgpError(Code.SEND_HOLD_TIMER)
                 self._handle(E.HOLD_EXPIRES, now, str(self.error))
             else:
                 if timer is Timer.HOLD:
                     self.error = BgpError(Code.HOLD_TIMER)
-                self._handle(EXPIRES[timer], now, EXPIRES[timer].name.lower())
-        return self._taken()
+                self._handle(EXPIRY_EVENTS[timer], now, EXPIRY_EVENTS[timer].name.lower())
+        return self._take_actions()
 
     def stalled(self, until: int) -> None:
         """This process stood still: what the peer sent meanwhile may not be read yet, so nobody is given up
         for silence before then."""
         for timer in (Timer.HOLD, Timer.SEND_HOLD):
-            if timer in self.due:
-                self.due[timer] = max(self.due[timer], until)
+            if timer in self.timers:
+                self.timers[timer] = max(self.timers[timer], until)
 
     # The table
 
-    def _handle(self, event: Event, now: int, why: str) -> None:
-        self.now, self.why = now, why
-        if self.state is S.IDLE and Timer.IDLE_HOLD in self.due and event in STARTS[1:]:
+    def _handle(self, event: Event, now: int, cause: str) -> None:
+        self.now, self.cause = now, cause
+        if self.state is S.IDLE and Timer.IDLE_HOLD in self.timers and event in START_EVENTS[1:]:
             return  # DampPeerOscillations: only a person's start overrides the wait
-        steps, after = TABLE[self.state][event]
-        before = self.state
+        steps, next_state = TABLE[self.state][event]
+        previous = self.state
         for step in steps:
-            decided = getattr(self, "_" + step)()
-            if decided is not None:
-                after = decided
-        if after is not None:
-            self.state = after
-        if before is not S.IDLE and self.state is S.IDLE:
-            came = (
-                self.came
-                if isinstance(self.came, Notification)
+            step_state = getattr(self, "_" + step)()
+            if step_state is not None:
+                next_state = step_state
+        if next_state is not None:
+            self.state = next_state
+        if previous is not S.IDLE and self.state is S.IDLE:
+            received = (
+                self.last_message
+                if isinstance(self.last_message, Notification)
                 and event in (E.NOTIFICATION, E.VERSION_ERROR)
                 else None
             )
             by_peer = event in (E.NOTIFICATION, E.VERSION_ERROR, E.TCP_FAILS)
-            self.done.append(
-                (Act.DOWN, Ended(why, by_peer, came, self.told, before is S.ESTABLISHED))
+            self.actions.append(
+                (
+                    SessionAction.DOWN,
+                    SessionEnd(
+                        cause, by_peer, received, self.sent_codes, previous is S.ESTABLISHED
+                    ),
+                )
             )
-            self.told, self.agreed, self.error = None, NegotiatedCapabilities(), None
+            self.sent_codes, self.agreed, self.error = None, NegotiatedCapabilities(), None
 
-    def _taken(self) -> list[tuple[Act, object]]:
-        done, self.done = self.done, []
-        return done
+    def _take_actions(self) -> list[tuple[SessionAction, object]]:
+        actions, self.actions = self.actions, []
+        return actions
 
     # Steps
 
     def _jittered(self, time: int) -> int:
-        return int(time * self.rng.uniform(LEAST_JITTER, 1.0))
+        return int(time * self.rng.uniform(MIN_JITTER, 1.0))
 
     def _stop_timers(self) -> None:
-        self.due.clear()
+        self.timers.clear()
 
-    def _connect_retry(self) -> None:
-        self.due[Timer.CONNECT_RETRY] = self.now + max(1, self._jittered(self.side.connect_retry))
+    def _start_connect_retry(self) -> None:
+        self.timers[Timer.CONNECT_RETRY] = self.now + max(
+            1, self._jittered(self.config.connect_retry)
+        )
 
-    def _stop_delay(self) -> None:
-        self.due.pop(Timer.DELAY_OPEN, None)
+    def _stop_delay_open(self) -> None:
+        self.timers.pop(Timer.DELAY_OPEN, None)
 
-    def _long_hold(self) -> None:
-        self.due[Timer.HOLD] = self.now + LONG_HOLD
+    def _start_open_hold(self) -> None:
+        self.timers[Timer.HOLD] = self.now + OPEN_HOLD_TIME
 
-    def _hold(self) -> None:
+    def _restart_hold(self) -> None:
         """Also ends the long wait of OpenConfirm where no hold time was agreed."""
-        self.due.pop(Timer.HOLD, None)
+        self.timers.pop(Timer.HOLD, None)
         if self.hold_time:
-            self.due[Timer.HOLD] = self.now + self.hold_time
+            self.timers[Timer.HOLD] = self.now + self.hold_time
 
-    def _keepalive_timer(self) -> None:
+    def _start_keepalive_timer(self) -> None:
         if self.hold_time:
-            self.due[Timer.KEEPALIVE] = self.now + max(
-                1, self._jittered(self.hold_time // KEEPALIVES)
+            self.timers[Timer.KEEPALIVE] = self.now + max(
+                1, self._jittered(self.hold_time // KEEPALIVES_PER_HOLD_TIME)
             )
 
-    def _send_hold(self) -> None:
-        self._send_hold_from(self.now)
+    def _start_send_hold(self) -> None:
+        self._start_send_hold_at(self.now)
 
-    def _send_hold_from(self, now: int) -> None:
+    def _start_send_hold_at(self, now: int) -> None:
         if self.hold_time:
-            self.due[Timer.SEND_HOLD] = now + 2 * self.hold_time
+            self.timers[Timer.SEND_HOLD] = now + 2 * self.hold_time
 
     def _connect(self) -> None:
-        self.done.append((Act.CONNECT, None))
+        self.actions.append((SessionAction.CONNECT, None))
 
-    def _drop(self) -> None:
-        self.done.append((Act.CLOSE, None))
+    def _close(self) -> None:
+        self.actions.append((SessionAction.CLOSE, None))
 
-    def _zero(self) -> None:
+    def _reset_failures(self) -> None:
         self.failures = 0
 
-    def _count(self) -> None:
-        held = self.state is S.ESTABLISHED and self.now - self.up_since > max(
+    def _count_failure(self) -> None:
+        was_stable = self.state is S.ESTABLISHED and self.now - self.up_since > max(
             self.hold_time, SECOND
         )
-        self.failures = 1 if held else self.failures + 1
+        self.failures = 1 if was_stable else self.failures + 1
 
-    def _idle_hold(self) -> None:
+    def _start_idle_hold(self) -> None:
         """Doubles with each failure, so that a peer that turns us away is not asked without end."""
         time = min(
-            MOST_IDLE_HOLD,
-            self.side.idle_hold << min(self.failures - 1, 20)
+            MAX_IDLE_HOLD,
+            self.config.idle_hold << min(self.failures - 1, 20)
             if self.failures
-            else self.side.idle_hold,
+            else self.config.idle_hold,
         )
-        self.due[Timer.IDLE_HOLD] = self.now + max(1, self._jittered(time))
+        self.timers[Timer.IDLE_HOLD] = self.now + max(1, self._jittered(time))
         self.damped = True
 
-    def _start_again(self) -> State | None:
+    def _leave_idle(self) -> State | None:
         self.damped = False
-        passive = self.side.passive
+        passive = self.config.passive
         event = E.AUTOMATIC_START_DAMPED_PASSIVE if passive else E.AUTOMATIC_START_DAMPED
-        steps, after = TABLE[S.IDLE][event]
+        steps, next_state = TABLE[S.IDLE][event]
         for step in steps:
             getattr(self, "_" + step)()
-        return after
+        return next_state
 
-    def _retry(self) -> State:
+    def _retry_connection(self) -> State:
         """The retry timer in Active: a passive session goes on listening."""
-        self._connect_retry()
-        if self.side.passive:
+        self._start_connect_retry()
+        if self.config.passive:
             return S.ACTIVE
         self._connect()
         return S.CONNECT
@@ -459,78 +490,91 @@
     def _connect_failed(self) -> State:
         """With DelayOpen running the text goes to Active; else to Idle, where the next try waits for the
         retry time: nothing answered, which is no oscillation that a longer wait would damp."""
-        if Timer.DELAY_OPEN in self.due:
+        if Timer.DELAY_OPEN in self.timers:
             self._stop_timers()
-            self._connect_retry()
-            self._drop()
+            self._start_connect_retry()
+            self._close()
             return S.ACTIVE
         self._stop_timers()
-        self._drop()
-        self.due[Timer.IDLE_HOLD] = self.now + max(1, self._jittered(self.side.connect_retry))
+        self._close()
+        self.timers[Timer.IDLE_HOLD] = self.now + max(1, self._jittered(self.config.connect_retry))
         return S.IDLE
 
-    def _opened(self) -> State:
+    def _connection_opened(self) -> State:
         self._stop_timers()
-        if self.side.delay_open:
-            self.due[Timer.DELAY_OPEN] = self.now + self.side.delay_open
+        if self.config.delay_open:
+            self.timers[Timer.DELAY_OPEN] = self.now + self.config.delay_open
             return self.state
-        self._long_hold()
-        self._open()
+        self._start_open_hold()
+        self._send_open()
         return S.OPEN_SENT
 
-    def _open(self) -> None:
-        self._send(Open(self.side.asn, self.side.hold // SECOND, self.side.router_id, self.offered))
+    def _send_open(self) -> None:
+        self._send(
+            Open(
+                self.config.asn,
+                self.config.hold // SECOND,
+                self.config.router_id,
+                self.local_capabilities,
+            )
+        )
 
-    def _keepalive(self) -> None:
+    def _send_keepalive(self) -> None:
         self._send(Keepalive())
 
-    def _agree(self) -> None:
-        opened = self.came
+    def _negotiate(self) -> None:
+        opened = self.last_message
         assert isinstance(opened, Open)
         self.peer_open = opened
         self.agreed = NegotiatedCapabilities.between(
-            self.offered, opened.capabilities, self.side.strict_role
+            self.local_capabilities, opened.capabilities, self.config.strict_role
         )
-        self.hold_time = min(self.side.hold, opened.hold * SECOND)
+        self.hold_time = min(self.config.hold, opened.hold * SECOND)
         if self.hold_time:
-            self._hold()
-            self._keepalive_timer()
+            self._restart_hold()
+            self._start_keepalive_timer()
         else:
-            self._long_hold()
+            self._start_open_hold()
 
-    def _up(self) -> None:
+    def _report_established(self) -> None:
         self.up_since = self.now
-        self.done.append((Act.UP, self.peer_open))
+        self.actions.append((SessionAction.UP, self.peer_open))
 
-    def _routes(self) -> None:
-        self.done.append((Act.ROUTES, self.came))
+    def _report_update(self) -> None:
+        self.actions.append((SessionAction.ROUTES, self.last_message))
 
-    def _notify(self) -> None:
+    def _send_notification(self) -> None:
         if self.error is not None:
-            self._tell(Notification(self.error.code, self.error.subcode, self.error.data))
+            self._send_closing_notification(
+                Notification(self.error.code, self.error.subcode, self.error.data)
+            )
 
-    def _cease(self) -> None:
-        self._tell(Notification(Code.CEASE, self.subcode, self.data))
+    def _send_cease(self) -> None:
+        self._send_closing_notification(
+            Notification(Code.CEASE, self.cease_subcode, self.cease_data)
+        )
 
-    def _out_of_turn(self) -> None:
-        self._tell(Notification(Code.STATE_MACHINE, UNEXPECTED_IN.get(self.state.name, 0)))
+    def _send_state_machine_error(self) -> None:
+        self._send_closing_notification(
+            Notification(Code.STATE_MACHINE, UNEXPECTED_IN.get(self.state.name, 0))
+        )
 
-    def _tell(self, notification: Notification) -> None:
-        self.told = notification.code, notification.subcode
+    def _send_closing_notification(self, notification: Notification) -> None:
+        self.sent_codes = notification.code, notification.subcode
         self._send(notification)
 
     def _send(self, message: Open | Keepalive | Notification | Refresh) -> None:
-        self.done.append((Act.SEND, messages.encode(message)))
+        self.actions.append((SessionAction.SEND, messages.encode(message)))
 
-    def _unfit(self, message: Open) -> BgpError | None:
+    def _check_open(self, message: Open) -> BgpError | None:
         """Section 6.2, and RFC 6286 for the identifier."""
-        if message.asn != self.side.peer_as:
+        if message.asn != self.config.peer_as:
             return BgpError(Code.OPEN, OpenFault.PEER_AS, text=f"AS {message.asn}")
-        if message.router_id == self.side.router_id and self.internal:
+        if message.router_id == self.config.router_id and self.internal:
             return BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="our own router id")
         try:
             NegotiatedCapabilities.between(
-                self.offered, message.capabilities, self.side.strict_role
+                self.local_capabilities, message.capabilities, self.config.strict_role
             )
         except BgpError as error:
             return error
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -129,7 +129,7 @@
         The speaker's thread owns these; they are read as they are at this moment.
         """
         announcing = self.speaker.state.announcement_policy
-        is_leaving = announcing.node in (NodeStatus.LEAVING, NodeStatus.GONE)
+        is_leaving = announcing.node_status in (NodeStatus.LEAVING, NodeStatus.GONE)
         return (
             announcing.penalty.value_at(self.speaker.now()),
             announcing.penalty.suppressed,
--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -10,7 +10,7 @@
 from lilacwalk.bgp.attributes import SEQUENCE, Attributes
 from lilacwalk.bgp.capabilities import Capabilities
 from lilacwalk.bgp.messages import Keepalive, Open
-from lilacwalk.bgp.peer import Do, Peering
+from lilacwalk.bgp.peer import ActionKind, PeerState
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.speaker_io import Speaker
 from lilacwalk.bgp.speaker_state import SpeakerState
@@ -47,7 +47,7 @@
 """
 
 
-def orders(more="", **changed):
+def announce_config(more="", **changed):
     """The base file with more statements in its block; a keyword given anew takes the base's place."""
     lines = BASE % more
     for keyword, word in changed.items():
@@ -66,32 +66,37 @@
     return f"    peer {host}:{port} {{\n        as {asn}\n{extra}    }}\n"
 
 
-class Machine:
+class PeerHarness:
     """One peer's machine: what it does is taken apart into what was sent on which link."""
 
-    def __init__(self, *peer, more="", claims=(False, True), start=True):
+    def __init__(self, *peer_lines, more="", restart_claims=(False, True), start=True):
         self.now = 1_000_000
-        self.orders = orders(peer_block("127.0.0.1:1790", THEM, *peer) + more)
-        self.peering = Peering(
-            self.orders, self.orders.peer[0], count(1), random.Random(1), self.now, lambda: claims
+        self.config = announce_config(peer_block("127.0.0.1:1790", THEM, *peer_lines) + more)
+        self.peer = PeerState(
+            self.config,
+            self.config.peer[0],
+            count(1),
+            random.Random(1),
+            self.now,
+            lambda: restart_claims,
         )
         self.sent, self.closed, self.connects, self.logs = [], [], [], []
         if start:
-            self.peering.start(self.now)
-            self.take()
+            self.peer.start(self.now)
+            self.drain_actions()
 
-    def take(self):
-        for action in self.peering.taken():
-            if action.do is Do.SEND:
+    def drain_actions(self):
+        for action in self.peer.take_actions():
+            if action.kind is ActionKind.SEND:
                 self.sent += [
-                    (action.link, *each) for each in messages.Stream(65_535).feed(action.about)
+                    (action.link, *each) for each in messages.Stream(65_535).feed(action.value)
                 ]
-            elif action.do is Do.CLOSE:
+            elif action.kind is ActionKind.CLOSE:
                 self.closed.append(action.link)
-            elif action.do is Do.CONNECT:
+            elif action.kind is ActionKind.CONNECT:
                 self.connects.append(action.link)
             else:
-                self.logs.append(action.about)
+                self.logs.append(action.value)
         return self
 
     def kinds(self, link=None):
@@ -102,22 +107,22 @@
         found = [body for number, kind, body in self.sent if kind == 3 and link in (None, number)]
         return (found[-1][0], found[-1][1]) if found else None
 
-    def say(self, data, link=None):
+    def receive(self, data, link=None):
         number = self.connects[-1] if link is None else link
         for kind, body in messages.Stream(65_535).feed(data):
-            self.peering.message(number, kind, body, self.now)
-        return self.take()
+            self.peer.message(number, kind, body, self.now)
+        return self.drain_actions()
 
     def open(self, link=None, asn=THEM, hold=9, router_id="127.0.0.20", **able):
         able = {"families": ((1, 1), (2, 1)), "as4": asn, "refresh": True} | able
-        return self.say(messages.encode(Open(asn, hold, router_id, Capabilities(**able))), link)
+        return self.receive(messages.encode(Open(asn, hold, router_id, Capabilities(**able))), link)
 
     def keepalive(self, link=None):
-        return self.say(messages.encode(Keepalive()), link)
+        return self.receive(messages.encode(Keepalive()), link)
 
     def connected(self):
-        self.peering.connected(self.connects[-1], self.now)
-        return self.take()
+        self.peer.connected(self.connects[-1], self.now)
+        return self.drain_actions()
 
     def up(self, **opened):
         """From a start to Established."""
@@ -127,16 +132,16 @@
     def wait(self, time):
         """Every timer on the way fires at its own time."""
         end = self.now + time
-        while (due := self.peering.due()) is not None and due <= end:
+        while (due := self.peer.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.peering.tick(self.now)
-            self.take()
+            self.peer.tick(self.now)
+            self.drain_actions()
         self.now = end
         return self
 
     @property
     def state(self):
-        return self.peering.main.session.state.name
+        return self.peer.primary.session.state.name
 
 
 def route(asn=THEM, **more):
@@ -177,9 +182,9 @@
         each.end()
 
 
-def speaking(more="", peers=("127.0.0.1:1790",), **changed):
-    made = orders("".join(peer_block(each) for each in peers) + more, **changed)
+def make_speaker_state(more="", peers=("127.0.0.1:1790",), **changed):
+    made = announce_config("".join(peer_block(each) for each in peers) + more, **changed)
     machine = SpeakerState(made, 1, 1_000_000)
     machine.start(1_000_000)
-    machine.taken()
+    machine.take_actions()
     return machine
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -7,44 +7,49 @@
 from hypothesis import strategies as st
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus, attributes
+from lilacwalk.bgp.announcement_policy import (
+    AnnouncementPolicy,
+    Level,
+    NodeStatus,
+    service_attributes,
+)
 from lilacwalk.bgp.attributes import GRACEFUL_SHUTDOWN
 from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.config import Damping
 from lilacwalk.bgp.damping import Penalty
-from lilacwalk.bgp.peer import Do
+from lilacwalk.bgp.peer import ActionKind
 from lilacwalk.bgp.readiness import Facts, node_status
-from tests.bgp.conftest import SECOND, THEM, orders, peer_block, speaking, update
+from tests.bgp.conftest import SECOND, THEM, announce_config, make_speaker_state, peer_block, update
 
 LAST = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
 MS = 10
 
 
-class Life:
+class PolicyHarness:
     """A node's life: what level held from when to when."""
 
     def __init__(self, more="", **changed):
         self.now = 1_000_000
-        self.machine = AnnouncementPolicy(orders(more, **changed), self.now)
+        self.machine = AnnouncementPolicy(announce_config(more, **changed), self.now)
         self.levels = []
-        self.look()
+        self.decide()
 
-    def look(self):
-        self.again = self.machine.decide(self.now).again
+    def decide(self):
+        self.next_check = self.machine.decide(self.now).next_check
         if not self.levels or self.levels[-1][1] is not self.machine.level:
             self.levels.append((self.now, self.machine.level))
 
-    def be(self, state, ms=0):
+    def set_status(self, state, ms=0):
         self.machine.set_node_status(state, self.now)
-        self.look()
+        self.decide()
         return self.wait(ms)
 
     def wait(self, ms):
         end = self.now + ms * MS
-        while self.again is not None and self.again <= end:
-            assert self.again > self.now  # no time that passes nothing
-            self.now = self.again
-            self.look()
+        while self.next_check is not None and self.next_check <= end:
+            assert self.next_check > self.now  # no time that passes nothing
+            self.now = self.next_check
+            self.decide()
         self.now = end
         return self
 
@@ -54,73 +59,82 @@
 
 
 def test_a_node_is_announced_once_it_has_been_ready_for_long_enough():
-    life = Life().be(NodeStatus.COLD, 500).be(NodeStatus.WARMING, 500).be(NodeStatus.READY, 19)
-    assert life.level is Level.NONE
-    assert life.wait(1).level is Level.NORMAL
+    harness = (
+        PolicyHarness()
+        .set_status(NodeStatus.COLD, 500)
+        .set_status(NodeStatus.WARMING, 500)
+        .set_status(NodeStatus.READY, 19)
+    )
+    assert harness.level is Level.NONE
+    assert harness.wait(1).level is Level.NORMAL
 
 
 @pytest.mark.parametrize("state", [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.GONE])
 def test_a_node_that_starts_anew_or_is_gone_is_withdrawn_at_once(state):
-    assert Life().be(NodeStatus.READY, 100).be(state).level is Level.NONE
+    assert PolicyHarness().set_status(NodeStatus.READY, 100).set_status(state).level is Level.NONE
 
 
 def test_a_sick_node_is_less_wanted_then_withdrawn_and_well_again_only_after_a_while():
-    life = Life().be(NodeStatus.READY, 100).be(NodeStatus.SICK)
-    assert life.level is Level.LESS_WANTED
-    assert life.be(NodeStatus.READY, 49).level is Level.LESS_WANTED
-    assert life.wait(1).level is Level.NORMAL
-    assert life.be(NodeStatus.SICK, 99).level is Level.LESS_WANTED
-    assert life.wait(1).level is Level.NONE
-    assert life.be(NodeStatus.READY, 49).level is Level.NONE
-    assert life.wait(1).level is Level.NORMAL
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK)
+    assert harness.level is Level.LESS_WANTED
+    assert harness.set_status(NodeStatus.READY, 49).level is Level.LESS_WANTED
+    assert harness.wait(1).level is Level.NORMAL
+    assert harness.set_status(NodeStatus.SICK, 99).level is Level.LESS_WANTED
+    assert harness.wait(1).level is Level.NONE
+    assert harness.set_status(NodeStatus.READY, 49).level is Level.NONE
+    assert harness.wait(1).level is Level.NORMAL
 
 
 def test_a_node_that_swings_between_sick_and_well_is_withdrawn_all_the_same():
-    life = Life().be(NodeStatus.READY, 100)
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(4):
-        life.be(NodeStatus.SICK, 20).be(NodeStatus.READY, 10)
-    assert life.be(NodeStatus.SICK).level is Level.NONE
+        harness.set_status(NodeStatus.SICK, 20).set_status(NodeStatus.READY, 10)
+    assert harness.set_status(NodeStatus.SICK).level is Level.NONE
 
 
 def test_standing_still_for_a_moment_changes_nothing_where_the_file_gives_it_one():
-    life = Life(less_wanted_after="30ms")
-    life.be(NodeStatus.READY, 100).be(NodeStatus.STANDING_STILL, 29)
-    assert life.level is Level.NORMAL
-    assert life.wait(1).level is Level.LESS_WANTED
+    harness = PolicyHarness(less_wanted_after="30ms")
+    harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.STANDING_STILL, 29)
+    assert harness.level is Level.NORMAL
+    assert harness.wait(1).level is Level.LESS_WANTED
 
 
 def test_the_last_resort_stands_for_a_sick_node_never_for_one_that_stands_still_or_never_was_ready():
-    life = Life(LAST).be(NodeStatus.READY, 100).be(NodeStatus.SICK, 150)
-    assert life.level is Level.LAST_RESORT
-    assert life.be(NodeStatus.STANDING_STILL).level is Level.NONE
-    assert Life(LAST).be(NodeStatus.SICK, 500).level is Level.NONE
+    harness = PolicyHarness(LAST).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, 150)
+    assert harness.level is Level.LAST_RESORT
+    assert harness.set_status(NodeStatus.STANDING_STILL).level is Level.NONE
+    assert PolicyHarness(LAST).set_status(NodeStatus.SICK, 500).level is Level.NONE
     assert (
-        Life(LAST).be(NodeStatus.READY, 100).be(NodeStatus.SICK, 500).be(NodeStatus.READY, 60).level
+        PolicyHarness(LAST)
+        .set_status(NodeStatus.READY, 100)
+        .set_status(NodeStatus.SICK, 500)
+        .set_status(NodeStatus.READY, 60)
+        .level
         is Level.NORMAL
     )
 
 
 def test_a_drain_is_less_wanted_then_withdrawn_then_the_listener_may_close_and_nothing_comes_back():
-    life = Life().be(NodeStatus.READY, 100)
-    life.machine.leave(life.now, None)
-    began = life.now
-    life.look()
-    assert life.level is Level.LEAVING
-    life.wait(30)
-    assert life.level is Level.NONE and life.machine.listener_at == began + 80 * MS
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
+    harness.machine.leave(harness.now, None)
+    began = harness.now
+    harness.decide()
+    assert harness.level is Level.LEAVING
+    harness.wait(30)
+    assert harness.level is Level.NONE and harness.machine.listener_may_close_at == began + 80 * MS
     for state in (NodeStatus.READY, NodeStatus.COLD, NodeStatus.READY, NodeStatus.SICK):
-        assert life.be(state, 1000).level is Level.NONE
+        assert harness.set_status(state, 1000).level is Level.NONE
 
 
 @pytest.mark.parametrize(
     "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST, 150, Level.LAST_RESORT)]
 )
 def test_a_sick_node_that_leaves_is_no_more_wanted_for_it(more, ms, level):
-    life = Life(more).be(NodeStatus.READY, 100).be(NodeStatus.SICK, ms)
-    life.machine.leave(life.now, None)
-    life.look()
-    assert life.level is level
-    assert life.wait(30).level is Level.NONE
+    harness = PolicyHarness(more).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, ms)
+    harness.machine.leave(harness.now, None)
+    harness.decide()
+    assert harness.level is level
+    assert harness.wait(30).level is Level.NONE
 
 
 @pytest.mark.parametrize(
@@ -129,41 +143,47 @@
 def test_a_short_grace_takes_from_the_time_of_being_less_wanted_never_from_the_spreading(
     grace, less_wanted, listener
 ):
-    life = Life().be(NodeStatus.READY, 100)
-    began = life.now
-    life.machine.leave(began, began + grace * MS)
-    life.look()
-    life.wait(1000)
-    gone = next(at for at, level in life.levels if level is Level.NONE and at >= began)
-    assert (gone - began, life.machine.listener_at - began) == (less_wanted * MS, listener * MS)
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
+    began = harness.now
+    harness.machine.leave(began, began + grace * MS)
+    harness.decide()
+    harness.wait(1000)
+    gone = next(at for at, level in harness.levels if level is Level.NONE and at >= began)
+    assert (gone - began, harness.machine.listener_may_close_at - began) == (
+        less_wanted * MS,
+        listener * MS,
+    )
 
 
 def test_a_node_that_flaps_every_100_ms_for_a_minute_is_announced_a_handful_of_times_and_then_proves_itself():
-    life = Life()
+    harness = PolicyHarness()
     for _ in range(300):
-        life.be(NodeStatus.READY, 100).be(NodeStatus.COLD, 100)
-    announced = [at for at, level in life.levels if level is Level.NORMAL]
+        harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
+    announced = [at for at, level in harness.levels if level is Level.NORMAL]
     assert 1 <= len(announced) <= 4
-    assert life.machine.penalty.suppressed and life.machine.penalty.value <= 48_000
-    since = life.now
-    life.be(NodeStatus.READY, 60_000)
-    back = life.levels[-1]
+    assert harness.machine.penalty.suppressed and harness.machine.penalty.value <= 48_000
+    since = harness.now
+    harness.set_status(NodeStatus.READY, 60_000)
+    back = harness.levels[-1]
     assert back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND  # `longest`
-    assert all(level is Level.NONE for at, level in life.levels if since <= at < back[0])
+    assert all(level is Level.NONE for at, level in harness.levels if since <= at < back[0])
 
 
 def test_one_that_flaps_too_fast_to_be_announced_is_held_back_for_it_as_well():
-    life = Life(ready_for="200ms")
+    harness = PolicyHarness(ready_for="200ms")
     for _ in range(20):
-        life.be(NodeStatus.READY, 100).be(NodeStatus.COLD, 100)
-    assert life.be(NodeStatus.READY, 1000).level is Level.NONE and "damped" in life.machine.reason
+        harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
+    assert (
+        harness.set_status(NodeStatus.READY, 1000).level is Level.NONE
+        and "damped" in harness.machine.reason
+    )
 
 
 def test_a_withdrawal_is_never_damped():
-    life = Life().be(NodeStatus.READY, 100)
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(10):
-        life.machine.penalty.add(1000, life.now)
-    assert life.be(NodeStatus.COLD).level is Level.NONE
+        harness.machine.penalty.add(1000, harness.now)
+    assert harness.set_status(NodeStatus.COLD).level is Level.NONE
 
 
 def test_the_penalty_halves_in_its_half_life_whatever_the_times_it_is_asked_at():
@@ -171,10 +191,14 @@
     for each in (asked, alone):
         each.add(4000, 0)
     for now in range(0, 2 * SECOND, 777):
-        asked.holds(now)
+        asked.is_suppressed(now)
     assert alone.value_at(SECOND) == 2000 and math.isclose(asked.value_at(2 * SECOND), 1000)
-    free = alone.free_at()
-    assert alone.holds(free - 1) and not alone.holds(free) and asked.holds(free - 1)
+    free = alone.reuse_at()
+    assert (
+        alone.is_suppressed(free - 1)
+        and not alone.is_suppressed(free)
+        and asked.is_suppressed(free - 1)
+    )
 
 
 states = st.lists(
@@ -188,11 +212,11 @@
 
 @given(states, st.booleans())
 def test_whatever_the_order_of_states_only_a_steady_ready_node_becomes_announced(order, last):
-    life, ready_since, left = Life(LAST if last else ""), None, False
+    harness, ready_since, left = PolicyHarness(LAST if last else ""), None, False
     for state, ms in order:
-        before = life.level
-        life.levels = []
-        began = life.now
+        before = harness.level
+        harness.levels = []
+        began = harness.now
         if not left:
             ready_since = (
                 (ready_since if ready_since is not None else began)
@@ -200,36 +224,36 @@
                 else None
             )
             left = state is NodeStatus.LEAVING
-        life.be(state, ms)
-        for at, level in life.levels[:]:
+        harness.set_status(state, ms)
+        for at, level in harness.levels[:]:
             if level > before:
                 assert ready_since is not None and not left, (state, level)
                 assert before is not Level.NONE or at >= ready_since + 20 * MS
             before = level
         if left:
             assert (
-                life.now < began + 30 * MS
-                or life.level is Level.NONE
+                harness.now < began + 30 * MS
+                or harness.level is Level.NONE
                 or state is not NodeStatus.LEAVING
             )
         if state in (NodeStatus.COLD, NodeStatus.WARMING) and not left:
-            assert life.level is Level.NONE
+            assert harness.level is Level.NONE
 
 
 def test_less_wanted_is_said_in_every_way_that_routers_know():
-    made = orders(peer_block() + LAST)
+    made = announce_config(peer_block() + LAST)
     service, peer = made.service[0], made.peer[0]
     normal, less, last, leaving = (
-        attributes(made, service, peer, level)
+        service_attributes(made, service, peer, level)
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LAST_RESORT, Level.LEAVING)
     )
     assert (normal.path_length, normal.med, normal.communities) == (1, None, ())
     assert (less.path_length, less.med, less.communities) == (3, 77, (GRACEFUL_SHUTDOWN,))
     assert (last.path_length, last.med) == (6, 9000)
     assert (leaving.path_length, leaving.communities) == (1, (GRACEFUL_SHUTDOWN,))
-    inside = orders(peer_block("127.0.0.1:1790", 65010) + LAST)
+    inside = announce_config(peer_block("127.0.0.1:1790", 65010) + LAST)
     assert [
-        attributes(inside, inside.service[0], inside.peer[0], level).local_pref
+        service_attributes(inside, inside.service[0], inside.peer[0], level).local_pref
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LEAVING)
     ] == [100, 0, 0]
 
@@ -257,17 +281,17 @@
 # Together with peers
 
 
-class Speaker:
+class SpeakerHarness:
     """A whole speaker without sockets, beside a peer that answers by hand."""
 
     def __init__(self, more="", **changed):
-        self.now, self.machine = 1_000_000, speaking(more, **changed)
+        self.now, self.machine = 1_000_000, make_speaker_state(more, **changed)
         self.peer = next(iter(self.machine.peers.values()))
 
     def up(self):
-        if not self.peer.main.number:
+        if not self.peer.primary.number:
             self.tick(SECOND)
-        link, address = self.peer.main.number, self.peer.peer.address
+        link, address = self.peer.primary.number, self.peer.peer.address
         self.machine.connected(address, link, self.now)
         for data in (
             messages.encode(
@@ -281,7 +305,7 @@
 
     def tick(self, time=0):
         end = self.now + time
-        while (due := self.machine.due()) is not None and due <= end:
+        while (due := self.machine.next_due()) is not None and due <= end:
             self.now = max(due, self.now)
             self.machine.tick(self.now)
         self.now = end
@@ -291,9 +315,9 @@
     def sent(self):
         """What was announced (`+`), withdrawn (`-`) and notified since it was asked last."""
         found = []
-        for action in self.machine.taken():
-            if action.do is Do.SEND:
-                for kind, body in messages.Stream().feed(action.about):
+        for action in self.machine.take_actions():
+            if action.kind is ActionKind.SEND:
+                for kind, body in messages.Stream().feed(action.value):
                     if kind == 2:
                         each = messages.decode(2, body, NegotiatedCapabilities(as4=True))
                         found += ["+"] * len(each.announced) + ["-"] * len(each.withdrawn)
@@ -303,95 +327,103 @@
 
 
 def test_a_session_dropped_in_a_drain_before_its_withdrawal_gets_nothing_when_it_is_back():
-    speaker = Speaker().up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    assert speaker.tick(100 * MS).sent() == ["+"]
-    speaker.machine.leave(speaker.now, speaker.now + 500 * MS)
-    speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
-    assert "+" in speaker.sent()  # less wanted, before the loss
-    speaker.tick(40 * MS).up()
-    assert speaker.tick(5 * SECOND).sent() == []
+    harness = SpeakerHarness().up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    assert harness.tick(100 * MS).sent() == ["+"]
+    harness.machine.leave(harness.now, harness.now + 500 * MS)
+    harness.machine.connection_lost(
+        harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
+    )
+    assert "+" in harness.sent()  # less wanted, before the loss
+    harness.tick(40 * MS).up()
+    assert harness.tick(5 * SECOND).sent() == []
 
 
 @pytest.mark.parametrize("wait", [0, 10])
 def test_a_session_that_comes_back_within_the_drains_first_part_learns_that_it_is_less_wanted(wait):
-    speaker = Speaker(graceful_shutdown="1s").up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.machine.leave(speaker.now, None)
-    speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
-    speaker.tick(500 * MS).sent()
-    assert speaker.up().sent() == ["+"] and speaker.peer.told[
-        speaker.machine.orders.service[0].prefix
+    harness = SpeakerHarness(graceful_shutdown="1s").up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.machine.leave(harness.now, None)
+    harness.machine.connection_lost(
+        harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
+    )
+    harness.tick(500 * MS).sent()
+    assert harness.up().sent() == ["+"] and harness.peer.adj_rib_out[
+        harness.machine.config.service[0].prefix
     ].communities == (GRACEFUL_SHUTDOWN,)
-    assert speaker.tick(SECOND).sent() == ["-"]
+    assert harness.tick(SECOND).sent() == ["-"]
 
 
 def test_a_session_dropped_after_the_withdrawal_left_gets_nothing_when_it_is_back():
-    speaker = Speaker().up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.machine.leave(speaker.now, None)
-    assert speaker.tick(60 * MS).sent() == ["+", "-"]
-    speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
-    speaker.tick(SECOND).up()
-    assert speaker.tick(SECOND).sent() == []
+    harness = SpeakerHarness().up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.machine.leave(harness.now, None)
+    assert harness.tick(60 * MS).sent() == ["+", "-"]
+    harness.machine.connection_lost(
+        harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
+    )
+    harness.tick(SECOND).up()
+    assert harness.tick(SECOND).sent() == []
 
 
 def test_a_process_that_stood_still_gives_nobody_up_for_what_it_could_not_hear():
-    speaker = Speaker().up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.now += 60 * SECOND  # a stop and a continue, or a clock that leapt
-    speaker.machine.tick(speaker.now)
-    assert speaker.peer.established and speaker.sent() == []
-    speaker.machine.message(
-        speaker.peer.peer.address, speaker.peer.main.number, 4, b"", speaker.now
+    harness = SpeakerHarness().up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.now += 60 * SECOND  # a stop and a continue, or a clock that leapt
+    harness.machine.tick(harness.now)
+    assert harness.peer.established and harness.sent() == []
+    harness.machine.message(
+        harness.peer.peer.address, harness.peer.primary.number, 4, b"", harness.now
     )
-    speaker.machine.flushed(speaker.peer.peer.address, speaker.peer.main.number, speaker.now)
-    assert speaker.tick(SECOND).peer.established
-    assert speaker.tick(30 * SECOND).peer.downs == 1  # but in the end for what it did not say
+    harness.machine.flushed(harness.peer.peer.address, harness.peer.primary.number, harness.now)
+    assert harness.tick(SECOND).peer.established
+    assert harness.tick(30 * SECOND).peer.downs == 1  # but in the end for what it did not say
 
 
 def test_a_new_file_adds_and_removes_services_and_peers_without_ending_the_sessions_that_stay():
-    speaker = Speaker().up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
+    harness = SpeakerHarness().up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
     two = "    service 192.0.2.11/32\n" + peer_block() + peer_block("127.0.0.1:1791")
-    assert speaker.machine.reordered(orders(two), speaker.now) == [
+    assert harness.machine.reconfigure(announce_config(two), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
-    assert speaker.sent() == ["+"] and speaker.peer.established and len(speaker.machine.peers) == 2
-    assert speaker.machine.reordered(orders(peer_block()), speaker.now) == [
+    assert harness.sent() == ["+"] and harness.peer.established and len(harness.machine.peers) == 2
+    assert harness.machine.reconfigure(announce_config(peer_block()), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
-    assert speaker.sent() == ["-"] and speaker.peer.established
-    assert speaker.machine.reordered(orders(peer_block("127.0.0.1:1790", 65021)), speaker.now) == [
-        "peer-127.0.0.1:1790"
-    ]
-    assert speaker.sent() == ["-", "cease/6"]
-    assert speaker.machine.reordered(orders(), speaker.now) == ["peer-127.0.0.1:1790"]
+    assert harness.sent() == ["-"] and harness.peer.established
+    assert harness.machine.reconfigure(
+        announce_config(peer_block("127.0.0.1:1790", 65021)), harness.now
+    ) == ["peer-127.0.0.1:1790"]
+    assert harness.sent() == ["-", "cease/6"]
+    assert harness.machine.reconfigure(announce_config(), harness.now) == ["peer-127.0.0.1:1790"]
 
 
 def test_a_drain_under_way_is_not_undone_by_a_new_file():
-    speaker = Speaker().up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.machine.leave(speaker.now, None)
-    speaker.tick(60 * MS).sent()
-    speaker.machine.reordered(orders("    service 192.0.2.11/32\n" + peer_block()), speaker.now)
-    assert speaker.tick(5 * SECOND).sent() == []
+    harness = SpeakerHarness().up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.machine.leave(harness.now, None)
+    harness.tick(60 * MS).sent()
+    harness.machine.reconfigure(
+        announce_config("    service 192.0.2.11/32\n" + peer_block()), harness.now
+    )
+    assert harness.tick(5 * SECOND).sent() == []
 
 
 def test_the_end_withdraws_all_and_says_why_and_what_was_received_is_shown():
-    speaker = Speaker().up()
-    speaker.machine.set_node_status(NodeStatus.READY, speaker.now)
-    address, link = speaker.peer.peer.address, speaker.peer.main.number
-    speaker.machine.message(address, link, 2, update("10.0.0.0/8")[19:], speaker.now)
-    [row] = speaker.machine.received(address)
+    harness = SpeakerHarness().up()
+    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    address, link = harness.peer.peer.address, harness.peer.primary.number
+    harness.machine.message(address, link, 2, update("10.0.0.0/8")[19:], harness.now)
+    [row] = harness.machine.received_routes(address)
     assert row["refused"] == "no import policy"  # RFC 8212
-    speaker.tick(100 * MS).sent()
-    speaker.machine.end(speaker.now)
-    assert speaker.sent() == ["-", "cease/2"] and speaker.machine.ended
+    harness.tick(100 * MS).sent()
+    harness.machine.end(harness.now)
+    assert harness.sent() == ["-", "cease/2"] and harness.machine.ended
--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.bgp.conftest import orders, peer_block
+from tests.bgp.conftest import announce_config, peer_block
 from tests.conftest import PATIENCE, ROOT, Site, plain
 
 SERVICE = "192.0.2.10/32"
@@ -22,7 +22,7 @@
         site = Site(tmp_path, **handed).start()
         sites.append(site)
         site.event_loop.event_queue.post(
-            site.event_loop.subsystems.apply_bgp, orders(peer_block(router.address) + more)
+            site.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address) + more)
         )
         return site
 
@@ -138,7 +138,7 @@
     router.wait_count("notification")
     router.wait_held()
     site.event_loop.event_queue.post(
-        site.event_loop.subsystems.apply_bgp, orders(peer_block(router.address))
+        site.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address))
     )
     router.wait_held(SERVICE)
 
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -148,7 +148,7 @@
 
 
 def attribute(flags, kind, value):
-    return codec.pack(flags, kind, value)
+    return codec.encode_attribute(flags, kind, value)
 
 
 GOOD = {
@@ -329,10 +329,10 @@
     [data] = messages.announcements([Prefix.of("10.0.0.0/8")], wide, False, False)
     plain = read(data, NegotiatedCapabilities(families=(1,)))
     assert plain.reachable[0][0].as_path == wide.as_path
-    merged = codec.Read(
+    merged = codec.ParsedAttributes(
         {"as_path": ((SEQUENCE, (9, 23456, 7)),), "as4_path": ((SEQUENCE, (70000, 7)),)}
     )
-    codec.four_octets(merged)
+    codec.merge_four_octet_attributes(merged)
     assert merged.values["as_path"] == ((SEQUENCE, (9, 70000, 7)),)
 
 
--- a/tests/bgp/test_policy.py
+++ b/tests/bgp/test_policy.py
@@ -4,9 +4,9 @@
 
 from lilacwalk.bgp.attributes import SEQUENCE, Attributes
 from lilacwalk.bgp.config import BgpConfig
-from lilacwalk.bgp.policy import Refused, Rules
+from lilacwalk.bgp.policy import PeerPolicy, Refused
 from lilacwalk.bgp.prefixes import Prefix
-from tests.bgp.conftest import THEM, US, orders, peer_block, route
+from tests.bgp.conftest import THEM, US, announce_config, peer_block, route
 
 TEN = Prefix.of("10.1.0.0/16")
 LISTS = """
@@ -35,25 +35,27 @@
 """
 
 
-def rules(*peer, asn=THEM) -> Rules:
-    made: BgpConfig = orders(LISTS + peer_block("127.0.0.1:1790", asn, *peer))
-    return Rules(made, made.peer[0])
+def peer_policy(*peer, asn=THEM) -> PeerPolicy:
+    config: BgpConfig = announce_config(LISTS + peer_block("127.0.0.1:1790", asn, *peer))
+    return PeerPolicy(config, config.peer[0])
 
 
 def test_the_first_term_whose_conditions_all_hold_decides_and_changes():
-    taken = rules("import through").taken(TEN, route(communities=(65020 << 16 | 7,)))
+    taken = peer_policy("import through").import_route(TEN, route(communities=(65020 << 16 | 7,)))
     assert (taken.med, taken.local_pref, taken.communities, taken.large) == (
         5,
         200,
         (65010 << 16 | 1,),
         ((65010, 1, 2),),
     )
-    assert rules("import through").taken(TEN, route(as_path=((SEQUENCE, (THEM, 666)),))) == Refused(
-        "policy through"
+    assert peer_policy("import through").import_route(
+        TEN, route(as_path=((SEQUENCE, (THEM, 666)),))
+    ) == Refused("policy through")
+    assert peer_policy("import through").import_route(TEN, route()).as_path == (
+        (SEQUENCE, (US, US, THEM)),
     )
-    assert rules("import through").taken(TEN, route()).as_path == ((SEQUENCE, (US, US, THEM)),)
     long = route(as_path=((SEQUENCE, (THEM, 5, 6)),))
-    assert rules("import through").taken(TEN, long) == Refused("policy through")
+    assert peer_policy("import through").import_route(TEN, long) == Refused("policy through")
 
 
 @pytest.mark.parametrize(
@@ -72,8 +74,8 @@
     ],
 )
 def test_of_a_prefix_list_the_first_line_that_matches_decides(prefix, permitted):
-    made = rules("import through")
-    assert made.importing.terms[0][1].permits(Prefix.of(prefix)) is permitted
+    config = peer_policy("import through")
+    assert config.import_policy.terms[0][1].permits(Prefix.of(prefix)) is permitted
 
 
 @pytest.mark.parametrize(
@@ -87,11 +89,11 @@
     ],
 )
 def test_routes_that_cannot_be_right_and_those_no_policy_speaks_of_are_not_used(attributes, reason):
-    assert rules().taken(TEN, attributes) == Refused(reason)
+    assert peer_policy().import_route(TEN, attributes) == Refused(reason)
 
 
 def test_an_internal_peer_needs_no_policy_and_no_first_number():
-    assert isinstance(rules(asn=US).taken(TEN, route(as_path=())), Attributes)
+    assert isinstance(peer_policy(asn=US).import_route(TEN, route(as_path=())), Attributes)
 
 
 @pytest.mark.parametrize(
@@ -109,7 +111,9 @@
     ],
 )
 def test_an_only_to_customer_mark_shows_a_leak_or_is_set_where_it_is_missing(role, mark, result):
-    taken = rules(f"role {role}", "import through").taken(TEN, route(only_to_customer=mark))
+    taken = peer_policy(f"role {role}", "import through").import_route(
+        TEN, route(only_to_customer=mark)
+    )
     if mark == 9 and role != "customer":
         assert isinstance(taken, Refused) and "leak" in taken.reason
     else:
@@ -120,13 +124,18 @@
     "role, mark", [("provider", US), ("peer", US), ("rs", US), ("customer", None)]
 )
 def test_what_goes_to_customers_and_peers_bears_our_mark(role, mark):
-    assert rules(f"role {role}").told(TEN, route(US)).only_to_customer == mark
+    assert peer_policy(f"role {role}").export_route(TEN, route(US)).only_to_customer == mark
 
 
 def test_an_export_policy_narrows_what_is_told_and_local_preference_stays_inside():
     assert (
-        rules("export through").told(Prefix.of("10.1.2.0/24"), route(US, local_pref=9)).local_pref
+        peer_policy("export through")
+        .export_route(Prefix.of("10.1.2.0/24"), route(US, local_pref=9))
+        .local_pref
+        is None
+    )
+    assert (
+        peer_policy("export through").export_route(TEN, route(US, as_path=((SEQUENCE, (US, 666)),)))
         is None
     )
-    assert rules("export through").told(TEN, route(US, as_path=((SEQUENCE, (US, 666)),))) is None
-    assert rules(asn=US).told(TEN, route(US, local_pref=9)).local_pref == 9
+    assert peer_policy(asn=US).export_route(TEN, route(US, local_pref=9)).local_pref == 9
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -18,13 +18,13 @@
 from lilacwalk.bgp.announcement_policy import NodeStatus
 from lilacwalk.bgp.attributes import GRACEFUL_SHUTDOWN
 from lilacwalk.bgp.capabilities import GracefulRestart
-from lilacwalk.bgp.peer import Action, Do
+from lilacwalk.bgp.peer import Action, ActionKind
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.speaker_io import Bounds
 from lilacwalk.commands import lilacwalk
 from lilacwalk.protocols.admin_socket import query
 from lilacwalk.testing.bgp_router import PATIENCE, table
-from tests.bgp.conftest import THEM, orders, peer_block, update
+from tests.bgp.conftest import THEM, announce_config, peer_block, update
 
 SERVICE = "192.0.2.10/32"
 ROOT = Path(__file__).parents[2]
@@ -32,7 +32,7 @@
 
 def beside(*routers, more="", peer=(), **changed):
     blocks = "".join(peer_block(each.address, each.habits.asn, *peer) for each in routers)
-    return orders(blocks + more, **changed)
+    return announce_config(blocks + more, **changed)
 
 
 def until(speaker, question):
@@ -106,29 +106,32 @@
 ):
     flood = table(100_000, THEM)
     bad, good = make_router(sends=flood), make_router(asn=65021, sends=table(100_000, 65021))
-    made = orders(peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000"))
+    made = announce_config(
+        peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000")
+    )
     speaker = make_speaker(made)
     speaker.set_node_status(NodeStatus.READY)
     assert (bad.wait_count("notification").message.subcode) == 1
     good.wait_held(SERVICE)
-    until(speaker, lambda each: len(each.peers[good.address].received) == 100_000)
+    until(speaker, lambda each: len(each.peers[good.address].adj_rib_in) == 100_000)
     assert good.count("lost") == 0
 
 
 def test_a_peer_that_stops_reading_is_cut_off_at_the_outboxes_bound(make_router, make_speaker):
     services = "".join(f"    service 198.51.{each >> 8}.{each & 255}/32\n" for each in range(20))
     router = make_router(reads=False)
-    speaker = make_speaker(beside(router, more=services), bounds=Bounds(outbox=2_000))
+    speaker = make_speaker(beside(router, more=services), bounds=Bounds(send_buffer=2_000))
     speaker.set_node_status(NodeStatus.READY)
-    until(speaker, lambda each: each.peers[router.address].told)
+    until(speaker, lambda each: each.peers[router.address].adj_rib_out)
 
     def fill(
         each,
     ):  # more than the system takes for a socket, as a peer's refreshes would over hours
         peer = each.peers[router.address]
-        if peer.up is not None:
+        if peer.established_link is not None:
             each.actions += [
-                Action(Do.SEND, peer.up.number, messages.end_of_rib(1)) for _ in range(100)
+                Action(ActionKind.SEND, peer.established_link.number, messages.end_of_rib(1))
+                for _ in range(100)
             ]
 
     while router.sessions == 1:
@@ -152,7 +155,7 @@
     router.connect(speaker.listener.getsockname())
     speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
-    shown = speaker.query(lambda each: each.shown())
+    shown = speaker.query(lambda each: each.status())
     assert [each["state"] for each in shown["peers"]] == ["established"]
 
 
@@ -261,7 +264,7 @@
     assert os.stat(path).st_mode & 0o777 == 0o600
     speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
-    until(speaker, lambda each: len(each.peers[router.address].received) == 1)
+    until(speaker, lambda each: len(each.peers[router.address].adj_rib_in) == 1)
 
     def run(*words):
         return CliRunner().invoke(lilacwalk, ["bgp", words[0], "--file", str(own), *words[1:]])
@@ -328,7 +331,7 @@
 
 
 @pytest.fixture
-def announcing(tmp_path, make_router):
+def announce_process(tmp_path, make_router):
     made = []
 
     def make(more=""):
@@ -345,8 +348,8 @@
 
 
 @pytest.mark.parametrize("ends", ["end of input", "SIGTERM"])
-def test_the_command_follows_the_states_on_its_input_and_ends_with_a_cease(announcing, ends):
-    command, router = announcing()
+def test_the_command_follows_the_states_on_its_input_and_ends_with_a_cease(announce_process, ends):
+    command, router = announce_process()
     for word in ("cold", "nonsense", "warming", "ready"):
         command.say(word)
     router.wait_held(SERVICE)
@@ -361,8 +364,10 @@
     assert "event=unknown_state" in command.process.stderr.read()
 
 
-def test_the_command_reads_its_file_again_and_keeps_the_old_one_where_the_new_is_wrong(announcing):
-    command, router = announcing()
+def test_the_command_reads_its_file_again_and_keeps_the_old_one_where_the_new_is_wrong(
+    announce_process,
+):
+    command, router = announce_process()
     command.say("ready")
     router.wait_held(SERVICE)
     command.write(router, " service 192.0.2.11/32\n")
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -122,9 +122,9 @@
 def test_only_nodes_that_may_withdraw_are_withdrawn_as_unhealthy():
     """The announcement policy; the rule itself is in test_minimum_healthy."""
     from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
-    from tests.bgp.conftest import orders
+    from tests.bgp.conftest import announce_config
 
-    made = AnnouncementPolicy(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    made = AnnouncementPolicy(announce_config("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
     made.set_node_status(NodeStatus.READY, 0)
     assert made.decide(100_000).level is Level.NORMAL
     made.set_withdrawal_allowed(False)
@@ -142,9 +142,9 @@
 
 def test_a_drain_withdraws_without_regard_to_the_minimum_of_healthy_members():
     from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
-    from tests.bgp.conftest import orders
+    from tests.bgp.conftest import announce_config
 
-    made = AnnouncementPolicy(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    made = AnnouncementPolicy(announce_config("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
     made.set_node_status(NodeStatus.READY, 0)
     made.decide(100_000)
     made.set_withdrawal_allowed(False)
