--- a/lilacwalk/bgp/__init__.py
+++ b/lilacwalk/bgp/__init__.py
@@ -1,4 +1,10 @@
-"""BGP announcements of service addresses, beside RFC 4271. What decides: `session` (one connection's finite
-state machine), `peering` (a peer's two possible connections, its routes both ways), `announcing` and
-`damping` (when this node is announced and how), `policy`, `trie`, `routes`, and `speaking`, which holds them
-together. `messages`, `attributes` and `capabilities` are the codec, `speaker` and `answering` the host."""
+"""BGP announcements of service addresses (RFC 4271 and extensions).
+
+Protocol logic without I/O: `session` (finite state machine of one connection), `peer` (a peer's
+connections, Adj-RIB-In and Adj-RIB-Out), `announcement_policy` and `damping` (when and how this
+node is announced), `policy` (import and export), `routes` and `trie` (received routes), and
+`speaker_state`, which combines them.
+
+Codec: `messages`, `attributes`, `capabilities`, `prefixes`. I/O: `speaker_io` (sockets and threads)
+and `admin` (admin socket).
+"""
--- a/lilacwalk/bgp/admin.py
+++ b/lilacwalk/bgp/admin.py
@@ -1,4 +1,4 @@
-"""What an operator may ask of the running speaker."""
+"""Queries that an operator can send to the running speaker over its admin socket."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def answer_query(line: str, state: SpeakerState) -> object:
+    """Answers one query line; the result is sent as JSON."""
     words = line.split()
     if words == ["show"]:
         return state.status()
@@ -22,11 +23,15 @@
             return state.usable_routes(Prefix.of(words[1]))
         except ValueError as error:
             return {"error": str(error)}
-    return {"error": "ask: show, received PEER, route PREFIX"}
+    return {"error": f"ask: show, received PEER or route PREFIX; got {line!r}"}
 
 
 def create_admin_socket(speaker: Speaker, path: str) -> AdminSocket:
-    """Raises OSError."""
+    """Opens the admin socket at `path`.
+
+    Raises:
+        OSError: The socket cannot be opened.
+    """
     return AdminSocket(
         path, lambda line: speaker.query(lambda state: answer_query(line, state)), "bgp-answering"
     )
--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -1,15 +1,22 @@
-"""When this node is announced, and how much wanted. Fed with the node's states and the time; says one level
-for all its services, and why.
+"""Decides whether this node's services are announced, and at which preference.
 
-cold, warming        never
-ready                normal, once ready for `ready-for` and no penalty holds it back
-sick, standing still as it was, then less wanted, then withdrawn, each after a time without becoming well;
-with a last resort, sick (never standing still) stays at that instead of withdrawn;
-where a view of the fleet is kept, less wanted at most, unless this node is among those that may go
-leaving              the graceful shutdown community, then withdrawn, then the listener may close: never again
-gone                 withdrawn
+Input: the node's status, the time, and limits set by fleet membership and site failover. Output:
+one level for all services, with the reason.
 
-A withdrawal waits for nothing. An announcement waits for all of it: it is the one step that can do harm."""
+Node status            Level
+cold, warming          none
+ready                  normal, once ready for `ready-for` and not suppressed by flap damping
+sick, standing-still   unchanged, then less wanted, then withdrawn, each after a configured time
+leaving                graceful shutdown community, then withdrawn; then the listener may close
+gone                   withdrawn
+
+With a `last-resort` block, a sick node (not one that is standing still) is announced at that level
+instead of being withdrawn. If fleet membership does not allow a withdrawal for bad health, the node
+stays at less wanted.
+
+Damping never delays a withdrawal. An announcement must meet every condition first, as announcing a
+node that cannot serve is the one step that can do harm.
+"""
 
 from __future__ import annotations
 
@@ -22,9 +29,7 @@
 from lilacwalk.bgp.policy import with_communities
 from lilacwalk.bgp.prefixes import address_bytes
 
-LOCAL_PREFERENCE = (
-    100  # what routers take where none is told (RFC 4271 names no figure, all use this one)
-)
+LOCAL_PREFERENCE = 100  # the default of common routers; RFC 4271 specifies none
 
 
 class NodeStatus(Enum):
@@ -50,34 +55,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
+    """The announcement level to apply, why, and when to decide again."""
+
     level: Level
     reason: str
-    next_check: int | None  # when time alone may change it
+    # When to decide again if no input changes before; None if only an input can change the decision.
+    next_check: int | None
 
 
 class AnnouncementPolicy:
+    """The announcement level of one node over time."""
+
     def __init__(self, config: BgpConfig, now: int) -> None:
         self.config = config
         self.node_status, self.status_since = NodeStatus.COLD, now
         self.level, self.reason = Level.NONE, "cold"
         self.penalty = Penalty(config.damping)
-        self.unhealthy_since: int | None = None  # until well again for long enough
-        self.was_ready = (
-            False  # in this life: a node that never was is no resort, not even the last
-        )
+        self.unhealthy_since: int | None = None  # kept until recovered for `well-after`
+        # The last resort applies only to a node that has been ready since it started.
+        self.was_ready = False
         self.leaving_since: int | None = None
-        self.level_cap = Level.NORMAL  # while its site comes back
-        self.withdrawal_allowed = (
-            True  # for sickness: without a view of the fleet nothing speaks against it
-        )
+        self.level_cap = Level.NORMAL  # lowered during the site's recovery
+        self.withdrawal_allowed = True  # for bad health; stays True without fleet membership
         self.withdraw_at = 0
         self.level_changes = 0
 
-    # What is told
+    # Inputs
 
     def set_node_status(self, status: NodeStatus, now: int) -> None:
-        """The node's state, as often as it likes; only a change counts. Nothing follows on leaving but
-        gone."""
+        """Applies the node's status; an unchanged status has no effect.
+
+        After LEAVING only GONE is accepted.
+        """
         if (
             status is self.node_status
             or self.node_status is NodeStatus.GONE
@@ -95,20 +104,24 @@
         elif status in (
             NodeStatus.COLD,
             NodeStatus.WARMING,
-        ):  # a new life: nothing of the old one counts but its flaps
+        ):  # restarted: only the flap penalty is kept
             self.unhealthy_since, self.was_ready = None, False
         if (
             previous is NodeStatus.READY
             and self.level is Level.NONE
             and status is not NodeStatus.GONE
         ):
-            self.penalty.add(
-                FLAP, now
-            )  # not announced, yet it flapped: steady is proven by staying ready
+            # The node was not announced, so `decide` counts no flap. It is counted here, as the node
+            # must prove to be stable by staying ready.
+            self.penalty.add(FLAP, now)
 
     def leave(self, now: int, listener_closes_by: int | None) -> None:
-        """A drain, whose listener closes at the withdraw_by at `listener_by`: the withdrawal comes early enough to
-        have spread by then; the time of being less wanted gives way before the time of spreading does."""
+        """Starts a drain.
+
+        The withdrawal is sent `propagation` before `listener_closes_by` at the latest, so that it
+        has spread before the listener closes. If time is short, the graceful shutdown phase is
+        shortened, not the propagation time.
+        """
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE):
             return
         self.node_status, self.status_since, self.leaving_since = NodeStatus.LEAVING, now, now
@@ -122,43 +135,51 @@
 
     @property
     def listener_may_close_at(self) -> int:
-        """From when on the listener may close; of a node that was never announced, at once."""
+        """The earliest time at which the listener may close: `propagation` after the withdrawal."""
         return self.withdraw_at + self.config.propagation
 
     def restart_ready_period(self, now: int) -> None:
-        """Nobody looked for a while (the process stood still): being ready is proven anew."""
+        """Starts the `ready-for` or `well-after` period anew after a stall of the process.
+
+        The node's status was not observed during the stall.
+        """
         if self.level is Level.NONE:
             self.status_since = now
         elif self.node_status is NodeStatus.READY and self.unhealthy_since is not None:
             self.status_since = now
 
     def reconfigure(self, config: BgpConfig, now: int) -> None:
-        """A new file. What is under way (a drain, a penalty) goes on by its own times."""
+        """Applies a reloaded configuration; a drain under way and the penalty keep their times."""
         self.config = config
         self.penalty.reconfigure(config.damping, now)
 
     def set_withdrawal_allowed(self, withdrawal_allowed: bool) -> None:
-        """What the view of the fleet says: whether too many would be gone with this one. Whoever has gone
-        stays so until it is well."""
+        """Sets whether fleet membership allows a withdrawal for bad health.
+
+        A node that is already withdrawn stays withdrawn until it has recovered.
+        """
         self.withdrawal_allowed = withdrawal_allowed
 
     def set_level_cap(self, level_cap: Level) -> None:
-        """How much wanted this node may be when it is ready: less, or not at all, while its site comes
-        back."""
+        """Limits the level of a ready node while its site recovers from a failover."""
         self.level_cap = level_cap
 
     def restore_penalty(
         self, penalty: float, suppressed: bool, announced: bool, age: int, now: int
     ) -> None:
-        """What an earlier life put down. One that ended while it was announced flapped in its peers' eyes,
-        and was not there to count it."""
+        """Restores the flap penalty of an earlier process.
+
+        If that process ended while it was announced, its peers saw a flap that it could not count
+        itself; it is added here.
+        """
         self.penalty.restore(penalty, suppressed, age, now)
         if announced:
             self.penalty.add(FLAP, now)
 
-    # What follows
+    # Evaluation
 
     def decide(self, now: int) -> Decision:
+        """Evaluates the level at `now`, counts flaps and returns the decision."""
         level, reason, next_check = self._evaluate(now)
         if level != self.level:
             self._count_flap(level, now)
@@ -168,7 +189,7 @@
         return Decision(level, reason, next_check)
 
     def _count_flap(self, level: Level, now: int) -> None:
-        """Flaps count, a drain does not: it ends this node's part."""
+        """Adds a lowered level to the penalty, except during a drain, which is planned."""
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE) or level > self.level:
             return
         is_full_withdrawal = level is Level.NONE and self.level is Level.NORMAL
@@ -179,9 +200,9 @@
             return Level.NONE, "gone", None
         if self.node_status is NodeStatus.LEAVING:
             if self.level is Level.NONE:
-                return Level.NONE, "leaving, and not announced before", None
+                return Level.NONE, "leaving, was not announced", None
             if now < self.withdraw_at:
-                # one that was less wanted already must not look better for leaving
+                # LEAVING must not raise the preference of a node that was less wanted already
                 is_less_preferred = self.level in (Level.LESS_WANTED, Level.LAST_RESORT)
                 return (
                     self.level if is_less_preferred else Level.LEAVING,
@@ -199,7 +220,7 @@
         if self.unhealthy_since is not None:
             recovered_at = self.status_since + self.config.sick.well_after
             if now < recovered_at:
-                return self.level, "well, but not for long enough", recovered_at
+                return self.level, "recovered, but not for long enough", recovered_at
             self.unhealthy_since = None
         announce_at = self.status_since + self.config.ready_for
         if self.level is Level.NONE and now < announce_at:
@@ -212,7 +233,7 @@
             )
         self.was_ready = True
         if self.level_cap is not Level.NORMAL:
-            return self.level_cap, "ready, but its site is on its way back", None
+            return self.level_cap, "ready, but its site is recovering", None
         return Level.NORMAL, "ready", None
 
     def _evaluate_unhealthy(self, now: int) -> tuple[Level, str, int | None]:
@@ -228,24 +249,26 @@
                 and self.was_ready
                 and self.node_status is NodeStatus.SICK
             ):
-                return Level.LAST_RESORT, f"{status}, the last resort", None
+                return Level.LAST_RESORT, f"{status}, announced as last resort", None
             if not self.withdrawal_allowed:
                 return (
                     min(self.level, Level.LESS_WANTED),
-                    f"{status}, but not one of those that may go",
+                    f"{status}, but a withdrawal is not allowed by the fleet",
                     None,
                 )
             return Level.NONE, f"{status} for too long", None
         if now >= less_wanted_at:
             return min(self.level, Level.LESS_WANTED), f"{status}, less wanted", withdraw_at
-        return self.level, f"{status}, for a moment", less_wanted_at
+        return self.level, f"{status}, not yet for long enough", less_wanted_at
 
 
 def service_attributes(config: BgpConfig, service: Service, peer: Peer, level: Level) -> Attributes:
-    """A service as a peer is told of it, before that peer's export policy. Less wanted means a higher MED,
-    our number repeated in the as_path and the graceful shutdown community (RFC 8326): the first decides within
-    one neighbouring AS, the second beyond it, the third asks every router that knows it for its lowest
-    preference."""
+    """Path attributes with which a service is announced to a peer, before the export policy.
+
+    A lowered level is expressed by a higher MED, AS path prepending and the graceful shutdown
+    community (RFC 8326). The MED is compared within one neighbouring AS, the AS path also beyond
+    it, and the community makes every router that supports it assign its lowest local preference.
+    """
     internal = config.as_ == peer.as_
     attributes = Attributes(
         as_path=() if internal else ((SEQUENCE, (config.as_,)),),
@@ -271,8 +294,10 @@
 
 
 def has_next_hop(config: BgpConfig, service: Service, peer: Peer) -> bool:
-    """Whether there is a next hop of its family: the file's own services are checked for it, another site's
-    are not."""
+    """Whether a next hop of the service's address family is configured.
+
+    The configuration check covers the node's own services but not those announced for other sites.
+    """
     try:
         return bool(next_hop(config, service, peer))
     except ValueError:
@@ -280,9 +305,15 @@
 
 
 def next_hop(config: BgpConfig, service: Service, peer: Peer) -> str:
-    """The service's own, else the peer's where its family fits, else that of all."""
+    """The service's next hop, else the peer's, else the global one, whichever first has its family.
+
+    Raises:
+        ValueError: None of them has the service's address family.
+    """
     family = 6 if service.prefix.afi == 2 else 4  # type: ignore[attr-defined]
     for hop in (service.next_hop, peer.next_hop, config.next_hop):
         if hop is not None and (":" in hop) == (family == 6):
             return hop
-    raise ValueError(f"no next hop for {service.prefix}")  # the file's check allows none such
+    raise ValueError(
+        f"no next-hop of the address family of {service.prefix}"
+    )  # excluded by the configuration check for own services
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -1,5 +1,8 @@
-"""Path attributes: bytes to records and back. A fault has the weight that RFC 7606 gives it: the attribute is
-dropped, the routes are treated as withdrawn, or the session ends."""
+"""Codec of path attributes (RFC 4271 section 4.3).
+
+A malformed attribute is handled as RFC 7606 requires: the attribute is discarded, its routes are
+treated as withdrawn, or the session is reset.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from lilacwalk.bgp.errors import BgpError, Code, UpdateFault
 
 OPTIONAL, TRANSITIVE, PARTIAL, EXTENDED_LENGTH = 0x80, 0x40, 0x20, 0x10
-AS_TRANS = 23_456  # RFC 6793: stands for a number that two octets cannot hold
+AS_TRANS = 23_456  # RFC 6793: replaces an AS number that does not fit in two octets
 SET, SEQUENCE, CONFED_SEQUENCE, CONFED_SET = 1, 2, 3, 4
 GRACEFUL_SHUTDOWN = 0xFFFF0000  # RFC 8326
 
@@ -36,7 +39,7 @@
 
 
 WELL_KNOWN = TRANSITIVE
-FLAGS = {  # the optional and transitive bits that each must have
+FLAGS = {  # required values of the optional and transitive flags
     Type.ORIGIN: WELL_KNOWN,
     Type.AS_PATH: WELL_KNOWN,
     Type.NEXT_HOP: WELL_KNOWN,
@@ -59,13 +62,13 @@
     Type.LOCAL_PREF,
     Type.ORIGINATOR_ID,
     Type.CLUSTER_LIST,
-)  # RFC 7606 section 7: else dropped
+)  # discarded if received from an external peer (RFC 7606 section 7)
 
-Path = tuple[tuple[int, tuple[int, ...]], ...]  # segments: kind and numbers
+Path = tuple[tuple[int, tuple[int, ...]], ...]  # segments as (type, AS numbers)
 
 
 class Severity(IntEnum):
-    """RFC 7606 section 2, lightest first."""
+    """How a malformed attribute is handled (RFC 7606 section 2), mildest first."""
 
     DISCARD = 1
     WITHDRAW = 2
@@ -74,6 +77,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
+    """A malformed attribute of an UPDATE that does not end the session."""
+
     severity: Severity
     kind: int
     text: str
@@ -81,9 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Attributes:
+    """The path attributes of a route."""
+
     origin: int = 0
     as_path: Path = ()
-    next_hop: bytes = b""  # 4 or 16 bytes; of IPv6 the global one
+    next_hop: bytes = b""  # 4 or 16 bytes; for IPv6 the global address
     med: int | None = None
     local_pref: int | None = None
     atomic: bool = False
@@ -94,15 +101,18 @@
     only_to_customer: int | None = None
     others: tuple[
         tuple[int, int, bytes], ...
-    ] = ()  # flags, type, value of transitive ones not known here
+    ] = ()  # unrecognized transitive attributes as (flags, type, value)
 
     @property
     def path_length(self) -> int:
-        """RFC 4271 section 9.1.2.2: a set counts one; confederations do not count (RFC 5065)."""
+        """AS path length (RFC 4271 section 9.1.2.2): an AS_SET counts as one, confederation
+        segments as zero (RFC 5065).
+        """
         return as_path_length(self.as_path)
 
     @property
     def first_as(self) -> int | None:
+        """The neighbouring AS; None if the path does not begin with an AS_SEQUENCE."""
         for kind, numbers in self.as_path:
             return numbers[0] if kind == SEQUENCE and numbers else None
         return None
@@ -113,7 +123,7 @@
 
 @dataclass(slots=True)
 class ParsedAttributes:
-    """One UPDATE's attributes as they came."""
+    """The attributes of one UPDATE while it is parsed."""
 
     values: dict[str, object] = field(default_factory=dict)
     faults: list[Fault] = field(default_factory=list)
@@ -126,27 +136,32 @@
 
     @property
     def severity(self) -> int:
+        """The highest severity among the faults; 0 if there are none."""
         return max((each.severity for each in self.faults), default=0)
 
 
 class MalformedAttributeError(Exception):
+    """An attribute's value is malformed."""
+
     def __init__(self, text: str, severity: Severity = Severity.WITHDRAW) -> None:
         super().__init__(text)
         self.severity = severity
 
 
 def parse_attributes(data: bytes, as4: bool, internal: bool) -> ParsedAttributes:
-    """All attributes of one UPDATE. Raises BgpError where the session must end: an attribute that is unknown
-    and said to be well-known, a second MP_REACH or MP_UNREACH, or one of them that cannot be read (then
-    nobody knows which routes were meant; RFC 7606 sections 3g and 5.3)."""
+    """Parses all path attributes of one UPDATE.
+
+    Raises:
+        BgpError: The session must end: an unknown attribute is flagged as well-known, MP_REACH_NLRI or
+            MP_UNREACH_NLRI occurs twice, or one of them is malformed, so that the affected routes are
+            unknown (RFC 7606 sections 3g and 5.3).
+    """
     parsed, offset = ParsedAttributes(), 0
     while offset < len(data):
         flags = data[offset]
         head = 4 if flags & EXTENDED_LENGTH else 3
         if len(data) - offset < head:
-            parsed.fault(
-                Severity.WITHDRAW, 0, "an attribute without its length"
-            )  # RFC 7606 section 4
+            parsed.fault(Severity.WITHDRAW, 0, "truncated attribute header")  # RFC 7606 section 4
             break
         kind = data[offset + 1]
         size = int.from_bytes(data[offset + 2 : offset + head], "big")
@@ -163,9 +178,9 @@
         if kind in parsed.seen:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
                 raise BgpError(
-                    Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text=f"attribute {kind} twice"
+                    Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text=f"attribute {kind} occurs twice"
                 )
-            parsed.fault(Severity.DISCARD, kind, "stands twice")
+            parsed.fault(Severity.DISCARD, kind, "occurs twice")
             continue
         parsed.seen.add(kind)
         parse_attribute(parsed, flags, kind, value, raw, as4, internal)
@@ -183,6 +198,7 @@
     as4: bool,
     internal: bool,
 ) -> None:
+    """Checks the flags of one attribute and stores its value; a fault is recorded in `parsed`."""
     expected = FLAGS.get(kind)  # type: ignore[call-overload]
     if expected is None:
         if not flags & OPTIONAL:
@@ -192,11 +208,14 @@
             parsed.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
         return
     if kind in ONLY_INTERNAL and not internal:
-        parsed.fault(Severity.DISCARD, kind, "from outside")
+        parsed.fault(Severity.DISCARD, kind, "received from an external peer")
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
-        if kind in (Type.MP_REACH, Type.MP_UNREACH):  # its routes are still known, and withdrawn
-            parsed.fault(Severity.WITHDRAW, kind, "wrong flags")
+        if kind in (
+            Type.MP_REACH,
+            Type.MP_UNREACH,
+        ):  # its prefixes can be read, so its routes are treated as withdrawn
+            parsed.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
         else:
             parsed.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
             return
@@ -210,13 +229,15 @@
 
 def check_size(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
     if len(value) not in sizes:
-        raise MalformedAttributeError(f"{len(value)} bytes long", severity)
+        raise MalformedAttributeError(
+            f"{len(value)} bytes instead of {' or '.join(map(str, sizes))}", severity
+        )
 
 
 def parse_origin(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     check_size(value, 1)
     if value[0] > 2:
-        raise MalformedAttributeError(f"origin {value[0]}")
+        raise MalformedAttributeError(f"origin {value[0]} is not 0 to 2")
     parsed.values["origin"] = value[0]
 
 
@@ -224,7 +245,7 @@
     segments, offset = [], 0
     while offset < len(value):
         if len(value) < offset + 2:
-            raise MalformedAttributeError("a segment without its length")
+            raise MalformedAttributeError("truncated AS path segment header")
         kind, count = value[offset], value[offset + 1]
         end = offset + 2 + count * size
         if (
@@ -232,10 +253,12 @@
             or not count
             or end > len(value)
         ):
-            raise MalformedAttributeError(f"segment {kind} of {count}")
+            raise MalformedAttributeError(
+                f"invalid AS path segment: type {kind}, {count} AS numbers"
+            )
         numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[offset + 2 : end])
         if 0 in numbers:
-            raise MalformedAttributeError("AS 0")  # RFC 7607 section 2
+            raise MalformedAttributeError("AS 0 in the path")  # RFC 7607 section 2
         segments.append((kind, numbers))
         offset = end
     return tuple(segments)
@@ -247,7 +270,7 @@
 
 def parse_as4_path(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if as4:
-        return  # RFC 6793 section 4.1: means nothing here
+        return  # ignored on a session with four-octet AS numbers (RFC 6793 section 4.1)
     try:
         parsed.values["as4_path"] = parse_path(value, 4)
     except MalformedAttributeError as error:
@@ -260,7 +283,10 @@
 
 
 def check_next_hop(value: bytes) -> bytes:
-    """RFC 4271 section 6.3: what can be no host's address makes the route unusable, not the session."""
+    """Checks that a next hop can be a host address.
+
+    Otherwise the route is unusable, but the session continues (RFC 4271 section 6.3).
+    """
     if (
         not any(value)
         or len(value) == 4
@@ -268,7 +294,7 @@
         or len(value) == 16
         and value[0] == 0xFF
     ):
-        raise MalformedAttributeError("a next hop that is no host")
+        raise MalformedAttributeError(f"next hop {value.hex()} is not a host address")
     return value
 
 
@@ -289,7 +315,7 @@
     check_size(value, 8 if as4 else 6, severity=Severity.DISCARD)
     asn = int.from_bytes(value[:-4], "big")
     if not asn:
-        raise MalformedAttributeError("AS 0", Severity.DISCARD)
+        raise MalformedAttributeError("aggregator AS 0", Severity.DISCARD)
     parsed.values["aggregator"] = asn, value[-4:]
 
 
@@ -302,7 +328,7 @@
 
 def check_multiple(value: bytes, size: int) -> None:
     if not value or len(value) % size:
-        raise MalformedAttributeError(f"{len(value)} bytes long")
+        raise MalformedAttributeError(f"{len(value)} bytes is not a positive multiple of {size}")
 
 
 def parse_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
@@ -319,27 +345,29 @@
     check_multiple(value, 12)
     parsed.values["large"] = tuple(
         dict.fromkeys(struct.iter_unpack("!III", value))
-    )  # RFC 8092 section 3
+    )  # duplicates are removed (RFC 8092 section 3)
 
 
 def parse_only_to_customer(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
-    check_size(value, 4)  # RFC 9234 section 5: treated as withdrawn
+    check_size(value, 4)  # RFC 9234 section 5: otherwise treat-as-withdraw
     parsed.values["only_to_customer"] = int.from_bytes(value, "big")
 
 
 def parse_unused(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
-    """Internal peers' own; nothing here reflects routes, so only its form counts."""
+    """Checks the size only; these attributes of internal peers matter to route reflectors, which
+    this speaker is not.
+    """
     check_multiple(value, 4)
 
 
 def parse_mp_reach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 5 or len(value) < 5 + value[3]:
-        raise MalformedAttributeError("too short", Severity.RESET)
+        raise MalformedAttributeError(f"truncated: {len(value)} bytes", Severity.RESET)
     afi, safi, size = struct.unpack("!HBB", value[:4])
     next_hop, prefixes = value[4 : 4 + size], value[5 + size :]
     if afi == 2 and size not in (16, 32) or afi == 1 and size not in (4, 16, 32):
         raise MalformedAttributeError(
-            f"a next hop of {size} bytes", Severity.RESET
+            f"next hop of {size} bytes", Severity.RESET
         )  # RFC 7606 section 7.11
     parsed.reach = afi, safi, next_hop[:16], prefixes
     if afi == 2:
@@ -348,7 +376,7 @@
 
 def parse_mp_unreach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 3:
-        raise MalformedAttributeError("too short", Severity.RESET)
+        raise MalformedAttributeError(f"{len(value)} bytes is less than 3", Severity.RESET)
     parsed.unreach = *struct.unpack("!HB", value[:3]), value[3:]
 
 
@@ -374,14 +402,18 @@
 
 
 def merge_four_octet_attributes(parsed: ParsedAttributes) -> None:
-    """RFC 6793 section 4.2.3: a peer of two octets' path and aggregator, completed by what others put
-    beside."""
+    """Reconstructs AS path and aggregator from a peer without four-octet AS numbers (RFC 6793
+    section 4.2.3).
+
+    AS4_PATH and AS4_AGGREGATOR, set by other speakers on the way, replace the parts that AS_TRANS
+    stands for.
+    """
     as4_path, as_path = parsed.values.pop("as4_path", None), parsed.values.get("as_path")
     as4_aggregator = parsed.values.pop("as4_aggregator", None)
     aggregator = parsed.values.get("aggregator")
     if aggregator is not None and as4_aggregator is not None:
         if aggregator[0] != AS_TRANS:  # type: ignore[index]
-            return  # whoever as4_aggregator knew no four octets: what is beside is older than that
+            return  # the last aggregator lacks four-octet support; both AS4 attributes are older than it
         parsed.values["aggregator"] = as4_aggregator
     if as4_path is None or as_path is None:
         return
@@ -414,7 +446,7 @@
 
 
 def encode_path(path: Path, size: int) -> bytes:
-    max_numbers = 255  # numbers in one segment
+    max_numbers = 255  # the segment's count field is one octet
     pieces = []
     for kind, numbers in path:
         for offset in range(0, len(numbers), max_numbers):
@@ -428,8 +460,10 @@
 
 
 def encode(attributes: Attributes, as4: bool, internal: bool, with_next_hop: bool) -> bytes:
-    """In the order of their types (RFC 4271 appendix F.3). The next hop of IPv6 goes into MP_REACH
-    instead."""
+    """Encodes attributes in the order of their type codes (RFC 4271 appendix F.3).
+
+    An IPv6 next hop is carried in MP_REACH_NLRI and left out here.
+    """
     parts = [
         encode_attribute(WELL_KNOWN, Type.ORIGIN, bytes((attributes.origin,))),
         encode_attribute(
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -1,4 +1,4 @@
-"""Capabilities of an OPEN (RFC 5492): what each side can do, and what both can."""
+"""Capabilities of an OPEN message (RFC 5492) and their negotiation."""
 
 from __future__ import annotations
 
@@ -11,21 +11,25 @@
 MULTIPROTOCOL, REFRESH, EXTENDED_MESSAGES, ROLE = 1, 2, 6, 9
 GRACEFUL_RESTART, FOUR_OCTET_AS, ENHANCED_REFRESH = 64, 65, 70
 RESTARTED, NOTIFICATION = 0x8, 0x4  # restart flags: RFC 4724 section 3, RFC 8538 section 2
-FORWARDING = 0x80  # of a family: its routes are still in use there
+FORWARDING = 0x80  # flag of a family: forwarding state was preserved
 ROLES = {"provider": 0, "rs": 1, "rs-client": 2, "customer": 3, "peer": 4}  # RFC 9234 section 4.1
-COMPATIBLE_ROLES = {0: 3, 3: 0, 1: 2, 2: 1, 4: 4}  # which role the other side must have
+COMPATIBLE_ROLES = {0: 3, 3: 0, 1: 2, 2: 1, 4: 4}  # role -> role that the other side must have
 
 
 @dataclass(frozen=True, slots=True)
 class GracefulRestart:
+    """The graceful restart capability (RFC 4724 section 3)."""
+
     time: int  # seconds, 0 to 4095
     restarted: bool = False
-    notification: bool = False  # RFC 8538: also through NOTIFICATION and hold timer
-    families: tuple[tuple[int, int, bool], ...] = ()  # afi, safi, still forwarding
+    notification: bool = False  # RFC 8538: also after a NOTIFICATION or hold timer expiry
+    families: tuple[tuple[int, int, bool], ...] = ()  # (AFI, SAFI, forwarding state preserved)
 
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
+    """The capabilities that one side advertises."""
+
     families: tuple[tuple[int, int], ...] = ()
     as4: int | None = None
     refresh: bool = False
@@ -36,6 +40,7 @@
     unknown: tuple[tuple[int, bytes], ...] = field(default=(), compare=False)
 
     def encode(self) -> bytes:
+        """The capabilities as the value of an optional parameter."""
         parts = [(MULTIPROTOCOL, struct.pack("!HBB", afi, 0, safi)) for afi, safi in self.families]
         if self.refresh:
             parts.append((REFRESH, b""))
@@ -64,16 +69,22 @@
 
 
 def decode(data: bytes) -> Capabilities:
-    """One capability stated twice counts once, the last for those of one value (RFC 5492 section 4). Raises
-    BgpError for lengths that lie; a known capability whose value has another length than its RFC says is
-    passed over as one not understood, as a session without it is still of use."""
+    """Parses a capabilities parameter.
+
+    A repeated capability counts once; of several values the last applies (RFC 5492 section 4). A
+    known capability whose value has the wrong length is treated as unknown, as the session is still
+    useful without it.
+
+    Raises:
+        BgpError: A length exceeds the data, the roles contradict each other, or the AS number is 0.
+    """
     families: dict[tuple[int, int], None] = {}
     values: dict[str, object] = {}
     unknown, at = [], 0
     while at < len(data):
         if len(data) < at + 2 or len(data) < at + 2 + data[at + 1]:
             raise BgpError(
-                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text="a capability runs past its end"
+                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text=f"truncated capability at byte {at}"
             )
         code, value = data[at], data[at + 2 : at + 2 + data[at + 1]]
         at += 2 + len(value)
@@ -86,10 +97,12 @@
         elif code == EXTENDED_MESSAGES and not value:
             values["extended"] = True
         elif code == ROLE and len(value) == 1:
-            if (
-                values.get("role", value[0]) != value[0]
-            ):  # RFC 9234 section 4.2: several that differ
-                raise BgpError(Code.OPEN, OpenFault.ROLE_MISMATCH, text="two roles")
+            if values.get("role", value[0]) != value[0]:  # RFC 9234 section 4.2
+                raise BgpError(
+                    Code.OPEN,
+                    OpenFault.ROLE_MISMATCH,
+                    text=f"roles {values['role']} and {value[0]}",
+                )
             values["role"] = value[0]
         elif code == GRACEFUL_RESTART and len(value) >= 2 and len(value) % 4 == 2:
             flags, rows = value[0] >> 4, struct.iter_unpack("!HBB", value[2:])
@@ -110,25 +123,34 @@
 
 @dataclass(frozen=True, slots=True)
 class NegotiatedCapabilities:
-    """What a session may use: what both sides can do, and what only one need say."""
+    """The capabilities usable on a session, and those of the peer that apply one-sidedly."""
 
     families: tuple[int, ...] = (Afi.IPV4,)
     as4: bool = False
     refresh: bool = False
     enhanced_refresh: bool = False
-    extended: bool = False  # we may send long messages
-    role: int | None = None  # the peer's
-    restart: GracefulRestart | None = None  # the peer's
+    extended: bool = False  # RFC 8654: we may send messages of up to 65,535 bytes
+    role: int | None = None  # the peer's role
+    restart: GracefulRestart | None = None  # the peer's capability
 
     @classmethod
     def between(
         cls, ours: Capabilities, theirs: Capabilities, our_role_strict: bool = False
     ) -> NegotiatedCapabilities:
-        """Raises BgpError where roles do not fit, or ours is strict and theirs is not told (RFC 9234 4.2)."""
+        """Negotiates the capabilities of two sides.
+
+        Raises:
+            BgpError: The roles are incompatible, or ours is strict and the peer sent none (RFC 9234
+                section 4.2).
+        """
         if ours.role is not None and (theirs.role is not None or our_role_strict):
             if theirs.role is None or COMPATIBLE_ROLES.get(theirs.role) != ours.role:
-                raise BgpError(Code.OPEN, OpenFault.ROLE_MISMATCH, text=f"role {theirs.role}")
-        # who states no family at all means IPv4 unicast (RFC 4760 section 8)
+                raise BgpError(
+                    Code.OPEN,
+                    OpenFault.ROLE_MISMATCH,
+                    text=f"peer's role {theirs.role} with our role {ours.role}",
+                )
+        # Without a multiprotocol capability the peer supports IPv4 unicast only (RFC 4760 section 8).
         peer_families = (
             [afi for afi, safi in theirs.families if safi == UNICAST]
             if theirs.families
--- a/lilacwalk/bgp/config.py
+++ b/lilacwalk/bgp/config.py
@@ -1,6 +1,8 @@
-"""What an operator orders of the speaker: frozen records, checked where they are read (`operator/`). Times
-are tenths of a millisecond. A field's `unit` says how its word is written; `ARGUMENTS` are the words behind a
-block's keyword, in their order; `INLINE` are pairs of words behind those."""
+"""The `announce` block of the operator's file as frozen records, validated by `operator/`.
+
+Times are in tenths of a millisecond. A field's `unit` names the notation of its value. `ARGUMENTS`
+are the words after a block's keyword, in order; `INLINE` are the keyword-value pairs after those.
+"""
 
 from __future__ import annotations
 
@@ -25,10 +27,12 @@
 Address = Annotated[str, unit("address")]
 Repeats = Annotated[
     int, Meta(ge=0, le=20)
-]  # of our own number in a path: more would be dropped as absurd
+]  # times our AS number is prepended; routers may reject longer paths
 
 
 class Service(Struct, frozen=True, kw_only=True):
+    """A service address to announce."""
+
     ARGUMENTS: ClassVar = ("prefix",)
     prefix: Annotated[object, unit("prefix")]
     next_hop: Address | None = None
@@ -37,8 +41,9 @@
 
 
 class Damping(Struct, frozen=True, kw_only=True):
-    """RFC 2439 section 4.2, of ourselves. The default figures are those of the example in the operators'
-    page."""
+    """Flap damping of our own announcements (RFC 2439 section 4.2); the defaults are the example of
+    the operators' page.
+    """
 
     half_life: Annotated[int, unit("duration", ge=SECOND // 10, le=3600 * SECOND)] = 5 * SECOND
     suppress: Annotated[int, Meta(ge=1, le=1_000_000)] = 3_000
@@ -50,12 +55,14 @@
         if self.reuse >= self.suppress:
             found.append(("reuse", f"less than suppress, which is {self.suppress}"))
         elif self.longest < self.half_life:
-            found.append(("longest", "no less than half-life"))
+            found.append(("longest", "at least half-life"))
         return found
 
 
 class Sick(Struct, frozen=True, kw_only=True):
-    """A sick node is first less wanted, then withdrawn; well again only after a while (hysteresis)."""
+    """Announcement of a sick node: first less wanted, then withdrawn; `well_after` gives
+    hysteresis.
+    """
 
     less_wanted_after: Time = 0
     withdraw_after: Time = 2 * SECOND
@@ -65,28 +72,28 @@
 
     def faults(self) -> list[tuple[str, str]]:
         if self.withdraw_after < self.less_wanted_after:
-            return [("withdraw-after", "no less than less-wanted-after")]
+            return [("withdraw-after", "at least less-wanted-after")]
         return []
 
 
 class LastResort(Struct, frozen=True, kw_only=True):
-    """Where this block stands, a sick node is never withdrawn, but announced so that any other is
-    preferred."""
+    """If present, a sick node is not withdrawn but announced so that every other node is preferred."""
 
     med: Number = 4_294_967_295
     prepend: Repeats = 10
 
 
 class Restart(Struct, frozen=True, kw_only=True):
-    """Graceful restart (RFC 4724): how long peers are asked to keep our routes, and how long we keep
-    theirs."""
+    """Graceful restart (RFC 4724): how long peers shall keep our routes (`time`), and we theirs at
+    most (`stale`).
+    """
 
     time: Annotated[int, unit("duration", ge=SECOND, le=4095 * SECOND)] = 10 * SECOND
     stale: Annotated[int, unit("duration", ge=SECOND, le=4095 * SECOND)] = 30 * SECOND
 
 
 class Match(Struct, frozen=True, kw_only=True):
-    """One line of a prefix list: `permit 192.0.2.0/24 ge 24 le 32`."""
+    """One entry of a prefix list: `permit 192.0.2.0/24 ge 24 le 32`."""
 
     ARGUMENTS: ClassVar = ("prefix",)
     INLINE: ClassVar = ("ge", "le")
@@ -107,17 +114,23 @@
 
 
 class PrefixList(Struct, frozen=True, kw_only=True):
+    """A prefix list; the first matching entry decides."""
+
     ARGUMENTS: ClassVar = ("name",)
     ORDERED: ClassVar = {
         "permit": True,
         "deny": False,
-    }  # lines whose order counts, and what each means
+    }  # statements whose order matters -> whether they permit
     name: str
     lines: tuple[tuple[bool, Match], ...] = ()
 
 
 class Term(Struct, frozen=True, kw_only=True):
-    """All that is stated must match; what is not stated matches all. Then the sets, then the verdict."""
+    """One term of a policy.
+
+    All stated conditions must match; an absent condition matches everything. The changes are then
+    applied and the verdict is returned.
+    """
 
     ARGUMENTS: ClassVar = ("verdict",)
     verdict: Annotated[str, Meta(pattern="^(accept|reject)$")]
@@ -133,12 +146,16 @@
 
 
 class Policy(Struct, frozen=True, kw_only=True):
+    """A policy: terms in order."""
+
     ARGUMENTS: ClassVar = ("name",)
     name: str
     term: tuple[Term, ...] = ()
 
 
 class Peer(Struct, frozen=True, kw_only=True):
+    """A BGP peer."""
+
     ARGUMENTS: ClassVar = ("address",)
     address: Annotated[tuple[str, int], unit("endpoint")]
     as_: Annotated[int, Meta(ge=1, le=4_294_967_295, extra={"keyword": "as"})]
@@ -154,31 +171,34 @@
     strict_role: bool = False
     extended_messages: bool = True
     next_hop: Address | None = None
-    local_address: Address | None = None  # where our own connections to it come from
+    local_address: Address | None = None  # source address of connections to this peer
 
     def faults(self) -> list[tuple[str, str]]:
         found = hold_faults(self.hold_time)
         if self.strict_role and self.role is None:
-            found.append(("strict-role", "a role beside it"))
+            found.append(("strict-role", "a role in the same block"))
         return found
 
     @property
     def name(self) -> str:
+        """`address:port`, with an IPv6 address in brackets."""
         host, port = self.address
         return f"{host}:{port}" if ":" not in host else f"[{host}]:{port}"
 
 
 class BgpConfig(Struct, frozen=True, kw_only=True):
+    """The `announce` block."""
+
     as_: Annotated[int, Meta(ge=1, le=4_294_967_295, extra={"keyword": "as"})]
     router_id: Annotated[str, unit("ipv4")]
     next_hop: Address | None = None
     listen: Annotated[tuple[str, int], unit("endpoint")] | None = None
-    socket: str | None = None  # where `lilacwalk bgp show` asks
+    socket: str | None = None  # path of the admin socket, used by `lilacwalk bgp`
     service: tuple[Service, ...] = ()
     ready_for: Time = SECOND // 5
     hold_time: Annotated[int, unit("duration", ge=0, le=65_535 * SECOND)] = 9 * SECOND
-    graceful_shutdown: Time = SECOND // 10  # less wanted for so long before a drain's withdrawal
-    propagation: Time = 3 * SECOND // 10  # from the withdrawal to the closing of the listener
+    graceful_shutdown: Time = SECOND // 10  # time at lower preference before a drain's withdrawal
+    propagation: Time = 3 * SECOND // 10  # between the withdrawal and the closing of the listener
     shutdown_text: Annotated[str, Meta(max_length=128)] = "drained"
     damping: Damping = Damping()
     sick: Sick = Sick()
@@ -223,7 +243,7 @@
                 found.append(("service", f"a next-hop of {each.prefix}'s own family"))
         hosts = [each.address[0] for each in self.peer if each.mode != "active"]
         found += [
-            ("peer", f"one peer at {host} that may connect here, not two")
+            ("peer", f"only one peer at {host} with mode passive or both")
             for host, times in Counter(hosts).items()
             if times > 1
         ]
@@ -233,7 +253,7 @@
 
 
 def hold_faults(time: int | None) -> list[tuple[str, str]]:
-    """RFC 4271 section 4.2: zero, or three seconds at least; whole seconds on the wire."""
+    """RFC 4271 section 4.2: zero or at least three seconds, in whole seconds on the wire."""
     if time is not None and (0 < time < 3 * SECOND or time % SECOND):
         return [("hold-time", "0s, or whole seconds from 3s on")]
     return []
--- a/lilacwalk/bgp/errors.py
+++ b/lilacwalk/bgp/errors.py
@@ -1,5 +1,6 @@
-"""What ends a session, by the code and subcode that the RFC names for it (RFC 4271 section 6, with 4486,
-5492, 7313, 8538 and 9234)."""
+"""Error codes and subcodes of NOTIFICATION messages (RFC 4271 section 6; RFC 4486, 5492, 7313,
+8538, 9234).
+"""
 
 from __future__ import annotations
 
@@ -47,7 +48,7 @@
 
 
 class Cease(IntEnum):
-    """RFC 4486 section 3, RFC 8538 section 3 (hard reset)."""
+    """Subcodes of Cease (RFC 4486 section 3; hard reset: RFC 8538 section 3)."""
 
     MAX_PREFIXES = 1
     SHUTDOWN = 2
@@ -66,12 +67,14 @@
     Code.UPDATE: UpdateFault,
     Code.CEASE: Cease,
 }
-# RFC 6608 section 3: which state an unexpected message came in
+# Subcodes by the state in which an unexpected message was received (RFC 6608 section 3).
 UNEXPECTED_IN = {"OPEN_SENT": 1, "OPEN_CONFIRM": 2, "ESTABLISHED": 3}
 
 
 class BgpError(Exception):
-    """A fault that ends the session, told to the peer as NOTIFICATION code/subcode with this data."""
+    """An error that ends the session; the peer receives a NOTIFICATION with this code, subcode and
+    data.
+    """
 
     def __init__(self, code: int, subcode: int = 0, data: bytes = b"", text: str = "") -> None:
         super().__init__(f"{reason(code, subcode)}: {text}" if text else reason(code, subcode))
@@ -79,7 +82,7 @@
 
 
 def reason(code: int, subcode: int) -> str:
-    """A name that logs say in full, also for codes nobody here knows."""
+    """Code and subcode by name, as `code/subcode`; unknown ones as numbers."""
     try:
         name = Code(code).name.lower()
     except ValueError:
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -1,5 +1,8 @@
-"""Messages: bytes to records and back (RFC 4271 section 4, 2918, 4760, 6793, 7313, 8654, 9072). Total over
-any bytes: a record, or a BgpError with the code and subcode that the RFC names for the fault."""
+"""Codec of BGP messages (RFC 4271 section 4; RFC 2918, 4760, 6793, 7313, 8654, 9072).
+
+Any bytes yield either a record or a `BgpError` with the code and subcode that the RFC assigns to
+the error.
+"""
 
 from __future__ import annotations
 
@@ -28,12 +31,14 @@
 HEADER_SIZE, MAX_SIZE, MAX_EXTENDED_SIZE = 19, 4_096, 65_535
 OPEN, UPDATE, NOTIFICATION, KEEPALIVE, REFRESH = 1, 2, 3, 4, 5
 MIN_SIZES = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
-CAPABILITIES, EXTENDED_PARAMETERS = 2, 255  # optional parameters: RFC 5492, RFC 9072
+CAPABILITIES, EXTENDED_PARAMETERS = 2, 255  # types of optional parameters (RFC 5492, RFC 9072)
 VERSION = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Open:
+    """An OPEN message; `asn` is the four-octet number if the peer sent one."""
+
     asn: int
     hold: int  # seconds
     router_id: str
@@ -42,27 +47,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
+    """An UPDATE message."""
+
     withdrawn: tuple[Prefix, ...] = ()
     reachable: tuple[
         tuple[Attributes, tuple[Prefix, ...]], ...
-    ] = ()  # at most one for each way to state them
-    end_of_rib: int | None = None  # the family (RFC 4724 section 2)
-    faults: tuple[Fault, ...] = ()  # those that RFC 7606 lets the session live through
+    ] = ()  # (attributes, prefixes) of the NLRI field and of MP_REACH_NLRI
+    end_of_rib: int | None = None  # the AFI if this is an End-of-RIB marker (RFC 4724 section 2)
+    faults: tuple[Fault, ...] = ()  # malformed attributes that do not end the session (RFC 7606)
 
     @property
     def announced(self) -> tuple[Prefix, ...]:
+        """All announced prefixes."""
         return tuple(prefix for _, prefixes in self.reachable for prefix in prefixes)
 
 
 @dataclass(frozen=True, slots=True)
 class Notification:
+    """A NOTIFICATION message."""
+
     code: int
     subcode: int
     data: bytes = b""
 
     @property
     def text(self) -> str:
-        """The operator's words of a shutdown or reset (RFC 8203 and 9003), safe for a log."""
+        """The shutdown communication (RFC 8203, 9003) with unprintable characters replaced, for
+        logs.
+        """
         if self.code == Code.CEASE and self.subcode in (2, 4) and self.data:
             raw = self.data[1 : 1 + self.data[0]]
             return "".join(
@@ -73,22 +85,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Keepalive:
-    pass
+    """A KEEPALIVE message."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
+    """A ROUTE-REFRESH message."""
+
     afi: int
     safi: int
-    kind: int = 0  # 0 request, 1 beginning, 2 end of a refresh (RFC 7313)
+    kind: int = 0  # subtype: 0 request, 1 beginning, 2 end of a refresh (RFC 7313)
 
 
 Message = Open | Update | Notification | Keepalive | Refresh
 
 
 class Stream:
-    """Chunks as they were read, cut anywhere, to whole messages. Holds one message at most, as long as `most`
-    allows; raises BgpError on what can be no header, and is of no use after that."""
+    """Splits a byte stream into messages.
+
+    Buffers at most one message of up to `max_size` bytes. After a `BgpError` (invalid header) the
+    stream cannot be used any more.
+    """
 
     __slots__ = ("rest", "max_size")
 
@@ -96,7 +113,7 @@
         self.rest, self.max_size = b"", max_size
 
     def feed(self, chunk: bytes) -> Iterator[tuple[int, bytes]]:
-        """(type, body) each."""
+        """Yields the type and body of each complete message."""
         data, offset = self.rest + chunk if self.rest else chunk, 0
         try:
             while len(data) - offset >= HEADER_SIZE:
@@ -133,6 +150,7 @@
 
 
 def frame(kind: int, body: bytes) -> bytes:
+    """A message with its header."""
     return MARKER + struct.pack("!HB", HEADER_SIZE + len(body), kind) + body
 
 
@@ -142,14 +160,23 @@
     agreed: NegotiatedCapabilities = NegotiatedCapabilities(),
     internal: bool = False,
 ) -> Message:
-    """One message of a known type; `agreed` and `internal` say how an UPDATE is to be read. Raises
-    BgpError."""
+    """Decodes the body of one message.
+
+    Args:
+        kind: The message type.
+        body: The message without its header.
+        agreed: The negotiated capabilities, which determine the encoding of an UPDATE.
+        internal: Whether the peer has our AS number.
+
+    Raises:
+        BgpError: The message is malformed, or its type is unknown.
+    """
     if kind == OPEN:
         return decode_open(body)
     if kind == UPDATE:
         return decode_update(body, agreed, internal)
     if kind == NOTIFICATION:
-        if len(body) < 2:  # also where no stream counted its bytes first
+        if len(body) < 2:  # `Stream` checks this too, but not every caller uses it
             raise BgpError(
                 Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body))
             )
@@ -159,7 +186,10 @@
     if kind == REFRESH:
         if len(body) != 4:
             raise BgpError(
-                Code.ROUTE_REFRESH, 1, frame(REFRESH, body), "a refresh of another length"
+                Code.ROUTE_REFRESH,
+                1,
+                frame(REFRESH, body),
+                f"body of {len(body)} bytes instead of 4",
             )
         afi, subtype, safi = struct.unpack("!HBB", body)
         return Refresh(afi, safi, subtype)
@@ -177,9 +207,9 @@
     parameters, parameter_header_size = body[10:], 2
     if (
         parameters_size == EXTENDED_PARAMETERS and parameters[:1] == b"\xff"
-    ):  # RFC 9072: lengths of two octets
+    ):  # RFC 9072: two-octet lengths
         if len(parameters) < 3:
-            raise BgpError(Code.OPEN, 0, text="parameters without their length")
+            raise BgpError(Code.OPEN, 0, text="truncated extended parameters length")
         parameters_size, parameters, parameter_header_size = (
             int.from_bytes(parameters[1:3], "big"),
             parameters[3:],
@@ -189,17 +219,19 @@
         raise BgpError(
             Code.OPEN,
             0,
-            text=f"{len(parameters)} bytes of parameters, said to be {parameters_size}",
+            text=f"{len(parameters)} bytes of parameters instead of {parameters_size}",
         )
     capability_data, offset = b"", 0
     while offset < len(parameters):
         length = int.from_bytes(parameters[offset + 1 : offset + parameter_header_size], "big")
         value = parameters[offset + parameter_header_size : offset + parameter_header_size + length]
         if len(parameters) < offset + parameter_header_size or len(value) < length:
-            raise BgpError(Code.OPEN, 0, text="a parameter runs past the end")
+            raise BgpError(Code.OPEN, 0, text=f"truncated parameter at byte {offset}")
         if parameters[offset] != CAPABILITIES:
             raise BgpError(
-                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text=f"parameter {parameters[offset]}"
+                Code.OPEN,
+                OpenFault.OPTIONAL_PARAMETER,
+                text=f"unsupported parameter {parameters[offset]}",
             )
         capability_data += value
         offset += parameter_header_size + length
@@ -207,9 +239,9 @@
     if not asn:
         raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="AS 0")
     if hold in (1, 2):
-        raise BgpError(Code.OPEN, OpenFault.HOLD_TIME, text=f"{hold} s")
+        raise BgpError(Code.OPEN, OpenFault.HOLD_TIME, text=f"hold time of {hold} s")
     if not router_id:
-        raise BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="0.0.0.0")
+        raise BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="router id 0.0.0.0")
     return Open(
         asn if capabilities.as4 is None else capabilities.as4,
         hold,
@@ -224,11 +256,17 @@
     withdrawn_size = int.from_bytes(body[:2], "big")
     if len(body) < withdrawn_size + 4:
         raise BgpError(
-            Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text="withdrawn routes run past the end"
+            Code.UPDATE,
+            UpdateFault.ATTRIBUTE_LIST,
+            text=f"withdrawn routes of {withdrawn_size} bytes exceed the message",
         )
     attributes_size = int.from_bytes(body[2 + withdrawn_size : 4 + withdrawn_size], "big")
     if len(body) < 4 + withdrawn_size + attributes_size:
-        raise BgpError(Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text="attributes run past the end")
+        raise BgpError(
+            Code.UPDATE,
+            UpdateFault.ATTRIBUTE_LIST,
+            text=f"attributes of {attributes_size} bytes exceed the message",
+        )
     if len(body) == 4:
         return Update(end_of_rib=Afi.IPV4)
     withdrawn = decode_prefixes(body[2 : 2 + withdrawn_size], Afi.IPV4)
@@ -242,7 +280,7 @@
         if safi == UNICAST and afi in (Afi.IPV4, Afi.IPV6):
             if not nlri and parsed.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
                 return Update(end_of_rib=afi, faults=tuple(parsed.faults))
-            if afi in agreed.families:  # what was not agreed on is passed over (RFC 4760 section 7)
+            if afi in agreed.families:  # families not negotiated are ignored (RFC 4760 section 7)
                 withdrawn += decode_prefixes(nlri, Afi(afi))
     mp_reached: list[Prefix] = []
     if parsed.reach is not None:
@@ -253,12 +291,12 @@
         check_mandatory(parsed, bool(announced), internal)
     if parsed.severity >= Severity.WITHDRAW:
         if not (announced or mp_reached) and (withdrawn or parsed.seen - {Type.MP_UNREACH}):
-            # RFC 7606 section 5.2: nobody knows what was meant to be withdrawn
+            # RFC 7606 section 5.2: the routes to treat as withdrawn are unknown
             worst = max(parsed.faults, key=lambda each: each.severity)
             raise BgpError(
                 Code.UPDATE,
                 UpdateFault.ATTRIBUTE_LIST,
-                text=f"attribute {worst.kind}: {worst.text}, and no route it was meant for",
+                text=f"attribute {worst.kind}: {worst.text}, in an UPDATE without reachable routes",
             )
         return Update(
             tuple(dict.fromkeys([*withdrawn, *announced, *mp_reached])), faults=tuple(parsed.faults)
@@ -271,7 +309,7 @@
         reachable.append((Attributes(**values), tuple(mp_reached)))  # type: ignore[arg-type]
     if (
         withdrawn and reachable
-    ):  # who withdraws and announces a prefix at once announces it (RFC 4271 4.3)
+    ):  # a prefix both withdrawn and announced counts as announced (RFC 4271 section 4.3)
         announced_again = {*announced, *mp_reached}
         withdrawn = [each for each in withdrawn if each not in announced_again]
     return Update(tuple(withdrawn), tuple(reachable), faults=tuple(parsed.faults))
@@ -280,7 +318,9 @@
 def check_mandatory(
     parsed: path_attributes.ParsedAttributes, has_ipv4_nlri: bool, internal: bool
 ) -> None:
-    """RFC 7606 section 3d: a route without one of these cannot be used."""
+    """Records missing mandatory attributes; their routes are treated as withdrawn (RFC 7606 section
+    3d).
+    """
     mandatory = [Type.ORIGIN, Type.AS_PATH]
     if has_ipv4_nlri:
         mandatory.append(Type.NEXT_HOP)
@@ -288,10 +328,11 @@
         mandatory.append(Type.LOCAL_PREF)
     for kind in mandatory:
         if kind not in parsed.seen:
-            parsed.fault(Severity.WITHDRAW, kind, "is missing")
+            parsed.fault(Severity.WITHDRAW, kind, "missing")
 
 
 def decode_prefixes(data: bytes, afi: Afi) -> list[Prefix]:
+    """Decodes NLRI; a syntax error ends the session."""
     try:
         return prefix_codec.decode(data, afi)
     except ValueError as error:
@@ -322,12 +363,13 @@
 
 
 def shutdown_data(text: str) -> bytes:
-    """RFC 9003: 255 bytes at most, cut between characters."""
+    """A shutdown communication: 255 bytes of UTF-8 at most, cut between characters (RFC 9003)."""
     raw = text.encode()[:255].decode("utf-8", "ignore").encode()
     return bytes((len(raw),)) + raw if raw else b""
 
 
 def end_of_rib(afi: int) -> bytes:
+    """The End-of-RIB marker of a family (RFC 4724 section 2)."""
     if afi == Afi.IPV4:
         return frame(UPDATE, b"\0\0\0\0")
     unreach = encode_attribute(OPTIONAL, Type.MP_UNREACH, struct.pack("!HB", afi, UNICAST))
@@ -335,7 +377,7 @@
 
 
 def pack_prefixes(prefixes: list[Prefix], room: int) -> Iterator[bytes]:
-    """As many prefixes in each piece as fit."""
+    """Encodes prefixes into pieces of at most `room` bytes."""
     piece = bytearray()
     for each in prefixes:
         raw = prefix_codec.encode(each)
@@ -354,7 +396,9 @@
     internal: bool,
     max_size: int = MAX_SIZE,
 ) -> Iterator[bytes]:
-    """UPDATEs for prefixes of one family that share their attributes, as few as fit."""
+    """The UPDATE messages, as few as possible, that announce prefixes of one family with shared
+    attributes.
+    """
     uses_next_hop_attribute = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
     encoded_attributes = path_attributes.encode(attributes, as4, internal, uses_next_hop_attribute)
     if uses_next_hop_attribute:
@@ -381,7 +425,7 @@
 
 
 def withdrawals(prefixes: list[Prefix], max_size: int = MAX_SIZE) -> Iterator[bytes]:
-    """UPDATEs that withdraw prefixes of one family."""
+    """The UPDATE messages that withdraw prefixes of one family."""
     if prefixes[0].afi == Afi.IPV4:
         for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4):
             yield frame(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0")
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -1,7 +1,9 @@
-"""One peer: its connections (two at once may happen), what it has told, what it is told. No I/O: it is fed
-with what became of connections and what came over them, and returns what is to be done with them.
+"""State of one peer: its connections (two may exist for a moment), Adj-RIB-In and Adj-RIB-Out.
 
-A connection is a `Link`, a number given out here; the host knows which socket that is."""
+No I/O: methods take connection events and received messages; `take_actions` returns what the host
+must do. A connection is represented by a `Link` with a number assigned here; the host maps numbers
+to sockets.
+"""
 
 from __future__ import annotations
 
@@ -25,21 +27,23 @@
 
 FAMILIES = (Afi.IPV4, Afi.IPV6)
 MIN_REFRESH_INTERVAL = (
-    SECOND  # a person who asks twice waits a second; routers ask once a session or less
+    SECOND  # routers request at most once per session; a manual repeat waits a second
 )
 
 
 class ActionKind(Enum):
-    """What the host is to carry out."""
+    """What the host must do for an action."""
 
-    CONNECT = auto()  # the link's number: open it to the peer's address
-    SEND = auto()  # bytes over it, in order
-    CLOSE = auto()  # after all that was sent before
-    LOG = auto()  # a change of state, as pairs
+    CONNECT = auto()  # open a connection to the address in `value`
+    SEND = auto()  # send the bytes in `value`, in order
+    CLOSE = auto()  # close after all previous bytes
+    LOG = auto()  # log the fields in `value`
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
+    """An action for the host; `value` depends on the kind."""
+
     kind: ActionKind
     link: int
     value: object = None
@@ -47,7 +51,7 @@
 
 @dataclass(eq=False, slots=True)
 class Link:
-    """A session and the connection it has now; 0: none."""
+    """A session with its current connection; `number` is 0 if there is no connection."""
 
     session: Session
     number: int = 0
@@ -58,6 +62,8 @@
 
 
 class PeerState:
+    """All state of one configured peer."""
+
     def __init__(
         self,
         config: BgpConfig,
@@ -67,8 +73,17 @@
         now: int,
         restart_claims: Callable[[], tuple[bool, bool]],
     ) -> None:
-        """`claims`: whether this process has just begun, and whether the node serves now: what an OPEN may
-        say of a graceful restart."""
+        """Creates the peer without connecting.
+
+        Args:
+            config: The announce block.
+            peer: The peer's block.
+            link_numbers: Source of link numbers, shared by all peers.
+            rng: For timer jitter.
+            now: The time in tenths of a millisecond.
+            restart_claims: Returns what an OPEN may state about graceful restart: whether this process
+                has just started, and whether the node serves.
+        """
         self.config, self.peer, self.link_numbers, self.rng, self.restart_claims = (
             config,
             peer,
@@ -78,21 +93,19 @@
         )
         self.policy = PeerPolicy(config, peer)
         self.adj_rib_in = AdjRibIn(peer.max_prefixes)
-        self.adj_rib_out: dict[Prefix, Attributes] = {}  # over the session that is up
+        self.adj_rib_out: dict[Prefix, Attributes] = {}  # announced on the established session
         self.routes: dict[Prefix, Attributes] = {}
         self.actions: list[Action] = []
         self.primary = self._new_link(now, peer.mode == "passive")
-        self.secondary: Link | None = None  # a connection that came while `main` had its own
+        self.secondary: Link | None = None  # a connection accepted while `primary` has one
         self.established_link: Link | None = None
         self.stopped = False
-        self.stale_until = 0  # 0: nothing stale is kept
+        self.stale_until = 0  # 0 if no stale routes are kept
         self.stale_families: tuple[Afi, ...] = ()
         self.last_end: SessionEnd | None = None
         self.ups = self.downs = 0
         self.end_of_rib_received: set[int] = set()
-        self.refresh_sent_at: dict[
-            Afi, int
-        ] = {}  # when the last refresh that was asked for was given
+        self.refresh_sent_at: dict[Afi, int] = {}  # when a requested refresh was last sent
         self.refresh_due: dict[Afi, int] = {}
 
     def _new_link(self, now: int, passive: bool) -> Link:
@@ -111,9 +124,11 @@
         return Link(Session(session_config, self._capabilities(), self.rng, now))
 
     def _capabilities(self) -> Capabilities:
-        """Made anew for each OPEN, for what it says of a restart must be true then. A node that does not
-        serve claims no forwarding: its peer then drops what it kept of the life before at once (RFC 4724
-        4.2)."""
+        """Built for each OPEN, as its statement about a restart must be true when it is sent.
+
+        A node that does not serve claims no preserved forwarding state; its peer then drops routes
+        kept from before the restart at once (RFC 4724 section 4.2).
+        """
         restart = None
         if (restart_config := self.config.graceful_restart) is not None:
             restarted, forwarding = self.restart_claims()
@@ -142,18 +157,22 @@
         return self.established_link is not None
 
     def links(self) -> list[Link]:
+        """The primary link and, during a collision, the secondary one."""
         return [self.primary] + ([self.secondary] if self.secondary is not None else [])
 
     def find_link(self, number: int) -> Link | None:
+        """The link with this connection number, if it is still in use."""
         return next((each for each in self.links() if each.number == number and number), None)
 
     def take_actions(self) -> list[Action]:
+        """Returns the pending actions and clears them."""
         actions, self.actions = self.actions, []
         return actions
 
     # Start and stop
 
     def start(self, now: int) -> None:
+        """Starts connecting or, if passive, waiting for the peer."""
         passive = self.peer.mode == "passive"
         self._execute(
             self.primary,
@@ -164,9 +183,11 @@
         )
 
     def stop(self, now: int, subcode: int = Cease.SHUTDOWN, text: str = "") -> None:
-        """All connections end with a cease. Where both sides know RFC 8538, a plain one would let the peer
-        keep our routes as if we restarted: it goes as a hard reset, which carries the plain one (section
-        3.1)."""
+        """Ends all connections with a Cease notification.
+
+        If both sides support RFC 8538, the peer would treat a plain Cease as a restart and keep our
+        routes. It is therefore sent inside a hard reset (section 3.1).
+        """
         self.stopped = True
         for each in self.links():
             data = messages.shutdown_data(text) if subcode in (Cease.SHUTDOWN, Cease.RESET) else b""
@@ -180,33 +201,40 @@
                 code, data = int(Cease.HARD_RESET), bytes((Code.CEASE, code)) + data
             self._execute(each, now, each.session.cease(Event.MANUAL_STOP, now, code, data))
 
-    # What became of connections
+    # Connection events
 
     def connected(self, number: int, now: int) -> None:
+        """The host has opened the connection."""
         if (link := self.find_link(number)) is not None:
             link.session.local_capabilities = self._capabilities()
             self._execute(link, now, link.session.event(Event.TCP_ACKED, now))
-        else:  # no longer wanted: a collision was lost, or the retry timer gave it up
+        else:  # already given up by a collision or the connect retry timer
             self.actions.append(Action(ActionKind.CLOSE, number))
 
     def connection_lost(self, number: int, now: int, cause: str = "connection lost") -> None:
+        """The connection has ended or could not be opened."""
         if (link := self.find_link(number)) is not None:
             link.number = 0
             self._execute(link, now, link.session.event(Event.TCP_FAILS, now, cause))
             if link is self.secondary and link.session.state is State.ACTIVE:
-                self.secondary = None  # nothing will be connected for it again
+                self.secondary = None  # a secondary link does not reconnect
 
     def accepted(self, now: int) -> int:
-        """The number of a connection that the peer opened; 0: it is not taken. In Idle none is (section
-        8.2.2); a second one waits for its OPEN, and then one of both is dropped."""
+        """Accepts a connection that the peer opened.
+
+        Returns:
+            The new link's number; 0 if the connection is rejected. None is accepted in Idle after a
+            failure (section 8.2.2). A second connection waits for its OPEN, after which the collision is
+            resolved.
+        """
         if self.stopped or self.peer.mode == "active":
             return 0
         state = self.primary.session.state
         if state is State.IDLE and self.primary.session.damped:
-            return 0  # a failure is waited out
+            return 0  # the idle hold time after a failure is running
         if state in (State.ACTIVE, State.IDLE) and not self.primary.number:
             link = self.primary
-            if state is State.IDLE:  # it only waits for its next try to connect
+            if state is State.IDLE:  # waiting for the next connection attempt
                 link.session.timers.clear()
                 self._execute(link, now, link.session.event(Event.MANUAL_START_PASSIVE, now))
         elif self.secondary is None:
@@ -220,6 +248,7 @@
         return link.number
 
     def message(self, number: int, kind: int, body: bytes, now: int) -> None:
+        """A message has been received."""
         link = self.find_link(number)
         if link is None:
             return
@@ -230,23 +259,27 @@
             self._execute(link, now, link.session.received(kind, body, now))
 
     def decode_failed(self, number: int, error: BgpError, now: int) -> None:
+        """Received bytes are not a valid message."""
         if (link := self.find_link(number)) is not None:
             self._execute(link, now, link.session.decode_failed(error, now))
 
     def flushed(self, number: int, now: int) -> None:
+        """All bytes sent on the connection have been accepted by the operating system."""
         if (link := self.find_link(number)) is not None:
             link.session.flushed(now)
 
     def tick(self, now: int) -> None:
+        """Handles expired timers."""
         for each in self.links():
             if any(due <= now for due in each.session.timers.values()):
                 self._execute(each, now, each.session.tick(now))
         if self.established_link is not None and self.refresh_due:
             self._send_due_refreshes(self.established_link, now)
         if self.stale_until and now >= self.stale_until:
-            self._drop_stale(self.stale_families, "time is over")
+            self._drop_stale(self.stale_families, "stale time expired")
 
     def next_due(self) -> int | None:
+        """The time at which `tick` must be called next."""
         times = [time for each in self.links() for time in each.session.timers.values()]
         if self.established_link is not None:
             times += self.refresh_due.values()
@@ -257,9 +290,14 @@
     # Collisions
 
     def _handle_open(self, link: Link, body: bytes, now: int) -> None:
-        """Section 6.8: of two connections the one stays that the side with the higher identifier opened (RFC
-        6286 2.3: or AS, where those are the same). One that is established stays, unless the peer has peer_open
-        that it can restart gracefully: then a new connection proves that it did (RFC 4724 section 5)."""
+        """Resolves connection collisions, then passes the OPEN to the session (RFC 4271 section
+        6.8).
+
+        The connection opened by the side with the higher BGP identifier is kept; with equal
+        identifiers the AS number decides (RFC 6286 section 2.3). An established session is kept,
+        unless the peer has advertised graceful restart: then the new connection shows that it has
+        restarted (RFC 4724 section 5).
+        """
         other = next((each for each in self.links() if each is not link and each.number), None)
         try:
             opened = messages.decode_open(body)
@@ -292,7 +330,7 @@
     def _close_collided(self, link: Link, now: int) -> None:
         self._execute(link, now, link.session.cease(Event.COLLISION_DUMP, now, Cease.COLLISION))
 
-    # What a session asks for
+    # Actions of a session
 
     def _execute(self, link: Link, now: int, actions: list[tuple[SessionAction, object]]) -> None:
         for action, value in actions:
@@ -338,7 +376,7 @@
             }
             self._drop_stale(
                 [afi for afi in self.stale_families if afi not in preserved],
-                "not forwarding by the peer",
+                "forwarding state not preserved by the peer",
             )
             if self.stale_families and self.config.graceful_restart is not None:
                 self.stale_until = now + self.config.graceful_restart.stale
@@ -365,7 +403,7 @@
             self._log(event="bgp_not_up", reason=ended.reason)
         if link is self.secondary:
             self.secondary = None
-        elif self.secondary is not None:  # the connection that stays becomes the peer's own
+        elif self.secondary is not None:  # the remaining connection becomes the primary link
             self.secondary.session.config = self.primary.session.config
             self.secondary.session.failures = 0
             self.primary, self.secondary = self.secondary, None
@@ -373,8 +411,12 @@
             link.session.timers.clear()
 
     def _retain_or_drop_routes(self, link: Link, ended: SessionEnd, now: int) -> None:
-        """RFC 4724 section 4.2 and 8538 section 4: the peer's routes are kept for its restart time where it
-        restart_config for that and the session broke, or ended by what both sides let count as a restart."""
+        """Keeps the peer's routes as stale, or drops them (RFC 4724 section 4.2, RFC 8538 section
+        4).
+
+        They are kept for the peer's restart time if it advertised graceful restart and the session
+        broke, or ended for a reason that both sides treat as a restart.
+        """
         restart_config = self.config.graceful_restart
         peer_restart = (
             link.session.peer_open.capabilities.restart
@@ -430,7 +472,7 @@
         counts["faults"] += len(update.faults)
         if (
             update.faults and counts["faults"] & (counts["faults"] - 1) == 0
-        ):  # at the 1st, 2nd, 4th, 8th …
+        ):  # logged at the 1st, 2nd, 4th, 8th ... fault
             worst = update.faults[0]
             self._log(
                 event="bgp_fault",
@@ -441,7 +483,7 @@
         if update.end_of_rib is not None:
             self.end_of_rib_received.add(update.end_of_rib)
             if update.end_of_rib in self.stale_families:
-                self._drop_stale([Afi(update.end_of_rib)], "end of rib")
+                self._drop_stale([Afi(update.end_of_rib)], "not announced before end-of-RIB")
             return
         counts["withdrawn"] += self.adj_rib_in.withdraw(update.withdrawn)
         try:
@@ -458,8 +500,11 @@
             )
 
     def _handle_refresh(self, link: Link, request: Refresh, now: int) -> None:
-        """RFC 2918, 7313. Requests that come faster than one a second are answered by one: a flood of them,
-        of 23 bytes each, would cost a table each."""
+        """Handles ROUTE-REFRESH (RFC 2918, 7313).
+
+        Requests are answered at most once per `MIN_REFRESH_INTERVAL`; otherwise each request of 23
+        bytes would cost a full table.
+        """
         if request.safi != UNICAST or request.afi not in link.session.agreed.families:
             return
         afi = Afi(request.afi)
@@ -474,7 +519,7 @@
             self.adj_rib_in.end_refresh(afi)
 
     def _send_due_refreshes(self, link: Link, now: int) -> None:
-        """Whole, between marks where both sides know them."""
+        """Sends all routes of a family, between refresh markers if both sides support RFC 7313."""
         enhanced = link.session.agreed.enhanced_refresh
         for afi in [afi for afi, due in self.refresh_due.items() if due <= now]:
             del self.refresh_due[afi]
@@ -489,15 +534,17 @@
                 self._send(link, messages.encode(Refresh(afi, UNICAST, 2)))
 
     def request_refresh(self) -> None:
-        """Where an import policy changed: RFC 2918 spares the session."""
+        """Requests the peer's routes again after a change of the import policy, without a new
+        session (RFC 2918).
+        """
         if self.established_link is not None and self.established_link.session.agreed.refresh:
             for afi in self.established_link.session.agreed.families:
                 self._send(self.established_link, messages.encode(Refresh(afi, UNICAST)))
 
-    # What it is told
+    # Announcements
 
     def set_routes(self, routes: dict[Prefix, Attributes]) -> None:
-        """All that it is to know of us from now on; what changed leaves at once, withdrawals first."""
+        """Sets all routes to announce; differences are sent at once, withdrawals first."""
         self.routes = routes
         if self.established_link is not None:
             self._send_changes(self.established_link)
@@ -547,10 +594,10 @@
     def _send(self, link: Link, data: bytes) -> None:
         self.actions.append(Action(ActionKind.SEND, link.number, data))
 
-    # A new file
+    # Reconfiguration
 
     def reconfigure(self, config: BgpConfig, peer: Peer) -> bool:
-        """Takes over what needs no new session; False where one is needed."""
+        """Applies changes that need no new session; returns False if one is needed."""
         peer_fields = (
             "as_",
             "mode",
@@ -587,6 +634,7 @@
         return True
 
     def status(self, now: int) -> dict[str, object]:
+        """The report for the admin socket."""
         link = self.established_link or self.primary
         session = link.session
         return {
@@ -617,5 +665,5 @@
 
 
 def encode_notification(code: int, subcode: int) -> bytes:
-    """For a connection that no peer of ours opened."""
+    """A NOTIFICATION for a connection that belongs to no peer."""
     return messages.encode(Notification(code, subcode))
--- a/lilacwalk/bgp/policy.py
+++ b/lilacwalk/bgp/policy.py
@@ -1,5 +1,8 @@
-"""What is taken from a peer and what is told to it: prefix lists and terms of the operator's file, compiled
-once, and the rules that hold without being written (loops, roles, RFC 8212's default deny)."""
+"""Import and export policy of a peer.
+
+Prefix lists and policies of the operator's file are compiled once. The built-in rules always apply:
+AS loops, BGP roles, and the default deny of RFC 8212.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,16 @@
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from lilacwalk.bgp.trie import Trie
 
-LARGE_COMMUNITY_FLAG = 1 << 96  # a large community as the operator's file holds it
-MAX_AS_NUMBERS = 255  # numbers: longer ones are taken for absurd and refused
+LARGE_COMMUNITY_FLAG = 1 << 96  # marks a large community in the integers of the operator's file
+MAX_AS_NUMBERS = 255  # AS numbers in a path; longer paths are refused as implausible
 
 
 class CompiledPrefixList:
-    """One prefix list. The best line that matches decides; what none matches is denied. Found by a trie, so
-    that a list of thousands costs as many steps as prefixes cover the one asked about."""
+    """A prefix list; the first matching entry decides, and no match means deny.
+
+    Entries are kept in a trie, so that a lookup in a list of thousands visits only the entries that
+    cover the prefix.
+    """
 
     def __init__(self, config: PrefixList) -> None:
         self.tries: dict[Afi, Trie[list[tuple[int, bool, Match]]]] = {afi: Trie(afi) for afi in Afi}
@@ -40,8 +46,11 @@
 
 
 def matches(entry: Match, length: int) -> bool:
-    """Without bounds the very prefix; with `ge` alone up to the family's width; with `le` alone from its
-    own."""
+    """Whether an entry that covers a prefix accepts its length.
+
+    Without `ge` and `le` only the entry's own length matches; with `ge` alone up to the family's
+    width; with `le` alone from the entry's length on.
+    """
     assert isinstance(entry.prefix, Prefix)
     if entry.ge is None and entry.le is None:
         return length == entry.prefix.length
@@ -85,7 +94,7 @@
 
 
 class CompiledPolicy:
-    """One policy with the lists it names."""
+    """A policy with the prefix lists that it refers to."""
 
     def __init__(self, config: Policy, lists: dict[str, CompiledPrefixList], our_as: int) -> None:
         self.name, self.our_as = config.name, our_as
@@ -94,7 +103,10 @@
         ]
 
     def apply(self, prefix: Prefix, attributes: Attributes) -> Attributes | None:
-        """The first term whose conditions all hold decides; None: rejected, also where none does."""
+        """The attributes as changed by the first term whose conditions all match.
+
+        None if that term rejects, or if no term matches.
+        """
         for term, prefix_list in self.terms:
             if self._matches(term, prefix_list, prefix, attributes):
                 return self._apply_sets(term, attributes) if term.verdict == "accept" else None
@@ -127,13 +139,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Why a route of a peer's is kept without being used."""
+    """Why a received route is not used."""
 
     reason: str
 
 
 class PeerPolicy:
-    """One peer's rules both ways."""
+    """The import and export rules of one peer."""
 
     def __init__(self, config: BgpConfig, peer: Peer) -> None:
         lists = {each.name: CompiledPrefixList(each) for each in config.prefix_list}
@@ -144,16 +156,18 @@
         self.export_policy = policies[peer.export] if peer.export else None
 
     def import_route(self, prefix: Prefix, attributes: Attributes) -> Attributes | Refused:
-        """A route that came, as it may be used (RFC 4271 sections 6.3 and 9.1.2, 8212, 9234 section 5)."""
+        """A received route with the attributes to use, or why it is refused (RFC 4271 sections 6.3
+        and 9.1.2; RFC 8212; RFC 9234 section 5).
+        """
         if attributes.in_path(self.our_as):
             return Refused("our own AS in the path")
         if not self.internal and attributes.first_as != self.peer.as_:
             return Refused("the path does not begin with the peer's AS")
         if sum(len(numbers) for _, numbers in attributes.as_path) > MAX_AS_NUMBERS:
-            return Refused("an absurd path")
+            return Refused(f"more than {MAX_AS_NUMBERS} AS numbers in the path")
         attributes, leak = self._check_only_to_customer(attributes)
         if leak:
-            return Refused("a route leak, as its only-to-customer mark says")
+            return Refused("a route leak according to its Only-to-Customer attribute")
         if self.import_policy is None:
             return attributes if self.internal else Refused("no import policy")
         return self.import_policy.apply(prefix, attributes) or Refused(
@@ -161,10 +175,15 @@
         )
 
     def _check_only_to_customer(self, attributes: Attributes) -> tuple[Attributes, bool]:
+        """Adds a missing Only-to-Customer attribute; the second value tells whether the route is a
+        leak.
+        """
         role, mark = self.peer.role, attributes.only_to_customer
         if role is None or self.internal:
             return attributes, False
-        if mark is not None:  # our role provider or rs: it came from a customer or a client of ours
+        if (
+            mark is not None
+        ):  # present on a route from a customer or RS client (our role provider or rs): a leak
             return attributes, role in (
                 "provider",
                 "rs",
@@ -174,8 +193,12 @@
         return attributes, False
 
     def export_route(self, prefix: Prefix, attributes: Attributes) -> Attributes | None:
-        """A service of ours as this peer is to see it. That it stands in the file is the explicit export that
-        RFC 8212 asks for; a policy narrows it."""
+        """The attributes with which one of our services is announced to this peer; None if the
+        policy rejects it.
+
+        A service in the operator's file counts as the explicit export that RFC 8212 requires; a
+        policy can only narrow it.
+        """
         if self.export_policy is not None:
             accepted = self.export_policy.apply(prefix, attributes)
             if accepted is None:
@@ -189,4 +212,5 @@
 
 
 def role_code(peer: Peer) -> int | None:
+    """The peer's configured role as its code of RFC 9234."""
     return None if peer.role is None else ROLES[peer.role]
--- a/lilacwalk/bgp/prefixes.py
+++ b/lilacwalk/bgp/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefixes and addresses as plain numbers (RFC 4271 section 4.3, RFC 4760 section 5)."""
+"""Prefixes and addresses as integers (RFC 4271 section 4.3, RFC 4760 section 5)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 
 
 class Prefix(NamedTuple):
-    """`bits` is the network address as a number of the family's full width, host bits zero."""
+    """An address prefix; `bits` is the network address over the family's full width with host bits
+    zero.
+    """
 
     afi: Afi
     bits: int
@@ -25,7 +27,11 @@
 
     @classmethod
     def of(cls, text: str) -> Prefix:
-        """Raises ValueError with what is wrong; host bits that are set are wrong."""
+        """Parses a prefix such as 192.0.2.0/24.
+
+        Raises:
+            ValueError: Not a prefix, or host bits are set.
+        """
         network = ipaddress.ip_network(text)
         return cls(
             Afi.IPV4 if network.version == 4 else Afi.IPV6,
@@ -38,6 +44,7 @@
         return f"{make(self.bits)}/{self.length}"
 
     def covers(self, other: Prefix) -> bool:
+        """Whether `other` equals this prefix or is a more specific of it."""
         shift = WIDTH[self.afi] - self.length
         return (
             self.afi == other.afi
@@ -47,7 +54,11 @@
 
 
 def address_bytes(text: str) -> bytes:
-    """4 or 16 bytes. Raises ValueError."""
+    """The 4 or 16 bytes of an address.
+
+    Raises:
+        ValueError: Not an IP address.
+    """
     return ipaddress.ip_address(text).packed
 
 
@@ -56,22 +67,31 @@
 
 
 def encode(prefix: Prefix) -> bytes:
+    """One prefix as NLRI."""
     size = (prefix.length + 7) // 8
     return bytes((prefix.length,)) + prefix.bits.to_bytes(WIDTH[prefix.afi] // 8, "big")[:size]
 
 
 def decode(data: bytes | memoryview, afi: Afi) -> list[Prefix]:
-    """Raises ValueError where a length is over the family's width or runs past the end. Bits behind a
-    prefix's length mean nothing (RFC 4271 section 4.3) and are cleared, so that one prefix has one form."""
+    """Prefixes of an NLRI field.
+
+    Bits beyond a prefix's length have no meaning (RFC 4271 section 4.3) and are cleared, so that
+    equal prefixes compare equal.
+
+    Raises:
+        ValueError: A length exceeds the family's width, or a prefix runs past the end.
+    """
     width, at, end = WIDTH[afi], 0, len(data)
     whole, found = width // 8, []
     while at < end:
         length = data[at]
         size = (length + 7) // 8
         if length > width:
-            raise ValueError(f"a prefix length of {length}")
+            raise ValueError(f"prefix length {length} exceeds {width}")
         if at + 1 + size > end:
-            raise ValueError("a prefix runs past the end")
+            raise ValueError(
+                f"prefix of length {length} runs past the end: {end - at - 1} of {size} bytes"
+            )
         shift = width - length
         bits = (
             int.from_bytes(data[at + 1 : at + 1 + size], "big")
--- a/lilacwalk/bgp/readiness.py
+++ b/lilacwalk/bgp/readiness.py
@@ -1,5 +1,4 @@
-"""From what the deciding thread knows anyway to the node's state. Nothing is asked of the controller for
-it."""
+"""Derives the node's status from facts that the event loop has at hand."""
 
 from __future__ import annotations
 
@@ -9,17 +8,21 @@
 
 
 class Facts(NamedTuple):
-    booted: bool  # the kernel has been up in this life
-    warm_at: int  # when a cold start is over; 0: it was none
-    linked: bool  # commands reach the kernel now, and all it had to say has been read
-    healthy: bool  # as the controller says
+    booted: bool  # the executor has been connected since this process started
+    warm_at: int  # when the warm-up after a cold start ends; 0 if there is none
+    linked: bool  # the executor is connected and its pending messages have been read
+    healthy: bool  # according to the controller
     leaving: bool
     failed: bool = False
 
 
 def node_status(facts: Facts, now: int) -> NodeStatus:
-    """A lost link counts as standing still: nothing that is admitted could be started. That it is often back
-    within 20 ms is for the hysteresis of what is announced, not for this."""
+    """The status that follows from the facts at `now`.
+
+    A lost executor link counts as standing still, as an admitted request could not be started. The
+    link is often restored within 20 ms; the announcement policy's hysteresis ignores such short
+    losses.
+    """
     if facts.failed:
         return NodeStatus.GONE
     if facts.leaving:
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -1,9 +1,11 @@
-"""What one peer has told us (its Adj-RIB-In, RFC 4271 section 3.2), in a trie for each family, bounded.
+"""Routes received from one peer (its Adj-RIB-In, RFC 4271 section 3.2): one trie per address
+family, limited in size.
 
-Prefixes that came with the same attributes share one record, so a prefix costs its node. A restart of the
-peer marks nothing one by one: each record bears the number of the session that brought it, and what an older
-session brought is stale until the new one has said it again, or its End-of-RIB has come (RFC 4724 section
-4.2)."""
+Prefixes that arrived with the same attributes share one `Route`, so that a prefix costs only its
+trie node. Each route carries the number of the session that brought it. Routes of an older session
+are stale until the current session announces them again or its End-of-RIB removes them (RFC 4724
+section 4.2); a restart of the peer therefore marks no routes one by one.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +21,11 @@
 @dataclass(eq=False, slots=True)
 class Route:
     attributes: Attributes
-    session: int  # which of the peer's sessions brought it
+    session: int  # number of the peer's session that announced it
 
 
 class PrefixLimitError(Exception):
-    """The peer has told more prefixes than it may."""
+    """The peer announced more prefixes than `max-prefixes`."""
 
     def __init__(self, afi: Afi, max_prefixes: int) -> None:
         super().__init__(f"more than {max_prefixes} prefixes")
@@ -31,25 +33,29 @@
 
 
 class AdjRibIn:
+    """The routes received from one peer."""
+
     def __init__(self, max_prefixes: int) -> None:
         self.max_prefixes = max_prefixes
         self.tries: dict[Afi, Trie[Route]] = {afi: Trie(afi) for afi in Afi}
-        self.session = 0  # the one that is told now
-        self.refresh_sessions: dict[
-            Afi, int
-        ] = {}  # a refresh under way, by the session number it counts as
+        self.session = 0  # number of the current session; a route refresh counts as a session
+        self.refresh_sessions: dict[Afi, int] = {}  # session numbers of the refreshes under way
 
     def __len__(self) -> int:
         return sum(len(trie) for trie in self.tries.values())
 
     def start_session(self) -> None:
-        """A session has come up: what is there is stale until it is said again."""
+        """Called when a session is established: all routes become stale until announced again."""
         self.session += 1
         self.refresh_sessions.clear()
 
     def announce(self, attributes: Attributes, prefixes: Iterable[Prefix]) -> None:
-        """Raises TooManyError; what came before in the same message is then kept, and the session's end drops
-        it."""
+        """Stores the prefixes with their attributes.
+
+        Raises:
+            PrefixLimitError: Prefixes stored before the limit was reached stay; they are dropped with the
+                session.
+        """
         route = Route(attributes, self.session)
         for prefix in prefixes:
             trie = self.tries[prefix.afi]
@@ -61,48 +67,55 @@
                 raise PrefixLimitError(prefix.afi, self.max_prefixes)
 
     def withdraw(self, prefixes: Iterable[Prefix]) -> int:
-        """How many of them stood there."""
+        """Removes the prefixes; returns how many of them were present."""
         return sum(
             self.tries[each.afi].drop(each.bits, each.length) is not None for each in prefixes
         )
 
     def stale(self, afi: Afi) -> int:
+        """The number of stale routes of a family."""
         return sum(route.session != self.session for _, route in self.tries[afi].walk())
 
     def drop_stale(self, afi: Afi) -> int:
-        """End-of-RIB, a refresh's end, or time is over."""
+        """Removes the stale routes of a family after End-of-RIB, the end of a refresh or a
+        time-out.
+        """
         trie = self.tries[afi]
         old = [prefix for prefix, route in trie.walk() if route.session != self.session]
         return self.withdraw(old)
 
     def drop_family(self, afi: Afi) -> int:
+        """Removes all routes of a family; returns how many."""
         trie, self.tries[afi] = self.tries[afi], Trie(afi)
         return len(trie)
 
     def start_refresh(self, afi: Afi) -> None:
-        """RFC 7313 section 4: what is not told again by the refresh's end is gone."""
+        """Beginning of a route refresh (RFC 7313 section 4): routes not announced again by its end
+        are removed.
+        """
         self.session += 1
         self.refresh_sessions[afi] = self.session
         for other in Afi:
-            if other is not afi:  # the other family's routes are none the older for it
+            if other is not afi:  # routes of the other family must not become stale
                 for _, route in self.tries[other].walk():
                     if route.session == self.session - 1:
                         route.session = self.session
 
     def end_refresh(self, afi: Afi) -> int:
+        """End of a route refresh: removes the stale routes; returns how many."""
         return self.drop_stale(afi) if self.refresh_sessions.pop(afi, None) is not None else 0
 
     def evaluate(
         self, policy: PeerPolicy, afi: Afi
     ) -> Iterator[tuple[Prefix, Attributes | Refused]]:
-        """In order, each as the rules would have it."""
+        """All routes of a family in order, each with the result of the import policy."""
         for prefix, route in self.tries[afi].walk():
             yield prefix, policy.import_route(prefix, route.attributes)
 
     def longest_usable(
         self, policy: PeerPolicy, prefix: Prefix
     ) -> tuple[Prefix, Attributes] | None:
-        """The longest usable route for it."""
+        """The longest matching route for `prefix` that the import policy accepts."""
         best = None
         for found, route in self.tries[prefix.afi].covering(prefix.bits, prefix.length):
             result = policy.import_route(found, route.attributes)
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -1,11 +1,19 @@
-"""One connection's finite state machine (RFC 4271 section 8). It takes an event and the time and returns what
-is to be done; it knows no socket, thread or clock. `TABLE` is meant to be read beside section 8.2.2.
+"""Finite state machine of one BGP connection (RFC 4271 section 8).
 
-Where it departs from the text, and why: - a NOTIFICATION is never answered by one, also not in OpenSent (the
-table of 8.2.2 would; section 6.4 would not); - a malformed header in Established is told by its own code, not
-as an error of the state machine; - with a hold time of zero, OpenConfirm keeps the long timer of OpenSent:
-who never confirms holds no place here; - a peer that does not read is given up after twice the hold time (RFC
-9687), not only after eight minutes: as long as it stands it may hold a route of ours that we took back."""
+Takes an event and the time and returns actions; it uses no sockets, threads or clock. `TABLE`
+follows section 8.2.2.
+
+Deviations from the RFC:
+
+- A NOTIFICATION is never answered with another one, not even in OpenSent. The table of section
+  8.2.2 would; section 6.4 forbids it.
+- A malformed header in Established is reported with its own error code, not as a finite state
+  machine error.
+- With a hold time of zero, OpenConfirm keeps the long hold timer of OpenSent, so that a peer that
+  never confirms does not occupy the connection forever.
+- If the peer does not read, the session ends after twice the hold time (RFC 9687), not only after
+  eight minutes, as until then the peer may keep a route that we have withdrawn.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +27,11 @@
 from lilacwalk.bgp.errors import UNEXPECTED_IN, BgpError, Cease, Code, OpenFault, reason
 from lilacwalk.bgp.messages import Keepalive, Notification, Open, Refresh, Update
 
-SECOND = 10_000  # tenths of a ms
-OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN has come
-MIN_JITTER = 0.75  # RFC 4271 section 10
-MAX_IDLE_HOLD = (
-    120 * SECOND
-)  # RFC 4271 names no figure: doubling ends where a person would look again
-KEEPALIVES_PER_HOLD_TIME = 3  # in one hold time (section 10)
+SECOND = 10_000  # in tenths of a millisecond
+OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
+MIN_JITTER = 0.75  # factor of a timer's shortest random value (RFC 4271 section 10)
+MAX_IDLE_HOLD = 120 * SECOND  # upper bound of the doubling; RFC 4271 specifies none
+KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271 section 10
 
 
 class State(IntEnum):
@@ -38,7 +44,7 @@
 
 
 class Event(IntEnum):
-    """Section 8.1, by their numbers there."""
+    """Events with their numbers in section 8.1."""
 
     MANUAL_START = 1
     MANUAL_STOP = 2
@@ -89,36 +95,36 @@
 
 
 class SessionAction(Enum):
-    """What a session asks of who holds it, with the value beside."""
+    """An action that the owner of a session must carry out; each comes with a value."""
 
     CONNECT = auto()
-    SEND = auto()  # bytes
+    SEND = auto()  # the bytes
     CLOSE = auto()
-    UP = auto()  # the Open that came
-    DOWN = auto()  # the Ended
+    UP = auto()  # the peer's Open
+    DOWN = auto()  # a SessionEnd
     ROUTES = auto()  # an Update
     REFRESH = auto()  # a Refresh
 
 
 @dataclass(frozen=True, slots=True)
 class SessionEnd:
-    """Why a session ended, as logs say it in full."""
+    """Why a session ended."""
 
     reason: str
     by_peer: bool = False
-    received: Notification | None = None  # the one that came
-    sent: tuple[int, int] | None = None  # the one that we sent
+    received: Notification | None = None  # from the peer
+    sent: tuple[int, int] | None = None  # code and subcode that we sent
     was_up: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SessionConfig:
-    """What a session is told of both ends at its making."""
+    """Settings of both ends of a session, given when it is created."""
 
     asn: int
     router_id: str
     peer_as: int
-    hold: int  # tenths of a ms
+    hold: int  # times in tenths of a millisecond
     connect_retry: int
     idle_hold: int
     delay_open: int
@@ -129,7 +135,7 @@
 E, S = Event, State
 Row = tuple[
     tuple[str, ...], State | None
-]  # steps in order, and the next state; None: a step decides
+]  # step methods in order, and the next state; None if a step determines it
 
 STAY: Row = ((), None)
 FAIL: Row = (("stop_timers", "close", "count_failure", "start_idle_hold"), S.IDLE)
@@ -146,6 +152,7 @@
 
 
 def state_rows(*lines: tuple[Iterable[Event], Row], others: Row) -> dict[Event, Row]:
+    """The rows of one state; events not listed have the row `others`."""
     table = dict.fromkeys(Event, others)
     for events, row in lines:
         for event in events:
@@ -161,7 +168,10 @@
     E.AUTOMATIC_START_DAMPED,
     E.AUTOMATIC_START_DAMPED_PASSIVE,
 )
-TCP_REQUESTED = (E.TCP_VALID, E.TCP_INVALID)  # of a connection that is not this session's own yet
+TCP_REQUESTED = (
+    E.TCP_VALID,
+    E.TCP_INVALID,
+)  # concern a connection not yet assigned to this session
 
 TABLE: dict[State, dict[Event, Row]] = {
     S.IDLE: state_rows(
@@ -268,15 +278,17 @@
         )
         self.state = State.IDLE
         self.timers: dict[Timer, int] = {}
-        self.damped = False  # in Idle: a failure is waited out (DampPeerOscillations)
-        self.failures = 0  # the ConnectRetryCounter: since the last session that held
+        self.damped = (
+            False  # in Idle: the idle hold time after a failure is running (DampPeerOscillations)
+        )
+        self.failures = 0  # ConnectRetryCounter since the last stable session
         self.agreed = NegotiatedCapabilities()
         self.peer_open: Open | None = None
-        self.hold_time = 0  # agreed, tenths of a ms; 0: none
+        self.hold_time = 0  # negotiated, in tenths of a millisecond; 0 disables the timers
         self.up_since = 0
         self.actions: list[tuple[SessionAction, object]] = []
-        self.error: BgpError | None = None  # what `notify` tells
-        self.cease_subcode, self.cease_data = int(Cease.SHUTDOWN), b""  # what `cease` tells
+        self.error: BgpError | None = None  # sent by `_send_notification`
+        self.cease_subcode, self.cease_data = int(Cease.SHUTDOWN), b""  # sent by `_send_cease`
         self.last_message: object = None
         self.cause = ""
         self.sent_codes: tuple[int, int] | None = None
@@ -285,23 +297,25 @@
     def internal(self) -> bool:
         return self.config.asn == self.config.peer_as
 
-    # From outside
+    # Inputs
 
     def event(self, event: Event, now: int, cause: str = "") -> list[tuple[SessionAction, object]]:
-        """One event of section 8.1 by itself; its name is the reason where none is given."""
+        """Handles one event of section 8.1; without a `cause` its name is the reason in logs."""
         self._handle(event, now, cause or event.name.lower())
         return self._take_actions()
 
     def cease(
         self, event: Event, now: int, subcode: int, data: bytes = b""
     ) -> list[tuple[SessionAction, object]]:
-        """ManualStop, AutomaticStop or a collision's dump, told with this subcode (RFC 4486)."""
+        """Handles ManualStop, AutomaticStop or a collision, reported to the peer with this Cease
+        subcode (RFC 4486).
+        """
         self.cease_subcode, self.cease_data = int(subcode), data
         self._handle(event, now, reason(Code.CEASE, subcode))
         return self._take_actions()
 
     def received(self, kind: int, body: bytes, now: int) -> list[tuple[SessionAction, object]]:
-        """One whole message. What it holds decides which event it is."""
+        """Handles one complete message; its content determines the event."""
         try:
             message = messages.decode(kind, body, self.agreed, self.internal)
         except BgpError as error:
@@ -318,37 +332,35 @@
             self._handle(
                 E.VERSION_ERROR if version else E.NOTIFICATION,
                 now,
-                "peer said " + reason(message.code, message.subcode),
+                "peer sent " + reason(message.code, message.subcode),
             )
         elif isinstance(message, Keepalive):
             self._handle(E.KEEPALIVE, now, "keepalive")
         elif isinstance(message, Update):
             self._handle(E.UPDATE, now, "update")
-        elif (
-            self.state is S.ESTABLISHED
-        ):  # RFC 2918 has no event of its own: it is an UPDATE's equal
+        elif self.state is S.ESTABLISHED:  # RFC 2918 defines no event; handled like an UPDATE
             self.now = now
             self._restart_hold()
-            if self.agreed.refresh:  # else it was not offered, and is passed over
+            if self.agreed.refresh:  # ignored if not negotiated
                 self.actions.append((SessionAction.REFRESH, message))
         else:
             self._handle(E.UPDATE, now, "refresh")
         return self._take_actions()
 
     def decode_failed(self, error: BgpError, now: int) -> list[tuple[SessionAction, object]]:
-        """What came can be no message, or one that ends the session."""
+        """Handles a message that cannot be decoded or that ends the session."""
         events = {Code.HEADER: E.HEADER_ERROR, Code.OPEN: E.OPEN_ERROR}
         self.error = error
         self._handle(events.get(error.code, E.UPDATE_ERROR), now, str(error))  # type: ignore[call-overload]
         return self._take_actions()
 
     def flushed(self, now: int) -> None:
-        """All that was sent has been taken by the system."""
+        """The operating system has accepted all sent bytes: restarts the send hold timer."""
         if Timer.SEND_HOLD in self.timers:
             self._start_send_hold_at(now)
 
     def tick(self, now: int) -> list[tuple[SessionAction, object]]:
-        """Every timer that is due, in the order of their times."""
+        """Handles all expired timers in the order of their times."""
         while expired := [
             (time, timer.value, timer) for timer, time in self.timers.items() if time <= now
         ]:
@@ -364,18 +376,20 @@
         return self._take_actions()
 
     def stalled(self, until: int) -> None:
-        """This process stood still: what the peer sent meanwhile may not be read yet, so nobody is given up
-        for silence before then."""
+        """After a stall of this process, postpones the hold timers to `until`.
+
+        Messages that the peer sent meanwhile may not have been read yet.
+        """
         for timer in (Timer.HOLD, Timer.SEND_HOLD):
             if timer in self.timers:
                 self.timers[timer] = max(self.timers[timer], until)
 
-    # The table
+    # State table
 
     def _handle(self, event: Event, now: int, cause: str) -> None:
         self.now, self.cause = now, cause
         if self.state is S.IDLE and Timer.IDLE_HOLD in self.timers and event in START_EVENTS[1:]:
-            return  # DampPeerOscillations: only a person's start overrides the wait
+            return  # DampPeerOscillations: only ManualStart ends the wait
         steps, next_state = TABLE[self.state][event]
         previous = self.state
         for step in steps:
@@ -406,7 +420,7 @@
         actions, self.actions = self.actions, []
         return actions
 
-    # Steps
+    # Steps of the state table
 
     def _jittered(self, time: int) -> int:
         return int(time * self.rng.uniform(MIN_JITTER, 1.0))
@@ -426,7 +440,7 @@
         self.timers[Timer.HOLD] = self.now + OPEN_HOLD_TIME
 
     def _restart_hold(self) -> None:
-        """Also ends the long wait of OpenConfirm where no hold time was agreed."""
+        """Also ends the long hold timer of OpenConfirm if no hold time was negotiated."""
         self.timers.pop(Timer.HOLD, None)
         if self.hold_time:
             self.timers[Timer.HOLD] = self.now + self.hold_time
@@ -460,7 +474,7 @@
         self.failures = 1 if was_stable else self.failures + 1
 
     def _start_idle_hold(self) -> None:
-        """Doubles with each failure, so that a peer that turns us away is not asked without end."""
+        """Doubles with each failure, so that a peer that rejects us is not contacted too often."""
         time = min(
             MAX_IDLE_HOLD,
             self.config.idle_hold << min(self.failures - 1, 20)
@@ -480,7 +494,7 @@
         return next_state
 
     def _retry_connection(self) -> State:
-        """The retry timer in Active: a passive session goes on listening."""
+        """ConnectRetryTimer expiry in Active; a passive session keeps listening."""
         self._start_connect_retry()
         if self.config.passive:
             return S.ACTIVE
@@ -488,8 +502,12 @@
         return S.CONNECT
 
     def _connect_failed(self) -> State:
-        """With DelayOpen running the text goes to Active; else to Idle, where the next try waits for the
-        retry time: nothing answered, which is no oscillation that a longer wait would damp."""
+        """A connection attempt failed.
+
+        With the DelayOpenTimer running, the RFC goes to Active. Otherwise the session goes to Idle,
+        where the next attempt waits for the connect retry time. The idle hold time does not grow,
+        as no answer is not an oscillation.
+        """
         if Timer.DELAY_OPEN in self.timers:
             self._stop_timers()
             self._start_connect_retry()
@@ -567,11 +585,17 @@
         self.actions.append((SessionAction.SEND, messages.encode(message)))
 
     def _check_open(self, message: Open) -> BgpError | None:
-        """Section 6.2, and RFC 6286 for the identifier."""
+        """Checks of section 6.2, with RFC 6286 for the BGP identifier."""
         if message.asn != self.config.peer_as:
-            return BgpError(Code.OPEN, OpenFault.PEER_AS, text=f"AS {message.asn}")
+            return BgpError(
+                Code.OPEN,
+                OpenFault.PEER_AS,
+                text=f"AS {message.asn} instead of {self.config.peer_as}",
+            )
         if message.router_id == self.config.router_id and self.internal:
-            return BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="our own router id")
+            return BgpError(
+                Code.OPEN, OpenFault.ROUTER_ID, text=f"router id {message.router_id} is ours"
+            )
         try:
             NegotiatedCapabilities.between(
                 self.local_capabilities, message.capabilities, self.config.strict_role
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -1,7 +1,10 @@
-"""The speaker's host: sockets, threads, the clock. One thread owns `Speaking` and never blocks on a socket;
-each connection has a reader on a blocking socket that cuts the bytes into messages and puts them onto one
-queue; what is to be sent goes through bounded outboxes. Elapsed time, not the wall clock, counts: BGP has no
-use for the date, and a clock that jumps ends no session."""
+"""I/O of the speaker: sockets, threads and the clock.
+
+One thread owns `SpeakerState` and never blocks on a socket. Each connection has a reader thread on
+a blocking socket that splits the bytes into messages and posts them to the speaker's queue. Sent
+data goes through bounded send buffers. Time is monotonic: BGP does not need the date, and a change
+of the wall clock must not end sessions.
+"""
 
 from __future__ import annotations
 
@@ -28,25 +31,27 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """Of one speaker's sockets and memory."""
+    """Limits of one speaker's sockets and memory."""
 
-    send_buffer: int = (
-        4_000_000  # bytes unsent to one peer: two refreshes of a hundred thousand prefixes
-    )
-    read_bytes: int = 16_384  # taken from a socket at once: four plain messages of the largest size
-    batch: int = 64  # messages handed over at once; a peer that floods waits for itself
-    queued_batches: int = 2
+    send_buffer: int = 4_000_000  # unsent bytes per peer: two refreshes of 100,000 prefixes
+    read_bytes: int = 16_384  # bytes per read: four messages of 4,096 bytes
+    batch: int = 64  # messages per queue item
+    queued_batches: int = 2  # per connection; a peer that floods delays only itself
     items_per_iteration: int = (
-        16  # queue items taken between two looks at the timers: a thousand messages, some 50 ms
+        16  # queue items between two timer checks: about 1,000 messages or 50 ms
+    )
+    connect: float = (
+        2.0  # seconds, covers one lost SYN; a shorter connect retry time ends the attempt earlier
     )
-    connect: float = 2.0  # seconds: more than one lost SYN; a shorter retry timer gives up sooner
-    close_timeout: float = 1.0  # seconds a peer may take to read a notification and close
+    close_timeout: float = 1.0  # seconds for the peer to read a notification and close
     backlog: int = 64
     stack: int = 131_072
 
 
 class Connection:
-    """One connection and the thread that reads it. The speaker's thread owns all but the reader's loop."""
+    """A connection and its reader thread; all else than the reader's loop runs in the speaker's
+    thread.
+    """
 
     def __init__(
         self,
@@ -83,14 +88,14 @@
             cause = error.strerror or str(error)
         except Exception:
             log.exception("event=thread_failed thread=bgp-reader")
-            cause = "a defect in its reader"
+            cause = "internal error in the reader thread"
         finally:
             self.speaker.inbox.put((self.speaker.on_lost, self, cause))
 
     def _connect(self) -> bool:
         family = socket.AF_INET6 if ":" in self.remote_address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
-        self.sock = sock  # before it is open: who gives the try up closes it
+        self.sock = sock  # set before connecting, so that an abandoned attempt can be closed
         try:
             if self.local_address is not None:
                 sock.bind((self.local_address, 0))
@@ -118,7 +123,7 @@
                     if len(batch) == bounds.batch:
                         self._post_batch(batch)
                         batch = []
-            finally:  # what was whole before a broken one counts
+            finally:  # messages before a malformed one are still delivered
                 if batch:
                     self._post_batch(batch)
         return None
@@ -128,8 +133,11 @@
         self.speaker.inbox.put((self.speaker.on_messages, self, batch))
 
     def _discard_input(self) -> None:
-        """What still comes is read and dropped, so that the system does not answer it with a reset that takes
-        our last words with it; for as long as those may take."""
+        """Reads and drops further input for up to `close_timeout`.
+
+        Unread input at the close would make the operating system send a reset, which could discard
+        our last message before the peer reads it.
+        """
         until = time.monotonic() + self.speaker.bounds.close_timeout
         try:
             self.sock.settimeout(self.speaker.bounds.close_timeout)
@@ -139,7 +147,10 @@
             pass
 
     def close(self) -> None:
-        """After what was sent; the reader ends it. A peer that reads nothing any more loses it."""
+        """Closes after all sent data; the reader ends the connection.
+
+        If the peer does not read, unsent data is discarded.
+        """
         self.closing.set()
         self.batch_permits.put(None)
         sock = self.sock
@@ -156,8 +167,12 @@
 
 
 class Speaker:
-    """`on_listener`: told, in the speaker's thread, once the withdrawals of a drain have been sent, how long
-    from then the listener must stay open, in tenths of a ms."""
+    """The running speaker.
+
+    `on_withdrawal_sent` is called in the speaker's thread once a drain's withdrawals have been
+    sent, with the time in tenths of a millisecond for which the listener must stay open from then
+    on. `on_level_change` is called in that thread when the announcement level changes.
+    """
 
     def __init__(
         self,
@@ -178,13 +193,13 @@
         self.connections: dict[int, Connection] = {}
         self.closing_connections: dict[
             Connection, None
-        ] = {}  # closed by us, their readers not yet at an end
+        ] = {}  # closed by us, with the reader still running
         self.unflushed: dict[Connection, None] = {}
         self.withdrawal_reported = False
         self.on_level_change, self.level = (
             on_level_change,
             Level.NONE,
-        )  # told in the speaker's thread when it changes
+        )
         self.ended = threading.Event()
         self.state = SpeakerState(config, seed, self.now())
         self.listener = (
@@ -194,55 +209,65 @@
         self.failed = False
 
     def now(self) -> int:
+        """The monotonic time in tenths of a millisecond."""
         return self.clock() // 100_000
 
-    # For other threads
+    # Called by other threads
 
     def start(self) -> None:
+        """Starts the threads."""
         self.thread.start()
         if self.listener is not None:
             threading.Thread(target=self._accept, name="bgp-listener", daemon=True).start()
 
     def set_node_status(self, state: NodeStatus) -> None:
+        """Reports the node's status."""
         self.inbox.put((self._set_node_status, state))
 
     def set_level_cap(self, level_cap: Level) -> None:
-        """How much wanted its own services may be."""
+        """Limits the level of the node's own services."""
         self.inbox.put((self._set_level_cap, level_cap))
 
     def set_failover_services(self, services: tuple[Service, ...]) -> None:
-        """Other sites' services, from now on; none ends it."""
+        """Sets the services of other sites to announce; an empty tuple ends that."""
         self.inbox.put((self._set_failover_services, services))
 
     def restore_penalty(self, penalty: float, suppressed: bool, announced: bool, age: int) -> None:
-        """What an earlier life of this node put down, so long ago."""
+        """Restores the flap penalty that an earlier process had `age` tenths of a millisecond ago."""
         self.inbox.put((self._restore_penalty, penalty, suppressed, announced, age))
 
     def set_withdrawal_allowed(self, withdrawal_allowed: bool) -> None:
-        """What the view of the fleet says of a withdrawal for sickness."""
+        """Sets whether fleet membership allows a withdrawal for bad health."""
         self.inbox.put((self._set_withdrawal_allowed, withdrawal_allowed))
 
     def leave(self, listener_closes_in: int | None) -> None:
-        """A drain; the listener closes at the latest `listener_in` tenths of a ms from now."""
+        """Starts a drain; the listener closes in `listener_closes_in` tenths of a millisecond at
+        the latest.
+        """
         self.inbox.put((self._leave, listener_closes_in))
 
     def reload(self, config: BgpConfig) -> None:
+        """Applies a reloaded configuration."""
         self.inbox.put((self._reload, config))
 
     def end(self, timeout: float = 2.0) -> None:
-        """Withdraws all, ends every session and the thread."""
+        """Withdraws all routes, ends every session and the speaker's thread."""
         self.inbox.put((self._end,))
         if threading.current_thread() is not self.thread:
             self.thread.join(timeout)
 
     def query(self, question: Callable[[SpeakerState], object], timeout: float = 2.0) -> object:
-        """The answer to a question that the speaker's thread puts to its state. Raises TimeoutError."""
+        """Runs `question` in the speaker's thread and returns its result.
+
+        Raises:
+            TimeoutError: The speaker's thread did not answer within `timeout` seconds.
+        """
         answers: SimpleQueue[object] = SimpleQueue()
         self.inbox.put((lambda: answers.put(question(self.state)),))
         try:
             return answers.get(timeout=timeout)
         except Empty:
-            raise TimeoutError("the speaker does not answer") from None
+            raise TimeoutError(f"the speaker did not answer within {timeout} s") from None
 
     # The speaker's thread
 
@@ -271,7 +296,7 @@
             handler(*arguments)
             for _ in range(
                 self.bounds.items_per_iteration
-            ):  # then the timers, whatever still waits
+            ):  # limited, so that a long queue does not delay the timers
                 if self.state.ended:
                     break
                 handler, *arguments = self.inbox.get_nowait()
@@ -333,7 +358,7 @@
                 self._abort(connection)
 
     def _abort(self, connection: Connection) -> None:
-        """At once and for all that is still queued of it: what a peer asks that does not read is not done."""
+        """Closes a connection at once and drops its queued messages, as the peer does not read."""
         del self.connections[connection.number]
         self.unflushed.pop(connection, None)
         self.closing_connections[connection] = None
@@ -349,10 +374,10 @@
             connection.start()
         except RuntimeError as error:
             log.warning({"event": "no_thread", "detail": str(error)})
-            self.inbox.put((self.on_lost, connection, "no thread"))
+            self.inbox.put((self.on_lost, connection, "cannot start a reader thread"))
 
     def _await_closes(self) -> None:
-        """Until every peer has closed or the time for it is over."""
+        """Waits until every peer has closed or `close_timeout` has passed."""
         until = time.monotonic() + self.bounds.close_timeout
         while (self.connections or self.closing_connections) and (
             left := until - time.monotonic()
@@ -389,19 +414,22 @@
     def _reload(self, config: BgpConfig) -> None:
         if config.listen != self.config.listen or config.socket != self.config.socket:
             log.warning(
-                {"event": "bgp_reload", "detail": "listen and socket are for the next start"}
+                {
+                    "event": "bgp_reload",
+                    "detail": "changes of listen and socket take effect at the next start",
+                }
             )
         self.config = config
         changed = self.state.reconfigure(config, self.now())
         log.info(
-            {"event": "bgp_reloaded", "changed": ",".join(changed) or "nothing of its sessions"}
+            {"event": "bgp_reloaded", "changed": ",".join(changed) or "no sessions or services"}
         )
 
     def _end(self) -> None:
         self.state.end(self.now())
         self._perform_actions()
 
-    # Told by the connections' threads
+    # Posted by the connections' threads
 
     def on_connected(self, connection: Connection) -> None:
         connection.send_buffer = SendBuffer(connection.sock, self.bounds.send_buffer, "bgp")
@@ -446,7 +474,7 @@
         self._start_connection(connection)
 
     def _reject(self, sock: socket.socket) -> None:
-        """RFC 4486: connection rejected. Whoever it is, no thread is spent on it."""
+        """Rejects a connection (RFC 4486) without starting a thread for it."""
         try:
             sock.send(encode_notification(Code.CEASE, Cease.REJECTED), socket.MSG_DONTWAIT)
         except OSError:
@@ -455,8 +483,11 @@
         sock.close()
 
     def _accept(self) -> None:
-        """Its own thread. How many wait for the speaker's thread is bounded by the queue it can fill at
-        once."""
+        """Accepts connections, in a thread of its own.
+
+        It waits until the speaker's thread has handled each connection, so that connections cannot
+        fill the queue.
+        """
         try:
             while not self.ended.is_set():
                 try:
@@ -464,7 +495,9 @@
                 except OSError as error:
                     if not self.ended.is_set():
                         log.warning({"event": "accept_failed", "detail": str(error)})
-                        self.ended.wait(0.05)  # out of descriptors: not a busy loop
+                        self.ended.wait(
+                            0.05
+                        )  # avoids a busy loop, for example without free file descriptors
                     continue
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 handled = threading.Event()
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -1,5 +1,8 @@
-"""The whole speaker without its sockets: the node's state in, what every peer is to be told out. Each handler
-takes the time, which never runs back; `evaluated` gives what the host is to do, in order."""
+"""The whole speaker without sockets: node status in, actions for the host out.
+
+Each handler takes the time, which never decreases. `take_actions` returns what the host must do, in
+order.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +24,14 @@
 from lilacwalk.bgp.policy import Refused
 from lilacwalk.bgp.prefixes import Afi, Prefix
 
-STALL_THRESHOLD = (
-    SECOND  # a pass that comes this much late: the process stood still, and what came is unread
-)
-CATCH_UP_TIME = SECOND // 2  # for the readers to hand over what waits in their sockets after that
-MAX_ROUTES_SHOWN = (
-    1_000  # routes told of one peer at once: a table of millions is no answer that anybody reads
-)
+STALL_THRESHOLD = SECOND  # a tick this late means that the process stalled, with messages unread
+CATCH_UP_TIME = SECOND // 2  # after a stall, for the readers to deliver messages from their sockets
+MAX_ROUTES_SHOWN = 1_000  # routes in one answer; a peer can have millions
 
 
 class SpeakerState:
+    """All peers and the announcement policy of one speaker."""
+
     def __init__(self, config: BgpConfig, seed: int, now: int) -> None:
         self.config, self.rng, self.now = config, random.Random(seed), now
         self.announcement_policy = AnnouncementPolicy(config, now)
@@ -39,8 +40,8 @@
         self.actions: list[Action] = []
         self.started_at = now
         self.decision = Decision(Level.NONE, "cold", None)
-        self.next_tick_due = now  # when the next pass was due
-        self.failover_services: tuple[Service, ...] = ()  # of other sites, announced in their place
+        self.next_tick_due = now  # when the next `tick` was expected
+        self.failover_services: tuple[Service, ...] = ()  # of failed sites
         self.ended = False
 
     def start(self, now: int) -> None:
@@ -58,13 +59,14 @@
         self.actions += peer_state.take_actions()
 
     def _restart_claims(self) -> tuple[bool, bool]:
-        """What an OPEN may say of a graceful restart: that this process began restarted, and that the node
-        serves."""
+        """What an OPEN may state about graceful restart: whether this process has just started, and
+        whether the node serves.
+        """
         restart_config = self.config.graceful_restart
         restarted = restart_config is not None and self.now - self.started_at < restart_config.time
         return restarted, self.announcement_policy.level is not Level.NONE
 
-    # The node
+    # Node status
 
     def set_node_status(self, status: NodeStatus, now: int) -> None:
         self._advance_clock(now)
@@ -89,8 +91,11 @@
         self._apply_decision(now)
 
     def set_failover_services(self, services: tuple[Service, ...], now: int) -> None:
-        """Other sites' services, told as less wanted than their own nodes' while this one is well: so their
-        return alone draws the traffic home, whatever is withdrawn late here."""
+        """Sets the services of other sites to announce.
+
+        They are announced as less wanted while this node is healthy. When the other site recovers,
+        its own announcement is thus preferred at once, however late the withdrawal here.
+        """
         self._advance_clock(now)
         if services == self.failover_services:
             return
@@ -108,7 +113,7 @@
 
     @property
     def listener_may_close_at(self) -> int | None:
-        """Once leaving: when the listener may close, at the earliest."""
+        """The earliest time at which the listener may close; None if there is no drain."""
         return (
             self.announcement_policy.listener_may_close_at
             if self.announcement_policy.node_status in (NodeStatus.LEAVING, NodeStatus.GONE)
@@ -116,7 +121,9 @@
         )
 
     def end(self, now: int) -> None:
-        """The last words: all is withdrawn, then every session ends with a cease and the operator's text."""
+        """Withdraws all routes, then ends every session with a Cease and the operator's shutdown
+        text.
+        """
         self._advance_clock(now)
         self.announcement_policy.set_node_status(NodeStatus.GONE, now)
         self._apply_decision(now)
@@ -136,7 +143,7 @@
             self.actions.append(Action(ActionKind.CLOSE, link))
 
     def accepted(self, host: str, now: int) -> tuple[int, tuple[str, int]] | None:
-        """The link's number and whose it is; None: nobody that may connect from there."""
+        """The new link's number and the peer's address; None if no peer may connect from this host."""
         self._advance_clock(now)
         for address, peer in self.peers.items():
             if address[0] == host and (number := peer.accepted(now)):
@@ -169,7 +176,9 @@
             peer.flushed(link, now)
 
     def _peer_of_link(self, address: tuple[str, int], link: int) -> PeerState | None:
-        """A peer that was evaluated out and put in again holds none of its former links."""
+        """The peer that owns the link; links of a peer that was removed and added again are
+        unknown.
+        """
         peer = self.peers.get(address)
         return peer if peer is not None and peer.find_link(link) is not None else None
 
@@ -179,8 +188,11 @@
         self.now = max(self.now, now)
 
     def tick(self, now: int) -> None:
-        """All that is due. After a standstill of the process nobody is given up for a silence that nobody
-        could have heard, and being ready is proven anew."""
+        """Handles all expired timers.
+
+        After a stall of the process, no peer is declared dead for messages that could not be read
+        meanwhile, and the `ready-for` period starts anew.
+        """
         self._advance_clock(now)
         if now - self.next_tick_due > STALL_THRESHOLD:
             late = (now - self.next_tick_due) // 10
@@ -197,15 +209,16 @@
         self.next_tick_due = self.next_due() or now + STALL_THRESHOLD
 
     def next_due(self) -> int | None:
-        """When `tick` is wanted next."""
+        """The time at which `tick` must be called next."""
         times = [time for peer in self.peers.values() if (time := peer.next_due()) is not None]
         if self.decision.next_check is not None:
             times.append(self.decision.next_check)
         return min(times, default=None)
 
-    # What follows
+    # Announcements
 
     def _apply_decision(self, now: int) -> None:
+        """Decides the announcement level and sends changes to all peers."""
         previous, self.decision = self.decision, self.announcement_policy.decide(now)
         if self.decision.level is not previous.level:
             self.actions.append(
@@ -226,11 +239,14 @@
                 self.actions += peer.take_actions()
 
     def _service_routes(self, peer: Peer) -> dict[Prefix, Attributes]:
+        """All routes to announce to a peer, before its export policy."""
         level = self.announcement_policy.level
         if level is Level.NONE:
             return {}
         found = {}
-        if level is Level.NORMAL:  # who is unwell, or leaves, stands in for nobody
+        if (
+            level is Level.NORMAL
+        ):  # an unhealthy or draining node announces no other site's services
             found = {
                 service.prefix: service_attributes(self.config, service, peer, Level.LESS_WANTED)
                 for service in self.failover_services
@@ -246,11 +262,14 @@
         actions, self.actions = self.actions, []
         return actions
 
-    # A new file
+    # Reconfiguration
 
     def reconfigure(self, config: BgpConfig, now: int) -> list[str]:
-        """What changed, by name. Peers that stay keep their sessions unless what both sides agreed on at
-        their beginning changed; withdrawals of services that are gone leave at once."""
+        """Applies a reloaded file; returns the names of what changed.
+
+        Sessions are kept unless settings negotiated in their OPEN changed. Removed services are
+        withdrawn at once.
+        """
         self._advance_clock(now)
         changed = []
         previous, self.config = self.config, config
@@ -263,7 +282,7 @@
                 changed.append(f"peer-{peer.name}")
                 peer.set_routes(
                     {}
-                )  # an explicit withdrawal: the peer may keep what a mere end leaves standing
+                )  # explicit withdrawal, as the peer may keep routes when a session ends
                 peer.stop(now, subcode)
                 self.actions += peer.take_actions()
                 del self.peers[address]
@@ -280,9 +299,10 @@
             self.actions += peer.take_actions()
         return changed
 
-    # Shown
+    # Reports
 
     def status(self) -> dict[str, object]:
+        """The report for the admin socket."""
         now, penalty = self.now, self.announcement_policy.penalty
         return {
             "as": self.config.as_,
@@ -299,7 +319,7 @@
         }
 
     def received_routes(self, address: tuple[str, int]) -> list[dict[str, object]]:
-        """A peer's routes in order, each with why it is not used where it is not."""
+        """The routes received from a peer in order, with the reason if a route is not used."""
         peer, rows = self.peers.get(address), []
         for afi in Afi if peer is not None else ():
             for prefix, evaluated in peer.adj_rib_in.evaluate(peer.policy, afi):
@@ -321,7 +341,7 @@
         return rows
 
     def usable_routes(self, prefix: Prefix) -> list[dict[str, object]]:
-        """Which peers have a usable route for it, and the longest of each."""
+        """For each peer with a usable route to the prefix, the longest match."""
         rows = []
         for peer in self.peers.values():
             if (found := peer.adj_rib_in.longest_usable(peer.policy, prefix)) is not None:
--- a/tests/bgp/test_policy.py
+++ b/tests/bgp/test_policy.py
@@ -84,7 +84,7 @@
         (route(as_path=((SEQUENCE, (THEM, US)),)), "our own AS in the path"),
         (route(as_path=((SEQUENCE, (7,)),)), "the path does not begin with the peer's AS"),
         (route(as_path=()), "the path does not begin with the peer's AS"),
-        (route(as_path=((SEQUENCE, (THEM,) * 256),)), "an absurd path"),
+        (route(as_path=((SEQUENCE, (THEM,) * 256),)), "more than 255 AS numbers in the path"),
         (route(), "no import policy"),
     ],
 )
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -131,7 +131,7 @@
     made.set_node_status(NodeStatus.SICK, 100_000)
     held = made.decide(500_000)
     assert held.level is Level.LESS_WANTED
-    assert "may go" in held.reason
+    assert "withdrawal is not allowed" in held.reason
     made.set_withdrawal_allowed(True)
     assert made.decide(500_001).level is Level.NONE
     made.set_withdrawal_allowed(False)
