--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -33,6 +33,10 @@
 
 
 class NodeStatus(Enum):
+    """The node's status as reported to the speaker; the values are the words of the operator's
+    interfaces.
+    """
+
     COLD = "cold"
     WARMING = "warming"
     READY = "ready"
@@ -43,6 +47,8 @@
 
 
 class Level(IntEnum):
+    """How the services are announced, least preferred first."""
+
     NONE = 0
     LAST_RESORT = 1
     LEAVING = 2
@@ -202,7 +208,7 @@
             if self.level is Level.NONE:
                 return Level.NONE, "leaving, was not announced", None
             if now < self.withdraw_at:
-                # LEAVING must not raise the preference of a node that was less wanted already
+                # LEAVING must not raise the preference of a node that is less wanted already.
                 is_less_preferred = self.level in (Level.LESS_WANTED, Level.LAST_RESORT)
                 return (
                     self.level if is_less_preferred else Level.LEAVING,
@@ -314,6 +320,5 @@
     for hop in (service.next_hop, peer.next_hop, config.next_hop):
         if hop is not None and (":" in hop) == (family == 6):
             return hop
-    raise ValueError(
-        f"no next-hop of the address family of {service.prefix}"
-    )  # excluded by the configuration check for own services
+    # The configuration check excludes this for the node's own services.
+    raise ValueError(f"no next-hop of the address family of {service.prefix}")
--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -1,5 +1,6 @@
-"""Parts for the speaker's stories: orders from text, a machine with its time by hand, a speaker on
-loopback."""
+"""Helpers: configurations from text, a peer under simulated time, and routers and speakers on
+loopback.
+"""
 
 import random
 from itertools import count
@@ -48,7 +49,7 @@
 
 
 def announce_config(more="", **changed):
-    """The base file with more statements in its block; a keyword given anew takes the base's place."""
+    """The base block with further statements; a keyword argument replaces the base's statement."""
     lines = BASE % more
     for keyword, word in changed.items():
         name = keyword.replace("_", "-")
@@ -67,7 +68,9 @@
 
 
 class PeerHarness:
-    """One peer's machine: what it does is taken apart into what was sent on which link."""
+    """A `PeerState` under simulated time; its actions are sorted into sent messages, closes,
+    connects and logs.
+    """
 
     def __init__(self, *peer_lines, more="", restart_claims=(False, True), start=True):
         self.now = 1_000_000
@@ -103,7 +106,7 @@
         return [kind for number, kind, _ in self.sent if link in (None, number)]
 
     def notified(self, link=None):
-        """code and subcode of the last NOTIFICATION, or None."""
+        """Code and subcode of the last sent NOTIFICATION, or None."""
         found = [body for number, kind, body in self.sent if kind == 3 and link in (None, number)]
         return (found[-1][0], found[-1][1]) if found else None
 
@@ -125,12 +128,12 @@
         return self.drain_actions()
 
     def up(self, **opened):
-        """From a start to Established."""
+        """Brings the session from its start to Established."""
         self.connected().open(**opened)
         return self.keepalive()
 
     def wait(self, time):
-        """Every timer on the way fires at its own time."""
+        """Advances the time; each timer on the way fires at its own time."""
         end = self.now + time
         while (due := self.peer.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -1,4 +1,4 @@
-"""When a node is announced and how: the states of a node against simulated time."""
+"""When and how a node is announced, under simulated time."""
 
 import math
 
@@ -26,7 +26,7 @@
 
 
 class PolicyHarness:
-    """A node's life: what level held from when to when."""
+    """An announcement policy under simulated time, with the levels that it decided and when."""
 
     def __init__(self, more="", **changed):
         self.now = 1_000_000
@@ -47,7 +47,9 @@
     def wait(self, ms):
         end = self.now + ms * MS
         while self.next_check is not None and self.next_check <= end:
-            assert self.next_check > self.now  # no time that passes nothing
+            assert (
+                self.next_check > self.now
+            )  # a decision must not ask for a check at a time that has passed
             self.now = self.next_check
             self.decide()
         self.now = end
@@ -58,7 +60,7 @@
         return self.machine.level
 
 
-def test_a_node_is_announced_once_it_has_been_ready_for_long_enough():
+def test_node_is_announced_after_being_ready_for_the_ready_time():
     harness = (
         PolicyHarness()
         .set_status(NodeStatus.COLD, 500)
@@ -70,11 +72,11 @@
 
 
 @pytest.mark.parametrize("state", [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.GONE])
-def test_a_node_that_starts_anew_or_is_gone_is_withdrawn_at_once(state):
+def test_node_that_restarts_or_is_gone_is_withdrawn_at_once(state):
     assert PolicyHarness().set_status(NodeStatus.READY, 100).set_status(state).level is Level.NONE
 
 
-def test_a_sick_node_is_less_wanted_then_withdrawn_and_well_again_only_after_a_while():
+def test_sick_node_is_less_wanted_then_withdrawn_and_recovers_only_after_well_after():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK)
     assert harness.level is Level.LESS_WANTED
     assert harness.set_status(NodeStatus.READY, 49).level is Level.LESS_WANTED
@@ -85,21 +87,21 @@
     assert harness.wait(1).level is Level.NORMAL
 
 
-def test_a_node_that_swings_between_sick_and_well_is_withdrawn_all_the_same():
+def test_node_that_alternates_between_sick_and_ready_is_withdrawn():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(4):
         harness.set_status(NodeStatus.SICK, 20).set_status(NodeStatus.READY, 10)
     assert harness.set_status(NodeStatus.SICK).level is Level.NONE
 
 
-def test_standing_still_for_a_moment_changes_nothing_where_the_file_gives_it_one():
+def test_standing_still_for_less_than_less_wanted_after_does_not_change_the_level():
     harness = PolicyHarness(less_wanted_after="30ms")
     harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.STANDING_STILL, 29)
     assert harness.level is Level.NORMAL
     assert harness.wait(1).level is Level.LESS_WANTED
 
 
-def test_the_last_resort_stands_for_a_sick_node_never_for_one_that_stands_still_or_never_was_ready():
+def test_last_resort_applies_to_a_sick_node_but_not_if_it_stands_still_or_was_never_ready():
     harness = PolicyHarness(LAST).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, 150)
     assert harness.level is Level.LAST_RESORT
     assert harness.set_status(NodeStatus.STANDING_STILL).level is Level.NONE
@@ -114,7 +116,7 @@
     )
 
 
-def test_a_drain_is_less_wanted_then_withdrawn_then_the_listener_may_close_and_nothing_comes_back():
+def test_drain_lowers_preference_then_withdraws_then_lets_the_listener_close_for_good():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     harness.machine.leave(harness.now, None)
     began = harness.now
@@ -129,7 +131,7 @@
 @pytest.mark.parametrize(
     "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST, 150, Level.LAST_RESORT)]
 )
-def test_a_sick_node_that_leaves_is_no_more_wanted_for_it(more, ms, level):
+def test_drain_does_not_raise_the_preference_of_a_sick_node(more, ms, level):
     harness = PolicyHarness(more).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, ms)
     harness.machine.leave(harness.now, None)
     harness.decide()
@@ -140,7 +142,7 @@
 @pytest.mark.parametrize(
     "grace, less_wanted, listener", [(500, 30, 80), (60, 10, 60), (50, 0, 50), (20, 0, 50)]
 )
-def test_a_short_grace_takes_from_the_time_of_being_less_wanted_never_from_the_spreading(
+def test_short_grace_shortens_the_graceful_shutdown_phase_but_not_the_propagation_time(
     grace, less_wanted, listener
 ):
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
@@ -155,7 +157,7 @@
     )
 
 
-def test_a_node_that_flaps_every_100_ms_for_a_minute_is_announced_a_handful_of_times_and_then_proves_itself():
+def test_node_flapping_every_100_ms_for_a_minute_is_announced_at_most_4_times_then_after_being_stable():
     harness = PolicyHarness()
     for _ in range(300):
         harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
@@ -165,11 +167,13 @@
     since = harness.now
     harness.set_status(NodeStatus.READY, 60_000)
     back = harness.levels[-1]
-    assert back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND  # `longest`
+    assert (
+        back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND
+    )  # limited by `longest`
     assert all(level is Level.NONE for at, level in harness.levels if since <= at < back[0])
 
 
-def test_one_that_flaps_too_fast_to_be_announced_is_held_back_for_it_as_well():
+def test_node_flapping_too_fast_to_be_announced_is_suppressed():
     harness = PolicyHarness(ready_for="200ms")
     for _ in range(20):
         harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
@@ -179,14 +183,14 @@
     )
 
 
-def test_a_withdrawal_is_never_damped():
+def test_withdrawal_is_never_damped():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(10):
         harness.machine.penalty.add(1000, harness.now)
     assert harness.set_status(NodeStatus.COLD).level is Level.NONE
 
 
-def test_the_penalty_halves_in_its_half_life_whatever_the_times_it_is_asked_at():
+def test_penalty_halves_per_half_life_regardless_of_when_it_is_read():
     asked, alone = (Penalty(Damping(half_life=SECOND, longest=10 * SECOND)) for _ in range(2))
     for each in (asked, alone):
         each.add(4000, 0)
@@ -211,7 +215,7 @@
 
 
 @given(states, st.booleans())
-def test_whatever_the_order_of_states_only_a_steady_ready_node_becomes_announced(order, last):
+def test_only_a_node_that_stayed_ready_is_announced_in_any_sequence_of_states(order, last):
     harness, ready_since, left = PolicyHarness(LAST if last else ""), None, False
     for state, ms in order:
         before = harness.level
@@ -240,7 +244,7 @@
             assert harness.level is Level.NONE
 
 
-def test_less_wanted_is_said_in_every_way_that_routers_know():
+def test_lowered_level_sets_med_prepending_community_and_local_preference():
     made = announce_config(peer_block() + LAST)
     service, peer = made.service[0], made.peer[0]
     normal, less, last, leaving = (
@@ -274,15 +278,15 @@
         ({"failed": True, "leaving": True}, NodeStatus.GONE),
     ],
 )
-def test_the_nodes_state_is_read_from_what_the_deciding_thread_knows(change, state):
+def test_node_status_follows_from_the_facts(change, state):
     assert node_status(READY._replace(**change), 100) is state
 
 
-# Together with peers
+# With peers
 
 
 class SpeakerHarness:
-    """A whole speaker without sockets, beside a peer that answers by hand."""
+    """A speaker without sockets, and a peer whose messages the test sends."""
 
     def __init__(self, more="", **changed):
         self.now, self.machine = 1_000_000, make_speaker_state(more, **changed)
@@ -313,7 +317,7 @@
         return self
 
     def sent(self):
-        """What was announced (`+`), withdrawn (`-`) and notified since it was asked last."""
+        """Routes announced (`+`), withdrawn (`-`) and Cease subcodes sent since the last call."""
         found = []
         for action in self.machine.take_actions():
             if action.kind is ActionKind.SEND:
@@ -326,7 +330,7 @@
         return found
 
 
-def test_a_session_dropped_in_a_drain_before_its_withdrawal_gets_nothing_when_it_is_back():
+def test_session_lost_before_the_drains_withdrawal_gets_no_routes_when_reestablished_after_it():
     harness = SpeakerHarness().up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     assert harness.tick(100 * MS).sent() == ["+"]
@@ -334,13 +338,15 @@
     harness.machine.connection_lost(
         harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
     )
-    assert "+" in harness.sent()  # less wanted, before the loss
+    assert "+" in harness.sent()  # the graceful shutdown announcement, before the loss
     harness.tick(40 * MS).up()
     assert harness.tick(5 * SECOND).sent() == []
 
 
 @pytest.mark.parametrize("wait", [0, 10])
-def test_a_session_that_comes_back_within_the_drains_first_part_learns_that_it_is_less_wanted(wait):
+def test_session_reestablished_before_the_drains_withdrawal_gets_the_graceful_shutdown_community(
+    wait,
+):
     harness = SpeakerHarness(graceful_shutdown="1s").up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
@@ -355,7 +361,7 @@
     assert harness.tick(SECOND).sent() == ["-"]
 
 
-def test_a_session_dropped_after_the_withdrawal_left_gets_nothing_when_it_is_back():
+def test_session_lost_after_the_drains_withdrawal_gets_no_routes_when_reestablished():
     harness = SpeakerHarness().up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
@@ -368,11 +374,11 @@
     assert harness.tick(SECOND).sent() == []
 
 
-def test_a_process_that_stood_still_gives_nobody_up_for_what_it_could_not_hear():
+def test_stalled_process_does_not_end_sessions_for_messages_that_it_could_not_read():
     harness = SpeakerHarness().up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
-    harness.now += 60 * SECOND  # a stop and a continue, or a clock that leapt
+    harness.now += 60 * SECOND  # as after SIGSTOP and SIGCONT, or a jump of the clock
     harness.machine.tick(harness.now)
     assert harness.peer.established and harness.sent() == []
     harness.machine.message(
@@ -380,10 +386,10 @@
     )
     harness.machine.flushed(harness.peer.peer.address, harness.peer.primary.number, harness.now)
     assert harness.tick(SECOND).peer.established
-    assert harness.tick(30 * SECOND).peer.downs == 1  # but in the end for what it did not say
+    assert harness.tick(30 * SECOND).peer.downs == 1  # ends in the end, as the peer sends nothing
 
 
-def test_a_new_file_adds_and_removes_services_and_peers_without_ending_the_sessions_that_stay():
+def test_reload_adds_and_removes_services_and_peers_and_keeps_unchanged_sessions():
     harness = SpeakerHarness().up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
@@ -405,7 +411,7 @@
     assert harness.machine.reconfigure(announce_config(), harness.now) == ["peer-127.0.0.1:1790"]
 
 
-def test_a_drain_under_way_is_not_undone_by_a_new_file():
+def test_reload_does_not_undo_a_drain():
     harness = SpeakerHarness().up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
@@ -417,7 +423,7 @@
     assert harness.tick(5 * SECOND).sent() == []
 
 
-def test_the_end_withdraws_all_and_says_why_and_what_was_received_is_shown():
+def test_end_withdraws_all_and_sends_cease_and_received_routes_are_reported():
     harness = SpeakerHarness().up()
     harness.machine.set_node_status(NodeStatus.READY, harness.now)
     address, link = harness.peer.peer.address, harness.peer.primary.number
--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -1,4 +1,4 @@
-"""The app server with an announce block in the operator's own file: what routers on BGP see of its life."""
+"""The app server with an announce block in the operator's file, as BGP routers see it."""
 
 import signal
 import socket
@@ -33,7 +33,7 @@
         each.end()
 
 
-def test_a_node_is_announced_once_its_kernel_is_up_and_warm_and_not_before(make_site, make_router):
+def test_node_is_announced_only_once_its_executor_is_connected(make_site, make_router):
     router = make_router()
     site = make_site(router)
     router.wait_count("end_of_rib", 2)
@@ -42,20 +42,18 @@
     router.wait_held(SERVICE)
 
 
-def test_a_cold_start_is_announced_only_when_it_has_warmed_up(make_site, make_router):
+def test_node_is_announced_after_a_cold_start_only_once_it_has_warmed_up(make_site, make_router):
     router = make_router()
     rules = {"rules": {"drain_grace_ms": 100.0, "tip_multiple": 8.0, "warm_up_ms": 6000.0}}
     site = make_site(router, settings=rules)
-    site.kernel = site.link("booting")  # a second of the warm-up is left
+    site.kernel = site.link("booting")  # one second of the warm-up remains
     router.wait_count("end_of_rib", 2)
     up = router.wait_count("up").at
     router.wait_held(SERVICE)
     assert router.wait_count("announced").at - up > 0.5
 
 
-def test_a_lost_kernel_link_makes_it_less_wanted_then_withdrawn_until_it_is_back(
-    make_site, make_router
-):
+def test_lost_executor_link_lowers_the_preference_then_withdraws(make_site, make_router):
     router = make_router()
     site = make_site(router)
     link = site.link()
@@ -65,10 +63,10 @@
     router.wait_held()
     assert (
         router.seen[-1].message.withdrawn and router.count("announced") == 2
-    )  # less wanted in between
+    )  # the second one lowered the preference
 
 
-def test_a_drain_withdraws_first_and_closes_its_listener_only_when_that_has_spread(
+def test_drain_withdraws_first_and_closes_the_listener_after_the_propagation_time(
     make_site, make_router
 ):
     router = make_router()
@@ -80,7 +78,7 @@
     ident = site.kernel.expect("SCHED")[0][1]
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     router.wait_held()
-    late = site.router()  # what still comes is taken: the listener is open
+    late = site.router()  # the listener is still open
     late.say(b"PROBE", b"1", b"x=0")
     assert late.answer()[1] == "sick"
     site.kernel.tell(f"REAP 1 {ident} success 1 2", b"ok")
@@ -93,7 +91,7 @@
     assert not site.thread.is_alive()
 
 
-def test_a_session_lost_in_the_drain_does_not_hold_its_listener_beyond_the_grace(
+def test_session_lost_during_a_drain_does_not_delay_the_listeners_close_beyond_the_grace(
     make_site, make_router
 ):
     router = make_router()
@@ -106,14 +104,14 @@
     assert not site.thread.is_alive() and not router.held
 
 
-def test_a_defect_in_the_speaker_leaves_the_app_server_serving(make_site, make_router):
+def test_app_server_keeps_serving_after_an_internal_error_of_the_speaker(make_site, make_router):
     router = make_router()
     site = make_site(router)
     site.kernel = site.link()
     router.wait_held(SERVICE)
 
     def fail():
-        raise RuntimeError("a defect, made here")
+        raise RuntimeError("injected by the test")
 
     site.event_loop.subsystems.bgp.speaker.inbox.put((fail,))
     router.wait_held()
@@ -127,7 +125,7 @@
     assert not site.thread.is_alive()
 
 
-def test_a_block_that_comes_and_goes_with_the_file_starts_and_ends_the_speaker(
+def test_reload_with_and_without_an_announce_block_starts_and_ends_the_speaker(
     make_site, make_router
 ):
     router = make_router()
@@ -144,7 +142,7 @@
 
 
 def spawned(site, own):
-    """The app server as a process, with this operator's file."""
+    """Starts the app server as a process with this operator's file."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         site.address = free.getsockname()
     import json
@@ -168,7 +166,9 @@
     return site
 
 
-def test_as_a_process_it_announces_reads_its_file_again_and_leaves_in_order(tmp_path, make_router):
+def test_app_server_process_announces_reloads_on_sighup_and_withdraws_on_sigterm(
+    tmp_path, make_router
+):
     router, own = make_router(), tmp_path / "own.conf"
     text = (
         "announce {\n as 65010\n router-id 127.0.0.1\n next-hop 127.0.0.1\n ready-for 10ms\n"
@@ -198,7 +198,7 @@
         site.process.stderr.close()
 
 
-def test_a_wrong_file_ends_a_start_with_2_and_every_fault(tmp_path):
+def test_start_with_an_invalid_file_exits_with_2_and_reports_every_error(tmp_path):
     own = tmp_path / "own.conf"
     own.write_text("announce {\n as wrong\n ready-for 3\n}\n")
     site = spawned(Site(tmp_path), own)
@@ -208,7 +208,7 @@
     assert f"{own}:2: wrong: expected" in told and f"{own}:3: 3: expected" in told
 
 
-def test_what_run_starts_announces_nothing_and_loads_nothing_for_it(tmp_path):
+def test_default_deployment_announces_nothing_and_loads_no_bgp_modules(tmp_path):
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert "--file deploy/lilacwalk.conf" in deploy["run"]
     code = (
@@ -221,7 +221,7 @@
     subprocess.run([sys.executable, "-c", code], check=True, cwd=ROOT)
 
 
-def test_the_commented_example_is_a_file_that_reads(tmp_path):
+def test_commented_example_in_the_operator_file_is_valid(tmp_path):
     from lilacwalk.operator.loader import parse_operator_file
 
     lines = (ROOT / "deploy/lilacwalk.conf").read_text().splitlines()
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -1,4 +1,6 @@
-"""Bytes to records and back, and each fault by the code that its RFC names."""
+"""Encoding and decoding of messages, and the error code that the RFC assigns to each malformed
+input.
+"""
 
 import struct
 from dataclasses import replace
@@ -83,13 +85,13 @@
         ),
     )
 )
-def test_an_open_comes_back_as_it_was_with_its_capabilities(message):
+def test_open_with_capabilities_round_trips(message):
     message = Open(message.capabilities.as4, message.hold, message.router_id, message.capabilities)
     assert read(messages.encode(message)) == message
 
 
 @given(wholes, st.lists(v4, min_size=1, max_size=40, unique=True))
-def test_an_announcement_comes_back_as_it_was_cut_anywhere(attributes, rows):
+def test_announcement_round_trips_when_split_at_any_byte(attributes, rows):
     data, found = b"".join(messages.announcements(rows, attributes, True, False)), []
     stream = Stream()
     for at in range(0, len(data), 7):
@@ -99,7 +101,7 @@
 
 
 @given(wholes, st.lists(v6, min_size=1, max_size=20, unique=True))
-def test_ipv6_goes_by_mp_reach_and_mp_unreach(attributes, rows):
+def test_ipv6_routes_round_trip_through_mp_reach_and_mp_unreach(attributes, rows):
     attributes = replace(attributes, next_hop=b"\x20\x01" + bytes(13) + b"\1")
     [update] = [read(each) for each in messages.announcements(rows, attributes, True, False)]
     assert update.reachable == ((attributes, tuple(rows)),)
@@ -107,7 +109,7 @@
     assert gone == Update(tuple(rows))
 
 
-def test_many_prefixes_fill_messages_to_the_brim_and_no_further():
+def test_many_prefixes_fill_messages_up_to_the_maximum_size():
     rows = [Prefix(Afi.IPV4, each << 8, 24) for each in range(5000)]
     for most in (messages.MAX_SIZE, messages.MAX_EXTENDED_SIZE):
         pieces = list(messages.announcements(rows, route(), True, False, most))
@@ -118,7 +120,7 @@
 
 
 @given(st.binary(max_size=200), st.sampled_from([1, 2, 3, 4, 5, 9]), st.booleans(), st.booleans())
-def test_any_body_is_a_record_or_a_named_error(body, kind, as4, internal):
+def test_any_message_body_decodes_or_raises_a_bgp_error(body, kind, as4, internal):
     try:
         decode(kind, body, NegotiatedCapabilities(families=(1, 2), as4=as4), internal)
     except BgpError as error:
@@ -126,7 +128,7 @@
 
 
 @given(st.lists(st.binary(max_size=60), max_size=5), st.booleans())
-def test_any_bytes_at_all_are_messages_or_a_named_error_and_are_not_kept(chunks, marked):
+def test_any_bytes_are_messages_or_a_bgp_error_and_at_most_one_message_is_buffered(chunks, marked):
     stream = Stream()
     try:
         for chunk in chunks:
@@ -138,7 +140,7 @@
 
 
 @given(st.binary(max_size=120))
-def test_any_attributes_are_read_faulted_or_end_the_session_by_name(raw):
+def test_any_attribute_bytes_are_decoded_recorded_as_fault_or_raise_an_update_error(raw):
     body = b"\0\0" + struct.pack("!H", len(raw)) + raw + b"\x08\x0a"
     try:
         update = decode(2, body, AGREED)
@@ -187,7 +189,7 @@
         (Type.NEXT_HOP, 0x40, bytes((224, 0, 0, 1)), Severity.WITHDRAW),
         (Type.MED, 0x80, b"\0", Severity.WITHDRAW),
         (Type.MED, 0x40, b"\0\0\0\1", Severity.WITHDRAW),
-        (Type.LOCAL_PREF, 0x40, b"\0\0\0\1", Severity.DISCARD),  # from outside
+        (Type.LOCAL_PREF, 0x40, b"\0\0\0\1", Severity.DISCARD),  # received from an external peer
         (Type.ATOMIC_AGGREGATE, 0x40, b"x", Severity.DISCARD),
         (Type.AGGREGATOR, 0xC0, b"x", Severity.DISCARD),
         (Type.AGGREGATOR, 0xC0, bytes(8), Severity.DISCARD),
@@ -200,9 +202,7 @@
         (Type.ONLY_TO_CUSTOMER, 0xC0, b"1", Severity.WITHDRAW),
     ],
 )
-def test_each_attribute_broken_in_turn_has_the_weight_that_rfc_7606_gives_it(
-    kind, flags, value, severity
-):
+def test_each_malformed_attribute_has_the_severity_of_rfc_7606(kind, flags, value, severity):
     update = decode(2, with_attribute(kind, flags, value), AGREED)
     assert [(each.severity, each.kind) for each in update.faults] == [(severity, kind)]
     if severity is Severity.WITHDRAW:
@@ -212,11 +212,11 @@
 
 
 @pytest.mark.parametrize("kind", [Type.ORIGIN, Type.AS_PATH, Type.NEXT_HOP])
-def test_a_route_without_a_mandatory_attribute_is_taken_as_withdrawn(kind):
+def test_route_without_a_mandatory_attribute_is_treated_as_withdrawn(kind):
     assert decode(2, with_attribute(kind, drop=True), AGREED).withdrawn == TEN
 
 
-def test_an_attribute_that_stands_twice_counts_once():
+def test_of_a_repeated_attribute_the_first_is_used():
     update = decode(2, with_attribute(extra=attribute(0x40, Type.ORIGIN, b"\2")), AGREED)
     assert update.reachable[0][0].origin == 0 and update.faults[0].severity is Severity.DISCARD
 
@@ -230,7 +230,7 @@
         (
             with_attribute(extra=attribute(0x40, 99, b"x")),
             (3, 2),
-        ),  # unknown, and said to be well-known
+        ),  # unknown attribute flagged as well-known
         (with_attribute(extra=attribute(0x80, Type.MP_REACH, b"\0\2")), (3, 9)),
         (
             with_attribute(
@@ -243,7 +243,7 @@
         (
             with_attribute(extra=b"\x80\x0e\xff" + REACH),
             (3, 9),
-        ),  # a length that lies, of what names the routes
+        ),  # MP_REACH_NLRI with a length past the end
         (with_attribute(rows=b"\x21\0\0\0\0\0"), (3, 10)),
         (with_attribute(rows=b"\x20\x0a"), (3, 10)),
         (
@@ -256,19 +256,19 @@
         (b"\0\0", (1, 2)),
         (b"\0\0" + struct.pack("!H", 4) + attribute(0x40, Type.ORIGIN, b"\3"), (3, 1)),
     ],
-)  # of no route
-def test_what_leaves_unknown_which_routes_were_meant_ends_the_session(body, code):
+)  # the last: a fault in an UPDATE without routes
+def test_errors_that_leave_the_affected_routes_unknown_end_the_session(body, code):
     with pytest.raises(BgpError) as error:
         decode(2, body, AGREED)
     assert (error.value.code, error.value.subcode) == code
 
 
-def test_an_attribute_that_runs_past_the_end_costs_its_routes_only():
+def test_truncated_attribute_withdraws_only_its_routes():
     update = decode(2, with_attribute(extra=b"\x80\x04\xff\0"), AGREED)
     assert update.withdrawn == TEN and update.faults[0].text == "runs past the end"
 
 
-def test_unknown_transitive_attributes_are_kept_and_marked_partial_others_dropped():
+def test_unknown_transitive_attributes_are_kept_as_partial_and_others_dropped():
     update = decode(
         2, with_attribute(extra=attribute(0xC0, 200, b"x") + attribute(0x80, 201, b"y")), AGREED
     )
@@ -291,17 +291,17 @@
         (OPENED + b"\4\1\2xx", (2, 4)),
         (OPENED + b"\4\2\2\1\5", (2, 4)),
         (b"", (1, 2)),
-        (OPENED + b"\x08\2\6\x41\4\0\0\0\0", (2, 2)),  # four octets of AS 0
+        (OPENED + b"\x08\2\6\x41\4\0\0\0\0", (2, 2)),  # AS 0 in the four-octet AS capability
         (OPENED + b"\x08\2\6\x09\1\0\x09\1\1", (2, 11)),
     ],
 )
-def test_each_fault_of_an_open_has_its_subcode(body, code):
+def test_each_error_in_an_open_has_its_subcode(body, code):
     with pytest.raises(BgpError) as error:
         decode(1, body)
     assert (error.value.code, error.value.subcode) == code
 
 
-def test_an_open_with_unknown_capabilities_and_long_parameters_is_read():
+def test_open_with_unknown_capabilities_and_extended_parameters_is_decoded():
     parameters = b"\2\0\6\x7f\4abcd"
     opened = decode(1, OPENED + b"\xff\xff" + struct.pack("!H", len(parameters)) + parameters)
     assert opened.capabilities.unknown == ((127, b"abcd"),)
@@ -318,13 +318,13 @@
         (b"\xff" * 16 + b"\0\x16\2" + bytes(3), (1, 2), b"\0\x16"),
     ],
 )
-def test_a_header_that_is_none_is_told_by_its_subcode_and_data(head, code, data):
+def test_each_invalid_header_has_its_subcode_and_data(head, code, data):
     with pytest.raises(BgpError) as error:
         list(Stream().feed(head))
     assert (error.value.code, error.value.subcode, error.value.data) == (*code, data)
 
 
-def test_two_octet_peers_get_as_trans_and_the_path_is_put_together_again():
+def test_path_sent_with_as_trans_to_a_two_octet_peer_is_reconstructed_from_as4_path():
     wide = route(as_path=((SEQUENCE, (65020, 4_200_000_000, 7)),))
     [data] = messages.announcements([Prefix.of("10.0.0.0/8")], wide, False, False)
     plain = read(data, NegotiatedCapabilities(families=(1,)))
@@ -337,28 +337,28 @@
 
 
 @pytest.mark.parametrize("message", [Keepalive(), Notification(6, 2, b"\4gone"), Refresh(1, 1, 2)])
-def test_the_short_messages_come_back_as_they_were(message):
+def test_short_messages_round_trip(message):
     assert read(messages.encode(message)) == message
 
 
-def test_a_shutdowns_text_is_cut_between_characters_and_safe_for_a_log():
+def test_shutdown_text_is_cut_between_characters_and_unprintable_ones_are_replaced():
     data = messages.shutdown_data("ß" * 200)
     assert data[0] == 254 and Notification(6, 2, data).text == "ß" * 127
     assert Notification(6, 2, b"\5a\nb\xff\0").text == "a.b\ufffd."
 
 
 @given(st.lists(v4, max_size=20))
-def test_prefixes_are_packed_and_unpacked_and_bits_behind_them_mean_nothing(rows):
+def test_prefixes_round_trip_and_bits_beyond_the_length_are_cleared(rows):
     assert prefixes.decode(b"".join(map(prefixes.encode, rows)), Afi.IPV4) == rows
     assert prefixes.decode(b"\x09\x0a\xff", Afi.IPV4) == [Prefix.of("10.128.0.0/9")]
 
 
-def test_end_of_rib_of_both_families_and_what_is_not_agreed_on_is_passed_over():
+def test_end_of_rib_is_decoded_and_families_not_negotiated_are_ignored():
     assert [read(messages.end_of_rib(afi)).end_of_rib for afi in (1, 2)] == [1, 2]
     rows = [Prefix.of("2001:db8::/32")]
     [data] = messages.announcements(rows, route(next_hop=b"\x20" + bytes(14) + b"\1"), True, False)
     assert read(data, NegotiatedCapabilities(families=(1,), as4=True)) == Update()
 
 
-def test_a_body_of_a_frame_is_what_was_framed():
+def test_keepalive_frame_has_marker_length_and_type():
     assert frame(4, b"") == b"\xff" * 16 + b"\0\x13\4"
--- a/tests/bgp/test_policy.py
+++ b/tests/bgp/test_policy.py
@@ -1,4 +1,4 @@
-"""What is taken from a peer and told to it, and what of it is shown."""
+"""Import and export policy of a peer."""
 
 import pytest
 
@@ -40,7 +40,7 @@
     return PeerPolicy(config, config.peer[0])
 
 
-def test_the_first_term_whose_conditions_all_hold_decides_and_changes():
+def test_first_matching_term_decides_and_changes_attributes():
     taken = peer_policy("import through").import_route(TEN, route(communities=(65020 << 16 | 7,)))
     assert (taken.med, taken.local_pref, taken.communities, taken.large) == (
         5,
@@ -73,7 +73,7 @@
         ("0.0.0.0/0", False),
     ],
 )
-def test_of_a_prefix_list_the_first_line_that_matches_decides(prefix, permitted):
+def test_first_matching_entry_of_a_prefix_list_decides(prefix, permitted):
     config = peer_policy("import through")
     assert config.import_policy.terms[0][1].permits(Prefix.of(prefix)) is permitted
 
@@ -88,11 +88,11 @@
         (route(), "no import policy"),
     ],
 )
-def test_routes_that_cannot_be_right_and_those_no_policy_speaks_of_are_not_used(attributes, reason):
+def test_implausible_routes_and_those_without_an_import_policy_are_refused(attributes, reason):
     assert peer_policy().import_route(TEN, attributes) == Refused(reason)
 
 
-def test_an_internal_peer_needs_no_policy_and_no_first_number():
+def test_internal_peer_needs_no_import_policy_and_no_first_as():
     assert isinstance(peer_policy(asn=US).import_route(TEN, route(as_path=())), Attributes)
 
 
@@ -110,7 +110,7 @@
         ("rs-client", None, THEM),
     ],
 )
-def test_an_only_to_customer_mark_shows_a_leak_or_is_set_where_it_is_missing(role, mark, result):
+def test_only_to_customer_reveals_a_leak_or_is_added_on_import(role, mark, result):
     taken = peer_policy(f"role {role}", "import through").import_route(
         TEN, route(only_to_customer=mark)
     )
@@ -123,11 +123,11 @@
 @pytest.mark.parametrize(
     "role, mark", [("provider", US), ("peer", US), ("rs", US), ("customer", None)]
 )
-def test_what_goes_to_customers_and_peers_bears_our_mark(role, mark):
+def test_only_to_customer_is_added_on_export_to_customers_peers_and_rs_clients(role, mark):
     assert peer_policy(f"role {role}").export_route(TEN, route(US)).only_to_customer == mark
 
 
-def test_an_export_policy_narrows_what_is_told_and_local_preference_stays_inside():
+def test_export_policy_rejects_routes_and_local_preference_is_sent_to_internal_peers_only():
     assert (
         peer_policy("export through")
         .export_route(Prefix.of("10.1.2.0/24"), route(US, local_pref=9))
--- a/tests/bgp/test_session.py
+++ b/tests/bgp/test_session.py
@@ -1,4 +1,4 @@
-"""The finite state machine of one connection and the peer around it, by hand: RFC 4271 sections 6 and 8."""
+"""The finite state machine of one connection, and the peer around it (RFC 4271 sections 6 and 8)."""
 
 import random
 
@@ -35,7 +35,7 @@
     )
 
 
-def test_the_table_says_something_about_every_event_in_every_state():
+def test_table_has_a_row_for_every_event_in_every_state_and_a_method_for_every_step():
     assert all(set(TABLE[state]) == set(Event) for state in State)
     steps = {step for each in TABLE.values() for names, _ in each.values() for step in names}
     assert all(hasattr(Session, "_" + step) for step in steps)
@@ -64,13 +64,13 @@
     st.sampled_from([0, SECOND]),
     st.sampled_from([0, 3, 9]),
 )
-def test_any_order_of_events_keeps_the_machine_in_a_lawful_state(order, passive, delay, hold):
+def test_any_sequence_of_events_keeps_the_state_machine_consistent(order, passive, delay, hold):
     harness, now = session(passive=passive, delay_open=delay, hold=hold * SECOND), 0
     up = False
     for each in order:
         if isinstance(each, Event):
             if each in (Event.OPEN, Event.OPEN_WITH_DELAY, Event.UPDATE):
-                continue  # those come with a message, below
+                continue  # these events need a message; see below
             done = harness.event(each, now)
         elif isinstance(each, int):
             now += each
@@ -98,11 +98,11 @@
         if harness.state is State.IDLE:
             assert set(harness.timers) <= {Timer.IDLE_HOLD}
         if harness.state in (State.OPEN_SENT, State.OPEN_CONFIRM):
-            assert Timer.HOLD in harness.timers  # nobody is waited for without end
+            assert Timer.HOLD in harness.timers  # the wait for the peer is limited
         assert all(time >= 0 for time in harness.timers.values())
 
 
-def test_a_session_comes_up_and_keeps_alive_within_a_third_of_the_hold_time():
+def test_established_session_sends_keepalives_within_a_third_of_the_hold_time():
     harness = PeerHarness().up()
     assert harness.state == "ESTABLISHED" and harness.kinds()[:2] == [OPEN, KEEPALIVE]
     for _ in range(8):
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("hold, agreed", [(0, 0), (3, 3), (9, 9), (60, 9)])
-def test_the_smaller_hold_time_holds_and_zero_means_none(hold, agreed):
+def test_smaller_hold_time_is_negotiated_and_zero_disables_it(hold, agreed):
     harness = PeerHarness().up(hold=hold)
     assert harness.peer.primary.session.hold_time == agreed * SECOND
     harness.wait((agreed or 600) * SECOND + SECOND)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("hold", [1, 2])
-def test_hold_times_of_one_and_two_seconds_are_refused(hold):
+def test_hold_times_of_one_and_two_seconds_are_rejected(hold):
     assert PeerHarness().connected().open(hold=hold).notified() == (2, 6)
 
 
@@ -136,27 +136,27 @@
         ({"router_id": "127.0.0.1"}, None),
     ],
 )
-def test_who_the_peer_says_it_is_decides(opened, code):
+def test_as_number_of_an_open_must_match_but_an_external_router_id_may_equal_ours(opened, code):
     harness = PeerHarness().connected().open(**opened)
     assert harness.notified() == code and harness.state == ("IDLE" if code else "OPEN_CONFIRM")
 
 
-def test_a_peer_that_never_sends_a_keepalive_is_given_up_after_the_hold_time():
+def test_session_ends_after_the_hold_time_without_a_keepalive():
     harness = PeerHarness().connected().open().wait(9 * SECOND)
     assert harness.notified() == (4, 0) and harness.peer.downs == 0
 
 
-def test_a_peer_that_never_sends_an_open_is_given_up_after_four_minutes():
+def test_session_ends_after_four_minutes_without_an_open():
     harness = PeerHarness().connected().wait(239 * SECOND)
     assert harness.state == "OPEN_SENT"
     assert harness.wait(SECOND).notified() == (4, 0)
 
 
-def test_with_no_hold_time_agreed_a_peer_that_never_confirms_is_still_given_up():
+def test_with_hold_time_zero_a_session_without_keepalive_ends_after_four_minutes():
     assert PeerHarness().connected().open(hold=0).wait(240 * SECOND).notified() == (4, 0)
 
 
-def test_a_peer_that_takes_nothing_for_two_hold_times_is_given_up_though_it_talks():
+def test_session_ends_if_the_peer_reads_nothing_for_two_hold_times_though_it_sends():
     harness = PeerHarness().up()
     for _ in range(9):
         harness.wait(2 * SECOND).keepalive()
@@ -181,19 +181,19 @@
         (lambda m: m.up(), Open(THEM, 9, "127.0.0.20", Capabilities(as4=THEM)), (5, 3)),
     ],
 )
-def test_a_message_out_of_turn_is_told_with_the_state_it_met(prepare, message, code):
+def test_unexpected_message_is_reported_with_the_state(prepare, message, code):
     harness = prepare(PeerHarness())
     assert harness.receive(messages.encode(message)).notified() == code and harness.state == "IDLE"
 
 
-def test_a_notification_is_never_answered_by_one():
+def test_notification_is_never_answered_with_a_notification():
     for prepare in (PeerHarness.connected, lambda m: m.connected().open(), PeerHarness.up):
         harness = prepare(PeerHarness())
         harness.receive(messages.encode(Notification(2, 7)))
         assert harness.notified() is None and harness.state == "IDLE"
 
 
-def test_failures_are_waited_out_longer_each_time_and_a_refused_connection_is_not():
+def test_idle_hold_time_doubles_after_failures_but_not_after_refused_connections():
     harness, times = PeerHarness("idle-hold 1s"), []
     for _ in range(5):
         harness.connected().receive(messages.encode(Notification(6, 5)))
@@ -211,14 +211,14 @@
         assert len(harness.connects) > tries
 
 
-def test_a_try_that_gets_no_answer_is_given_up_at_the_retry_time_and_made_anew():
+def test_unanswered_connection_attempt_is_replaced_after_the_connect_retry_time():
     harness = PeerHarness().wait(SECOND // 20)
     assert harness.closed == harness.connects[:1] and len(harness.connects) == 2
-    harness.peer.connected(harness.connects[0], harness.now)  # too late
+    harness.peer.connected(harness.connects[0], harness.now)  # after it was given up
     assert harness.drain_actions().closed.count(harness.connects[0]) == 2 and not harness.sent
 
 
-def test_delay_open_waits_for_the_peers_open_or_its_time():
+def test_delay_open_waits_for_the_peers_open_or_the_timer():
     harness = PeerHarness("delay-open 1s").connected()
     assert not harness.sent
     assert harness.open().kinds() == [OPEN, KEEPALIVE] and harness.state == "OPEN_CONFIRM"
@@ -235,9 +235,7 @@
         (lambda m: m.up().receive(messages.encode(Notification(6, 4))), None),
     ],
 )
-def test_a_stop_in_each_state_ends_with_a_cease_where_there_is_a_connection_and_for_good(
-    prepare, told
-):
+def test_stop_sends_cease_if_connected_and_never_reconnects(prepare, told):
     harness = prepare(PeerHarness())
     before = harness.notified()
     harness.peer.stop(harness.now, text="going")
@@ -248,7 +246,7 @@
     assert len(harness.connects) == tries and harness.peer.next_due() is None
 
 
-# Two connections at once
+# Connection collisions
 
 
 def collided(mode="both"):
@@ -262,9 +260,7 @@
 
 @pytest.mark.parametrize("router_id, stays", [("127.0.0.20", "theirs"), ("126.0.0.1", "ours")])
 @pytest.mark.parametrize("first", ["ours", "theirs"])
-def test_of_two_connections_the_one_stays_that_the_higher_identifier_opened(
-    router_id, stays, first
-):
+def test_collision_keeps_the_connection_opened_by_the_higher_identifier(router_id, stays, first):
     harness, ours, theirs = collided()
     order = [ours, theirs] if first == "ours" else [theirs, ours]
     for link in order:
@@ -281,14 +277,14 @@
     assert harness.peer.established and len(harness.connects) == 1
 
 
-def test_a_second_connection_beside_an_established_one_is_turned_away():
+def test_second_connection_during_an_established_session_is_rejected():
     harness, ours, theirs = collided()
     harness.open(ours).keepalive(ours).open(theirs)
     assert harness.notified(theirs) == (6, 7) and harness.peer.established
     assert harness.peer.established_link.number == ours
 
 
-def test_it_takes_the_place_of_the_old_one_where_the_peer_can_restart_gracefully():
+def test_second_connection_replaces_the_session_of_a_peer_with_graceful_restart():
     harness, ours, theirs = collided()
     harness.open(ours, restart=GracefulRestart(10, families=((1, 1, True),))).keepalive(ours)
     harness.open(theirs, restart=GracefulRestart(10, True, families=((1, 1, True),))).keepalive(
@@ -301,23 +297,23 @@
     )
 
 
-def test_the_survivor_of_a_broken_pair_goes_on_alone():
+def test_remaining_connection_continues_after_the_other_is_lost():
     harness, ours, theirs = collided()
     harness.peer.connection_lost(theirs, harness.now)
     assert harness.drain_actions().peer.secondary is None
     assert harness.open(ours).keepalive(ours).peer.established
 
 
-def test_who_may_not_connect_here_is_not_taken():
-    assert PeerHarness().peer.accepted(0) == 0  # active only
+def test_connection_of_an_active_only_peer_and_a_third_connection_are_rejected():
+    assert PeerHarness().peer.accepted(0) == 0  # mode active
     harness, _, _ = collided()
-    assert harness.peer.accepted(harness.now) == 0  # a third
+    assert harness.peer.accepted(harness.now) == 0  # a third connection
 
 
-# What a peer may tell
+# Received routes and refreshes
 
 
-def test_more_prefixes_than_allowed_end_the_session_with_the_bound_beside():
+def test_exceeding_max_prefixes_ends_the_session_with_the_limit_in_the_data():
     harness = PeerHarness("max-prefixes 100").up()
     for data in table(101, THEM):
         harness.receive(data)
@@ -326,7 +322,7 @@
     assert body[2:] == b"\0\1\1" + (100).to_bytes(4, "big") and len(harness.peer.adj_rib_in) == 0
 
 
-def test_a_hundred_thousand_prefixes_are_held_where_they_are_allowed_and_go_with_the_session():
+def test_allowed_100_000_prefixes_are_stored_and_dropped_with_the_session():
     harness = PeerHarness("max-prefixes 100000").up()
     for data in table(100_000, THEM):
         harness.receive(data)
@@ -335,7 +331,7 @@
     assert len(harness.peer.adj_rib_in) == 0
 
 
-def test_a_faulty_route_costs_itself_and_is_logged_at_the_first_second_fourth():
+def test_malformed_routes_are_withdrawn_and_logged_at_powers_of_two():
     harness = PeerHarness().up()
     bad = update("10.0.0.0/8", attributes=route(next_hop=b"\0\0\0\0"))
     harness.receive(update("10.0.0.0/8"))
@@ -357,7 +353,7 @@
     return harness.up(restart=able).receive(update("10.0.0.0/8", "11.0.0.0/8")), able
 
 
-def test_a_restarting_peers_routes_are_kept_until_its_end_of_rib_says_which_stay():
+def test_routes_of_a_restarting_peer_are_kept_until_its_end_of_rib():
     harness, able = kept()
     harness.peer.connection_lost(harness.connects[-1], harness.now)
     assert len(harness.drain_actions().peer.adj_rib_in) == 2
@@ -368,7 +364,7 @@
 
 
 @pytest.mark.parametrize("ends", ["time", "other start", "hard reset", "notification"])
-def test_stale_routes_go_when_time_is_over_or_the_peer_did_not_keep_them(ends):
+def test_stale_routes_are_dropped_on_expiry_lost_forwarding_state_hard_reset_or_notification(ends):
     harness, able = kept(notification=ends == "hard reset")
     if ends in ("time", "other start"):
         harness.peer.connection_lost(harness.connects[-1], harness.now)
@@ -382,7 +378,7 @@
     assert len(harness.peer.adj_rib_in) == 0
 
 
-def test_a_refresh_is_answered_whole_between_marks_and_asked_when_the_policy_changes():
+def test_enhanced_refresh_is_answered_between_markers_and_removes_routes_not_resent():
     harness = PeerHarness().up(enhanced_refresh=True)
     harness.peer.set_routes({Prefix.of("192.0.2.10/32"): route(US)})
     harness.drain_actions().sent.clear()
@@ -394,7 +390,7 @@
     assert [str(prefix) for prefix, _ in harness.peer.adj_rib_in.tries[1].walk()] == ["11.0.0.0/8"]
 
 
-def test_a_flood_of_refreshes_is_answered_by_one_a_second():
+def test_refresh_requests_are_answered_at_most_once_per_second():
     harness = PeerHarness().up()
     harness.peer.set_routes({Prefix.of("192.0.2.10/32"): route(US)})
     harness.drain_actions().sent.clear()
@@ -405,7 +401,7 @@
     assert harness.wait(3 * SECOND).kinds().count(UPDATE) == 2
 
 
-def test_withdrawals_leave_before_announcements_and_what_is_the_same_not_at_all():
+def test_withdrawals_are_sent_before_announcements_and_unchanged_routes_not_at_all():
     harness = PeerHarness().up()
     first, second = Prefix.of("192.0.2.10/32"), Prefix.of("192.0.2.11/32")
     harness.peer.set_routes({first: route(US)})
@@ -423,9 +419,9 @@
     "ours, theirs, code",
     [("customer", 0, None), ("customer", 3, (2, 11)), ("peer", 4, None), ("provider", None, None)],
 )
-def test_roles_must_fit(ours, theirs, code):
+def test_incompatible_roles_are_rejected(ours, theirs, code):
     assert PeerHarness(f"role {ours}").connected().open(role=theirs).notified() == code
 
 
-def test_a_strict_role_wants_one_told():
+def test_strict_role_rejects_an_open_without_a_role():
     assert PeerHarness("role peer", "strict-role yes").connected().open().notified() == (2, 11)
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -1,4 +1,4 @@
-"""The speaker on loopback, beside routers of our own that behave, misbehave and restart."""
+"""The speaker on loopback with test routers that behave, misbehave and restart."""
 
 import os
 import random
@@ -36,13 +36,13 @@
 
 
 def until(speaker, question):
-    """Asked again and again, each time answered by the speaker's thread between two of its passes."""
+    """Repeats a query in the speaker's thread until its result is true."""
     give_up = time.monotonic() + PATIENCE
     while not speaker.query(question, PATIENCE):
         assert time.monotonic() < give_up
 
 
-def test_a_service_is_announced_to_every_peer_and_withdrawn_before_the_listener_may_close(
+def test_service_is_announced_to_every_peer_and_withdrawn_before_the_listener_may_close(
     make_router, make_speaker
 ):
     routers, listener = [make_router(), make_router(asn=65021)], threading.Event()
@@ -65,14 +65,14 @@
         assert told == [(), (GRACEFUL_SHUTDOWN,)]
 
 
-def test_ipv6_services_go_to_peers_of_either_family(make_router, make_speaker):
+def test_ipv6_service_is_announced_over_an_ipv4_session(make_router, make_speaker):
     router = make_router()
     made = beside(router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n")
     make_speaker(made).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE, "2001:db8::10/128")
 
 
-def test_a_router_that_comes_up_late_is_told_then(make_router, make_speaker):
+def test_router_that_connects_late_or_again_gets_the_routes(make_router, make_speaker):
     router = make_router(turn_away=3)
     make_speaker(beside(router)).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
@@ -90,7 +90,7 @@
         (messages.frame(2, b"\0\0\0\0\x21"), (3, 10)),
     ],
 )
-def test_bytes_that_are_no_messages_end_that_session_by_name_and_no_other(
+def test_invalid_bytes_end_only_that_session_with_the_right_code(
     make_router, make_speaker, broken, code
 ):
     bad, good = make_router(sends=[broken]), make_router(asn=65021)
@@ -101,7 +101,7 @@
     assert good.sessions == 1
 
 
-def test_a_peer_that_floods_ends_its_own_session_and_one_that_may_is_held(
+def test_peer_over_max_prefixes_loses_its_session_and_one_within_it_does_not(
     make_router, make_speaker
 ):
     flood = table(100_000, THEM)
@@ -117,7 +117,9 @@
     assert good.count("lost") == 0
 
 
-def test_a_peer_that_stops_reading_is_cut_off_at_the_outboxes_bound(make_router, make_speaker):
+def test_peer_that_stops_reading_is_disconnected_when_the_send_buffer_is_full(
+    make_router, make_speaker
+):
     services = "".join(f"    service 198.51.{each >> 8}.{each & 255}/32\n" for each in range(20))
     router = make_router(reads=False)
     speaker = make_speaker(beside(router, more=services), bounds=Bounds(send_buffer=2_000))
@@ -126,7 +128,7 @@
 
     def fill(
         each,
-    ):  # more than the system takes for a socket, as a peer's refreshes would over hours
+    ):  # more than the socket's buffer holds, as hours of refreshes would be
         peer = each.peers[router.address]
         if peer.established_link is not None:
             each.actions += [
@@ -140,7 +142,7 @@
     assert ended.reason == "stopped reading" and not speaker.ended.is_set()
 
 
-def test_a_peer_that_drips_one_byte_at_a_time_is_understood_and_holds_up_nobody(
+def test_peer_sending_single_bytes_is_understood_and_delays_no_other_peer(
     make_router, make_speaker
 ):
     slow, good = make_router(drip=0.002), make_router(asn=65021)
@@ -149,7 +151,7 @@
     slow.wait_held(SERVICE)
 
 
-def test_two_connections_at_once_leave_one_session(make_router, make_speaker):
+def test_connection_collision_leaves_one_session(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
     speaker = make_speaker(beside(router, peer=["mode both"], more="    listen 127.0.0.1:0\n"))
     router.connect(speaker.listener.getsockname())
@@ -159,7 +161,7 @@
     assert [each["state"] for each in shown["peers"]] == ["established"]
 
 
-def test_who_is_no_peer_is_turned_away_and_a_passive_peer_is_waited_for(make_router, make_speaker):
+def test_unknown_host_is_rejected_and_a_passive_peer_is_waited_for(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
     speaker = make_speaker(beside(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n"))
     speaker.set_node_status(NodeStatus.READY)
@@ -171,7 +173,7 @@
 
 
 @pytest.mark.parametrize("serves", [False, True])
-def test_after_a_crash_a_stale_route_at_the_peer_falls_with_the_first_end_of_rib(
+def test_stale_route_at_the_peer_after_a_crash_is_removed_by_the_first_end_of_rib(
     make_router, make_speaker, serves
 ):
     router = make_router(keep_stale=True, restart=GracefulRestart(30, families=((1, 1, True),)))
@@ -188,22 +190,22 @@
     [kept] = {flag for _, _, flag in opened.capabilities.restart.families}
     assert (
         kept is False and opened.capabilities.restart.restarted
-    )  # a node just begun claims nothing
+    )  # a node that has just started claims no forwarding state
     router.wait_count("end_of_rib", 4)
     router.wait_held(*([SERVICE] if serves else []))
 
 
 def crash(speaker):
-    """Ends it as a defect would: no withdrawal, no cease."""
+    """Ends the speaker as an internal error would: without withdrawal or Cease."""
 
     def fail():
-        raise RuntimeError("a defect, made here")
+        raise RuntimeError("injected by the test")
 
     speaker.inbox.put((fail,))
     assert speaker.ended.wait(PATIENCE)
 
 
-def test_a_defect_in_the_speaker_closes_its_sessions_so_that_no_route_stays(
+def test_internal_error_of_the_speaker_closes_its_sessions_and_removes_its_routes(
     make_router, make_speaker
 ):
     router = make_router()
@@ -215,7 +217,7 @@
     assert speaker.failed
 
 
-def test_over_200_restarts_no_announcement_ever_stands_while_the_node_is_not_ready(
+def test_over_200_restarts_no_route_is_announced_while_the_node_is_not_ready(
     make_router, make_speaker
 ):
     rng, router = random.Random(7), make_router()
@@ -246,7 +248,9 @@
         router.wait_held()
 
 
-def test_what_is_shown_over_the_socket_and_by_the_command(make_router, make_speaker, tmp_path):
+def test_admin_socket_and_bgp_command_report_sessions_and_routes(
+    make_router, make_speaker, tmp_path
+):
     router = make_router(sends=[update("10.0.0.0/8")])
     path, own = str(tmp_path / "bgp.sock"), tmp_path / "own.conf"
     text = (
@@ -279,7 +283,7 @@
     assert run("route", "10.9.0.0/16").output == f"peer={name} prefix=10.0.0.0/8 path_length=1\n"
     assert run("received", "nobody").exit_code == run("route", "x").exit_code == 2
     assert query(path, "sing")["error"].startswith("ask:")
-    with pytest.raises(OSError):  # the name of one that answers is not taken from it
+    with pytest.raises(OSError):  # the path of a running admin socket is not taken over
         answering_at(speaker, path)
     create_admin_socket.close()
     assert run("show").exit_code == 2
@@ -287,7 +291,7 @@
     os.unlink(path)
 
 
-def test_captured_messages_are_decoded_from_a_file_or_digits(tmp_path):
+def test_decode_command_reads_captured_messages_from_a_file_or_hexadecimal_input(tmp_path):
     last = messages.encode(messages.Notification(6, 2, b"\2hi"))
     good = update("10.0.0.0/8") + messages.end_of_rib(2) + last
     path = tmp_path / "captured"
@@ -306,7 +310,7 @@
 
 
 class AnnounceProcess:
-    """`lilacwalk announce` as a process of its own."""
+    """`lilacwalk announce` as a process."""
 
     def __init__(self, tmp_path, router, more=""):
         self.own = tmp_path / "own.conf"
@@ -348,7 +352,7 @@
 
 
 @pytest.mark.parametrize("ends", ["end of input", "SIGTERM"])
-def test_the_command_follows_the_states_on_its_input_and_ends_with_a_cease(announce_process, ends):
+def test_announce_command_follows_states_on_its_input_and_ends_with_a_cease(announce_process, ends):
     command, router = announce_process()
     for word in ("cold", "nonsense", "warming", "ready"):
         command.say(word)
@@ -364,7 +368,7 @@
     assert "event=unknown_state" in command.process.stderr.read()
 
 
-def test_the_command_reads_its_file_again_and_keeps_the_old_one_where_the_new_is_wrong(
+def test_announce_command_reloads_on_sighup_and_keeps_the_old_configuration_if_the_new_is_invalid(
     announce_process,
 ):
     command, router = announce_process()
@@ -384,7 +388,7 @@
     assert router.sessions == 1
 
 
-def test_the_command_without_a_usable_file_ends_with_2_and_every_fault(tmp_path):
+def test_announce_command_without_a_valid_file_exits_with_2(tmp_path):
     own = tmp_path / "own.conf"
     for text in ("", "announce {\n as x\n hold-time 1s\n}\n"):
         own.write_text(text)
@@ -392,7 +396,7 @@
         assert told.exit_code == 2
 
 
-def test_a_clock_that_jumps_ends_no_session(make_router, make_speaker):
+def test_clock_jump_ends_no_session(make_router, make_speaker):
     router, ahead = make_router(hold=3), [0]
     speaker = make_speaker(beside(router), clock=lambda: time.monotonic_ns() + ahead[0])
     speaker.set_node_status(NodeStatus.READY)
--- a/tests/bgp/test_trie.py
+++ b/tests/bgp/test_trie.py
@@ -1,4 +1,4 @@
-"""The trie beside a plain dict, under any order of insertions and removals."""
+"""The trie against a dict, after any insertions and removals."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
     return bits >> (32 - length) << (32 - length)
 
 
-# few distinct bits, so that prefixes nest, part and meet again
+# few distinct bits, so that prefixes nest and fork often
 keys = st.tuples(
     st.integers(0, 31).map(lambda each: each << 27 | each << 2), st.integers(0, 32)
 ).map(lambda pair: (cut(*pair), pair[1]))
@@ -22,9 +22,7 @@
 
 
 @given(st.lists(st.tuples(keys, st.booleans()), max_size=60), keys)
-def test_any_history_leaves_what_a_dict_would_hold_and_every_question_answered_alike(
-    history, asked
-):
+def test_trie_agrees_with_a_dict_after_any_insertions_and_removals(history, asked):
     trie, plain = Trie(Afi.IPV4), {}
     for order, (key, inserts) in enumerate(history):
         if inserts:
@@ -53,7 +51,7 @@
 
 
 @given(st.lists(keys, max_size=60, unique=True))
-def test_an_emptied_trie_holds_no_node(rows):
+def test_emptied_trie_has_no_nodes(rows):
     trie = Trie(Afi.IPV4)
     for key in rows:
         trie.set(*key, 1)
@@ -62,7 +60,7 @@
     assert trie.root is None and len(trie) == 0
 
 
-def test_ipv6_prefixes_of_every_length_nest_without_recursion():
+def test_nested_ipv6_prefixes_of_every_length_are_found():
     trie = Trie(Afi.IPV6)
     bits = int("20010db8" + "f" * 24, 16)
     for length in range(129):
