--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -29,7 +29,7 @@
 
 SECOND = 10_000  # in tenths of a millisecond
 OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
-MIN_JITTER = 0.75  # factor of a timer's shortest random value (RFC 4271 section 10)
+MIN_JITTER = 0.75  # timers run for a random 75 to 100 % of their time (RFC 4271 section 10)
 MAX_IDLE_HOLD = 120 * SECOND  # upper bound of the doubling; RFC 4271 specifies none
 KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271 section 10
 
@@ -95,15 +95,15 @@
 
 
 class SessionAction(Enum):
-    """An action that the owner of a session must carry out; each comes with a value."""
+    """An action that the owner of a session must carry out; some come with a value."""
 
     CONNECT = auto()
-    SEND = auto()  # the bytes
+    SEND = auto()  # value: the bytes
     CLOSE = auto()
-    UP = auto()  # the peer's Open
-    DOWN = auto()  # a SessionEnd
-    ROUTES = auto()  # an Update
-    REFRESH = auto()  # a Refresh
+    UP = auto()  # value: the peer's Open
+    DOWN = auto()  # value: a SessionEnd
+    ROUTES = auto()  # value: an Update
+    REFRESH = auto()  # value: a Refresh
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
 TCP_REQUESTED = (
     E.TCP_VALID,
     E.TCP_INVALID,
-)  # concern a connection not yet assigned to this session
+)  # about connections not yet assigned to this session
 
 TABLE: dict[State, dict[Event, Row]] = {
     S.IDLE: state_rows(
--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -116,9 +116,11 @@
             self.peer.message(number, kind, body, self.now)
         return self.drain_actions()
 
-    def open(self, link=None, asn=THEM, hold=9, router_id="127.0.0.20", **able):
-        able = {"families": ((1, 1), (2, 1)), "as4": asn, "refresh": True} | able
-        return self.receive(messages.encode(Open(asn, hold, router_id, Capabilities(**able))), link)
+    def open(self, link=None, asn=THEM, hold=9, router_id="127.0.0.20", **capabilities):
+        capabilities = {"families": ((1, 1), (2, 1)), "as4": asn, "refresh": True} | capabilities
+        return self.receive(
+            messages.encode(Open(asn, hold, router_id, Capabilities(**capabilities))), link
+        )
 
     def keepalive(self, link=None):
         return self.receive(messages.encode(Keepalive()), link)
@@ -175,8 +177,8 @@
 def make_speaker():
     speakers = []
 
-    def make(made, **more):
-        speakers.append(Speaker(made, 1, **more))
+    def make(config, **more):
+        speakers.append(Speaker(config, 1, **more))
         speakers[-1].start()
         return speakers[-1]
 
@@ -186,8 +188,8 @@
 
 
 def make_speaker_state(more="", peers=("127.0.0.1:1790",), **changed):
-    made = announce_config("".join(peer_block(each) for each in peers) + more, **changed)
-    machine = SpeakerState(made, 1, 1_000_000)
+    config = announce_config("".join(peer_block(each) for each in peers) + more, **changed)
+    machine = SpeakerState(config, 1, 1_000_000)
     machine.start(1_000_000)
     machine.take_actions()
     return machine
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -245,10 +245,10 @@
 
 
 def test_lowered_level_sets_med_prepending_community_and_local_preference():
-    made = announce_config(peer_block() + LAST)
-    service, peer = made.service[0], made.peer[0]
+    config = announce_config(peer_block() + LAST)
+    service, peer = config.service[0], config.peer[0]
     normal, less, last, leaving = (
-        service_attributes(made, service, peer, level)
+        service_attributes(config, service, peer, level)
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LAST_RESORT, Level.LEAVING)
     )
     assert (normal.path_length, normal.med, normal.communities) == (1, None, ())
--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -141,7 +141,7 @@
     router.wait_held(SERVICE)
 
 
-def spawned(site, own):
+def spawn(site, operator_file):
     """Starts the app server as a process with this operator's file."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         site.address = free.getsockname()
@@ -157,7 +157,7 @@
             "--config",
             str(site.path),
             "--file",
-            str(own),
+            str(operator_file),
         ],
         stderr=subprocess.PIPE,
         cwd=ROOT,
@@ -169,23 +169,23 @@
 def test_app_server_process_announces_reloads_on_sighup_and_withdraws_on_sigterm(
     tmp_path, make_router
 ):
-    router, own = make_router(), tmp_path / "own.conf"
+    router, operator_file = make_router(), tmp_path / "own.conf"
     text = (
         "announce {\n as 65010\n router-id 127.0.0.1\n next-hop 127.0.0.1\n ready-for 10ms\n"
         " propagation 50ms\n graceful-shutdown 10ms\n%s" + peer_block(router.address) + "}\n"
     )
-    own.write_text(text % f" service {SERVICE}\n")
-    site = spawned(Site(tmp_path), own)
+    operator_file.write_text(text % f" service {SERVICE}\n")
+    site = spawn(Site(tmp_path), operator_file)
     try:
         site.kernel = site.link()
         router.wait_held(SERVICE)
-        own.write_text("announce {\n as wrong\n}\n")
+        operator_file.write_text("announce {\n as wrong\n}\n")
         site.process.send_signal(signal.SIGHUP)
         for line in site.process.stderr:
             if "reload_failed" in line:
                 break
         assert "wrong: expected a whole number" in line
-        own.write_text(text % " service 192.0.2.11/32\n")
+        operator_file.write_text(text % " service 192.0.2.11/32\n")
         site.process.send_signal(signal.SIGHUP)
         router.wait_held("192.0.2.11/32")
         site.process.send_signal(signal.SIGTERM)
@@ -199,13 +199,16 @@
 
 
 def test_start_with_an_invalid_file_exits_with_2_and_reports_every_error(tmp_path):
-    own = tmp_path / "own.conf"
-    own.write_text("announce {\n as wrong\n ready-for 3\n}\n")
-    site = spawned(Site(tmp_path), own)
-    _, told = site.process.communicate(timeout=PATIENCE)
+    operator_file = tmp_path / "own.conf"
+    operator_file.write_text("announce {\n as wrong\n ready-for 3\n}\n")
+    site = spawn(Site(tmp_path), operator_file)
+    _, output = site.process.communicate(timeout=PATIENCE)
     site.end()
     assert site.process.returncode == 2
-    assert f"{own}:2: wrong: expected" in told and f"{own}:3: 3: expected" in told
+    assert (
+        f"{operator_file}:2: wrong: expected" in output
+        and f"{operator_file}:3: 3: expected" in output
+    )
 
 
 def test_default_deployment_announces_nothing_and_loads_no_bgp_modules(tmp_path):
@@ -229,12 +232,18 @@
     text = "\n".join(
         line.removeprefix("#") for line in lines[start:] if "Devices on poor" not in line
     )
-    made = parse_operator_file(text, "example")
-    assert made.announce.as_ == 65010 and made.announce.peer[0].max_prefixes == 1000
-    assert made.edge.window == 16 and made.edge.tls.mutual
+    operator_config = parse_operator_file(text, "example")
+    assert (
+        operator_config.announce.as_ == 65010
+        and operator_config.announce.peer[0].max_prefixes == 1000
+    )
+    assert operator_config.edge.window == 16 and operator_config.edge.tls.mutual
+    assert (
+        operator_config.fleet.site == "recife"
+        and len(operator_config.fleet.seed) == 2
+        and operator_config.sites.bear == ("any-one",)
+    )
     assert (
-        made.fleet.site == "recife"
-        and len(made.fleet.seed) == 2
-        and made.sites.bear == ("any-one",)
+        operator_config.store.unpersisted_effects == "refused"
+        and operator_config.storms.retry_ratio == 0.1
     )
-    assert made.store.unpersisted_effects == "refused" and made.storms.retry_ratio == 0.1
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -41,7 +41,7 @@
 )
 numbers = st.lists(asns, min_size=1, max_size=5).map(tuple)
 paths = st.lists(st.tuples(st.sampled_from([SET, SEQUENCE]), numbers), max_size=3).map(tuple)
-wholes = st.builds(
+attribute_sets = st.builds(
     Attributes,
     origin=st.integers(0, 2),
     as_path=paths,
@@ -90,7 +90,7 @@
     assert read(messages.encode(message)) == message
 
 
-@given(wholes, st.lists(v4, min_size=1, max_size=40, unique=True))
+@given(attribute_sets, st.lists(v4, min_size=1, max_size=40, unique=True))
 def test_announcement_round_trips_when_split_at_any_byte(attributes, rows):
     data, found = b"".join(messages.announcements(rows, attributes, True, False)), []
     stream = Stream()
@@ -100,7 +100,7 @@
     assert all(each.reachable[0][0] == attributes for each in found)
 
 
-@given(wholes, st.lists(v6, min_size=1, max_size=20, unique=True))
+@given(attribute_sets, st.lists(v6, min_size=1, max_size=20, unique=True))
 def test_ipv6_routes_round_trip_through_mp_reach_and_mp_unreach(attributes, rows):
     attributes = replace(attributes, next_hop=b"\x20\x01" + bytes(13) + b"\1")
     [update] = [read(each) for each in messages.announcements(rows, attributes, True, False)]
--- a/tests/bgp/test_policy.py
+++ b/tests/bgp/test_policy.py
@@ -41,8 +41,10 @@
 
 
 def test_first_matching_term_decides_and_changes_attributes():
-    taken = peer_policy("import through").import_route(TEN, route(communities=(65020 << 16 | 7,)))
-    assert (taken.med, taken.local_pref, taken.communities, taken.large) == (
+    imported = peer_policy("import through").import_route(
+        TEN, route(communities=(65020 << 16 | 7,))
+    )
+    assert (imported.med, imported.local_pref, imported.communities, imported.large) == (
         5,
         200,
         (65010 << 16 | 1,),
@@ -111,13 +113,13 @@
     ],
 )
 def test_only_to_customer_reveals_a_leak_or_is_added_on_import(role, mark, result):
-    taken = peer_policy(f"role {role}", "import through").import_route(
+    imported = peer_policy(f"role {role}", "import through").import_route(
         TEN, route(only_to_customer=mark)
     )
     if mark == 9 and role != "customer":
-        assert isinstance(taken, Refused) and "leak" in taken.reason
+        assert isinstance(imported, Refused) and "leak" in imported.reason
     else:
-        assert taken.only_to_customer == result
+        assert imported.only_to_customer == result
 
 
 @pytest.mark.parametrize(
--- a/tests/bgp/test_session.py
+++ b/tests/bgp/test_session.py
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    "prepare, told",
+    "prepare, cease",
     [
         (lambda m: m, None),
         (lambda m: m.connected(), (6, 2)),
@@ -235,12 +235,12 @@
         (lambda m: m.up().receive(messages.encode(Notification(6, 4))), None),
     ],
 )
-def test_stop_sends_cease_if_connected_and_never_reconnects(prepare, told):
+def test_stop_sends_cease_if_connected_and_never_reconnects(prepare, cease):
     harness = prepare(PeerHarness())
     before = harness.notified()
     harness.peer.stop(harness.now, text="going")
     harness.drain_actions()
-    assert harness.state == "IDLE" and harness.notified() == (told or before)
+    assert harness.state == "IDLE" and harness.notified() == (cease or before)
     tries = len(harness.connects)
     harness.wait(600 * SECOND)
     assert len(harness.connects) == tries and harness.peer.next_due() is None
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -30,12 +30,12 @@
 ROOT = Path(__file__).parents[2]
 
 
-def beside(*routers, more="", peer=(), **changed):
+def config_with_peers(*routers, more="", peer=(), **changed):
     blocks = "".join(peer_block(each.address, each.habits.asn, *peer) for each in routers)
     return announce_config(blocks + more, **changed)
 
 
-def until(speaker, question):
+def wait_until(speaker, question):
     """Repeats a query in the speaker's thread until its result is true."""
     give_up = time.monotonic() + PATIENCE
     while not speaker.query(question, PATIENCE):
@@ -46,35 +46,38 @@
     make_router, make_speaker
 ):
     routers, listener = [make_router(), make_router(asn=65021)], threading.Event()
-    left = []
+    remaining = []
     speaker = make_speaker(
-        beside(*routers), on_withdrawal_sent=lambda wait: (left.append(wait), listener.set())
+        config_with_peers(*routers),
+        on_withdrawal_sent=lambda wait: (remaining.append(wait), listener.set()),
     )
     speaker.set_node_status(NodeStatus.READY)
     for router in routers:
         router.wait_held(SERVICE)
     speaker.leave(5000)
-    assert listener.wait(PATIENCE) and 0 < left[0] <= 500
+    assert listener.wait(PATIENCE) and 0 < remaining[0] <= 500
     for router in routers:
         router.wait_held()
-        told = [
+        output = [
             each.message.reachable[0][0].communities
             for each in router.seen
             if each.what == "announced"
         ]
-        assert told == [(), (GRACEFUL_SHUTDOWN,)]
+        assert output == [(), (GRACEFUL_SHUTDOWN,)]
 
 
 def test_ipv6_service_is_announced_over_an_ipv4_session(make_router, make_speaker):
     router = make_router()
-    made = beside(router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n")
-    make_speaker(made).set_node_status(NodeStatus.READY)
+    config = config_with_peers(
+        router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n"
+    )
+    make_speaker(config).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE, "2001:db8::10/128")
 
 
 def test_router_that_connects_late_or_again_gets_the_routes(make_router, make_speaker):
     router = make_router(turn_away=3)
-    make_speaker(beside(router)).set_node_status(NodeStatus.READY)
+    make_speaker(config_with_peers(router)).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     router.drop()
     router.wait_count("up", 2)
@@ -94,9 +97,9 @@
     make_router, make_speaker, broken, code
 ):
     bad, good = make_router(sends=[broken]), make_router(asn=65021)
-    make_speaker(beside(bad, good)).set_node_status(NodeStatus.READY)
-    told = bad.wait_count("notification").message
-    assert (told.code, told.subcode) == code
+    make_speaker(config_with_peers(bad, good)).set_node_status(NodeStatus.READY)
+    output = bad.wait_count("notification").message
+    assert (output.code, output.subcode) == code
     good.wait_held(SERVICE)
     assert good.sessions == 1
 
@@ -106,14 +109,14 @@
 ):
     flood = table(100_000, THEM)
     bad, good = make_router(sends=flood), make_router(asn=65021, sends=table(100_000, 65021))
-    made = announce_config(
+    config = announce_config(
         peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000")
     )
-    speaker = make_speaker(made)
+    speaker = make_speaker(config)
     speaker.set_node_status(NodeStatus.READY)
     assert (bad.wait_count("notification").message.subcode) == 1
     good.wait_held(SERVICE)
-    until(speaker, lambda each: len(each.peers[good.address].adj_rib_in) == 100_000)
+    wait_until(speaker, lambda each: len(each.peers[good.address].adj_rib_in) == 100_000)
     assert good.count("lost") == 0
 
 
@@ -122,9 +125,11 @@
 ):
     services = "".join(f"    service 198.51.{each >> 8}.{each & 255}/32\n" for each in range(20))
     router = make_router(reads=False)
-    speaker = make_speaker(beside(router, more=services), bounds=Bounds(send_buffer=2_000))
+    speaker = make_speaker(
+        config_with_peers(router, more=services), bounds=Bounds(send_buffer=2_000)
+    )
     speaker.set_node_status(NodeStatus.READY)
-    until(speaker, lambda each: each.peers[router.address].adj_rib_out)
+    wait_until(speaker, lambda each: each.peers[router.address].adj_rib_out)
 
     def fill(
         each,
@@ -146,14 +151,16 @@
     make_router, make_speaker
 ):
     slow, good = make_router(drip=0.002), make_router(asn=65021)
-    make_speaker(beside(slow, good)).set_node_status(NodeStatus.READY)
+    make_speaker(config_with_peers(slow, good)).set_node_status(NodeStatus.READY)
     good.wait_held(SERVICE)
     slow.wait_held(SERVICE)
 
 
 def test_connection_collision_leaves_one_session(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
-    speaker = make_speaker(beside(router, peer=["mode both"], more="    listen 127.0.0.1:0\n"))
+    speaker = make_speaker(
+        config_with_peers(router, peer=["mode both"], more="    listen 127.0.0.1:0\n")
+    )
     router.connect(speaker.listener.getsockname())
     speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
@@ -163,7 +170,9 @@
 
 def test_unknown_host_is_rejected_and_a_passive_peer_is_waited_for(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
-    speaker = make_speaker(beside(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n"))
+    speaker = make_speaker(
+        config_with_peers(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n")
+    )
     speaker.set_node_status(NodeStatus.READY)
     stranger = socket.create_connection(speaker.listener.getsockname(), PATIENCE)
     assert stranger.recv(100)[18:21] == b"\3\6\5"
@@ -177,13 +186,13 @@
     make_router, make_speaker, serves
 ):
     router = make_router(keep_stale=True, restart=GracefulRestart(30, families=((1, 1, True),)))
-    made = beside(router, more="    graceful-restart {\n        time 30s\n    }\n")
-    first = make_speaker(made)
+    config = config_with_peers(router, more="    graceful-restart {\n        time 30s\n    }\n")
+    first = make_speaker(config)
     first.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     crash(first)
     router.wait(lambda: router.stale, "a stale route")
-    second = make_speaker(made)
+    second = make_speaker(config)
     if serves:
         second.set_node_status(NodeStatus.READY)
     opened = router.wait_count("open", 2).message
@@ -209,7 +218,7 @@
     make_router, make_speaker
 ):
     router = make_router()
-    speaker = make_speaker(beside(router))
+    speaker = make_speaker(config_with_peers(router))
     speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     crash(speaker)
@@ -221,10 +230,10 @@
     make_router, make_speaker
 ):
     rng, router = random.Random(7), make_router()
-    made = beside(router, ready_for="2ms", suppress="900000", reuse="800000")
+    config = config_with_peers(router, ready_for="2ms", suppress="900000", reuse="800000")
     for _ in range(200):
         sessions = router.count("up")
-        speaker = make_speaker(made)
+        speaker = make_speaker(config)
         for state in rng.sample(
             [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.STANDING_STILL, NodeStatus.SICK], 2
         ):
@@ -268,7 +277,7 @@
     assert os.stat(path).st_mode & 0o777 == 0o600
     speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
-    until(speaker, lambda each: len(each.peers[router.address].adj_rib_in) == 1)
+    wait_until(speaker, lambda each: len(each.peers[router.address].adj_rib_in) == 1)
 
     def run(*words):
         return CliRunner().invoke(lilacwalk, ["bgp", words[0], "--file", str(own), *words[1:]])
@@ -296,15 +305,15 @@
     good = update("10.0.0.0/8") + messages.end_of_rib(2) + last
     path = tmp_path / "captured"
     path.write_bytes(good)
-    told = CliRunner().invoke(lilacwalk, ["bgp", "decode", str(path)])
-    assert told.exit_code == 0 and told.output.splitlines() == [
+    output = CliRunner().invoke(lilacwalk, ["bgp", "decode", str(path)])
+    assert output.exit_code == 0 and output.output.splitlines() == [
         f"message=update announced=10.0.0.0/8 next_hop=127.0.0.20 path='{THEM}' origin=0 med=None "
         "local_pref=None communities=none",
         "message=update end_of_rib=ipv6",
         "message=notification reason=cease/shutdown text='hi' data=026869",
     ]
     digits = CliRunner().invoke(lilacwalk, ["bgp", "decode", "--hex"], input=good.hex())
-    assert digits.output == told.output
+    assert digits.output == output.output
     cut = CliRunner().invoke(lilacwalk, ["bgp", "decode"], input=good[:-1])
     assert cut.exit_code == 2 and "unfinished message" in cut.output
 
@@ -336,15 +345,15 @@
 
 @pytest.fixture
 def announce_process(tmp_path, make_router):
-    made = []
+    config = []
 
     def make(more=""):
         router = make_router()
-        made.append(AnnounceProcess(tmp_path, router, more))
-        return made[-1], router
+        config.append(AnnounceProcess(tmp_path, router, more))
+        return config[-1], router
 
     yield make
-    for each in made:
+    for each in config:
         if each.process.poll() is None:
             each.process.kill()
         each.process.wait()
@@ -392,13 +401,13 @@
     own = tmp_path / "own.conf"
     for text in ("", "announce {\n as x\n hold-time 1s\n}\n"):
         own.write_text(text)
-        told = CliRunner().invoke(lilacwalk, ["announce", "--file", str(own)])
-        assert told.exit_code == 2
+        output = CliRunner().invoke(lilacwalk, ["announce", "--file", str(own)])
+        assert output.exit_code == 2
 
 
 def test_clock_jump_ends_no_session(make_router, make_speaker):
     router, ahead = make_router(hold=3), [0]
-    speaker = make_speaker(beside(router), clock=lambda: time.monotonic_ns() + ahead[0])
+    speaker = make_speaker(config_with_peers(router), clock=lambda: time.monotonic_ns() + ahead[0])
     speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     ahead[0] = 3600 * 10**9
