--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -30,7 +30,9 @@
 SECOND = 10_000  # in tenths of a millisecond
 OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
 MIN_JITTER = 0.75  # timers run for a random 75 to 100 % of their time (RFC 4271 section 10)
-MAX_IDLE_HOLD = 120 * SECOND  # upper bound of the doubling; RFC 4271 specifies none
+MAX_IDLE_HOLD = (
+    120 * SECOND
+)  # after two minutes an operator would look again; RFC 4271 sets no limit
 KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271 section 10
 
 
