--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -110,7 +110,8 @@
         elif status in (
             NodeStatus.COLD,
             NodeStatus.WARMING,
-        ):  # restarted: only the flap penalty is kept
+        ):
+            # The node has restarted: only the flap penalty is kept.
             self.unhealthy_since, self.was_ready = None, False
         if (
             previous is NodeStatus.READY
@@ -311,14 +312,14 @@
 
 
 def next_hop(config: BgpConfig, service: Service, peer: Peer) -> str:
-    """The service's next hop, else the peer's, else the global one, whichever first has its family.
+    """The service's next candidate, else the peer's, else the global one, whichever first has its family.
 
     Raises:
         ValueError: None of them has the service's address family.
     """
     family = 6 if service.prefix.afi == 2 else 4  # type: ignore[attr-defined]
-    for hop in (service.next_hop, peer.next_hop, config.next_hop):
-        if hop is not None and (":" in hop) == (family == 6):
-            return hop
+    for candidate in (service.next_hop, peer.next_hop, config.next_hop):
+        if candidate is not None and (":" in candidate) == (family == 6):
+            return candidate
     # The configuration check excludes this for the node's own services.
-    raise ValueError(f"no next-hop of the address family of {service.prefix}")
+    raise ValueError(f"no next-candidate of the address family of {service.prefix}")
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -58,11 +58,12 @@
     Type.LARGE_COMMUNITIES: OPTIONAL | TRANSITIVE,
     Type.ONLY_TO_CUSTOMER: OPTIONAL | TRANSITIVE,
 }
+# Discarded if received from an external peer (RFC 7606 section 7).
 ONLY_INTERNAL = (
     Type.LOCAL_PREF,
     Type.ORIGINATOR_ID,
     Type.CLUSTER_LIST,
-)  # discarded if received from an external peer (RFC 7606 section 7)
+)
 
 Path = tuple[tuple[int, tuple[int, ...]], ...]  # segments as (type, AS numbers)
 
@@ -99,9 +100,8 @@
     large: tuple[tuple[int, int, int], ...] = ()
     extended: bytes = b""
     only_to_customer: int | None = None
-    others: tuple[
-        tuple[int, int, bytes], ...
-    ] = ()  # unrecognized transitive attributes as (flags, type, value)
+    # Unrecognized transitive attributes as (flags, type, value).
+    others: tuple[tuple[int, int, bytes], ...] = ()
 
     @property
     def path_length(self) -> int:
@@ -159,28 +159,37 @@
     parsed, offset = ParsedAttributes(), 0
     while offset < len(data):
         flags = data[offset]
-        head = 4 if flags & EXTENDED_LENGTH else 3
-        if len(data) - offset < head:
-            parsed.fault(Severity.WITHDRAW, 0, "truncated attribute header")  # RFC 7606 section 4
+        header_size = 4 if flags & EXTENDED_LENGTH else 3
+        if len(data) - offset < header_size:
+            parsed.fault(
+                Severity.WITHDRAW,
+                0,
+                f"truncated attribute header: got {len(data) - offset} of {header_size} bytes",
+            )  # RFC 7606 section 4
             break
         kind = data[offset + 1]
-        size = int.from_bytes(data[offset + 2 : offset + head], "big")
-        value = data[offset + head : offset + head + size]
+        size = int.from_bytes(data[offset + 2 : offset + header_size], "big")
+        value = data[offset + header_size : offset + header_size + size]
         if len(value) < size:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
                 raise BgpError(
-                    Code.UPDATE, UpdateFault.OPTIONAL, data[offset:], "runs past the end"
+                    Code.UPDATE,
+                    UpdateFault.OPTIONAL,
+                    data[offset:],
+                    f"attribute {kind}: {len(value)} of {size} bytes left in the message",
                 )
-            parsed.fault(Severity.WITHDRAW, kind, "runs past the end")
+            parsed.fault(Severity.WITHDRAW, kind, f"truncated: got {len(value)} of {size} bytes")
             break
-        raw = data[offset : offset + head + size]
-        offset += head + size
+        raw = data[offset : offset + header_size + size]
+        offset += header_size + size
         if kind in parsed.seen:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
                 raise BgpError(
-                    Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text=f"attribute {kind} occurs twice"
+                    Code.UPDATE,
+                    UpdateFault.ATTRIBUTE_LIST,
+                    text=f"attribute {kind} occurs more than once, expected once",
                 )
-            parsed.fault(Severity.DISCARD, kind, "occurs twice")
+            parsed.fault(Severity.DISCARD, kind, "occurs more than once, expected once")
             continue
         parsed.seen.add(kind)
         parse_attribute(parsed, flags, kind, value, raw, as4, internal)
@@ -202,22 +211,40 @@
     expected = FLAGS.get(kind)  # type: ignore[call-overload]
     if expected is None:
         if not flags & OPTIONAL:
-            raise BgpError(Code.UPDATE, UpdateFault.UNKNOWN_WELL_KNOWN, raw, f"attribute {kind}")
+            raise BgpError(
+                Code.UPDATE,
+                UpdateFault.UNKNOWN_WELL_KNOWN,
+                raw,
+                f"unknown attribute {kind} with the well-known flag",
+            )
         if flags & TRANSITIVE:
             others = parsed.values.get("others", ())
             parsed.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
         return
     if kind in ONLY_INTERNAL and not internal:
-        parsed.fault(Severity.DISCARD, kind, "received from an external peer")
+        parsed.fault(
+            Severity.DISCARD,
+            kind,
+            "received from an external peer, expected from internal peers only",
+        )
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
+        # Its prefixes can be read, so its routes are treated as withdrawn.
         if kind in (
             Type.MP_REACH,
             Type.MP_UNREACH,
-        ):  # its prefixes can be read, so its routes are treated as withdrawn
-            parsed.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
+        ):
+            parsed.fault(
+                Severity.WITHDRAW,
+                kind,
+                f"flags {flags:#04x}, expected optional and transitive bits {expected:#04x}",
+            )
         else:
-            parsed.fault(Severity.WITHDRAW, kind, f"flags {flags:#04x}")
+            parsed.fault(
+                Severity.WITHDRAW,
+                kind,
+                f"flags {flags:#04x}, expected optional and transitive bits {expected:#04x}",
+            )
             return
     try:
         PARSERS[kind](parsed, value, as4)
@@ -230,14 +257,14 @@
 def check_size(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
     if len(value) not in sizes:
         raise MalformedAttributeError(
-            f"{len(value)} bytes instead of {' or '.join(map(str, sizes))}", severity
+            f"{len(value)} bytes, expected {' or '.join(map(str, sizes))}", severity
         )
 
 
 def parse_origin(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     check_size(value, 1)
     if value[0] > 2:
-        raise MalformedAttributeError(f"origin {value[0]} is not 0 to 2")
+        raise MalformedAttributeError(f"origin {value[0]}, expected 0 to 2")
     parsed.values["origin"] = value[0]
 
 
@@ -245,7 +272,9 @@
     segments, offset = [], 0
     while offset < len(value):
         if len(value) < offset + 2:
-            raise MalformedAttributeError("truncated AS path segment header")
+            raise MalformedAttributeError(
+                f"truncated AS path segment header: got {len(value) - offset} of 2 bytes"
+            )
         kind, count = value[offset], value[offset + 1]
         end = offset + 2 + count * size
         if (
@@ -254,11 +283,15 @@
             or end > len(value)
         ):
             raise MalformedAttributeError(
-                f"invalid AS path segment: type {kind}, {count} AS numbers"
+                f"invalid AS path segment: type {kind} with {count} AS numbers of {size} bytes and "
+                f"{len(value) - offset - 2} bytes left; expected type 1 to 4, at least 1 AS number, and "
+                f"{count * size} bytes"
             )
         numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[offset + 2 : end])
         if 0 in numbers:
-            raise MalformedAttributeError("AS 0 in the path")  # RFC 7607 section 2
+            raise MalformedAttributeError(
+                "reserved AS 0 in the path, expected 1 or higher"
+            )  # RFC 7607 section 2
         segments.append((kind, numbers))
         offset = end
     return tuple(segments)
@@ -294,7 +327,7 @@
         or len(value) == 16
         and value[0] == 0xFF
     ):
-        raise MalformedAttributeError(f"next hop {value.hex()} is not a host address")
+        raise MalformedAttributeError(f"next hop {value.hex()}, expected a unicast host address")
     return value
 
 
@@ -315,7 +348,9 @@
     check_size(value, 8 if as4 else 6, severity=Severity.DISCARD)
     asn = int.from_bytes(value[:-4], "big")
     if not asn:
-        raise MalformedAttributeError("aggregator AS 0", Severity.DISCARD)
+        raise MalformedAttributeError(
+            "reserved AS 0 as aggregator, expected 1 or higher", Severity.DISCARD
+        )  # RFC 7607
     parsed.values["aggregator"] = asn, value[-4:]
 
 
@@ -328,7 +363,7 @@
 
 def check_multiple(value: bytes, size: int) -> None:
     if not value or len(value) % size:
-        raise MalformedAttributeError(f"{len(value)} bytes is not a positive multiple of {size}")
+        raise MalformedAttributeError(f"{len(value)} bytes, expected a positive multiple of {size}")
 
 
 def parse_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
@@ -343,9 +378,8 @@
 
 def parse_large_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     check_multiple(value, 12)
-    parsed.values["large"] = tuple(
-        dict.fromkeys(struct.iter_unpack("!III", value))
-    )  # duplicates are removed (RFC 8092 section 3)
+    # Duplicates are removed (RFC 8092 section 3).
+    parsed.values["large"] = tuple(dict.fromkeys(struct.iter_unpack("!III", value)))
 
 
 def parse_only_to_customer(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
@@ -362,13 +396,17 @@
 
 def parse_mp_reach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 5 or len(value) < 5 + value[3]:
-        raise MalformedAttributeError(f"truncated: {len(value)} bytes", Severity.RESET)
+        raise MalformedAttributeError(
+            f"{len(value)} bytes, expected at least 5 and the next hop", Severity.RESET
+        )
     afi, safi, size = struct.unpack("!HBB", value[:4])
     next_hop, prefixes = value[4 : 4 + size], value[5 + size :]
     if afi == 2 and size not in (16, 32) or afi == 1 and size not in (4, 16, 32):
+        # RFC 7606 section 7.11.
         raise MalformedAttributeError(
-            f"next hop of {size} bytes", Severity.RESET
-        )  # RFC 7606 section 7.11
+            f"next hop of {size} bytes, expected 16 or 32 (IPv6), or 4, 16 or 32 (IPv4)",
+            Severity.RESET,
+        )
     parsed.reach = afi, safi, next_hop[:16], prefixes
     if afi == 2:
         check_next_hop(next_hop[:16])
@@ -376,7 +414,7 @@
 
 def parse_mp_unreach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 3:
-        raise MalformedAttributeError(f"{len(value)} bytes is less than 3", Severity.RESET)
+        raise MalformedAttributeError(f"{len(value)} bytes, expected at least 3", Severity.RESET)
     parsed.unreach = *struct.unpack("!HB", value[:3]), value[3:]
 
 
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -84,7 +84,9 @@
     while at < len(data):
         if len(data) < at + 2 or len(data) < at + 2 + data[at + 1]:
             raise BgpError(
-                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text=f"truncated capability at byte {at}"
+                Code.OPEN,
+                OpenFault.OPTIONAL_PARAMETER,
+                text=f"truncated capability at byte {at}: {len(data) - at} bytes left",
             )
         code, value = data[at], data[at + 2 : at + 2 + data[at + 1]]
         at += 2 + len(value)
@@ -101,7 +103,7 @@
                 raise BgpError(
                     Code.OPEN,
                     OpenFault.ROLE_MISMATCH,
-                    text=f"roles {values['role']} and {value[0]}",
+                    text=f"contradicting roles {values['role']} and {value[0]}, expected one",
                 )
             values["role"] = value[0]
         elif code == GRACEFUL_RESTART and len(value) >= 2 and len(value) % 4 == 2:
@@ -115,7 +117,9 @@
         elif code == FOUR_OCTET_AS and len(value) == 4:
             values["as4"] = int.from_bytes(value, "big")
             if not values["as4"]:  # RFC 7607 section 2
-                raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="AS 0")
+                raise BgpError(
+                    Code.OPEN, OpenFault.PEER_AS, text="reserved AS 0, expected 1 or higher"
+                )
         else:
             unknown.append((code, value))
     return Capabilities(families=tuple(families), unknown=tuple(unknown), **values)  # type: ignore[arg-type]
@@ -148,7 +152,7 @@
                 raise BgpError(
                     Code.OPEN,
                     OpenFault.ROLE_MISMATCH,
-                    text=f"peer's role {theirs.role} with our role {ours.role}",
+                    text=f"peer's role {theirs.role}, expected {COMPATIBLE_ROLES.get(ours.role)} for our role {ours.role}",
                 )
         # Without a multiprotocol capability the peer supports IPv4 unicast only (RFC 4760 section 8).
         peer_families = (
--- a/lilacwalk/bgp/config.py
+++ b/lilacwalk/bgp/config.py
@@ -25,9 +25,8 @@
 Number = Annotated[int, Meta(ge=0, le=4_294_967_295)]
 Community = Annotated[int, unit("community")]
 Address = Annotated[str, unit("address")]
-Repeats = Annotated[
-    int, Meta(ge=0, le=20)
-]  # times our AS number is prepended; routers may reject longer paths
+# How often our AS number is prepended; routers may reject longer paths.
+Repeats = Annotated[int, Meta(ge=0, le=20)]
 
 
 class Service(Struct, frozen=True, kw_only=True):
@@ -60,8 +59,11 @@
 
 
 class Sick(Struct, frozen=True, kw_only=True):
-    """Announcement of a sick node: first less wanted, then withdrawn; `well_after` gives
-    hysteresis.
+    """Settings for announcing an unhealthy node.
+
+    The node is announced with lower preference (`med`, `prepend`) after `less_wanted_after` and
+    withdrawn after `withdraw_after`. After it recovers, its level is raised only when it has been
+    ready for `well_after`; this hysteresis prevents flapping.
     """
 
     less_wanted_after: Time = 0
@@ -77,15 +79,17 @@
 
 
 class LastResort(Struct, frozen=True, kw_only=True):
-    """If present, a sick node is not withdrawn but announced so that every other node is preferred."""
+    """Announcement of a sick node in place of a withdrawal; every other node must be preferred to
+    it.
+    """
 
     med: Number = 4_294_967_295
     prepend: Repeats = 10
 
 
 class Restart(Struct, frozen=True, kw_only=True):
-    """Graceful restart (RFC 4724): how long peers shall keep our routes (`time`), and we theirs at
-    most (`stale`).
+    """Settings of graceful restart (RFC 4724): peers keep our routes for `time`, we keep theirs for
+    at most `stale`.
     """
 
     time: Annotated[int, unit("duration", ge=SECOND, le=4095 * SECOND)] = 10 * SECOND
@@ -117,10 +121,11 @@
     """A prefix list; the first matching entry decides."""
 
     ARGUMENTS: ClassVar = ("name",)
+    # Keywords of the entries, whose order matters, and whether an entry permits.
     ORDERED: ClassVar = {
         "permit": True,
         "deny": False,
-    }  # statements whose order matters -> whether they permit
+    }
     name: str
     lines: tuple[tuple[bool, Match], ...] = ()
 
@@ -253,7 +258,11 @@
 
 
 def hold_faults(time: int | None) -> list[tuple[str, str]]:
-    """RFC 4271 section 4.2: zero or at least three seconds, in whole seconds on the wire."""
+    """Returns the errors of a hold time.
+
+    RFC 4271 section 4.2 allows zero or at least three seconds; the message field holds whole
+    seconds.
+    """
     if time is not None and (0 < time < 3 * SECOND or time % SECOND):
         return [("hold-time", "0s, or whole seconds from 3s on")]
     return []
--- a/lilacwalk/bgp/damping.py
+++ b/lilacwalk/bgp/damping.py
@@ -6,10 +6,11 @@
 
 from lilacwalk.bgp.config import Damping
 
+# RFC 2439 section 4.2: an attribute change counts half as much as a withdrawal.
 FLAP, CHANGE = (
     1_000,
     500,
-)  # RFC 2439 section 4.2: an attribute change counts half as much as a withdrawal
+)
 
 
 class Penalty:
@@ -26,13 +27,13 @@
 
     @property
     def ceiling(self) -> float:
-        """Maximum penalty; a higher one would suppress for more than `longest` (RFC 2439 section
-        4.2).
+        """The maximum penalty: from a higher one, decay to `reuse` would take longer than `longest`
+        (RFC 2439 section 4.2).
         """
         return self.config.reuse * 2.0 ** (self.config.longest / self.config.half_life)
 
     def value_at(self, now: int) -> float:
-        """The decayed penalty at `now`."""
+        """Returns the decayed penalty at `now`."""
         return self.value * 2.0 ** (-max(0, now - self.updated_at) / self.config.half_life)
 
     def add(self, amount: int, now: int) -> None:
@@ -43,13 +44,13 @@
             self.suppressed = True
 
     def is_suppressed(self, now: int) -> bool:
-        """Whether the penalty suppresses announcements at `now`."""
+        """Returns whether the penalty suppresses announcements at `now`."""
         if self.suppressed and now >= self.reuse_at():
             self.suppressed = False
         return self.suppressed
 
     def reuse_at(self) -> int:
-        """When the penalty will have decayed to `reuse` if no further flap is added."""
+        """Returns the time at which the penalty will have decayed to `reuse` if no flap is added."""
         if self.value <= self.config.reuse:
             return self.updated_at
         return self.updated_at + math.ceil(
--- a/lilacwalk/bgp/errors.py
+++ b/lilacwalk/bgp/errors.py
@@ -82,7 +82,7 @@
 
 
 def reason(code: int, subcode: int) -> str:
-    """Code and subcode by name, as `code/subcode`; unknown ones as numbers."""
+    """Returns the code and subcode as `code/subcode`, by name if they are known, else as numbers."""
     try:
         name = Code(code).name.lower()
     except ValueError:
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -50,9 +50,8 @@
     """An UPDATE message."""
 
     withdrawn: tuple[Prefix, ...] = ()
-    reachable: tuple[
-        tuple[Attributes, tuple[Prefix, ...]], ...
-    ] = ()  # (attributes, prefixes) of the NLRI field and of MP_REACH_NLRI
+    # (attributes, prefixes) of the NLRI field and of MP_REACH_NLRI.
+    reachable: tuple[tuple[Attributes, tuple[Prefix, ...]], ...] = ()
     end_of_rib: int | None = None  # the AFI if this is an End-of-RIB marker (RFC 4724 section 2)
     faults: tuple[Fault, ...] = ()  # malformed attributes that do not end the session (RFC 7606)
 
@@ -136,10 +135,15 @@
                         Code.HEADER,
                         Header.BAD_LENGTH,
                         data[offset + 16 : offset + 18],
-                        f"length {size}",
+                        f"invalid length {size} of a message of type {kind}",
                     )
                 if kind not in MIN_SIZES:
-                    raise BgpError(Code.HEADER, Header.BAD_TYPE, bytes((kind,)), f"type {kind}")
+                    raise BgpError(
+                        Code.HEADER,
+                        Header.BAD_TYPE,
+                        bytes((kind,)),
+                        f"message type {kind}, expected 1 to 5",
+                    )
                 if len(data) - offset < size:
                     break
                 body = data[offset + HEADER_SIZE : offset + size]
@@ -157,7 +161,7 @@
 def decode(
     kind: int,
     body: bytes,
-    agreed: NegotiatedCapabilities = NegotiatedCapabilities(),
+    negotiated: NegotiatedCapabilities = NegotiatedCapabilities(),
     internal: bool = False,
 ) -> Message:
     """Decodes the body of one message.
@@ -174,7 +178,7 @@
     if kind == OPEN:
         return decode_open(body)
     if kind == UPDATE:
-        return decode_update(body, agreed, internal)
+        return decode_update(body, negotiated, internal)
     if kind == NOTIFICATION:
         if len(body) < 2:  # `Stream` checks this too, but not every caller uses it
             raise BgpError(
@@ -189,7 +193,7 @@
                 Code.ROUTE_REFRESH,
                 1,
                 frame(REFRESH, body),
-                f"body of {len(body)} bytes instead of 4",
+                f"body of {len(body)} bytes, expected 4",
             )
         afi, subtype, safi = struct.unpack("!HBB", body)
         return Refresh(afi, safi, subtype)
@@ -202,14 +206,20 @@
     version, asn, hold, router_id, parameters_size = struct.unpack("!BHHIB", body[:10])
     if version != VERSION:
         raise BgpError(
-            Code.OPEN, OpenFault.VERSION, struct.pack("!H", VERSION), f"version {version}"
+            Code.OPEN,
+            OpenFault.VERSION,
+            struct.pack("!H", VERSION),
+            f"version {version}, expected {VERSION}",
         )
     parameters, parameter_header_size = body[10:], 2
-    if (
-        parameters_size == EXTENDED_PARAMETERS and parameters[:1] == b"\xff"
-    ):  # RFC 9072: two-octet lengths
+    # RFC 9072: the parameters and their total have two-octet lengths.
+    if parameters_size == EXTENDED_PARAMETERS and parameters[:1] == b"\xff":
         if len(parameters) < 3:
-            raise BgpError(Code.OPEN, 0, text="truncated extended parameters length")
+            raise BgpError(
+                Code.OPEN,
+                0,
+                text=f"truncated extended parameters length: got {len(parameters) - 1} of 2 bytes",
+            )
         parameters_size, parameters, parameter_header_size = (
             int.from_bytes(parameters[1:3], "big"),
             parameters[3:],
@@ -219,29 +229,39 @@
         raise BgpError(
             Code.OPEN,
             0,
-            text=f"{len(parameters)} bytes of parameters instead of {parameters_size}",
+            text=f"{len(parameters)} bytes of parameters, expected {parameters_size}",
         )
     capability_data, offset = b"", 0
     while offset < len(parameters):
         length = int.from_bytes(parameters[offset + 1 : offset + parameter_header_size], "big")
         value = parameters[offset + parameter_header_size : offset + parameter_header_size + length]
         if len(parameters) < offset + parameter_header_size or len(value) < length:
-            raise BgpError(Code.OPEN, 0, text=f"truncated parameter at byte {offset}")
+            raise BgpError(
+                Code.OPEN,
+                0,
+                text=f"truncated parameter at byte {offset}: {len(parameters) - offset} bytes left",
+            )
         if parameters[offset] != CAPABILITIES:
             raise BgpError(
                 Code.OPEN,
                 OpenFault.OPTIONAL_PARAMETER,
-                text=f"unsupported parameter {parameters[offset]}",
+                text=f"optional parameter {parameters[offset]}, expected {CAPABILITIES} (capabilities)",
             )
         capability_data += value
         offset += parameter_header_size + length
     capabilities = capability_codec.decode(capability_data)
     if not asn:
-        raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="AS 0")
+        raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="reserved AS 0, expected 1 or higher")
     if hold in (1, 2):
-        raise BgpError(Code.OPEN, OpenFault.HOLD_TIME, text=f"hold time of {hold} s")
+        raise BgpError(
+            Code.OPEN,
+            OpenFault.HOLD_TIME,
+            text=f"hold time of {hold} s, expected 0 or at least 3 s",
+        )
     if not router_id:
-        raise BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="router id 0.0.0.0")
+        raise BgpError(
+            Code.OPEN, OpenFault.ROUTER_ID, text="router id 0.0.0.0, expected a nonzero one"
+        )
     return Open(
         asn if capabilities.as4 is None else capabilities.as4,
         hold,
@@ -250,7 +270,7 @@
     )
 
 
-def decode_update(body: bytes, agreed: NegotiatedCapabilities, internal: bool) -> Update:
+def decode_update(body: bytes, negotiated: NegotiatedCapabilities, internal: bool) -> Update:
     if len(body) < 4:
         raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
     withdrawn_size = int.from_bytes(body[:2], "big")
@@ -258,14 +278,14 @@
         raise BgpError(
             Code.UPDATE,
             UpdateFault.ATTRIBUTE_LIST,
-            text=f"withdrawn routes of {withdrawn_size} bytes exceed the message",
+            text=f"withdrawn routes of {withdrawn_size} bytes exceed the body of {len(body)} bytes",
         )
     attributes_size = int.from_bytes(body[2 + withdrawn_size : 4 + withdrawn_size], "big")
     if len(body) < 4 + withdrawn_size + attributes_size:
         raise BgpError(
             Code.UPDATE,
             UpdateFault.ATTRIBUTE_LIST,
-            text=f"attributes of {attributes_size} bytes exceed the message",
+            text=f"attributes of {attributes_size} bytes exceed the body of {len(body)} bytes",
         )
     if len(body) == 4:
         return Update(end_of_rib=Afi.IPV4)
@@ -274,18 +294,20 @@
         body[4 + withdrawn_size : 4 + withdrawn_size + attributes_size],
         decode_prefixes(body[4 + withdrawn_size + attributes_size :], Afi.IPV4),
     )
-    parsed = path_attributes.parse_attributes(raw, agreed.as4, internal)
+    parsed = path_attributes.parse_attributes(raw, negotiated.as4, internal)
     if parsed.unreach is not None:
         afi, safi, nlri = parsed.unreach
         if safi == UNICAST and afi in (Afi.IPV4, Afi.IPV6):
             if not nlri and parsed.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
                 return Update(end_of_rib=afi, faults=tuple(parsed.faults))
-            if afi in agreed.families:  # families not negotiated are ignored (RFC 4760 section 7)
+            if (
+                afi in negotiated.families
+            ):  # families not negotiated are ignored (RFC 4760 section 7)
                 withdrawn += decode_prefixes(nlri, Afi(afi))
     mp_reached: list[Prefix] = []
     if parsed.reach is not None:
         afi, safi, next_hop, nlri = parsed.reach
-        if safi == UNICAST and afi in agreed.families:
+        if safi == UNICAST and afi in negotiated.families:
             mp_reached = decode_prefixes(nlri, Afi(afi))
     if announced or mp_reached:
         check_mandatory(parsed, bool(announced), internal)
@@ -307,9 +329,8 @@
     if mp_reached:
         values = parsed.values | {"next_hop": next_hop}
         reachable.append((Attributes(**values), tuple(mp_reached)))  # type: ignore[arg-type]
-    if (
-        withdrawn and reachable
-    ):  # a prefix both withdrawn and announced counts as announced (RFC 4271 section 4.3)
+    # A prefix both withdrawn and announced counts as announced (RFC 4271 section 4.3).
+    if withdrawn and reachable:
         announced_again = {*announced, *mp_reached}
         withdrawn = [each for each in withdrawn if each not in announced_again]
     return Update(tuple(withdrawn), tuple(reachable), faults=tuple(parsed.faults))
@@ -328,7 +349,7 @@
         mandatory.append(Type.LOCAL_PREF)
     for kind in mandatory:
         if kind not in parsed.seen:
-            parsed.fault(Severity.WITHDRAW, kind, "missing")
+            parsed.fault(Severity.WITHDRAW, kind, "mandatory attribute missing")
 
 
 def decode_prefixes(data: bytes, afi: Afi) -> list[Prefix]:
@@ -348,7 +369,10 @@
         return frame(REFRESH, struct.pack("!HBB", message.afi, message.kind, message.safi))
     if isinstance(message, Keepalive):
         return frame(KEEPALIVE, b"")
-    raise TypeError("an UPDATE is encoded by `announcements`, `withdrawals` or `end_of_rib`")
+    raise TypeError(
+        f"cannot encode {type(message).__name__}: expected Open, Notification, Refresh or Keepalive; "
+        "use `announcements`, `withdrawals` or `end_of_rib` for an UPDATE"
+    )
 
 
 def encode_open(message: Open) -> bytes:
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -26,9 +26,9 @@
 from lilacwalk.bgp.session import Event, Session, SessionAction, SessionConfig, SessionEnd, State
 
 FAMILIES = (Afi.IPV4, Afi.IPV6)
-MIN_REFRESH_INTERVAL = (
-    SECOND  # routers request at most once per session; a manual repeat waits a second
-)
+# Minimum time between two answers to refresh requests of a family. Routers request a refresh at
+# most once per session; this delays only a request that an operator repeats.
+MIN_REFRESH_INTERVAL = SECOND
 
 
 class ActionKind(Enum):
@@ -186,13 +186,13 @@
         """Ends all connections with a Cease notification.
 
         If both sides support RFC 8538, the peer would treat a plain Cease as a restart and keep our
-        routes. It is therefore sent inside a hard reset (section 3.1).
+        routes. It is therefore sent inside a hard reset (RFC 8538 section 3.1).
         """
         self.stopped = True
         for each in self.links():
             data = messages.shutdown_data(text) if subcode in (Cease.SHUTDOWN, Cease.RESET) else b""
             code = int(subcode)
-            peer_restart = each.session.agreed.restart
+            peer_restart = each.session.negotiated.restart
             if (
                 self.config.graceful_restart is not None
                 and peer_restart is not None
@@ -224,7 +224,7 @@
 
         Returns:
             The new link's number; 0 if the connection is rejected. None is accepted in Idle after a
-            failure (section 8.2.2). A second connection waits for its OPEN, after which the collision is
+            failure (RFC 4271 section 8.2.2). A second connection waits for its OPEN, after which the collision is
             resolved.
         """
         if self.stopped or self.peer.mode == "active":
@@ -367,11 +367,13 @@
         self.refresh_sent_at.clear()
         self.refresh_due.clear()
         self.adj_rib_in.start_session()
-        agreed = link.session.agreed
+        negotiated = link.session.negotiated
         if self.stale_until:
             preserved = {
                 afi
-                for afi, safi, forwarding in (agreed.restart.families if agreed.restart else ())
+                for afi, safi, forwarding in (
+                    negotiated.restart.families if negotiated.restart else ()
+                )
                 if forwarding and safi == UNICAST
             }
             self._drop_stale(
@@ -383,10 +385,10 @@
         self._log(
             event="bgp_up",
             hold_s=link.session.hold_time // SECOND,
-            families=",".join(Afi(each).name.lower() for each in agreed.families),
+            families=",".join(Afi(each).name.lower() for each in negotiated.families),
         )
         self._send_changes(link)
-        for afi in agreed.families:
+        for afi in negotiated.families:
             self._send(link, messages.end_of_rib(afi))
 
     def _session_ended(self, link: Link, ended: SessionEnd, now: int) -> None:
@@ -470,9 +472,8 @@
         counts = link.counts
         counts["updates"] += 1
         counts["faults"] += len(update.faults)
-        if (
-            update.faults and counts["faults"] & (counts["faults"] - 1) == 0
-        ):  # logged at the 1st, 2nd, 4th, 8th ... fault
+        # Logged at the 1st, 2nd, 4th, 8th ... fault.
+        if update.faults and counts["faults"] & (counts["faults"] - 1) == 0:
             worst = update.faults[0]
             self._log(
                 event="bgp_fault",
@@ -505,10 +506,10 @@
         Requests are answered at most once per `MIN_REFRESH_INTERVAL`; otherwise each request of 23
         bytes would cost a full table.
         """
-        if request.safi != UNICAST or request.afi not in link.session.agreed.families:
+        if request.safi != UNICAST or request.afi not in link.session.negotiated.families:
             return
         afi = Afi(request.afi)
-        enhanced = link.session.agreed.enhanced_refresh
+        enhanced = link.session.negotiated.enhanced_refresh
         if request.kind == 0:
             due = self.refresh_sent_at.get(afi, now - MIN_REFRESH_INTERVAL) + MIN_REFRESH_INTERVAL
             self.refresh_due.setdefault(afi, max(now, due))
@@ -520,7 +521,7 @@
 
     def _send_due_refreshes(self, link: Link, now: int) -> None:
         """Sends all routes of a family, between refresh markers if both sides support RFC 7313."""
-        enhanced = link.session.agreed.enhanced_refresh
+        enhanced = link.session.negotiated.enhanced_refresh
         for afi in [afi for afi, due in self.refresh_due.items() if due <= now]:
             del self.refresh_due[afi]
             self.refresh_sent_at[afi] = now
@@ -537,8 +538,8 @@
         """Requests the peer's routes again after a change of the import policy, without a new
         session (RFC 2918).
         """
-        if self.established_link is not None and self.established_link.session.agreed.refresh:
-            for afi in self.established_link.session.agreed.families:
+        if self.established_link is not None and self.established_link.session.negotiated.refresh:
+            for afi in self.established_link.session.negotiated.families:
                 self._send(self.established_link, messages.encode(Refresh(afi, UNICAST)))
 
     # Announcements
@@ -550,7 +551,7 @@
             self._send_changes(self.established_link)
 
     def _send_changes(self, link: Link) -> None:
-        families = link.session.agreed.families
+        families = link.session.negotiated.families
         exports: dict[Prefix, Attributes] = {}
         for prefix, attributes in self.routes.items():
             if prefix.afi in families:
@@ -581,7 +582,7 @@
             for piece in messages.announcements(
                 prefixes,
                 attributes,
-                session.agreed.as4,
+                session.negotiated.as4,
                 session.internal,
                 self._max_message_size(link),
             ):
@@ -589,7 +590,7 @@
 
     @staticmethod
     def _max_message_size(link: Link) -> int:
-        return messages.MAX_EXTENDED_SIZE if link.session.agreed.extended else messages.MAX_SIZE
+        return messages.MAX_EXTENDED_SIZE if link.session.negotiated.extended else messages.MAX_SIZE
 
     def _send(self, link: Link, data: bytes) -> None:
         self.actions.append(Action(ActionKind.SEND, link.number, data))
--- a/lilacwalk/bgp/policy.py
+++ b/lilacwalk/bgp/policy.py
@@ -46,10 +46,11 @@
 
 
 def matches(entry: Match, length: int) -> bool:
-    """Whether an entry that covers a prefix accepts its length.
+    """Returns whether an entry accepts a prefix length; the entry must cover the prefix.
 
-    Without `ge` and `le` only the entry's own length matches; with `ge` alone up to the family's
-    width; with `le` alone from the entry's length on.
+    Accepted lengths: without `ge` and `le`, only the entry's own length; with `ge` alone, `ge` to
+    the address family's width; with `le` alone, the entry's length to `le`; with both, `ge` to
+    `le`.
     """
     assert isinstance(entry.prefix, Prefix)
     if entry.ge is None and entry.le is None:
@@ -156,8 +157,10 @@
         self.export_policy = policies[peer.export] if peer.export else None
 
     def import_route(self, prefix: Prefix, attributes: Attributes) -> Attributes | Refused:
-        """A received route with the attributes to use, or why it is refused (RFC 4271 sections 6.3
-        and 9.1.2; RFC 8212; RFC 9234 section 5).
+        """Applies the built-in rules and the import policy to a received route.
+
+        Returns the attributes to use, or why the route is refused (RFC 4271 sections 6.3 and 9.1.2;
+        RFC 8212; RFC 9234 section 5).
         """
         if attributes.in_path(self.our_as):
             return Refused("our own AS in the path")
@@ -175,15 +178,17 @@
         )
 
     def _check_only_to_customer(self, attributes: Attributes) -> tuple[Attributes, bool]:
-        """Adds a missing Only-to-Customer attribute; the second value tells whether the route is a
-        leak.
+        """Checks the Only-to-Customer attribute of a received route (RFC 9234 section 5).
+
+        Returns the attributes, with Only-to-Customer added if it is required and missing, and
+        whether the route is a leak.
         """
         role, mark = self.peer.role, attributes.only_to_customer
         if role is None or self.internal:
             return attributes, False
-        if (
-            mark is not None
-        ):  # present on a route from a customer or RS client (our role provider or rs): a leak
+        # A marked route from a customer or RS client (our role is provider or rs) is a leak, and so
+        # is a route from a peer that another AS has marked.
+        if mark is not None:
             return attributes, role in (
                 "provider",
                 "rs",
@@ -193,11 +198,11 @@
         return attributes, False
 
     def export_route(self, prefix: Prefix, attributes: Attributes) -> Attributes | None:
-        """The attributes with which one of our services is announced to this peer; None if the
-        policy rejects it.
+        """Applies the export policy to one of our services.
 
-        A service in the operator's file counts as the explicit export that RFC 8212 requires; a
-        policy can only narrow it.
+        Returns the attributes to announce, or None if the policy rejects the service. A service in
+        the operator's file counts as the explicit export that RFC 8212 requires; a policy can only
+        narrow it.
         """
         if self.export_policy is not None:
             accepted = self.export_policy.apply(prefix, attributes)
--- a/lilacwalk/bgp/prefixes.py
+++ b/lilacwalk/bgp/prefixes.py
@@ -87,10 +87,10 @@
         length = data[at]
         size = (length + 7) // 8
         if length > width:
-            raise ValueError(f"prefix length {length} exceeds {width}")
+            raise ValueError(f"prefix length {length}, expected 0 to {width}")
         if at + 1 + size > end:
             raise ValueError(
-                f"prefix of length {length} runs past the end: {end - at - 1} of {size} bytes"
+                f"prefix of length {length} truncated: got {end - at - 1} of {size} bytes"
             )
         shift = width - length
         bits = (
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -1,7 +1,7 @@
 """Finite state machine of one BGP connection (RFC 4271 section 8).
 
 Takes an event and the time and returns actions; it uses no sockets, threads or clock. `TABLE`
-follows section 8.2.2.
+follows RFC 4271 section 8.2.2.
 
 Deviations from the RFC:
 
@@ -30,9 +30,9 @@
 SECOND = 10_000  # in tenths of a millisecond
 OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
 MIN_JITTER = 0.75  # timers run for a random 75 to 100 % of their time (RFC 4271 section 10)
-MAX_IDLE_HOLD = (
-    120 * SECOND
-)  # after two minutes an operator would look again; RFC 4271 sets no limit
+# Upper bound of the doubled idle hold time. RFC 4271 sets none; after two minutes an operator
+# would look again.
+MAX_IDLE_HOLD = 120 * SECOND
 KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271 section 10
 
 
@@ -46,7 +46,7 @@
 
 
 class Event(IntEnum):
-    """Events with their numbers in section 8.1."""
+    """Events of the finite state machine, with the event numbers of RFC 4271 section 8.1."""
 
     MANUAL_START = 1
     MANUAL_STOP = 2
@@ -135,9 +135,8 @@
 
 
 E, S = Event, State
-Row = tuple[
-    tuple[str, ...], State | None
-]  # step methods in order, and the next state; None if a step determines it
+# Step methods in order, and the next state. The next state is None if a step determines it.
+Row = tuple[tuple[str, ...], State | None]
 
 STAY: Row = ((), None)
 FAIL: Row = (("stop_timers", "close", "count_failure", "start_idle_hold"), S.IDLE)
@@ -170,10 +169,11 @@
     E.AUTOMATIC_START_DAMPED,
     E.AUTOMATIC_START_DAMPED_PASSIVE,
 )
+# Events of connections that are not yet assigned to this session.
 TCP_REQUESTED = (
     E.TCP_VALID,
     E.TCP_INVALID,
-)  # about connections not yet assigned to this session
+)
 
 TABLE: dict[State, dict[Event, Row]] = {
     S.IDLE: state_rows(
@@ -269,6 +269,8 @@
 
 
 class Session:
+    """The finite state machine of one connection."""
+
     def __init__(
         self, config: SessionConfig, local_capabilities: Capabilities, rng: random.Random, now: int
     ) -> None:
@@ -280,13 +282,14 @@
         )
         self.state = State.IDLE
         self.timers: dict[Timer, int] = {}
-        self.damped = (
-            False  # in Idle: the idle hold time after a failure is running (DampPeerOscillations)
-        )
+        # Whether, in Idle, the idle hold time after a failure is running (DampPeerOscillations).
+        self.damped = False
         self.failures = 0  # ConnectRetryCounter since the last stable session
-        self.agreed = NegotiatedCapabilities()
+        self.negotiated = NegotiatedCapabilities()
         self.peer_open: Open | None = None
-        self.hold_time = 0  # negotiated, in tenths of a millisecond; 0 disables the timers
+        self.hold_time = (
+            0  # negotiated, in tenths of a millisecond; 0 disables hold and keepalive timers
+        )
         self.up_since = 0
         self.actions: list[tuple[SessionAction, object]] = []
         self.error: BgpError | None = None  # sent by `_send_notification`
@@ -302,24 +305,33 @@
     # Inputs
 
     def event(self, event: Event, now: int, cause: str = "") -> list[tuple[SessionAction, object]]:
-        """Handles one event of section 8.1; without a `cause` its name is the reason in logs."""
+        """Handles one event that carries no message (RFC 4271 section 8.1); returns the actions to
+        carry out.
+
+        `cause` is the reason given in logs if the event ends the session; it defaults to the
+        event's name.
+        """
         self._handle(event, now, cause or event.name.lower())
         return self._take_actions()
 
     def cease(
         self, event: Event, now: int, subcode: int, data: bytes = b""
     ) -> list[tuple[SessionAction, object]]:
-        """Handles ManualStop, AutomaticStop or a collision, reported to the peer with this Cease
-        subcode (RFC 4486).
+        """Ends the session with a Cease notification of this subcode (RFC 4486).
+
+        `event` is ManualStop, AutomaticStop or the dump of a collision. Returns the actions to
+        carry out.
         """
         self.cease_subcode, self.cease_data = int(subcode), data
         self._handle(event, now, reason(Code.CEASE, subcode))
         return self._take_actions()
 
     def received(self, kind: int, body: bytes, now: int) -> list[tuple[SessionAction, object]]:
-        """Handles one complete message; its content determines the event."""
+        """Decodes one complete message, handles the event that it stands for, and returns the
+        actions.
+        """
         try:
-            message = messages.decode(kind, body, self.agreed, self.internal)
+            message = messages.decode(kind, body, self.negotiated, self.internal)
         except BgpError as error:
             return self.decode_failed(error, now)
         self.last_message = message
@@ -343,14 +355,16 @@
         elif self.state is S.ESTABLISHED:  # RFC 2918 defines no event; handled like an UPDATE
             self.now = now
             self._restart_hold()
-            if self.agreed.refresh:  # ignored if not negotiated
+            if self.negotiated.refresh:  # ignored if not negotiated
                 self.actions.append((SessionAction.REFRESH, message))
         else:
             self._handle(E.UPDATE, now, "refresh")
         return self._take_actions()
 
     def decode_failed(self, error: BgpError, now: int) -> list[tuple[SessionAction, object]]:
-        """Handles a message that cannot be decoded or that ends the session."""
+        """Handles a message that cannot be decoded or that must end the session; returns the
+        actions.
+        """
         events = {Code.HEADER: E.HEADER_ERROR, Code.OPEN: E.OPEN_ERROR}
         self.error = error
         self._handle(events.get(error.code, E.UPDATE_ERROR), now, str(error))  # type: ignore[call-overload]
@@ -362,7 +376,7 @@
             self._start_send_hold_at(now)
 
     def tick(self, now: int) -> list[tuple[SessionAction, object]]:
-        """Handles all expired timers in the order of their times."""
+        """Handles all expired timers in the order of their times; returns the actions."""
         while expired := [
             (time, timer.value, timer) for timer, time in self.timers.items() if time <= now
         ]:
@@ -416,7 +430,7 @@
                     ),
                 )
             )
-            self.sent_codes, self.agreed, self.error = None, NegotiatedCapabilities(), None
+            self.sent_codes, self.negotiated, self.error = None, NegotiatedCapabilities(), None
 
     def _take_actions(self) -> list[tuple[SessionAction, object]]:
         actions, self.actions = self.actions, []
@@ -442,7 +456,9 @@
         self.timers[Timer.HOLD] = self.now + OPEN_HOLD_TIME
 
     def _restart_hold(self) -> None:
-        """Also ends the long hold timer of OpenConfirm if no hold time was negotiated."""
+        """Restarts the hold timer; without a negotiated hold time, stops the long one of
+        OpenConfirm.
+        """
         self.timers.pop(Timer.HOLD, None)
         if self.hold_time:
             self.timers[Timer.HOLD] = self.now + self.hold_time
@@ -476,7 +492,9 @@
         self.failures = 1 if was_stable else self.failures + 1
 
     def _start_idle_hold(self) -> None:
-        """Doubles with each failure, so that a peer that rejects us is not contacted too often."""
+        """Starts the idle hold timer. Its time doubles with each failure, so that a peer that
+        rejects us is not contacted too often.
+        """
         time = min(
             MAX_IDLE_HOLD,
             self.config.idle_hold << min(self.failures - 1, 20)
@@ -496,7 +514,7 @@
         return next_state
 
     def _retry_connection(self) -> State:
-        """ConnectRetryTimer expiry in Active; a passive session keeps listening."""
+        """Handles ConnectRetryTimer expiry in Active; a passive session keeps listening."""
         self._start_connect_retry()
         if self.config.passive:
             return S.ACTIVE
@@ -504,11 +522,11 @@
         return S.CONNECT
 
     def _connect_failed(self) -> State:
-        """A connection attempt failed.
+        """Handles a failed connection attempt; returns the next state.
 
-        With the DelayOpenTimer running, the RFC goes to Active. Otherwise the session goes to Idle,
-        where the next attempt waits for the connect retry time. The idle hold time does not grow,
-        as no answer is not an oscillation.
+        With the DelayOpenTimer running, the next state is Active, as in RFC 4271. Otherwise it is
+        Idle, where the next attempt waits for the connect retry time. The idle hold time does not
+        grow, as a missing answer is not an oscillation that a longer wait would damp.
         """
         if Timer.DELAY_OPEN in self.timers:
             self._stop_timers()
@@ -546,7 +564,7 @@
         opened = self.last_message
         assert isinstance(opened, Open)
         self.peer_open = opened
-        self.agreed = NegotiatedCapabilities.between(
+        self.negotiated = NegotiatedCapabilities.between(
             self.local_capabilities, opened.capabilities, self.config.strict_role
         )
         self.hold_time = min(self.config.hold, opened.hold * SECOND)
@@ -587,16 +605,21 @@
         self.actions.append((SessionAction.SEND, messages.encode(message)))
 
     def _check_open(self, message: Open) -> BgpError | None:
-        """Checks of section 6.2, with RFC 6286 for the BGP identifier."""
+        """Checks a received OPEN (RFC 4271 section 6.2; RFC 6286 for the BGP identifier).
+
+        Returns the error to send, or None if the message is acceptable.
+        """
         if message.asn != self.config.peer_as:
             return BgpError(
                 Code.OPEN,
                 OpenFault.PEER_AS,
-                text=f"AS {message.asn} instead of {self.config.peer_as}",
+                text=f"AS {message.asn}, expected {self.config.peer_as}",
             )
         if message.router_id == self.config.router_id and self.internal:
             return BgpError(
-                Code.OPEN, OpenFault.ROUTER_ID, text=f"router id {message.router_id} is ours"
+                Code.OPEN,
+                OpenFault.ROUTER_ID,
+                text=f"router id {message.router_id} is also ours, expected another",
             )
         try:
             NegotiatedCapabilities.between(
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -37,12 +37,11 @@
     read_bytes: int = 16_384  # bytes per read: four messages of 4,096 bytes
     batch: int = 64  # messages per queue item
     queued_batches: int = 2  # per connection; a peer that floods delays only itself
-    items_per_iteration: int = (
-        16  # queue items between two timer checks: about 1,000 messages or 50 ms
-    )
-    connect: float = (
-        2.0  # seconds, covers one lost SYN; a shorter connect retry time ends the attempt earlier
-    )
+    # Queue items handled between two timer checks: about 1,000 messages or 50 ms.
+    items_per_iteration: int = 16
+    # Time-out of a connection attempt in seconds; covers one lost SYN. A shorter connect retry time
+    # ends the attempt earlier.
+    connect: float = 2.0
     close_timeout: float = 1.0  # seconds for the peer to read a notification and close
     backlog: int = 64
     stack: int = 131_072
@@ -191,9 +190,8 @@
         )
         self.inbox: SimpleQueue[tuple] = SimpleQueue()
         self.connections: dict[int, Connection] = {}
-        self.closing_connections: dict[
-            Connection, None
-        ] = {}  # closed by us, with the reader still running
+        # Connections closed by us whose reader is still running.
+        self.closing_connections: dict[Connection, None] = {}
         self.unflushed: dict[Connection, None] = {}
         self.withdrawal_reported = False
         self.on_level_change, self.level = (
@@ -294,9 +292,8 @@
         try:
             handler, *arguments = self.inbox.get(timeout=wait / SECOND)
             handler(*arguments)
-            for _ in range(
-                self.bounds.items_per_iteration
-            ):  # limited, so that a long queue does not delay the timers
+            # The number is limited, so that a long queue does not delay the timers.
+            for _ in range(self.bounds.items_per_iteration):
                 if self.state.ended:
                     break
                 handler, *arguments = self.inbox.get_nowait()
@@ -495,9 +492,9 @@
                 except OSError as error:
                     if not self.ended.is_set():
                         log.warning({"event": "accept_failed", "detail": str(error)})
-                        self.ended.wait(
-                            0.05
-                        )  # avoids a busy loop, for example without free file descriptors
+                        # Avoids a busy loop, for example without free
+                        # file descriptors.
+                        self.ended.wait(0.05)
                     continue
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 handled = threading.Event()
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -243,20 +243,19 @@
         level = self.announcement_policy.level
         if level is Level.NONE:
             return {}
-        found = {}
-        if (
-            level is Level.NORMAL
-        ):  # an unhealthy or draining node announces no other site's services
-            found = {
+        routes = {}
+        # An unhealthy or draining node announces no other site's services.
+        if level is Level.NORMAL:
+            routes = {
                 service.prefix: service_attributes(self.config, service, peer, Level.LESS_WANTED)
                 for service in self.failover_services
                 if has_next_hop(self.config, service, peer)
             }
-        found |= {
+        routes |= {
             service.prefix: service_attributes(self.config, service, peer, level)
             for service in self.config.service
         }
-        return found  # type: ignore[return-value]
+        return routes  # type: ignore[return-value]
 
     def take_actions(self) -> list[Action]:
         actions, self.actions = self.actions, []
@@ -280,9 +279,9 @@
             if new is None or not peer.reconfigure(config, new):
                 subcode = Cease.DECONFIGURED if new is None else Cease.OTHER_CHANGE
                 changed.append(f"peer-{peer.name}")
-                peer.set_routes(
-                    {}
-                )  # explicit withdrawal, as the peer may keep routes when a session ends
+                # Explicit withdrawal, as the peer may keep routes when a session
+                # ends.
+                peer.set_routes({})
                 peer.stop(now, subcode)
                 self.actions += peer.take_actions()
                 del self.peers[address]
--- a/lilacwalk/bgp/trie.py
+++ b/lilacwalk/bgp/trie.py
@@ -34,9 +34,8 @@
 
     def __init__(self, bits: int, shift: int, value: object) -> None:
         self.head, self.shift, self.value = bits >> shift, shift, value
-        self.branch_bit = max(
-            0, shift - 1
-        )  # a full-length prefix has no children, so any bit will do
+        # A full-length prefix has no children, so any bit will do.
+        self.branch_bit = max(0, shift - 1)
         self.zero: Node | None = None
         self.one: Node | None = None
 
@@ -73,9 +72,8 @@
             self._attach(parent, side, new)
             return None
         node_bits = node.head << node.shift
-        common = max(
-            shift, node.shift, (bits ^ node_bits).bit_length()
-        )  # bits after the common part
+        # Number of bits after the part that both prefixes share.
+        common = max(shift, node.shift, (bits ^ node_bits).bit_length())
         if common == shift:  # the new prefix covers the node
             self._attach_child(new, node)
             self._attach(parent, side, new)
@@ -121,10 +119,11 @@
     def drop(self, bits: int, length: int) -> V | None:
         """Removes a prefix and returns its value; a fork left with one child is removed too."""
         parent, side, node = None, 0, self.root
+        # The parent of `parent`, and the side on which `parent` is attached.
         grandparent, parent_side = (
             None,
             0,
-        )  # the parent of `parent`, and the side on which `parent` is attached
+        )
         shift = self.width - length
         while node is not None and node.shift > shift:
             grandparent, parent_side = parent, side
--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -189,7 +189,7 @@
 
 def make_speaker_state(more="", peers=("127.0.0.1:1790",), **changed):
     config = announce_config("".join(peer_block(each) for each in peers) + more, **changed)
-    machine = SpeakerState(config, 1, 1_000_000)
-    machine.start(1_000_000)
-    machine.take_actions()
-    return machine
+    state = SpeakerState(config, 1, 1_000_000)
+    state.start(1_000_000)
+    state.take_actions()
+    return state
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -21,7 +21,7 @@
 from lilacwalk.bgp.readiness import Facts, node_status
 from tests.bgp.conftest import SECOND, THEM, announce_config, make_speaker_state, peer_block, update
 
-LAST = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
+LAST_RESORT_BLOCK = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
 MS = 10
 
 
@@ -30,17 +30,17 @@
 
     def __init__(self, more="", **changed):
         self.now = 1_000_000
-        self.machine = AnnouncementPolicy(announce_config(more, **changed), self.now)
+        self.policy = AnnouncementPolicy(announce_config(more, **changed), self.now)
         self.levels = []
         self.decide()
 
     def decide(self):
-        self.next_check = self.machine.decide(self.now).next_check
-        if not self.levels or self.levels[-1][1] is not self.machine.level:
-            self.levels.append((self.now, self.machine.level))
+        self.next_check = self.policy.decide(self.now).next_check
+        if not self.levels or self.levels[-1][1] is not self.policy.level:
+            self.levels.append((self.now, self.policy.level))
 
     def set_status(self, state, ms=0):
-        self.machine.set_node_status(state, self.now)
+        self.policy.set_node_status(state, self.now)
         self.decide()
         return self.wait(ms)
 
@@ -57,7 +57,7 @@
 
     @property
     def level(self):
-        return self.machine.level
+        return self.policy.level
 
 
 def test_node_is_announced_after_being_ready_for_the_ready_time():
@@ -76,7 +76,7 @@
     assert PolicyHarness().set_status(NodeStatus.READY, 100).set_status(state).level is Level.NONE
 
 
-def test_sick_node_is_less_wanted_then_withdrawn_and_recovers_only_after_well_after():
+def test_sick_node_is_announced_with_lower_preference_then_withdrawn_and_recovers_after_the_well_after_time():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK)
     assert harness.level is Level.LESS_WANTED
     assert harness.set_status(NodeStatus.READY, 49).level is Level.LESS_WANTED
@@ -94,20 +94,24 @@
     assert harness.set_status(NodeStatus.SICK).level is Level.NONE
 
 
-def test_standing_still_for_less_than_less_wanted_after_does_not_change_the_level():
+def test_node_standing_still_for_less_than_the_less_wanted_after_time_keeps_its_level():
     harness = PolicyHarness(less_wanted_after="30ms")
     harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.STANDING_STILL, 29)
     assert harness.level is Level.NORMAL
     assert harness.wait(1).level is Level.LESS_WANTED
 
 
-def test_last_resort_applies_to_a_sick_node_but_not_if_it_stands_still_or_was_never_ready():
-    harness = PolicyHarness(LAST).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, 150)
+def test_last_resort_applies_to_a_sick_node_but_not_to_a_node_that_stands_still_or_was_never_ready():
+    harness = (
+        PolicyHarness(LAST_RESORT_BLOCK)
+        .set_status(NodeStatus.READY, 100)
+        .set_status(NodeStatus.SICK, 150)
+    )
     assert harness.level is Level.LAST_RESORT
     assert harness.set_status(NodeStatus.STANDING_STILL).level is Level.NONE
-    assert PolicyHarness(LAST).set_status(NodeStatus.SICK, 500).level is Level.NONE
+    assert PolicyHarness(LAST_RESORT_BLOCK).set_status(NodeStatus.SICK, 500).level is Level.NONE
     assert (
-        PolicyHarness(LAST)
+        PolicyHarness(LAST_RESORT_BLOCK)
         .set_status(NodeStatus.READY, 100)
         .set_status(NodeStatus.SICK, 500)
         .set_status(NodeStatus.READY, 60)
@@ -118,22 +122,22 @@
 
 def test_drain_lowers_preference_then_withdraws_then_lets_the_listener_close_for_good():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
-    harness.machine.leave(harness.now, None)
+    harness.policy.leave(harness.now, None)
     began = harness.now
     harness.decide()
     assert harness.level is Level.LEAVING
     harness.wait(30)
-    assert harness.level is Level.NONE and harness.machine.listener_may_close_at == began + 80 * MS
+    assert harness.level is Level.NONE and harness.policy.listener_may_close_at == began + 80 * MS
     for state in (NodeStatus.READY, NodeStatus.COLD, NodeStatus.READY, NodeStatus.SICK):
         assert harness.set_status(state, 1000).level is Level.NONE
 
 
 @pytest.mark.parametrize(
-    "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST, 150, Level.LAST_RESORT)]
+    "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST_RESORT_BLOCK, 150, Level.LAST_RESORT)]
 )
 def test_drain_does_not_raise_the_preference_of_a_sick_node(more, ms, level):
     harness = PolicyHarness(more).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, ms)
-    harness.machine.leave(harness.now, None)
+    harness.policy.leave(harness.now, None)
     harness.decide()
     assert harness.level is level
     assert harness.wait(30).level is Level.NONE
@@ -147,11 +151,11 @@
 ):
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     began = harness.now
-    harness.machine.leave(began, began + grace * MS)
+    harness.policy.leave(began, began + grace * MS)
     harness.decide()
     harness.wait(1000)
     gone = next(at for at, level in harness.levels if level is Level.NONE and at >= began)
-    assert (gone - began, harness.machine.listener_may_close_at - began) == (
+    assert (gone - began, harness.policy.listener_may_close_at - began) == (
         less_wanted * MS,
         listener * MS,
     )
@@ -163,7 +167,7 @@
         harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
     announced = [at for at, level in harness.levels if level is Level.NORMAL]
     assert 1 <= len(announced) <= 4
-    assert harness.machine.penalty.suppressed and harness.machine.penalty.value <= 48_000
+    assert harness.policy.penalty.suppressed and harness.policy.penalty.value <= 48_000
     since = harness.now
     harness.set_status(NodeStatus.READY, 60_000)
     back = harness.levels[-1]
@@ -179,14 +183,14 @@
         harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
     assert (
         harness.set_status(NodeStatus.READY, 1000).level is Level.NONE
-        and "damped" in harness.machine.reason
+        and "damped" in harness.policy.reason
     )
 
 
 def test_withdrawal_is_never_damped():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(10):
-        harness.machine.penalty.add(1000, harness.now)
+        harness.policy.penalty.add(1000, harness.now)
     assert harness.set_status(NodeStatus.COLD).level is Level.NONE
 
 
@@ -216,7 +220,7 @@
 
 @given(states, st.booleans())
 def test_only_a_node_that_stayed_ready_is_announced_in_any_sequence_of_states(order, last):
-    harness, ready_since, left = PolicyHarness(LAST if last else ""), None, False
+    harness, ready_since, left = PolicyHarness(LAST_RESORT_BLOCK if last else ""), None, False
     for state, ms in order:
         before = harness.level
         harness.levels = []
@@ -245,7 +249,7 @@
 
 
 def test_lowered_level_sets_med_prepending_community_and_local_preference():
-    config = announce_config(peer_block() + LAST)
+    config = announce_config(peer_block() + LAST_RESORT_BLOCK)
     service, peer = config.service[0], config.peer[0]
     normal, less, last, leaving = (
         service_attributes(config, service, peer, level)
@@ -255,7 +259,7 @@
     assert (less.path_length, less.med, less.communities) == (3, 77, (GRACEFUL_SHUTDOWN,))
     assert (last.path_length, last.med) == (6, 9000)
     assert (leaving.path_length, leaving.communities) == (1, (GRACEFUL_SHUTDOWN,))
-    inside = announce_config(peer_block("127.0.0.1:1790", 65010) + LAST)
+    inside = announce_config(peer_block("127.0.0.1:1790", 65010) + LAST_RESORT_BLOCK)
     assert [
         service_attributes(inside, inside.service[0], inside.peer[0], level).local_pref
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LEAVING)
@@ -289,14 +293,14 @@
     """A speaker without sockets, and a peer whose messages the test sends."""
 
     def __init__(self, more="", **changed):
-        self.now, self.machine = 1_000_000, make_speaker_state(more, **changed)
-        self.peer = next(iter(self.machine.peers.values()))
+        self.now, self.state = 1_000_000, make_speaker_state(more, **changed)
+        self.peer = next(iter(self.state.peers.values()))
 
     def up(self):
         if not self.peer.primary.number:
             self.tick(SECOND)
         link, address = self.peer.primary.number, self.peer.peer.address
-        self.machine.connected(address, link, self.now)
+        self.state.connected(address, link, self.now)
         for data in (
             messages.encode(
                 messages.Open(THEM, 9, "127.0.0.20", Capabilities(families=((1, 1),), as4=THEM))
@@ -304,22 +308,22 @@
             messages.encode(messages.Keepalive()),
         ):
             [(kind, body)] = messages.Stream().feed(data)
-            self.machine.message(address, link, kind, body, self.now)
+            self.state.message(address, link, kind, body, self.now)
         return self
 
     def tick(self, time=0):
         end = self.now + time
-        while (due := self.machine.next_due()) is not None and due <= end:
+        while (due := self.state.next_due()) is not None and due <= end:
             self.now = max(due, self.now)
-            self.machine.tick(self.now)
+            self.state.tick(self.now)
         self.now = end
-        self.machine.tick(self.now)
+        self.state.tick(self.now)
         return self
 
     def sent(self):
         """Routes announced (`+`), withdrawn (`-`) and Cease subcodes sent since the last call."""
         found = []
-        for action in self.machine.take_actions():
+        for action in self.state.take_actions():
             if action.kind is ActionKind.SEND:
                 for kind, body in messages.Stream().feed(action.value):
                     if kind == 2:
@@ -332,10 +336,10 @@
 
 def test_session_lost_before_the_drains_withdrawal_gets_no_routes_when_reestablished_after_it():
     harness = SpeakerHarness().up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     assert harness.tick(100 * MS).sent() == ["+"]
-    harness.machine.leave(harness.now, harness.now + 500 * MS)
-    harness.machine.connection_lost(
+    harness.state.leave(harness.now, harness.now + 500 * MS)
+    harness.state.connection_lost(
         harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
     )
     assert "+" in harness.sent()  # the graceful shutdown announcement, before the loss
@@ -348,26 +352,26 @@
     wait,
 ):
     harness = SpeakerHarness(graceful_shutdown="1s").up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
-    harness.machine.leave(harness.now, None)
-    harness.machine.connection_lost(
+    harness.state.leave(harness.now, None)
+    harness.state.connection_lost(
         harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
     )
     harness.tick(500 * MS).sent()
     assert harness.up().sent() == ["+"] and harness.peer.adj_rib_out[
-        harness.machine.config.service[0].prefix
+        harness.state.config.service[0].prefix
     ].communities == (GRACEFUL_SHUTDOWN,)
     assert harness.tick(SECOND).sent() == ["-"]
 
 
 def test_session_lost_after_the_drains_withdrawal_gets_no_routes_when_reestablished():
     harness = SpeakerHarness().up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
-    harness.machine.leave(harness.now, None)
+    harness.state.leave(harness.now, None)
     assert harness.tick(60 * MS).sent() == ["+", "-"]
-    harness.machine.connection_lost(
+    harness.state.connection_lost(
         harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
     )
     harness.tick(SECOND).up()
@@ -376,60 +380,60 @@
 
 def test_stalled_process_does_not_end_sessions_for_messages_that_it_could_not_read():
     harness = SpeakerHarness().up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
     harness.now += 60 * SECOND  # as after SIGSTOP and SIGCONT, or a jump of the clock
-    harness.machine.tick(harness.now)
+    harness.state.tick(harness.now)
     assert harness.peer.established and harness.sent() == []
-    harness.machine.message(
+    harness.state.message(
         harness.peer.peer.address, harness.peer.primary.number, 4, b"", harness.now
     )
-    harness.machine.flushed(harness.peer.peer.address, harness.peer.primary.number, harness.now)
+    harness.state.flushed(harness.peer.peer.address, harness.peer.primary.number, harness.now)
     assert harness.tick(SECOND).peer.established
     assert harness.tick(30 * SECOND).peer.downs == 1  # ends in the end, as the peer sends nothing
 
 
 def test_reload_adds_and_removes_services_and_peers_and_keeps_unchanged_sessions():
     harness = SpeakerHarness().up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
     two = "    service 192.0.2.11/32\n" + peer_block() + peer_block("127.0.0.1:1791")
-    assert harness.machine.reconfigure(announce_config(two), harness.now) == [
+    assert harness.state.reconfigure(announce_config(two), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
-    assert harness.sent() == ["+"] and harness.peer.established and len(harness.machine.peers) == 2
-    assert harness.machine.reconfigure(announce_config(peer_block()), harness.now) == [
+    assert harness.sent() == ["+"] and harness.peer.established and len(harness.state.peers) == 2
+    assert harness.state.reconfigure(announce_config(peer_block()), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
     assert harness.sent() == ["-"] and harness.peer.established
-    assert harness.machine.reconfigure(
+    assert harness.state.reconfigure(
         announce_config(peer_block("127.0.0.1:1790", 65021)), harness.now
     ) == ["peer-127.0.0.1:1790"]
     assert harness.sent() == ["-", "cease/6"]
-    assert harness.machine.reconfigure(announce_config(), harness.now) == ["peer-127.0.0.1:1790"]
+    assert harness.state.reconfigure(announce_config(), harness.now) == ["peer-127.0.0.1:1790"]
 
 
 def test_reload_does_not_undo_a_drain():
     harness = SpeakerHarness().up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
-    harness.machine.leave(harness.now, None)
+    harness.state.leave(harness.now, None)
     harness.tick(60 * MS).sent()
-    harness.machine.reconfigure(
+    harness.state.reconfigure(
         announce_config("    service 192.0.2.11/32\n" + peer_block()), harness.now
     )
     assert harness.tick(5 * SECOND).sent() == []
 
 
-def test_end_withdraws_all_and_sends_cease_and_received_routes_are_reported():
+def test_received_route_without_import_policy_is_reported_as_refused_and_end_of_speaker_withdraws_and_sends_cease():
     harness = SpeakerHarness().up()
-    harness.machine.set_node_status(NodeStatus.READY, harness.now)
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
     address, link = harness.peer.peer.address, harness.peer.primary.number
-    harness.machine.message(address, link, 2, update("10.0.0.0/8")[19:], harness.now)
-    [row] = harness.machine.received_routes(address)
+    harness.state.message(address, link, 2, update("10.0.0.0/8")[19:], harness.now)
+    [row] = harness.state.received_routes(address)
     assert row["refused"] == "no import policy"  # RFC 8212
     harness.tick(100 * MS).sent()
-    harness.machine.end(harness.now)
-    assert harness.sent() == ["-", "cease/2"] and harness.machine.ended
+    harness.state.end(harness.now)
+    assert harness.sent() == ["-", "cease/2"] and harness.state.ended
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -55,9 +55,9 @@
 )
 
 
-def read(data, agreed=AGREED, internal=False):
+def read(data, negotiated=AGREED, internal=False):
     [(kind, body)] = Stream(messages.MAX_EXTENDED_SIZE).feed(data)
-    return decode(kind, body, agreed, internal)
+    return decode(kind, body, negotiated, internal)
 
 
 @given(
@@ -171,7 +171,7 @@
     return b"\0\0" + struct.pack("!H", len(raw)) + raw + rows
 
 
-TEN = (Prefix.of("10.0.0.0/8"),)
+PREFIX_10 = (Prefix.of("10.0.0.0/8"),)
 
 
 @pytest.mark.parametrize(
@@ -206,17 +206,17 @@
     update = decode(2, with_attribute(kind, flags, value), AGREED)
     assert [(each.severity, each.kind) for each in update.faults] == [(severity, kind)]
     if severity is Severity.WITHDRAW:
-        assert update.withdrawn == TEN and not update.reachable
+        assert update.withdrawn == PREFIX_10 and not update.reachable
     else:
-        assert update.announced == TEN and update.reachable[0][0].local_pref is None
+        assert update.announced == PREFIX_10 and update.reachable[0][0].local_pref is None
 
 
 @pytest.mark.parametrize("kind", [Type.ORIGIN, Type.AS_PATH, Type.NEXT_HOP])
 def test_route_without_a_mandatory_attribute_is_treated_as_withdrawn(kind):
-    assert decode(2, with_attribute(kind, drop=True), AGREED).withdrawn == TEN
+    assert decode(2, with_attribute(kind, drop=True), AGREED).withdrawn == PREFIX_10
 
 
-def test_of_a_repeated_attribute_the_first_is_used():
+def test_first_of_repeated_attributes_is_used():
     update = decode(2, with_attribute(extra=attribute(0x40, Type.ORIGIN, b"\2")), AGREED)
     assert update.reachable[0][0].origin == 0 and update.faults[0].severity is Severity.DISCARD
 
@@ -265,7 +265,9 @@
 
 def test_truncated_attribute_withdraws_only_its_routes():
     update = decode(2, with_attribute(extra=b"\x80\x04\xff\0"), AGREED)
-    assert update.withdrawn == TEN and update.faults[0].text == "runs past the end"
+    assert (
+        update.withdrawn == PREFIX_10 and update.faults[0].text == "truncated: got 1 of 255 bytes"
+    )
 
 
 def test_unknown_transitive_attributes_are_kept_as_partial_and_others_dropped():
@@ -353,7 +355,7 @@
     assert prefixes.decode(b"\x09\x0a\xff", Afi.IPV4) == [Prefix.of("10.128.0.0/9")]
 
 
-def test_end_of_rib_is_decoded_and_families_not_negotiated_are_ignored():
+def test_end_of_rib_is_decoded_for_both_families_and_routes_of_families_not_negotiated_are_ignored():
     assert [read(messages.end_of_rib(afi)).end_of_rib for afi in (1, 2)] == [1, 2]
     rows = [Prefix.of("2001:db8::/32")]
     [data] = messages.announcements(rows, route(next_hop=b"\x20" + bytes(14) + b"\1"), True, False)
--- a/tests/bgp/test_policy.py
+++ b/tests/bgp/test_policy.py
@@ -8,7 +8,7 @@
 from lilacwalk.bgp.prefixes import Prefix
 from tests.bgp.conftest import THEM, US, announce_config, peer_block, route
 
-TEN = Prefix.of("10.1.0.0/16")
+PREFIX_10_1 = Prefix.of("10.1.0.0/16")
 LISTS = """
     prefix-list ours {
         deny 10.1.2.0/24
@@ -42,7 +42,7 @@
 
 def test_first_matching_term_decides_and_changes_attributes():
     imported = peer_policy("import through").import_route(
-        TEN, route(communities=(65020 << 16 | 7,))
+        PREFIX_10_1, route(communities=(65020 << 16 | 7,))
     )
     assert (imported.med, imported.local_pref, imported.communities, imported.large) == (
         5,
@@ -51,13 +51,15 @@
         ((65010, 1, 2),),
     )
     assert peer_policy("import through").import_route(
-        TEN, route(as_path=((SEQUENCE, (THEM, 666)),))
+        PREFIX_10_1, route(as_path=((SEQUENCE, (THEM, 666)),))
     ) == Refused("policy through")
-    assert peer_policy("import through").import_route(TEN, route()).as_path == (
+    assert peer_policy("import through").import_route(PREFIX_10_1, route()).as_path == (
         (SEQUENCE, (US, US, THEM)),
     )
     long = route(as_path=((SEQUENCE, (THEM, 5, 6)),))
-    assert peer_policy("import through").import_route(TEN, long) == Refused("policy through")
+    assert peer_policy("import through").import_route(PREFIX_10_1, long) == Refused(
+        "policy through"
+    )
 
 
 @pytest.mark.parametrize(
@@ -91,11 +93,11 @@
     ],
 )
 def test_implausible_routes_and_those_without_an_import_policy_are_refused(attributes, reason):
-    assert peer_policy().import_route(TEN, attributes) == Refused(reason)
+    assert peer_policy().import_route(PREFIX_10_1, attributes) == Refused(reason)
 
 
 def test_internal_peer_needs_no_import_policy_and_no_first_as():
-    assert isinstance(peer_policy(asn=US).import_route(TEN, route(as_path=())), Attributes)
+    assert isinstance(peer_policy(asn=US).import_route(PREFIX_10_1, route(as_path=())), Attributes)
 
 
 @pytest.mark.parametrize(
@@ -114,7 +116,7 @@
 )
 def test_only_to_customer_reveals_a_leak_or_is_added_on_import(role, mark, result):
     imported = peer_policy(f"role {role}", "import through").import_route(
-        TEN, route(only_to_customer=mark)
+        PREFIX_10_1, route(only_to_customer=mark)
     )
     if mark == 9 and role != "customer":
         assert isinstance(imported, Refused) and "leak" in imported.reason
@@ -126,7 +128,7 @@
     "role, mark", [("provider", US), ("peer", US), ("rs", US), ("customer", None)]
 )
 def test_only_to_customer_is_added_on_export_to_customers_peers_and_rs_clients(role, mark):
-    assert peer_policy(f"role {role}").export_route(TEN, route(US)).only_to_customer == mark
+    assert peer_policy(f"role {role}").export_route(PREFIX_10_1, route(US)).only_to_customer == mark
 
 
 def test_export_policy_rejects_routes_and_local_preference_is_sent_to_internal_peers_only():
@@ -137,7 +139,9 @@
         is None
     )
     assert (
-        peer_policy("export through").export_route(TEN, route(US, as_path=((SEQUENCE, (US, 666)),)))
+        peer_policy("export through").export_route(
+            PREFIX_10_1, route(US, as_path=((SEQUENCE, (US, 666)),))
+        )
         is None
     )
-    assert peer_policy(asn=US).export_route(TEN, route(US, local_pref=9)).local_pref == 9
+    assert peer_policy(asn=US).export_route(PREFIX_10_1, route(US, local_pref=9)).local_pref == 9
--- a/tests/bgp/test_session.py
+++ b/tests/bgp/test_session.py
@@ -1,4 +1,6 @@
-"""The finite state machine of one connection, and the peer around it (RFC 4271 sections 6 and 8)."""
+"""Tests of the finite state machine of one connection and of `PeerState`, which manages a peer's
+connections (RFC 4271 sections 6 and 8).
+"""
 
 import random
 
@@ -114,7 +116,7 @@
 
 
 @pytest.mark.parametrize("hold, agreed", [(0, 0), (3, 3), (9, 9), (60, 9)])
-def test_smaller_hold_time_is_negotiated_and_zero_disables_it(hold, agreed):
+def test_smaller_hold_time_is_negotiated_and_zero_disables_the_hold_timer(hold, agreed):
     harness = PeerHarness().up(hold=hold)
     assert harness.peer.primary.session.hold_time == agreed * SECOND
     harness.wait((agreed or 600) * SECOND + SECOND)
@@ -410,7 +412,7 @@
     harness.peer.set_routes({second: route(US)})
     bodies = [body for _, _, body in harness.drain_actions().sent]
     assert [
-        messages.decode(UPDATE, body, harness.peer.established_link.session.agreed)
+        messages.decode(UPDATE, body, harness.peer.established_link.session.negotiated)
         for body in bodies
     ] == [messages.Update((first,)), messages.Update((), ((route(US), (second,)),))]
 
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -35,11 +35,11 @@
     return announce_config(blocks + more, **changed)
 
 
-def wait_until(speaker, question):
+def wait_until(speaker, predicate):
     """Repeats a query in the speaker's thread until its result is true."""
-    give_up = time.monotonic() + PATIENCE
-    while not speaker.query(question, PATIENCE):
-        assert time.monotonic() < give_up
+    deadline = time.monotonic() + PATIENCE
+    while not speaker.query(predicate, PATIENCE):
+        assert time.monotonic() < deadline
 
 
 def test_service_is_announced_to_every_peer_and_withdrawn_before_the_listener_may_close(
@@ -75,7 +75,7 @@
     router.wait_held(SERVICE, "2001:db8::10/128")
 
 
-def test_router_that_connects_late_or_again_gets_the_routes(make_router, make_speaker):
+def test_router_that_connects_late_or_reconnects_gets_the_routes(make_router, make_speaker):
     router = make_router(turn_away=3)
     make_speaker(config_with_peers(router)).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
@@ -104,7 +104,7 @@
     assert good.sessions == 1
 
 
-def test_peer_over_max_prefixes_loses_its_session_and_one_within_it_does_not(
+def test_session_is_closed_for_a_peer_above_max_prefixes_and_kept_for_a_peer_at_max_prefixes(
     make_router, make_speaker
 ):
     flood = table(100_000, THEM)
