--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -81,8 +81,10 @@
         # The last resort applies only to a node that has been ready since it started.
         self.was_ready = False
         self.leaving_since: int | None = None
-        self.level_cap = Level.NORMAL  # lowered during the site's recovery
-        self.withdrawal_allowed = True  # for bad health; stays True without fleet membership
+        # Highest level of a ready node; lowered during the site's recovery.
+        self.level_cap = Level.NORMAL
+        # Whether an unhealthy node may be withdrawn; stays True without fleet membership.
+        self.withdrawal_allowed = True
         self.withdraw_at = 0
         self.level_changes = 0
 
@@ -270,7 +272,8 @@
 
 
 def service_attributes(config: BgpConfig, service: Service, peer: Peer, level: Level) -> Attributes:
-    """Path attributes with which a service is announced to a peer, before the export policy.
+    """Returns the path attributes with which a service is announced to a peer, before the export
+    policy.
 
     A lowered level is expressed by a higher MED, AS path prepending and the graceful shutdown
     community (RFC 8326). The MED is compared within one neighbouring AS, the AS path also beyond
@@ -301,7 +304,7 @@
 
 
 def has_next_hop(config: BgpConfig, service: Service, peer: Peer) -> bool:
-    """Whether a next hop of the service's address family is configured.
+    """Returns whether a next hop of the service's address family is configured.
 
     The configuration check covers the node's own services but not those announced for other sites.
     """
@@ -312,7 +315,8 @@
 
 
 def next_hop(config: BgpConfig, service: Service, peer: Peer) -> str:
-    """The service's next candidate, else the peer's, else the global one, whichever first has its family.
+    """Returns the first next hop of the service's address family: its own, the peer's or the global
+    one.
 
     Raises:
         ValueError: None of them has the service's address family.
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -39,7 +39,7 @@
 
 
 WELL_KNOWN = TRANSITIVE
-FLAGS = {  # required values of the optional and transitive flags
+FLAGS = {  # required optional and transitive flags of each attribute type
     Type.ORIGIN: WELL_KNOWN,
     Type.AS_PATH: WELL_KNOWN,
     Type.NEXT_HOP: WELL_KNOWN,
@@ -161,11 +161,12 @@
         flags = data[offset]
         header_size = 4 if flags & EXTENDED_LENGTH else 3
         if len(data) - offset < header_size:
+            # Treat-as-withdraw, as RFC 7606 section 4 requires.
             parsed.fault(
                 Severity.WITHDRAW,
                 0,
                 f"truncated attribute header: got {len(data) - offset} of {header_size} bytes",
-            )  # RFC 7606 section 4
+            )
             break
         kind = data[offset + 1]
         size = int.from_bytes(data[offset + 2 : offset + header_size], "big")
@@ -229,7 +230,8 @@
         )
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
-        # Its prefixes can be read, so its routes are treated as withdrawn.
+        # The prefixes of MP_REACH_NLRI and MP_UNREACH_NLRI can still be read, so the routes are
+        # treated as withdrawn.
         if kind in (
             Type.MP_REACH,
             Type.MP_UNREACH,
@@ -289,9 +291,8 @@
             )
         numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[offset + 2 : end])
         if 0 in numbers:
-            raise MalformedAttributeError(
-                "reserved AS 0 in the path, expected 1 or higher"
-            )  # RFC 7607 section 2
+            # AS 0 is reserved (RFC 7607 section 2).
+            raise MalformedAttributeError("reserved AS 0 in the path, expected 1 or higher")
         segments.append((kind, numbers))
         offset = end
     return tuple(segments)
@@ -348,9 +349,10 @@
     check_size(value, 8 if as4 else 6, severity=Severity.DISCARD)
     asn = int.from_bytes(value[:-4], "big")
     if not asn:
+        # AS 0 is reserved (RFC 7607 section 2).
         raise MalformedAttributeError(
             "reserved AS 0 as aggregator, expected 1 or higher", Severity.DISCARD
-        )  # RFC 7607
+        )
     parsed.values["aggregator"] = asn, value[-4:]
 
 
@@ -402,7 +404,7 @@
     afi, safi, size = struct.unpack("!HBB", value[:4])
     next_hop, prefixes = value[4 : 4 + size], value[5 + size :]
     if afi == 2 and size not in (16, 32) or afi == 1 and size not in (4, 16, 32):
-        # RFC 7606 section 7.11.
+        # An invalid next hop length resets the session (RFC 7606 section 7.11).
         raise MalformedAttributeError(
             f"next hop of {size} bytes, expected 16 or 32 (IPv6), or 4, 16 or 32 (IPv4)",
             Severity.RESET,
@@ -451,7 +453,8 @@
     aggregator = parsed.values.get("aggregator")
     if aggregator is not None and as4_aggregator is not None:
         if aggregator[0] != AS_TRANS:  # type: ignore[index]
-            return  # the last aggregator lacks four-octet support; both AS4 attributes are older than it
+            # The last aggregator lacks four-octet support, so both AS4 attributes are older than it.
+            return
         parsed.values["aggregator"] = as4_aggregator
     if as4_path is None or as_path is None:
         return
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -22,7 +22,8 @@
 
     time: int  # seconds, 0 to 4095
     restarted: bool = False
-    notification: bool = False  # RFC 8538: also after a NOTIFICATION or hold timer expiry
+    # RFC 8538: graceful restart also after a NOTIFICATION or hold timer expiry.
+    notification: bool = False
     families: tuple[tuple[int, int, bool], ...] = ()  # (AFI, SAFI, forwarding state preserved)
 
 
@@ -40,7 +41,7 @@
     unknown: tuple[tuple[int, bytes], ...] = field(default=(), compare=False)
 
     def encode(self) -> bytes:
-        """The capabilities as the value of an optional parameter."""
+        """Encodes the capabilities as the value of an optional parameter."""
         parts = [(MULTIPROTOCOL, struct.pack("!HBB", afi, 0, safi)) for afi, safi in self.families]
         if self.refresh:
             parts.append((REFRESH, b""))
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -154,7 +154,7 @@
 
 
 def frame(kind: int, body: bytes) -> bytes:
-    """A message with its header."""
+    """Returns a message with its header."""
     return MARKER + struct.pack("!HB", HEADER_SIZE + len(body), kind) + body
 
 
@@ -300,9 +300,8 @@
         if safi == UNICAST and afi in (Afi.IPV4, Afi.IPV6):
             if not nlri and parsed.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
                 return Update(end_of_rib=afi, faults=tuple(parsed.faults))
-            if (
-                afi in negotiated.families
-            ):  # families not negotiated are ignored (RFC 4760 section 7)
+            # Families not negotiated are ignored (RFC 4760 section 7).
+            if afi in negotiated.families:
                 withdrawn += decode_prefixes(nlri, Afi(afi))
     mp_reached: list[Prefix] = []
     if parsed.reach is not None:
@@ -387,13 +386,15 @@
 
 
 def shutdown_data(text: str) -> bytes:
-    """A shutdown communication: 255 bytes of UTF-8 at most, cut between characters (RFC 9003)."""
+    """Encodes a shutdown communication (RFC 9003): at most 255 bytes of UTF-8, cut between
+    characters.
+    """
     raw = text.encode()[:255].decode("utf-8", "ignore").encode()
     return bytes((len(raw),)) + raw if raw else b""
 
 
 def end_of_rib(afi: int) -> bytes:
-    """The End-of-RIB marker of a family (RFC 4724 section 2)."""
+    """Returns the End-of-RIB marker of a family (RFC 4724 section 2)."""
     if afi == Afi.IPV4:
         return frame(UPDATE, b"\0\0\0\0")
     unreach = encode_attribute(OPTIONAL, Type.MP_UNREACH, struct.pack("!HB", afi, UNICAST))
@@ -420,8 +421,8 @@
     internal: bool,
     max_size: int = MAX_SIZE,
 ) -> Iterator[bytes]:
-    """The UPDATE messages, as few as possible, that announce prefixes of one family with shared
-    attributes.
+    """Yields the UPDATE messages, as few as possible, that announce prefixes of one family with
+    shared attributes.
     """
     uses_next_hop_attribute = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
     encoded_attributes = path_attributes.encode(attributes, as4, internal, uses_next_hop_attribute)
@@ -449,7 +450,7 @@
 
 
 def withdrawals(prefixes: list[Prefix], max_size: int = MAX_SIZE) -> Iterator[bytes]:
-    """The UPDATE messages that withdraw prefixes of one family."""
+    """Yields the UPDATE messages that withdraw prefixes of one family."""
     if prefixes[0].afi == Afi.IPV4:
         for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4):
             yield frame(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0")
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -100,12 +100,12 @@
         self.secondary: Link | None = None  # a connection accepted while `primary` has one
         self.established_link: Link | None = None
         self.stopped = False
-        self.stale_until = 0  # 0 if no stale routes are kept
+        self.stale_until = 0  # time at which stale routes are dropped; 0 if there are none
         self.stale_families: tuple[Afi, ...] = ()
         self.last_end: SessionEnd | None = None
         self.ups = self.downs = 0
         self.end_of_rib_received: set[int] = set()
-        self.refresh_sent_at: dict[Afi, int] = {}  # when a requested refresh was last sent
+        self.refresh_sent_at: dict[Afi, int] = {}  # time of the last refresh sent to the peer
         self.refresh_due: dict[Afi, int] = {}
 
     def _new_link(self, now: int, passive: bool) -> Link:
@@ -124,8 +124,9 @@
         return Link(Session(session_config, self._capabilities(), self.rng, now))
 
     def _capabilities(self) -> Capabilities:
-        """Built for each OPEN, as its statement about a restart must be true when it is sent.
+        """Returns the capabilities to advertise.
 
+        They are built for each OPEN, as its statement about a restart must be true when it is sent.
         A node that does not serve claims no preserved forwarding state; its peer then drops routes
         kept from before the restart at once (RFC 4724 section 4.2).
         """
@@ -157,11 +158,11 @@
         return self.established_link is not None
 
     def links(self) -> list[Link]:
-        """The primary link and, during a collision, the secondary one."""
+        """Returns the primary link and, during a collision, the secondary one."""
         return [self.primary] + ([self.secondary] if self.secondary is not None else [])
 
     def find_link(self, number: int) -> Link | None:
-        """The link with this connection number, if it is still in use."""
+        """Returns the link with this connection number, or None if it is no longer in use."""
         return next((each for each in self.links() if each.number == number and number), None)
 
     def take_actions(self) -> list[Action]:
@@ -204,7 +205,7 @@
     # Connection events
 
     def connected(self, number: int, now: int) -> None:
-        """The host has opened the connection."""
+        """Handles a connection that the host has opened."""
         if (link := self.find_link(number)) is not None:
             link.session.local_capabilities = self._capabilities()
             self._execute(link, now, link.session.event(Event.TCP_ACKED, now))
@@ -212,12 +213,12 @@
             self.actions.append(Action(ActionKind.CLOSE, number))
 
     def connection_lost(self, number: int, now: int, cause: str = "connection lost") -> None:
-        """The connection has ended or could not be opened."""
+        """Handles a connection that has ended or could not be opened."""
         if (link := self.find_link(number)) is not None:
             link.number = 0
             self._execute(link, now, link.session.event(Event.TCP_FAILS, now, cause))
             if link is self.secondary and link.session.state is State.ACTIVE:
-                self.secondary = None  # a secondary link does not reconnect
+                self.secondary = None  # the secondary link does not reconnect
 
     def accepted(self, now: int) -> int:
         """Accepts a connection that the peer opened.
@@ -248,7 +249,7 @@
         return link.number
 
     def message(self, number: int, kind: int, body: bytes, now: int) -> None:
-        """A message has been received."""
+        """Handles a received message."""
         link = self.find_link(number)
         if link is None:
             return
@@ -259,12 +260,14 @@
             self._execute(link, now, link.session.received(kind, body, now))
 
     def decode_failed(self, number: int, error: BgpError, now: int) -> None:
-        """Received bytes are not a valid message."""
+        """Handles received bytes that are not a valid message."""
         if (link := self.find_link(number)) is not None:
             self._execute(link, now, link.session.decode_failed(error, now))
 
     def flushed(self, number: int, now: int) -> None:
-        """All bytes sent on the connection have been accepted by the operating system."""
+        """Handles the report that the operating system has accepted all bytes sent on the
+        connection.
+        """
         if (link := self.find_link(number)) is not None:
             link.session.flushed(now)
 
@@ -279,7 +282,7 @@
             self._drop_stale(self.stale_families, "stale time expired")
 
     def next_due(self) -> int | None:
-        """The time at which `tick` must be called next."""
+        """Returns the time at which `tick` must be called next; None if no timer is running."""
         times = [time for each in self.links() for time in each.session.timers.values()]
         if self.established_link is not None:
             times += self.refresh_due.values()
@@ -635,7 +638,7 @@
         return True
 
     def status(self, now: int) -> dict[str, object]:
-        """The report for the admin socket."""
+        """Returns the report for the admin socket."""
         link = self.established_link or self.primary
         session = link.session
         return {
@@ -666,5 +669,5 @@
 
 
 def encode_notification(code: int, subcode: int) -> bytes:
-    """A NOTIFICATION for a connection that belongs to no peer."""
+    """Returns a NOTIFICATION for a connection that belongs to no peer."""
     return messages.encode(Notification(code, subcode))
--- a/lilacwalk/bgp/policy.py
+++ b/lilacwalk/bgp/policy.py
@@ -104,9 +104,9 @@
         ]
 
     def apply(self, prefix: Prefix, attributes: Attributes) -> Attributes | None:
-        """The attributes as changed by the first term whose conditions all match.
+        """Returns the attributes as changed by the first term whose conditions all match.
 
-        None if that term rejects, or if no term matches.
+        Returns None if that term rejects, or if no term matches.
         """
         for term, prefix_list in self.terms:
             if self._matches(term, prefix_list, prefix, attributes):
@@ -217,5 +217,5 @@
 
 
 def role_code(peer: Peer) -> int | None:
-    """The peer's configured role as its code of RFC 9234."""
+    """Returns the code of RFC 9234 for the configured role."""
     return None if peer.role is None else ROLES[peer.role]
--- a/lilacwalk/bgp/prefixes.py
+++ b/lilacwalk/bgp/prefixes.py
@@ -44,7 +44,7 @@
         return f"{make(self.bits)}/{self.length}"
 
     def covers(self, other: Prefix) -> bool:
-        """Whether `other` equals this prefix or is a more specific of it."""
+        """Returns whether `other` equals this prefix or is a more specific prefix of it."""
         shift = WIDTH[self.afi] - self.length
         return (
             self.afi == other.afi
@@ -54,7 +54,7 @@
 
 
 def address_bytes(text: str) -> bytes:
-    """The 4 or 16 bytes of an address.
+    """Returns the 4 or 16 bytes of an address.
 
     Raises:
         ValueError: Not an IP address.
@@ -67,13 +67,13 @@
 
 
 def encode(prefix: Prefix) -> bytes:
-    """One prefix as NLRI."""
+    """Encodes one prefix as NLRI."""
     size = (prefix.length + 7) // 8
     return bytes((prefix.length,)) + prefix.bits.to_bytes(WIDTH[prefix.afi] // 8, "big")[:size]
 
 
 def decode(data: bytes | memoryview, afi: Afi) -> list[Prefix]:
-    """Prefixes of an NLRI field.
+    """Decodes the prefixes of an NLRI field.
 
     Bits beyond a prefix's length have no meaning (RFC 4271 section 4.3) and are cleared, so that
     equal prefixes compare equal.
--- a/lilacwalk/bgp/readiness.py
+++ b/lilacwalk/bgp/readiness.py
@@ -1,4 +1,4 @@
-"""Derives the node's status from facts that the event loop has at hand."""
+"""Derives the node's status from facts that the event loop already has."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 
 
 class Facts(NamedTuple):
+    """The facts that determine the node's status."""
+
     booted: bool  # the executor has been connected since this process started
-    warm_at: int  # when the warm-up after a cold start ends; 0 if there is none
+    warm_at: int  # time at which the warm-up after a cold start ends; 0 if there is none
     linked: bool  # the executor is connected and its pending messages have been read
-    healthy: bool  # according to the controller
+    healthy: bool  # according to the overload controller
     leaving: bool
     failed: bool = False
 
 
 def node_status(facts: Facts, now: int) -> NodeStatus:
-    """The status that follows from the facts at `now`.
+    """Returns the status that follows from the facts at `now`.
 
     A lost executor link counts as standing still, as an admitted request could not be started. The
     link is often restored within 20 ms; the announcement policy's hysteresis ignores such short
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -20,6 +20,8 @@
 
 @dataclass(eq=False, slots=True)
 class Route:
+    """A received route, shared by the prefixes that arrived with the same attributes."""
+
     attributes: Attributes
     session: int  # number of the peer's session that announced it
 
@@ -39,13 +41,14 @@
         self.max_prefixes = max_prefixes
         self.tries: dict[Afi, Trie[Route]] = {afi: Trie(afi) for afi in Afi}
         self.session = 0  # number of the current session; a route refresh counts as a session
-        self.refresh_sessions: dict[Afi, int] = {}  # session numbers of the refreshes under way
+        # Session number under which each refresh under way stores routes.
+        self.refresh_sessions: dict[Afi, int] = {}
 
     def __len__(self) -> int:
         return sum(len(trie) for trie in self.tries.values())
 
     def start_session(self) -> None:
-        """Called when a session is established: all routes become stale until announced again."""
+        """Starts a session: all routes become stale until they are announced again."""
         self.session += 1
         self.refresh_sessions.clear()
 
@@ -73,12 +76,12 @@
         )
 
     def stale(self, afi: Afi) -> int:
-        """The number of stale routes of a family."""
+        """Returns the number of stale routes of a family."""
         return sum(route.session != self.session for _, route in self.tries[afi].walk())
 
     def drop_stale(self, afi: Afi) -> int:
         """Removes the stale routes of a family after End-of-RIB, the end of a refresh or a
-        time-out.
+        time-out; returns how many.
         """
         trie = self.tries[afi]
         old = [prefix for prefix, route in trie.walk() if route.session != self.session]
@@ -90,8 +93,8 @@
         return len(trie)
 
     def start_refresh(self, afi: Afi) -> None:
-        """Beginning of a route refresh (RFC 7313 section 4): routes not announced again by its end
-        are removed.
+        """Starts a route refresh (RFC 7313 section 4): routes not announced again by its end are
+        removed.
         """
         self.session += 1
         self.refresh_sessions[afi] = self.session
@@ -102,20 +105,20 @@
                         route.session = self.session
 
     def end_refresh(self, afi: Afi) -> int:
-        """End of a route refresh: removes the stale routes; returns how many."""
+        """Ends a route refresh and removes the stale routes; returns how many."""
         return self.drop_stale(afi) if self.refresh_sessions.pop(afi, None) is not None else 0
 
     def evaluate(
         self, policy: PeerPolicy, afi: Afi
     ) -> Iterator[tuple[Prefix, Attributes | Refused]]:
-        """All routes of a family in order, each with the result of the import policy."""
+        """Yields all routes of a family in order, each with the result of the import policy."""
         for prefix, route in self.tries[afi].walk():
             yield prefix, policy.import_route(prefix, route.attributes)
 
     def longest_usable(
         self, policy: PeerPolicy, prefix: Prefix
     ) -> tuple[Prefix, Attributes] | None:
-        """The longest matching route for `prefix` that the import policy accepts."""
+        """Returns the longest matching route for `prefix` that the import policy accepts, or None."""
         best = None
         for found, route in self.tries[prefix.afi].covering(prefix.bits, prefix.length):
             result = policy.import_route(found, route.attributes)
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -29,11 +29,12 @@
 
 SECOND = 10_000  # in tenths of a millisecond
 OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
-MIN_JITTER = 0.75  # timers run for a random 75 to 100 % of their time (RFC 4271 section 10)
+# Timers run for a random 75 to 100 % of their configured time (RFC 4271 section 10).
+MIN_JITTER = 0.75
 # Upper bound of the doubled idle hold time. RFC 4271 sets none; after two minutes an operator
 # would look again.
 MAX_IDLE_HOLD = 120 * SECOND
-KEEPALIVES_PER_HOLD_TIME = 3  # RFC 4271 section 10
+KEEPALIVES_PER_HOLD_TIME = 3  # as suggested by RFC 4271 section 10
 
 
 class State(IntEnum):
@@ -126,7 +127,7 @@
     asn: int
     router_id: str
     peer_as: int
-    hold: int  # times in tenths of a millisecond
+    hold: int  # this and the next three are in tenths of a millisecond
     connect_retry: int
     idle_hold: int
     delay_open: int
@@ -153,7 +154,7 @@
 
 
 def state_rows(*lines: tuple[Iterable[Event], Row], others: Row) -> dict[Event, Row]:
-    """The rows of one state; events not listed have the row `others`."""
+    """Returns the table of one state; events that are not listed get the row `others`."""
     table = dict.fromkeys(Event, others)
     for events, row in lines:
         for event in events:
@@ -287,9 +288,9 @@
         self.failures = 0  # ConnectRetryCounter since the last stable session
         self.negotiated = NegotiatedCapabilities()
         self.peer_open: Open | None = None
-        self.hold_time = (
-            0  # negotiated, in tenths of a millisecond; 0 disables hold and keepalive timers
-        )
+        # The negotiated hold time in tenths of a millisecond; 0 disables the hold, keepalive and send
+        # hold timers.
+        self.hold_time = 0
         self.up_since = 0
         self.actions: list[tuple[SessionAction, object]] = []
         self.error: BgpError | None = None  # sent by `_send_notification`
@@ -355,7 +356,7 @@
         elif self.state is S.ESTABLISHED:  # RFC 2918 defines no event; handled like an UPDATE
             self.now = now
             self._restart_hold()
-            if self.negotiated.refresh:  # ignored if not negotiated
+            if self.negotiated.refresh:  # a refresh is ignored if not negotiated
                 self.actions.append((SessionAction.REFRESH, message))
         else:
             self._handle(E.UPDATE, now, "refresh")
@@ -371,7 +372,7 @@
         return self._take_actions()
 
     def flushed(self, now: int) -> None:
-        """The operating system has accepted all sent bytes: restarts the send hold timer."""
+        """Restarts the send hold timer, as the operating system has accepted all sent bytes."""
         if Timer.SEND_HOLD in self.timers:
             self._start_send_hold_at(now)
 
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -33,10 +33,10 @@
 class Bounds:
     """Limits of one speaker's sockets and memory."""
 
-    send_buffer: int = 4_000_000  # unsent bytes per peer: two refreshes of 100,000 prefixes
+    send_buffer: int = 4_000_000  # maximum unsent bytes per peer: two refreshes of 100,000 prefixes
     read_bytes: int = 16_384  # bytes per read: four messages of 4,096 bytes
-    batch: int = 64  # messages per queue item
-    queued_batches: int = 2  # per connection; a peer that floods delays only itself
+    batch: int = 64  # maximum number of messages per queue item
+    queued_batches: int = 2  # queue items per connection; a peer that floods delays only itself
     # Queue items handled between two timer checks: about 1,000 messages or 50 ms.
     items_per_iteration: int = 16
     # Time-out of a connection attempt in seconds; covers one lost SYN. A shorter connect retry time
@@ -48,7 +48,7 @@
 
 
 class Connection:
-    """A connection and its reader thread; all else than the reader's loop runs in the speaker's
+    """A connection and its reader thread. All methods but the reader's loop run in the speaker's
     thread.
     """
 
@@ -207,7 +207,7 @@
         self.failed = False
 
     def now(self) -> int:
-        """The monotonic time in tenths of a millisecond."""
+        """Returns the monotonic time in tenths of a millisecond."""
         return self.clock() // 100_000
 
     # Called by other threads
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -24,7 +24,8 @@
 from lilacwalk.bgp.policy import Refused
 from lilacwalk.bgp.prefixes import Afi, Prefix
 
-STALL_THRESHOLD = SECOND  # a tick this late means that the process stalled, with messages unread
+# A `tick` later than this means that the process stalled and has unread messages.
+STALL_THRESHOLD = SECOND
 CATCH_UP_TIME = SECOND // 2  # after a stall, for the readers to deliver messages from their sockets
 MAX_ROUTES_SHOWN = 1_000  # routes in one answer; a peer can have millions
 
@@ -40,8 +41,8 @@
         self.actions: list[Action] = []
         self.started_at = now
         self.decision = Decision(Level.NONE, "cold", None)
-        self.next_tick_due = now  # when the next `tick` was expected
-        self.failover_services: tuple[Service, ...] = ()  # of failed sites
+        self.next_tick_due = now  # time at which the next `tick` is expected
+        self.failover_services: tuple[Service, ...] = ()  # announced for failed sites
         self.ended = False
 
     def start(self, now: int) -> None:
@@ -59,8 +60,8 @@
         self.actions += peer_state.take_actions()
 
     def _restart_claims(self) -> tuple[bool, bool]:
-        """What an OPEN may state about graceful restart: whether this process has just started, and
-        whether the node serves.
+        """Returns what an OPEN may state about graceful restart: whether this process has just
+        started, and whether the node serves.
         """
         restart_config = self.config.graceful_restart
         restarted = restart_config is not None and self.now - self.started_at < restart_config.time
@@ -143,7 +144,11 @@
             self.actions.append(Action(ActionKind.CLOSE, link))
 
     def accepted(self, host: str, now: int) -> tuple[int, tuple[str, int]] | None:
-        """The new link's number and the peer's address; None if no peer may connect from this host."""
+        """Accepts a connection from `host`.
+
+        Returns the new link's number and the peer's address, or None if no peer may connect from
+        there.
+        """
         self._advance_clock(now)
         for address, peer in self.peers.items():
             if address[0] == host and (number := peer.accepted(now)):
@@ -176,8 +181,9 @@
             peer.flushed(link, now)
 
     def _peer_of_link(self, address: tuple[str, int], link: int) -> PeerState | None:
-        """The peer that owns the link; links of a peer that was removed and added again are
-        unknown.
+        """Returns the peer that owns the link, or None.
+
+        A peer that was removed and added again does not own its earlier links.
         """
         peer = self.peers.get(address)
         return peer if peer is not None and peer.find_link(link) is not None else None
@@ -209,7 +215,7 @@
         self.next_tick_due = self.next_due() or now + STALL_THRESHOLD
 
     def next_due(self) -> int | None:
-        """The time at which `tick` must be called next."""
+        """Returns the time at which `tick` must be called next; None if no timer is running."""
         times = [time for peer in self.peers.values() if (time := peer.next_due()) is not None]
         if self.decision.next_check is not None:
             times.append(self.decision.next_check)
@@ -239,7 +245,7 @@
                 self.actions += peer.take_actions()
 
     def _service_routes(self, peer: Peer) -> dict[Prefix, Attributes]:
-        """All routes to announce to a peer, before its export policy."""
+        """Returns all routes to announce to a peer, before its export policy."""
         level = self.announcement_policy.level
         if level is Level.NONE:
             return {}
@@ -301,7 +307,7 @@
     # Reports
 
     def status(self) -> dict[str, object]:
-        """The report for the admin socket."""
+        """Returns the report for the admin socket."""
         now, penalty = self.now, self.announcement_policy.penalty
         return {
             "as": self.config.as_,
@@ -318,7 +324,7 @@
         }
 
     def received_routes(self, address: tuple[str, int]) -> list[dict[str, object]]:
-        """The routes received from a peer in order, with the reason if a route is not used."""
+        """Returns the routes received from a peer in order, with the reason if a route is not used."""
         peer, rows = self.peers.get(address), []
         for afi in Afi if peer is not None else ():
             for prefix, evaluated in peer.adj_rib_in.evaluate(peer.policy, afi):
@@ -340,7 +346,7 @@
         return rows
 
     def usable_routes(self, prefix: Prefix) -> list[dict[str, object]]:
-        """For each peer with a usable route to the prefix, the longest match."""
+        """Returns the longest matching route to the prefix from each peer that has a usable one."""
         rows = []
         for peer in self.peers.values():
             if (found := peer.adj_rib_in.longest_usable(peer.policy, prefix)) is not None:
--- a/lilacwalk/bgp/trie.py
+++ b/lilacwalk/bgp/trie.py
@@ -154,7 +154,7 @@
         return Prefix(self.afi, node.head << node.shift, self.width - node.shift)
 
     def covering(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """All prefixes that cover this one, including itself, shortest first."""
+        """Yields all prefixes that cover this one, including itself, shortest first."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift >= shift and bits >> node.shift == node.head:
             if node.value is not BRANCH:
@@ -162,7 +162,7 @@
             node = node.one if bits >> node.branch_bit & 1 else node.zero
 
     def longest(self, bits: int, length: int | None = None) -> tuple[Prefix, V] | None:
-        """The longest prefix that covers this address, or this prefix if `length` is given."""
+        """Returns the longest prefix that covers this address, or this prefix if `length` is given."""
         best, node = None, self.root
         least = 0 if length is None else self.width - length
         while node is not None and bits >> node.shift == node.head and node.shift >= least:
@@ -172,7 +172,7 @@
         return None if best is None else (self._prefix(best), best.value)  # type: ignore[return-value]
 
     def covered(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """All prefixes covered by this one, including itself, in order."""
+        """Yields all prefixes covered by this one, including itself, in order."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift > shift:
             node = node.one if bits >> node.branch_bit & 1 else node.zero
@@ -180,7 +180,9 @@
             yield from self._walk(node)
 
     def walk(self) -> Iterator[tuple[Prefix, V]]:
-        """All prefixes by address, then by length; the trie must not change during the iteration."""
+        """Yields all prefixes by address, then by length; the trie must not change during the
+        iteration.
+        """
         if self.root is not None:
             yield from self._walk(self.root)
 
