--- a/lilacwalk/bgp/admin.py
+++ b/lilacwalk/bgp/admin.py
@@ -1,30 +1,37 @@
-"""What an operator may ask of the running speaker."""
+"""Queries that an operator can send to the running speaker over its admin socket."""
 
 from __future__ import annotations
 
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.speaker_io import Speaker
-from lilacwalk.bgp.speaker_state import Speaking
+from lilacwalk.bgp.speaker_state import SpeakerState
 from lilacwalk.protocols.admin_socket import AdminSocket
 
 
-def answer(line: str, speaking: Speaking) -> object:
+def answer_query(line: str, state: SpeakerState) -> object:
+    """Answers one query line; the result is sent as JSON."""
     words = line.split()
     if words == ["show"]:
-        return speaking.shown()
+        return state.status()
     if len(words) == 2 and words[0] == "received":
-        named = [address for address, peer in speaking.peers.items() if peer.name == words[1]]
-        return speaking.received(named[0]) if named else {"error": f"no peer {words[1]}"}
+        addresses = [address for address, peer in state.peers.items() if peer.name == words[1]]
+        return (
+            state.received_routes(addresses[0]) if addresses else {"error": f"no peer {words[1]}"}
+        )
     if len(words) == 2 and words[0] == "route":
         try:
-            return speaking.holding(Prefix.of(words[1]))
+            return state.usable_routes(Prefix.of(words[1]))
         except ValueError as error:
             return {"error": str(error)}
-    return {"error": "ask: show, received PEER, route PREFIX"}
+    return {"error": f"ask: show, received PEER or route PREFIX; got {line!r}"}
 
 
-def answering(speaker: Speaker, path: str) -> AdminSocket:
-    """Raises OSError."""
+def create_admin_socket(speaker: Speaker, path: str) -> AdminSocket:
+    """Opens the admin socket at `path`.
+
+    Raises:
+        OSError: The socket cannot be opened.
+    """
     return AdminSocket(
-        path, lambda line: speaker.ask(lambda speaking: answer(line, speaking)), "bgp-answering"
+        path, lambda line: speaker.query(lambda state: answer_query(line, state)), "bgp-answering"
     )
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -1,5 +1,8 @@
-"""Path attributes: bytes to records and back. A fault has the weight that RFC 7606 gives it: the attribute is
-dropped, the routes are treated as withdrawn, or the session ends."""
+"""Codec of path attributes (RFC 4271 section 4.3).
+
+A malformed attribute is handled as RFC 7606 requires: the attribute is discarded, its routes are
+treated as withdrawn, or the session is reset.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 
 from lilacwalk.bgp.errors import BgpError, Code, UpdateFault
 
-OPTIONAL, TRANSITIVE, PARTIAL, LONG = 0x80, 0x40, 0x20, 0x10
-AS_TRANS = 23_456  # RFC 6793: stands for a number that two octets cannot hold
+OPTIONAL, TRANSITIVE, PARTIAL, EXTENDED_LENGTH = 0x80, 0x40, 0x20, 0x10
+AS_TRANS = 23_456  # RFC 6793: replaces an AS number that does not fit in two octets
 SET, SEQUENCE, CONFED_SEQUENCE, CONFED_SET = 1, 2, 3, 4
 GRACEFUL_SHUTDOWN = 0xFFFF0000  # RFC 8326
 
@@ -36,7 +39,7 @@
 
 
 WELL_KNOWN = TRANSITIVE
-FLAGS = {  # the optional and transitive bits that each must have
+FLAGS = {  # required optional and transitive flags of each attribute type
     Type.ORIGIN: WELL_KNOWN,
     Type.AS_PATH: WELL_KNOWN,
     Type.NEXT_HOP: WELL_KNOWN,
@@ -55,17 +58,18 @@
     Type.LARGE_COMMUNITIES: OPTIONAL | TRANSITIVE,
     Type.ONLY_TO_CUSTOMER: OPTIONAL | TRANSITIVE,
 }
+# Discarded if received from an external peer (RFC 7606 section 7).
 ONLY_INTERNAL = (
     Type.LOCAL_PREF,
     Type.ORIGINATOR_ID,
     Type.CLUSTER_LIST,
-)  # RFC 7606 section 7: else dropped
+)
 
-Path = tuple[tuple[int, tuple[int, ...]], ...]  # segments: kind and numbers
+Path = tuple[tuple[int, tuple[int, ...]], ...]  # segments as (type, AS numbers)
 
 
-class Weight(IntEnum):
-    """RFC 7606 section 2, lightest first."""
+class Severity(IntEnum):
+    """How a malformed attribute is handled (RFC 7606 section 2), mildest first."""
 
     DISCARD = 1
     WITHDRAW = 2
@@ -74,16 +78,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    weight: Weight
+    """A malformed attribute of an UPDATE that does not end the session."""
+
+    severity: Severity
     kind: int
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Attributes:
+    """The path attributes of a route."""
+
     origin: int = 0
     as_path: Path = ()
-    next_hop: bytes = b""  # 4 or 16 bytes; of IPv6 the global one
+    next_hop: bytes = b""  # 4 or 16 bytes; for IPv6 the global address
     med: int | None = None
     local_pref: int | None = None
     atomic: bool = False
@@ -92,17 +100,19 @@
     large: tuple[tuple[int, int, int], ...] = ()
     extended: bytes = b""
     only_to_customer: int | None = None
-    others: tuple[
-        tuple[int, int, bytes], ...
-    ] = ()  # flags, type, value of transitive ones not known here
+    # Unrecognized transitive attributes as (flags, type, value).
+    others: tuple[tuple[int, int, bytes], ...] = ()
 
     @property
     def path_length(self) -> int:
-        """RFC 4271 section 9.1.2.2: a set counts one; confederations do not count (RFC 5065)."""
-        return length(self.as_path)
+        """AS path length (RFC 4271 section 9.1.2.2): an AS_SET counts as one, confederation
+        segments as zero (RFC 5065).
+        """
+        return as_path_length(self.as_path)
 
     @property
     def first_as(self) -> int | None:
+        """The neighbouring AS; None if the path does not begin with an AS_SEQUENCE."""
         for kind, numbers in self.as_path:
             return numbers[0] if kind == SEQUENCE and numbers else None
         return None
@@ -112,8 +122,8 @@
 
 
 @dataclass(slots=True)
-class Read:
-    """One UPDATE's attributes as they came."""
+class ParsedAttributes:
+    """The attributes of one UPDATE while it is parsed."""
 
     values: dict[str, object] = field(default_factory=dict)
     faults: list[Fault] = field(default_factory=list)
@@ -121,136 +131,196 @@
     unreach: tuple[int, int, bytes] | None = None
     seen: set[int] = field(default_factory=set)
 
-    def fault(self, weight: Weight, kind: int, text: str) -> None:
-        self.faults.append(Fault(weight, kind, text))
+    def fault(self, severity: Severity, kind: int, text: str) -> None:
+        self.faults.append(Fault(severity, kind, text))
 
     @property
-    def weight(self) -> int:
-        return max((each.weight for each in self.faults), default=0)
+    def severity(self) -> int:
+        """The highest severity among the faults; 0 if there are none."""
+        return max((each.severity for each in self.faults), default=0)
+
 
+class MalformedAttributeError(Exception):
+    """An attribute's value is malformed."""
 
-class BadValueError(Exception):
-    def __init__(self, text: str, weight: Weight = Weight.WITHDRAW) -> None:
+    def __init__(self, text: str, severity: Severity = Severity.WITHDRAW) -> None:
         super().__init__(text)
-        self.weight = weight
-
-
-def read(data: bytes, as4: bool, internal: bool) -> Read:
-    """All attributes of one UPDATE. Raises BgpError where the session must end: an attribute that is unknown
-    and said to be well-known, a second MP_REACH or MP_UNREACH, or one of them that cannot be read (then
-    nobody knows which routes were meant; RFC 7606 sections 3g and 5.3)."""
-    found, at = Read(), 0
-    while at < len(data):
-        flags = data[at]
-        head = 4 if flags & LONG else 3
-        if len(data) - at < head:
-            found.fault(Weight.WITHDRAW, 0, "an attribute without its length")  # RFC 7606 section 4
+        self.severity = severity
+
+
+def parse_attributes(data: bytes, as4: bool, internal: bool) -> ParsedAttributes:
+    """Parses all path attributes of one UPDATE.
+
+    Raises:
+        BgpError: The session must end: an unknown attribute is flagged as well-known, MP_REACH_NLRI or
+            MP_UNREACH_NLRI occurs twice, or one of them is malformed, so that the affected routes are
+            unknown (RFC 7606 sections 3g and 5.3).
+    """
+    parsed, offset = ParsedAttributes(), 0
+    while offset < len(data):
+        flags = data[offset]
+        header_size = 4 if flags & EXTENDED_LENGTH else 3
+        if len(data) - offset < header_size:
+            # Treat-as-withdraw, as RFC 7606 section 4 requires.
+            parsed.fault(
+                Severity.WITHDRAW,
+                0,
+                f"truncated attribute header: got {len(data) - offset} of {header_size} bytes",
+            )
             break
-        kind = data[at + 1]
-        size = int.from_bytes(data[at + 2 : at + head], "big")
-        value = data[at + head : at + head + size]
+        kind = data[offset + 1]
+        size = int.from_bytes(data[offset + 2 : offset + header_size], "big")
+        value = data[offset + header_size : offset + header_size + size]
         if len(value) < size:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
-                raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, data[at:], "runs past the end")
-            found.fault(Weight.WITHDRAW, kind, "runs past the end")
+                raise BgpError(
+                    Code.UPDATE,
+                    UpdateFault.OPTIONAL,
+                    data[offset:],
+                    f"attribute {kind}: {len(value)} of {size} bytes left in the message",
+                )
+            parsed.fault(Severity.WITHDRAW, kind, f"truncated: got {len(value)} of {size} bytes")
             break
-        whole = data[at : at + head + size]
-        at += head + size
-        if kind in found.seen:
+        raw = data[offset : offset + header_size + size]
+        offset += header_size + size
+        if kind in parsed.seen:
             if kind in (Type.MP_REACH, Type.MP_UNREACH):
                 raise BgpError(
-                    Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text=f"attribute {kind} twice"
+                    Code.UPDATE,
+                    UpdateFault.ATTRIBUTE_LIST,
+                    text=f"attribute {kind} occurs more than once, expected once",
                 )
-            found.fault(Weight.DISCARD, kind, "stands twice")
+            parsed.fault(Severity.DISCARD, kind, "occurs more than once, expected once")
             continue
-        found.seen.add(kind)
-        take(found, flags, kind, value, whole, as4, internal)
+        parsed.seen.add(kind)
+        parse_attribute(parsed, flags, kind, value, raw, as4, internal)
     if not as4:
-        four_octets(found)
-    return found
-
-
-def take(
-    found: Read, flags: int, kind: int, value: bytes, whole: bytes, as4: bool, internal: bool
+        merge_four_octet_attributes(parsed)
+    return parsed
+
+
+def parse_attribute(
+    parsed: ParsedAttributes,
+    flags: int,
+    kind: int,
+    value: bytes,
+    raw: bytes,
+    as4: bool,
+    internal: bool,
 ) -> None:
+    """Checks the flags of one attribute and stores its value; a fault is recorded in `parsed`."""
     expected = FLAGS.get(kind)  # type: ignore[call-overload]
     if expected is None:
         if not flags & OPTIONAL:
-            raise BgpError(Code.UPDATE, UpdateFault.UNKNOWN_WELL_KNOWN, whole, f"attribute {kind}")
+            raise BgpError(
+                Code.UPDATE,
+                UpdateFault.UNKNOWN_WELL_KNOWN,
+                raw,
+                f"unknown attribute {kind} with the well-known flag",
+            )
         if flags & TRANSITIVE:
-            others = found.values.get("others", ())
-            found.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
+            others = parsed.values.get("others", ())
+            parsed.values["others"] = (*others, (flags | PARTIAL, kind, value))  # type: ignore[misc]
         return
     if kind in ONLY_INTERNAL and not internal:
-        found.fault(Weight.DISCARD, kind, "from outside")
+        parsed.fault(
+            Severity.DISCARD,
+            kind,
+            "received from an external peer, expected from internal peers only",
+        )
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
-        if kind in (Type.MP_REACH, Type.MP_UNREACH):  # its routes are still known, and withdrawn
-            found.fault(Weight.WITHDRAW, kind, "wrong flags")
+        # The prefixes of MP_REACH_NLRI and MP_UNREACH_NLRI can still be read, so the routes are
+        # treated as withdrawn.
+        if kind in (
+            Type.MP_REACH,
+            Type.MP_UNREACH,
+        ):
+            parsed.fault(
+                Severity.WITHDRAW,
+                kind,
+                f"flags {flags:#04x}, expected optional and transitive bits {expected:#04x}",
+            )
         else:
-            found.fault(Weight.WITHDRAW, kind, f"flags {flags:#04x}")
+            parsed.fault(
+                Severity.WITHDRAW,
+                kind,
+                f"flags {flags:#04x}, expected optional and transitive bits {expected:#04x}",
+            )
             return
     try:
-        READERS[kind](found, value, as4)
-    except BadValueError as error:
-        if error.weight is Weight.RESET:
-            raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, whole, str(error)) from None
-        found.fault(error.weight, kind, str(error))
+        PARSERS[kind](parsed, value, as4)
+    except MalformedAttributeError as error:
+        if error.severity is Severity.RESET:
+            raise BgpError(Code.UPDATE, UpdateFault.OPTIONAL, raw, str(error)) from None
+        parsed.fault(error.severity, kind, str(error))
 
 
-def sized(value: bytes, *sizes: int, weight: Weight = Weight.WITHDRAW) -> None:
+def check_size(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
     if len(value) not in sizes:
-        raise BadValueError(f"{len(value)} bytes long", weight)
+        raise MalformedAttributeError(
+            f"{len(value)} bytes, expected {' or '.join(map(str, sizes))}", severity
+        )
 
 
-def origin(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 1)
+def parse_origin(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 1)
     if value[0] > 2:
-        raise BadValueError(f"origin {value[0]}")
-    found.values["origin"] = value[0]
+        raise MalformedAttributeError(f"origin {value[0]}, expected 0 to 2")
+    parsed.values["origin"] = value[0]
 
 
-def path_of(value: bytes, size: int) -> Path:
-    segments, at = [], 0
-    while at < len(value):
-        if len(value) < at + 2:
-            raise BadValueError("a segment without its length")
-        kind, count = value[at], value[at + 1]
-        end = at + 2 + count * size
+def parse_path(value: bytes, size: int) -> Path:
+    segments, offset = [], 0
+    while offset < len(value):
+        if len(value) < offset + 2:
+            raise MalformedAttributeError(
+                f"truncated AS path segment header: got {len(value) - offset} of 2 bytes"
+            )
+        kind, count = value[offset], value[offset + 1]
+        end = offset + 2 + count * size
         if (
             kind not in (SET, SEQUENCE, CONFED_SEQUENCE, CONFED_SET)
             or not count
             or end > len(value)
         ):
-            raise BadValueError(f"segment {kind} of {count}")
-        numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[at + 2 : end])
+            raise MalformedAttributeError(
+                f"invalid AS path segment: type {kind} with {count} AS numbers of {size} bytes and "
+                f"{len(value) - offset - 2} bytes left; expected type 1 to 4, at least 1 AS number, and "
+                f"{count * size} bytes"
+            )
+        numbers = struct.unpack(f"!{count}{'I' if size == 4 else 'H'}", value[offset + 2 : end])
         if 0 in numbers:
-            raise BadValueError("AS 0")  # RFC 7607 section 2
+            # AS 0 is reserved (RFC 7607 section 2).
+            raise MalformedAttributeError("reserved AS 0 in the path, expected 1 or higher")
         segments.append((kind, numbers))
-        at = end
+        offset = end
     return tuple(segments)
 
 
-def as_path(found: Read, value: bytes, as4: bool) -> None:
-    found.values["as_path"] = path_of(value, 4 if as4 else 2)
+def parse_as_path(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    parsed.values["as_path"] = parse_path(value, 4 if as4 else 2)
 
 
-def as4_path(found: Read, value: bytes, as4: bool) -> None:
+def parse_as4_path(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if as4:
-        return  # RFC 6793 section 4.1: means nothing here
+        return  # ignored on a session with four-octet AS numbers (RFC 6793 section 4.1)
     try:
-        found.values["as4_path"] = path_of(value, 4)
-    except BadValueError as error:
-        raise BadValueError(str(error), Weight.DISCARD) from None  # RFC 6793 section 6
+        parsed.values["as4_path"] = parse_path(value, 4)
+    except MalformedAttributeError as error:
+        raise MalformedAttributeError(str(error), Severity.DISCARD) from None  # RFC 6793 section 6
+
 
+def parse_next_hop(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 4)
+    parsed.values["next_hop"] = check_next_hop(value)
 
-def next_hop(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 4)
-    found.values["next_hop"] = usable(value)
 
+def check_next_hop(value: bytes) -> bytes:
+    """Checks that a next hop can be a host address.
 
-def usable(value: bytes) -> bytes:
-    """RFC 4271 section 6.3: what can be no host's address makes the route unusable, not the session."""
+    Otherwise the route is unusable, but the session continues (RFC 4271 section 6.3).
+    """
     if (
         not any(value)
         or len(value) == 4
@@ -258,155 +328,170 @@
         or len(value) == 16
         and value[0] == 0xFF
     ):
-        raise BadValueError("a next hop that is no host")
+        raise MalformedAttributeError(f"next hop {value.hex()}, expected a unicast host address")
     return value
 
 
-def number(name: str, kind: Type, weight: Weight = Weight.WITHDRAW):
-    def reader(found: Read, value: bytes, as4: bool) -> None:
-        sized(value, 4, weight=weight)
-        found.values[name] = int.from_bytes(value, "big")
+def number_parser(name: str, kind: Type, severity: Severity = Severity.WITHDRAW):
+    def parser(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+        check_size(value, 4, severity=severity)
+        parsed.values[name] = int.from_bytes(value, "big")
 
-    return reader
+    return parser
 
 
-def atomic(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 0, weight=Weight.DISCARD)
-    found.values["atomic"] = True
+def parse_atomic(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 0, severity=Severity.DISCARD)
+    parsed.values["atomic"] = True
 
 
-def aggregator(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 8 if as4 else 6, weight=Weight.DISCARD)
+def parse_aggregator(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 8 if as4 else 6, severity=Severity.DISCARD)
     asn = int.from_bytes(value[:-4], "big")
     if not asn:
-        raise BadValueError("AS 0", Weight.DISCARD)
-    found.values["aggregator"] = asn, value[-4:]
+        # AS 0 is reserved (RFC 7607 section 2).
+        raise MalformedAttributeError(
+            "reserved AS 0 as aggregator, expected 1 or higher", Severity.DISCARD
+        )
+    parsed.values["aggregator"] = asn, value[-4:]
 
 
-def as4_aggregator(found: Read, value: bytes, as4: bool) -> None:
+def parse_as4_aggregator(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if as4:
         return
-    sized(value, 8, weight=Weight.DISCARD)
-    found.values["as4_aggregator"] = int.from_bytes(value[:4], "big"), value[4:]
+    check_size(value, 8, severity=Severity.DISCARD)
+    parsed.values["as4_aggregator"] = int.from_bytes(value[:4], "big"), value[4:]
 
 
-def multiple(value: bytes, size: int) -> None:
+def check_multiple(value: bytes, size: int) -> None:
     if not value or len(value) % size:
-        raise BadValueError(f"{len(value)} bytes long")
+        raise MalformedAttributeError(f"{len(value)} bytes, expected a positive multiple of {size}")
 
 
-def communities(found: Read, value: bytes, as4: bool) -> None:
-    multiple(value, 4)
-    found.values["communities"] = struct.unpack(f"!{len(value) // 4}I", value)
+def parse_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_multiple(value, 4)
+    parsed.values["communities"] = struct.unpack(f"!{len(value) // 4}I", value)
 
 
-def extended_communities(found: Read, value: bytes, as4: bool) -> None:
-    multiple(value, 8)
-    found.values["extended"] = value
+def parse_extended_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_multiple(value, 8)
+    parsed.values["extended"] = value
 
 
-def large_communities(found: Read, value: bytes, as4: bool) -> None:
-    multiple(value, 12)
-    found.values["large"] = tuple(
-        dict.fromkeys(struct.iter_unpack("!III", value))
-    )  # RFC 8092 section 3
+def parse_large_communities(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_multiple(value, 12)
+    # Duplicates are removed (RFC 8092 section 3).
+    parsed.values["large"] = tuple(dict.fromkeys(struct.iter_unpack("!III", value)))
 
 
-def only_to_customer(found: Read, value: bytes, as4: bool) -> None:
-    sized(value, 4)  # RFC 9234 section 5: treated as withdrawn
-    found.values["only_to_customer"] = int.from_bytes(value, "big")
+def parse_only_to_customer(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    check_size(value, 4)  # RFC 9234 section 5: otherwise treat-as-withdraw
+    parsed.values["only_to_customer"] = int.from_bytes(value, "big")
 
 
-def checked(found: Read, value: bytes, as4: bool) -> None:
-    """Internal peers' own; nothing here reflects routes, so only its form counts."""
-    multiple(value, 4)
+def parse_unused(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
+    """Checks the size only; these attributes of internal peers matter to route reflectors, which
+    this speaker is not.
+    """
+    check_multiple(value, 4)
 
 
-def mp_reach(found: Read, value: bytes, as4: bool) -> None:
+def parse_mp_reach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 5 or len(value) < 5 + value[3]:
-        raise BadValueError("too short", Weight.RESET)
+        raise MalformedAttributeError(
+            f"{len(value)} bytes, expected at least 5 and the next hop", Severity.RESET
+        )
     afi, safi, size = struct.unpack("!HBB", value[:4])
-    hop, prefixes = value[4 : 4 + size], value[5 + size :]
+    next_hop, prefixes = value[4 : 4 + size], value[5 + size :]
     if afi == 2 and size not in (16, 32) or afi == 1 and size not in (4, 16, 32):
-        raise BadValueError(f"a next hop of {size} bytes", Weight.RESET)  # RFC 7606 section 7.11
-    found.reach = afi, safi, hop[:16], prefixes
+        # An invalid next hop length resets the session (RFC 7606 section 7.11).
+        raise MalformedAttributeError(
+            f"next hop of {size} bytes, expected 16 or 32 (IPv6), or 4, 16 or 32 (IPv4)",
+            Severity.RESET,
+        )
+    parsed.reach = afi, safi, next_hop[:16], prefixes
     if afi == 2:
-        usable(hop[:16])
+        check_next_hop(next_hop[:16])
 
 
-def mp_unreach(found: Read, value: bytes, as4: bool) -> None:
+def parse_mp_unreach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 3:
-        raise BadValueError("too short", Weight.RESET)
-    found.unreach = *struct.unpack("!HB", value[:3]), value[3:]
-
-
-READERS = {
-    Type.ORIGIN: origin,
-    Type.AS_PATH: as_path,
-    Type.NEXT_HOP: next_hop,
-    Type.MED: number("med", Type.MED),
-    Type.LOCAL_PREF: number("local_pref", Type.LOCAL_PREF),
-    Type.ATOMIC_AGGREGATE: atomic,
-    Type.AGGREGATOR: aggregator,
-    Type.COMMUNITIES: communities,
-    Type.ORIGINATOR_ID: checked,
-    Type.CLUSTER_LIST: checked,
-    Type.MP_REACH: mp_reach,
-    Type.MP_UNREACH: mp_unreach,
-    Type.EXTENDED_COMMUNITIES: extended_communities,
-    Type.AS4_PATH: as4_path,
-    Type.AS4_AGGREGATOR: as4_aggregator,
-    Type.LARGE_COMMUNITIES: large_communities,
-    Type.ONLY_TO_CUSTOMER: only_to_customer,
+        raise MalformedAttributeError(f"{len(value)} bytes, expected at least 3", Severity.RESET)
+    parsed.unreach = *struct.unpack("!HB", value[:3]), value[3:]
+
+
+PARSERS = {
+    Type.ORIGIN: parse_origin,
+    Type.AS_PATH: parse_as_path,
+    Type.NEXT_HOP: parse_next_hop,
+    Type.MED: number_parser("med", Type.MED),
+    Type.LOCAL_PREF: number_parser("local_pref", Type.LOCAL_PREF),
+    Type.ATOMIC_AGGREGATE: parse_atomic,
+    Type.AGGREGATOR: parse_aggregator,
+    Type.COMMUNITIES: parse_communities,
+    Type.ORIGINATOR_ID: parse_unused,
+    Type.CLUSTER_LIST: parse_unused,
+    Type.MP_REACH: parse_mp_reach,
+    Type.MP_UNREACH: parse_mp_unreach,
+    Type.EXTENDED_COMMUNITIES: parse_extended_communities,
+    Type.AS4_PATH: parse_as4_path,
+    Type.AS4_AGGREGATOR: parse_as4_aggregator,
+    Type.LARGE_COMMUNITIES: parse_large_communities,
+    Type.ONLY_TO_CUSTOMER: parse_only_to_customer,
 }
 
 
-def four_octets(found: Read) -> None:
-    """RFC 6793 section 4.2.3: a peer of two octets' path and aggregator, completed by what others put
-    beside."""
-    wide, narrow = found.values.pop("as4_path", None), found.values.get("as_path")
-    aggregated = found.values.pop("as4_aggregator", None)
-    plain = found.values.get("aggregator")
-    if plain is not None and aggregated is not None:
-        if plain[0] != AS_TRANS:  # type: ignore[index]
-            return  # whoever aggregated knew no four octets: what is beside is older than that
-        found.values["aggregator"] = aggregated
-    if wide is None or narrow is None:
+def merge_four_octet_attributes(parsed: ParsedAttributes) -> None:
+    """Reconstructs AS path and aggregator from a peer without four-octet AS numbers (RFC 6793
+    section 4.2.3).
+
+    AS4_PATH and AS4_AGGREGATOR, set by other speakers on the way, replace the parts that AS_TRANS
+    stands for.
+    """
+    as4_path, as_path = parsed.values.pop("as4_path", None), parsed.values.get("as_path")
+    as4_aggregator = parsed.values.pop("as4_aggregator", None)
+    aggregator = parsed.values.get("aggregator")
+    if aggregator is not None and as4_aggregator is not None:
+        if aggregator[0] != AS_TRANS:  # type: ignore[index]
+            # The last aggregator lacks four-octet support, so both AS4 attributes are older than it.
+            return
+        parsed.values["aggregator"] = as4_aggregator
+    if as4_path is None or as_path is None:
         return
-    ours, theirs = length(narrow), length(wide)  # type: ignore[arg-type]
-    if ours < theirs:
+    path_length, as4_length = as_path_length(as_path), as_path_length(as4_path)  # type: ignore[arg-type]
+    if path_length < as4_length:
         return
-    missing, head = ours - theirs, []
-    for kind, numbers in narrow:  # type: ignore[attr-defined]
+    missing, head = path_length - as4_length, []
+    for kind, numbers in as_path:  # type: ignore[attr-defined]
         if missing <= 0:
             break
         part = numbers[:missing] if kind in (SEQUENCE, CONFED_SEQUENCE) else numbers
         head.append((kind, part))
         missing -= len(part) if kind == SEQUENCE else 1 if kind == SET else 0
-    if head and wide and head[-1][0] == SEQUENCE == wide[0][0]:  # type: ignore[index]
-        joined = (SEQUENCE, (*head.pop()[1], *wide[0][1]))  # type: ignore[index]
-        wide = (joined, *wide[1:])  # type: ignore[index]
-    found.values["as_path"] = (*head, *wide)  # type: ignore[misc]
+    if head and as4_path and head[-1][0] == SEQUENCE == as4_path[0][0]:  # type: ignore[index]
+        joined = (SEQUENCE, (*head.pop()[1], *as4_path[0][1]))  # type: ignore[index]
+        as4_path = (joined, *as4_path[1:])  # type: ignore[index]
+    parsed.values["as_path"] = (*head, *as4_path)  # type: ignore[misc]
 
 
-def length(path: Path) -> int:
+def as_path_length(path: Path) -> int:
     return sum(
         1 if kind == SET else len(numbers) for kind, numbers in path if kind in (SET, SEQUENCE)
     )
 
 
-def pack(flags: int, kind: int, value: bytes) -> bytes:
+def encode_attribute(flags: int, kind: int, value: bytes) -> bytes:
     if len(value) > 255:
-        return struct.pack("!BBH", flags | LONG, kind, len(value)) + value
+        return struct.pack("!BBH", flags | EXTENDED_LENGTH, kind, len(value)) + value
     return struct.pack("!BBB", flags, kind, len(value)) + value
 
 
-def pack_path(path: Path, size: int) -> bytes:
-    most = 255  # numbers in one segment
+def encode_path(path: Path, size: int) -> bytes:
+    max_numbers = 255  # the segment's count field is one octet
     pieces = []
     for kind, numbers in path:
-        for at in range(0, len(numbers), most):
-            part = numbers[at : at + most]
+        for offset in range(0, len(numbers), max_numbers):
+            part = numbers[offset : offset + max_numbers]
             if size == 2:
                 part = tuple(each if each < 65_536 else AS_TRANS for each in part)
             pieces.append(
@@ -416,43 +501,58 @@
 
 
 def encode(attributes: Attributes, as4: bool, internal: bool, with_next_hop: bool) -> bytes:
-    """In the order of their types (RFC 4271 appendix F.3). The next hop of IPv6 goes into MP_REACH
-    instead."""
+    """Encodes attributes in the order of their type codes (RFC 4271 appendix F.3).
+
+    An IPv6 next hop is carried in MP_REACH_NLRI and left out here.
+    """
     parts = [
-        pack(WELL_KNOWN, Type.ORIGIN, bytes((attributes.origin,))),
-        pack(WELL_KNOWN, Type.AS_PATH, pack_path(attributes.as_path, 4 if as4 else 2)),
+        encode_attribute(WELL_KNOWN, Type.ORIGIN, bytes((attributes.origin,))),
+        encode_attribute(
+            WELL_KNOWN, Type.AS_PATH, encode_path(attributes.as_path, 4 if as4 else 2)
+        ),
     ]
     if with_next_hop:
-        parts.append(pack(WELL_KNOWN, Type.NEXT_HOP, attributes.next_hop))
+        parts.append(encode_attribute(WELL_KNOWN, Type.NEXT_HOP, attributes.next_hop))
     if attributes.med is not None:
-        parts.append(pack(OPTIONAL, Type.MED, struct.pack("!I", attributes.med)))
+        parts.append(encode_attribute(OPTIONAL, Type.MED, struct.pack("!I", attributes.med)))
     if internal and attributes.local_pref is not None:
-        parts.append(pack(WELL_KNOWN, Type.LOCAL_PREF, struct.pack("!I", attributes.local_pref)))
+        parts.append(
+            encode_attribute(WELL_KNOWN, Type.LOCAL_PREF, struct.pack("!I", attributes.local_pref))
+        )
     if attributes.atomic:
-        parts.append(pack(WELL_KNOWN, Type.ATOMIC_AGGREGATE, b""))
+        parts.append(encode_attribute(WELL_KNOWN, Type.ATOMIC_AGGREGATE, b""))
     if attributes.aggregator is not None:
         asn, address = attributes.aggregator
         narrow = asn if asn < 65_536 else AS_TRANS
         value = struct.pack("!I", asn) if as4 else struct.pack("!H", narrow)
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.AGGREGATOR, value + address))
+        parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.AGGREGATOR, value + address))
     if attributes.communities:
         value = struct.pack(f"!{len(attributes.communities)}I", *attributes.communities)
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.COMMUNITIES, value))
+        parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.COMMUNITIES, value))
     if attributes.extended:
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.EXTENDED_COMMUNITIES, attributes.extended))
+        parts.append(
+            encode_attribute(OPTIONAL | TRANSITIVE, Type.EXTENDED_COMMUNITIES, attributes.extended)
+        )
     wide = any(each > 65_535 for _, numbers in attributes.as_path for each in numbers)
     if not as4 and wide:
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.AS4_PATH, pack_path(attributes.as_path, 4)))
+        parts.append(
+            encode_attribute(
+                OPTIONAL | TRANSITIVE, Type.AS4_PATH, encode_path(attributes.as_path, 4)
+            )
+        )
     if attributes.large:
         value = b"".join(struct.pack("!III", *each) for each in attributes.large)
-        parts.append(pack(OPTIONAL | TRANSITIVE, Type.LARGE_COMMUNITIES, value))
+        parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.LARGE_COMMUNITIES, value))
     if attributes.only_to_customer is not None:
         parts.append(
-            pack(
+            encode_attribute(
                 OPTIONAL | TRANSITIVE,
                 Type.ONLY_TO_CUSTOMER,
                 struct.pack("!I", attributes.only_to_customer),
             )
         )
-    parts += [pack(flags & ~LONG, kind, value) for flags, kind, value in attributes.others]
+    parts += [
+        encode_attribute(flags & ~EXTENDED_LENGTH, kind, value)
+        for flags, kind, value in attributes.others
+    ]
     return b"".join(parts)
--- a/lilacwalk/bgp/damping.py
+++ b/lilacwalk/bgp/damping.py
@@ -1,4 +1,4 @@
-"""Damping of ourselves: a penalty that each flap raises and time halves (RFC 2439 section 4.2)."""
+"""Route flap damping of this node's own announcements (RFC 2439 section 4.2)."""
 
 from __future__ import annotations
 
@@ -6,55 +6,68 @@
 
 from lilacwalk.bgp.config import Damping
 
-FLAP, CHANGE = 1_000, 500  # RFC 2439 section 4.2: a withdrawal counts whole, another change half
+# RFC 2439 section 4.2: an attribute change counts half as much as a withdrawal.
+FLAP, CHANGE = (
+    1_000,
+    500,
+)
 
 
 class Penalty:
-    """Exact decay, no steps: what it is at a time depends on the flaps alone, not on how often it is
-    asked."""
+    """Flap penalty with exponential decay.
 
-    def __init__(self, given: Damping) -> None:
-        self.given = given
-        self.value, self.at = 0.0, 0
+    The decay is computed exactly from the time passed, so the value at a given time depends only on
+    the flaps and not on how often it is read.
+    """
+
+    def __init__(self, config: Damping) -> None:
+        self.config = config
+        self.value, self.updated_at = 0.0, 0
         self.suppressed = False
 
     @property
     def ceiling(self) -> float:
-        """Above this, it would take more than the longest time to be reused (RFC 2439 section 4.2)."""
-        return self.given.reuse * 2.0 ** (self.given.longest / self.given.half_life)
+        """The maximum penalty: from a higher one, decay to `reuse` would take longer than `longest`
+        (RFC 2439 section 4.2).
+        """
+        return self.config.reuse * 2.0 ** (self.config.longest / self.config.half_life)
 
-    def now(self, now: int) -> float:
-        return self.value * 2.0 ** (-max(0, now - self.at) / self.given.half_life)
+    def value_at(self, now: int) -> float:
+        """Returns the decayed penalty at `now`."""
+        return self.value * 2.0 ** (-max(0, now - self.updated_at) / self.config.half_life)
 
     def add(self, amount: int, now: int) -> None:
-        self.value = min(self.ceiling, self.now(now) + amount)
-        self.at = max(now, self.at)
-        if self.value >= self.given.suppress:
+        """Adds a flap; suppression starts when the penalty reaches `suppress`."""
+        self.value = min(self.ceiling, self.value_at(now) + amount)
+        self.updated_at = max(now, self.updated_at)
+        if self.value >= self.config.suppress:
             self.suppressed = True
 
-    def holds(self, now: int) -> bool:
-        """Whether it keeps us from being announced."""
-        if self.suppressed and now >= self.free_at():
+    def is_suppressed(self, now: int) -> bool:
+        """Returns whether the penalty suppresses announcements at `now`."""
+        if self.suppressed and now >= self.reuse_at():
             self.suppressed = False
         return self.suppressed
 
-    def free_at(self) -> int:
-        """When it falls to `reuse`, if nothing comes in between."""
-        if self.value <= self.given.reuse:
-            return self.at
-        return self.at + math.ceil(self.given.half_life * math.log2(self.value / self.given.reuse))
-
-    def recall(self, value: float, suppressed: bool, age: int, now: int) -> None:
-        """What an earlier life had, decayed since; on top of what this one has."""
-        was = max(0.0, value) * 2.0 ** (-max(0, age) / self.given.half_life)
-        self.value, self.at = min(self.ceiling, self.now(now) + was), now
-        self.suppressed = self.suppressed or suppressed and self.value > self.given.reuse
-
-    def take_over(self, given: Damping, now: int) -> None:
-        """New figures: the penalty stays what it is, under the new ceiling."""
-        self.value, self.at = self.now(now), now
-        self.given = given
+    def reuse_at(self) -> int:
+        """Returns the time at which the penalty will have decayed to `reuse` if no flap is added."""
+        if self.value <= self.config.reuse:
+            return self.updated_at
+        return self.updated_at + math.ceil(
+            self.config.half_life * math.log2(self.value / self.config.reuse)
+        )
+
+    def restore(self, value: float, suppressed: bool, age: int, now: int) -> None:
+        """Adds the penalty that an earlier process had `age` ago, decayed since then."""
+        restored = max(0.0, value) * 2.0 ** (-max(0, age) / self.config.half_life)
+        self.value, self.updated_at = min(self.ceiling, self.value_at(now) + restored), now
+        self.suppressed = self.suppressed or suppressed and self.value > self.config.reuse
+
+    def reconfigure(self, config: Damping, now: int) -> None:
+        """Applies new settings; the penalty keeps its value, limited by the new ceiling."""
+        self.value, self.updated_at = self.value_at(now), now
+        self.config = config
         self.value = min(self.value, self.ceiling)
         self.suppressed = (
-            self.suppressed and self.value > given.reuse or self.value >= given.suppress
+            self.suppressed and self.value > config.reuse or self.value >= config.suppress
         )
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -1,5 +1,8 @@
-"""Messages: bytes to records and back (RFC 4271 section 4, 2918, 4760, 6793, 7313, 8654, 9072). Total over
-any bytes: a record, or a BgpError with the code and subcode that the RFC names for the fault."""
+"""Codec of BGP messages (RFC 4271 section 4; RFC 2918, 4760, 6793, 7313, 8654, 9072).
+
+Any bytes yield either a record or a `BgpError` with the code and subcode that the RFC assigns to
+the error.
+"""
 
 from __future__ import annotations
 
@@ -11,21 +14,31 @@
 from lilacwalk.bgp import attributes as path_attributes
 from lilacwalk.bgp import capabilities as capability_codec
 from lilacwalk.bgp import prefixes as prefix_codec
-from lilacwalk.bgp.attributes import LONG, OPTIONAL, Attributes, Fault, Type, Weight, pack
-from lilacwalk.bgp.capabilities import Agreed, Capabilities
+from lilacwalk.bgp.attributes import (
+    EXTENDED_LENGTH,
+    OPTIONAL,
+    Attributes,
+    Fault,
+    Severity,
+    Type,
+    encode_attribute,
+)
+from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.errors import BgpError, Code, Header, OpenFault, UpdateFault
 from lilacwalk.bgp.prefixes import UNICAST, Afi, Prefix
 
 MARKER = b"\xff" * 16
-HEAD, PLAIN, EXTENDED = 19, 4_096, 65_535
+HEADER_SIZE, MAX_SIZE, MAX_EXTENDED_SIZE = 19, 4_096, 65_535
 OPEN, UPDATE, NOTIFICATION, KEEPALIVE, REFRESH = 1, 2, 3, 4, 5
-LEAST = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
-CAPABILITIES, LONG_PARAMETERS = 2, 255  # optional parameters: RFC 5492, RFC 9072
+MIN_SIZES = {OPEN: 29, UPDATE: 23, NOTIFICATION: 21, KEEPALIVE: 19, REFRESH: 23}
+CAPABILITIES, EXTENDED_PARAMETERS = 2, 255  # types of optional parameters (RFC 5492, RFC 9072)
 VERSION = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Open:
+    """An OPEN message; `asn` is the four-octet number if the peer sent one."""
+
     asn: int
     hold: int  # seconds
     router_id: str
@@ -34,27 +47,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
+    """An UPDATE message."""
+
     withdrawn: tuple[Prefix, ...] = ()
-    reached: tuple[
-        tuple[Attributes, tuple[Prefix, ...]], ...
-    ] = ()  # at most one for each way to state them
-    end_of_rib: int | None = None  # the family (RFC 4724 section 2)
-    faults: tuple[Fault, ...] = ()  # those that RFC 7606 lets the session live through
+    # (attributes, prefixes) of the NLRI field and of MP_REACH_NLRI.
+    reachable: tuple[tuple[Attributes, tuple[Prefix, ...]], ...] = ()
+    end_of_rib: int | None = None  # the AFI if this is an End-of-RIB marker (RFC 4724 section 2)
+    faults: tuple[Fault, ...] = ()  # malformed attributes that do not end the session (RFC 7606)
 
     @property
     def announced(self) -> tuple[Prefix, ...]:
-        return tuple(prefix for _, prefixes in self.reached for prefix in prefixes)
+        """All announced prefixes."""
+        return tuple(prefix for _, prefixes in self.reachable for prefix in prefixes)
 
 
 @dataclass(frozen=True, slots=True)
 class Notification:
+    """A NOTIFICATION message."""
+
     code: int
     subcode: int
     data: bytes = b""
 
     @property
     def text(self) -> str:
-        """The operator's words of a shutdown or reset (RFC 8203 and 9003), safe for a log."""
+        """The shutdown communication (RFC 8203, 9003) with unprintable characters replaced, for
+        logs.
+        """
         if self.code == Code.CEASE and self.subcode in (2, 4) and self.data:
             raw = self.data[1 : 1 + self.data[0]]
             return "".join(
@@ -65,80 +84,116 @@
 
 @dataclass(frozen=True, slots=True)
 class Keepalive:
-    pass
+    """A KEEPALIVE message."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
+    """A ROUTE-REFRESH message."""
+
     afi: int
     safi: int
-    kind: int = 0  # 0 request, 1 beginning, 2 end of a refresh (RFC 7313)
+    kind: int = 0  # subtype: 0 request, 1 beginning, 2 end of a refresh (RFC 7313)
 
 
 Message = Open | Update | Notification | Keepalive | Refresh
 
 
 class Stream:
-    """Chunks as they were read, cut anywhere, to whole messages. Holds one message at most, as long as `most`
-    allows; raises BgpError on what can be no header, and is of no use after that."""
+    """Splits a byte stream into messages.
+
+    Buffers at most one message of up to `max_size` bytes. After a `BgpError` (invalid header) the
+    stream cannot be used any more.
+    """
 
-    __slots__ = ("rest", "most")
+    __slots__ = ("rest", "max_size")
 
-    def __init__(self, most: int = PLAIN) -> None:
-        self.rest, self.most = b"", most
+    def __init__(self, max_size: int = MAX_SIZE) -> None:
+        self.rest, self.max_size = b"", max_size
 
     def feed(self, chunk: bytes) -> Iterator[tuple[int, bytes]]:
-        """(type, body) each."""
-        data, at = self.rest + chunk if self.rest else chunk, 0
+        """Yields the type and body of each complete message."""
+        data, offset = self.rest + chunk if self.rest else chunk, 0
         try:
-            while len(data) - at >= HEAD:
-                size, kind = int.from_bytes(data[at + 16 : at + 18], "big"), data[at + 18]
-                if data[at : at + 16] != MARKER:
+            while len(data) - offset >= HEADER_SIZE:
+                size, kind = (
+                    int.from_bytes(data[offset + 16 : offset + 18], "big"),
+                    data[offset + 18],
+                )
+                if data[offset : offset + 16] != MARKER:
                     raise BgpError(Code.HEADER, Header.NOT_SYNCHRONIZED)
                 if (
-                    not HEAD <= size <= self.most
-                    or kind in LEAST
-                    and size < LEAST[kind]
+                    not HEADER_SIZE <= size <= self.max_size
+                    or kind in MIN_SIZES
+                    and size < MIN_SIZES[kind]
                     or kind == KEEPALIVE
-                    and size != HEAD
+                    and size != HEADER_SIZE
                     or kind == OPEN
-                    and size > PLAIN
+                    and size > MAX_SIZE
                 ):
                     raise BgpError(
-                        Code.HEADER, Header.BAD_LENGTH, data[at + 16 : at + 18], f"length {size}"
+                        Code.HEADER,
+                        Header.BAD_LENGTH,
+                        data[offset + 16 : offset + 18],
+                        f"invalid length {size} of a message of type {kind}",
+                    )
+                if kind not in MIN_SIZES:
+                    raise BgpError(
+                        Code.HEADER,
+                        Header.BAD_TYPE,
+                        bytes((kind,)),
+                        f"message type {kind}, expected 1 to 5",
                     )
-                if kind not in LEAST:
-                    raise BgpError(Code.HEADER, Header.BAD_TYPE, bytes((kind,)), f"type {kind}")
-                if len(data) - at < size:
+                if len(data) - offset < size:
                     break
-                body = data[at + HEAD : at + size]
-                at += size
+                body = data[offset + HEADER_SIZE : offset + size]
+                offset += size
                 yield kind, body
         finally:
-            self.rest = data[at:]
+            self.rest = data[offset:]
 
 
 def frame(kind: int, body: bytes) -> bytes:
-    return MARKER + struct.pack("!HB", HEAD + len(body), kind) + body
-
-
-def decode(kind: int, body: bytes, agreed: Agreed = Agreed(), internal: bool = False) -> Message:
-    """One message of a known type; `agreed` and `internal` say how an UPDATE is to be read. Raises
-    BgpError."""
+    """Returns a message with its header."""
+    return MARKER + struct.pack("!HB", HEADER_SIZE + len(body), kind) + body
+
+
+def decode(
+    kind: int,
+    body: bytes,
+    negotiated: NegotiatedCapabilities = NegotiatedCapabilities(),
+    internal: bool = False,
+) -> Message:
+    """Decodes the body of one message.
+
+    Args:
+        kind: The message type.
+        body: The message without its header.
+        agreed: The negotiated capabilities, which determine the encoding of an UPDATE.
+        internal: Whether the peer has our AS number.
+
+    Raises:
+        BgpError: The message is malformed, or its type is unknown.
+    """
     if kind == OPEN:
         return decode_open(body)
     if kind == UPDATE:
-        return decode_update(body, agreed, internal)
+        return decode_update(body, negotiated, internal)
     if kind == NOTIFICATION:
-        if len(body) < 2:  # also where no stream counted its bytes first
-            raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
+        if len(body) < 2:  # `Stream` checks this too, but not every caller uses it
+            raise BgpError(
+                Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body))
+            )
         return Notification(body[0], body[1], body[2:])
     if kind == KEEPALIVE:
         return Keepalive()
     if kind == REFRESH:
         if len(body) != 4:
             raise BgpError(
-                Code.ROUTE_REFRESH, 1, frame(REFRESH, body), "a refresh of another length"
+                Code.ROUTE_REFRESH,
+                1,
+                frame(REFRESH, body),
+                f"body of {len(body)} bytes, expected 4",
             )
         afi, subtype, safi = struct.unpack("!HBB", body)
         return Refresh(afi, safi, subtype)
@@ -147,120 +202,157 @@
 
 def decode_open(body: bytes) -> Open:
     if len(body) < 10:
-        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
-    version, asn, hold, ident, size = struct.unpack("!BHHIB", body[:10])
+        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
+    version, asn, hold, router_id, parameters_size = struct.unpack("!BHHIB", body[:10])
     if version != VERSION:
         raise BgpError(
-            Code.OPEN, OpenFault.VERSION, struct.pack("!H", VERSION), f"version {version}"
+            Code.OPEN,
+            OpenFault.VERSION,
+            struct.pack("!H", VERSION),
+            f"version {version}, expected {VERSION}",
         )
-    parameters, head = body[10:], 2
-    if size == LONG_PARAMETERS and parameters[:1] == b"\xff":  # RFC 9072: lengths of two octets
+    parameters, parameter_header_size = body[10:], 2
+    # RFC 9072: the parameters and their total have two-octet lengths.
+    if parameters_size == EXTENDED_PARAMETERS and parameters[:1] == b"\xff":
         if len(parameters) < 3:
-            raise BgpError(Code.OPEN, 0, text="parameters without their length")
-        size, parameters, head = int.from_bytes(parameters[1:3], "big"), parameters[3:], 3
-    if size != len(parameters):
+            raise BgpError(
+                Code.OPEN,
+                0,
+                text=f"truncated extended parameters length: got {len(parameters) - 1} of 2 bytes",
+            )
+        parameters_size, parameters, parameter_header_size = (
+            int.from_bytes(parameters[1:3], "big"),
+            parameters[3:],
+            3,
+        )
+    if parameters_size != len(parameters):
         raise BgpError(
-            Code.OPEN, 0, text=f"{len(parameters)} bytes of parameters, said to be {size}"
+            Code.OPEN,
+            0,
+            text=f"{len(parameters)} bytes of parameters, expected {parameters_size}",
         )
-    stated, at = b"", 0
-    while at < len(parameters):
-        length = int.from_bytes(parameters[at + 1 : at + head], "big")
-        value = parameters[at + head : at + head + length]
-        if len(parameters) < at + head or len(value) < length:
-            raise BgpError(Code.OPEN, 0, text="a parameter runs past the end")
-        if parameters[at] != CAPABILITIES:
+    capability_data, offset = b"", 0
+    while offset < len(parameters):
+        length = int.from_bytes(parameters[offset + 1 : offset + parameter_header_size], "big")
+        value = parameters[offset + parameter_header_size : offset + parameter_header_size + length]
+        if len(parameters) < offset + parameter_header_size or len(value) < length:
+            raise BgpError(
+                Code.OPEN,
+                0,
+                text=f"truncated parameter at byte {offset}: {len(parameters) - offset} bytes left",
+            )
+        if parameters[offset] != CAPABILITIES:
             raise BgpError(
-                Code.OPEN, OpenFault.OPTIONAL_PARAMETER, text=f"parameter {parameters[at]}"
+                Code.OPEN,
+                OpenFault.OPTIONAL_PARAMETER,
+                text=f"optional parameter {parameters[offset]}, expected {CAPABILITIES} (capabilities)",
             )
-        stated += value
-        at += head + length
-    capabilities = capability_codec.decoded(stated)
+        capability_data += value
+        offset += parameter_header_size + length
+    capabilities = capability_codec.decode(capability_data)
     if not asn:
-        raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="AS 0")
+        raise BgpError(Code.OPEN, OpenFault.PEER_AS, text="reserved AS 0, expected 1 or higher")
     if hold in (1, 2):
-        raise BgpError(Code.OPEN, OpenFault.HOLD_TIME, text=f"{hold} s")
-    if not ident:
-        raise BgpError(Code.OPEN, OpenFault.ROUTER_ID, text="0.0.0.0")
+        raise BgpError(
+            Code.OPEN,
+            OpenFault.HOLD_TIME,
+            text=f"hold time of {hold} s, expected 0 or at least 3 s",
+        )
+    if not router_id:
+        raise BgpError(
+            Code.OPEN, OpenFault.ROUTER_ID, text="router id 0.0.0.0, expected a nonzero one"
+        )
     return Open(
         asn if capabilities.as4 is None else capabilities.as4,
         hold,
-        str(ipaddress.IPv4Address(ident)),
+        str(ipaddress.IPv4Address(router_id)),
         capabilities,
     )
 
 
-def decode_update(body: bytes, agreed: Agreed, internal: bool) -> Update:
+def decode_update(body: bytes, negotiated: NegotiatedCapabilities, internal: bool) -> Update:
     if len(body) < 4:
-        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEAD + len(body)))
-    gone = int.from_bytes(body[:2], "big")
-    if len(body) < gone + 4:
+        raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
+    withdrawn_size = int.from_bytes(body[:2], "big")
+    if len(body) < withdrawn_size + 4:
         raise BgpError(
-            Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text="withdrawn routes run past the end"
+            Code.UPDATE,
+            UpdateFault.ATTRIBUTE_LIST,
+            text=f"withdrawn routes of {withdrawn_size} bytes exceed the body of {len(body)} bytes",
+        )
+    attributes_size = int.from_bytes(body[2 + withdrawn_size : 4 + withdrawn_size], "big")
+    if len(body) < 4 + withdrawn_size + attributes_size:
+        raise BgpError(
+            Code.UPDATE,
+            UpdateFault.ATTRIBUTE_LIST,
+            text=f"attributes of {attributes_size} bytes exceed the body of {len(body)} bytes",
         )
-    size = int.from_bytes(body[2 + gone : 4 + gone], "big")
-    if len(body) < 4 + gone + size:
-        raise BgpError(Code.UPDATE, UpdateFault.ATTRIBUTE_LIST, text="attributes run past the end")
     if len(body) == 4:
         return Update(end_of_rib=Afi.IPV4)
-    withdrawn = prefixes_of(body[2 : 2 + gone], Afi.IPV4)
+    withdrawn = decode_prefixes(body[2 : 2 + withdrawn_size], Afi.IPV4)
     raw, announced = (
-        body[4 + gone : 4 + gone + size],
-        prefixes_of(body[4 + gone + size :], Afi.IPV4),
+        body[4 + withdrawn_size : 4 + withdrawn_size + attributes_size],
+        decode_prefixes(body[4 + withdrawn_size + attributes_size :], Afi.IPV4),
     )
-    found = path_attributes.read(raw, agreed.as4, internal)
-    if found.unreach is not None:
-        afi, safi, rows = found.unreach
+    parsed = path_attributes.parse_attributes(raw, negotiated.as4, internal)
+    if parsed.unreach is not None:
+        afi, safi, nlri = parsed.unreach
         if safi == UNICAST and afi in (Afi.IPV4, Afi.IPV6):
-            if not rows and found.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
-                return Update(end_of_rib=afi, faults=tuple(found.faults))
-            if afi in agreed.families:  # what was not agreed on is passed over (RFC 4760 section 7)
-                withdrawn += prefixes_of(rows, Afi(afi))
-    reached: list[Prefix] = []
-    if found.reach is not None:
-        afi, safi, hop, rows = found.reach
-        if safi == UNICAST and afi in agreed.families:
-            reached = prefixes_of(rows, Afi(afi))
-    if announced or reached:
-        missing(found, bool(announced), internal)
-    if found.weight >= Weight.WITHDRAW:
-        if not (announced or reached) and (withdrawn or found.seen - {Type.MP_UNREACH}):
-            # RFC 7606 section 5.2: nobody knows what was meant to be withdrawn
-            worst = max(found.faults, key=lambda each: each.weight)
+            if not nlri and parsed.seen == {Type.MP_UNREACH} and not withdrawn and not announced:
+                return Update(end_of_rib=afi, faults=tuple(parsed.faults))
+            # Families not negotiated are ignored (RFC 4760 section 7).
+            if afi in negotiated.families:
+                withdrawn += decode_prefixes(nlri, Afi(afi))
+    mp_reached: list[Prefix] = []
+    if parsed.reach is not None:
+        afi, safi, next_hop, nlri = parsed.reach
+        if safi == UNICAST and afi in negotiated.families:
+            mp_reached = decode_prefixes(nlri, Afi(afi))
+    if announced or mp_reached:
+        check_mandatory(parsed, bool(announced), internal)
+    if parsed.severity >= Severity.WITHDRAW:
+        if not (announced or mp_reached) and (withdrawn or parsed.seen - {Type.MP_UNREACH}):
+            # RFC 7606 section 5.2: the routes to treat as withdrawn are unknown
+            worst = max(parsed.faults, key=lambda each: each.severity)
             raise BgpError(
                 Code.UPDATE,
                 UpdateFault.ATTRIBUTE_LIST,
-                text=f"attribute {worst.kind}: {worst.text}, and no route it was meant for",
+                text=f"attribute {worst.kind}: {worst.text}, in an UPDATE without reachable routes",
             )
         return Update(
-            tuple(dict.fromkeys([*withdrawn, *announced, *reached])), faults=tuple(found.faults)
+            tuple(dict.fromkeys([*withdrawn, *announced, *mp_reached])), faults=tuple(parsed.faults)
         )
-    groups = []
+    reachable = []
     if announced:
-        groups.append((Attributes(**found.values), tuple(announced)))  # type: ignore[arg-type]
-    if reached:
-        values = found.values | {"next_hop": hop}
-        groups.append((Attributes(**values), tuple(reached)))  # type: ignore[arg-type]
-    if (
-        withdrawn and groups
-    ):  # who withdraws and announces a prefix at once announces it (RFC 4271 4.3)
-        both = {*announced, *reached}
-        withdrawn = [each for each in withdrawn if each not in both]
-    return Update(tuple(withdrawn), tuple(groups), faults=tuple(found.faults))
-
-
-def missing(found: path_attributes.Read, plain: bool, internal: bool) -> None:
-    """RFC 7606 section 3d: a route without one of these cannot be used."""
-    needed = [Type.ORIGIN, Type.AS_PATH]
-    if plain:
-        needed.append(Type.NEXT_HOP)
+        reachable.append((Attributes(**parsed.values), tuple(announced)))  # type: ignore[arg-type]
+    if mp_reached:
+        values = parsed.values | {"next_hop": next_hop}
+        reachable.append((Attributes(**values), tuple(mp_reached)))  # type: ignore[arg-type]
+    # A prefix both withdrawn and announced counts as announced (RFC 4271 section 4.3).
+    if withdrawn and reachable:
+        announced_again = {*announced, *mp_reached}
+        withdrawn = [each for each in withdrawn if each not in announced_again]
+    return Update(tuple(withdrawn), tuple(reachable), faults=tuple(parsed.faults))
+
+
+def check_mandatory(
+    parsed: path_attributes.ParsedAttributes, has_ipv4_nlri: bool, internal: bool
+) -> None:
+    """Records missing mandatory attributes; their routes are treated as withdrawn (RFC 7606 section
+    3d).
+    """
+    mandatory = [Type.ORIGIN, Type.AS_PATH]
+    if has_ipv4_nlri:
+        mandatory.append(Type.NEXT_HOP)
     if internal:
-        needed.append(Type.LOCAL_PREF)
-    for kind in needed:
-        if kind not in found.seen:
-            found.fault(Weight.WITHDRAW, kind, "is missing")
+        mandatory.append(Type.LOCAL_PREF)
+    for kind in mandatory:
+        if kind not in parsed.seen:
+            parsed.fault(Severity.WITHDRAW, kind, "mandatory attribute missing")
 
 
-def prefixes_of(data: bytes, afi: Afi) -> list[Prefix]:
+def decode_prefixes(data: bytes, afi: Afi) -> list[Prefix]:
+    """Decodes NLRI; a syntax error ends the session."""
     try:
         return prefix_codec.decode(data, afi)
     except ValueError as error:
@@ -276,33 +368,41 @@
         return frame(REFRESH, struct.pack("!HBB", message.afi, message.kind, message.safi))
     if isinstance(message, Keepalive):
         return frame(KEEPALIVE, b"")
-    raise TypeError("an UPDATE is encoded by `announcements`, `withdrawals` or `end_of_rib`")
+    raise TypeError(
+        f"cannot encode {type(message).__name__}: expected Open, Notification, Refresh or Keepalive; "
+        "use `announcements`, `withdrawals` or `end_of_rib` for an UPDATE"
+    )
 
 
 def encode_open(message: Open) -> bytes:
-    stated = message.capabilities.encoded()
-    parameters = bytes((CAPABILITIES, len(stated))) + stated if stated else b""
-    narrow = message.asn if message.asn < 65_536 else path_attributes.AS_TRANS
-    ident = int(ipaddress.IPv4Address(message.router_id))
-    head = struct.pack("!BHHIB", VERSION, narrow, message.hold, ident, len(parameters))
-    return frame(OPEN, head + parameters)
+    capability_data = message.capabilities.encode()
+    parameters = (
+        bytes((CAPABILITIES, len(capability_data))) + capability_data if capability_data else b""
+    )
+    two_octet_as = message.asn if message.asn < 65_536 else path_attributes.AS_TRANS
+    router_id = int(ipaddress.IPv4Address(message.router_id))
+    fixed = struct.pack("!BHHIB", VERSION, two_octet_as, message.hold, router_id, len(parameters))
+    return frame(OPEN, fixed + parameters)
 
 
 def shutdown_data(text: str) -> bytes:
-    """RFC 9003: 255 bytes at most, cut between characters."""
+    """Encodes a shutdown communication (RFC 9003): at most 255 bytes of UTF-8, cut between
+    characters.
+    """
     raw = text.encode()[:255].decode("utf-8", "ignore").encode()
     return bytes((len(raw),)) + raw if raw else b""
 
 
 def end_of_rib(afi: int) -> bytes:
+    """Returns the End-of-RIB marker of a family (RFC 4724 section 2)."""
     if afi == Afi.IPV4:
         return frame(UPDATE, b"\0\0\0\0")
-    unreach = pack(OPTIONAL, Type.MP_UNREACH, struct.pack("!HB", afi, UNICAST))
+    unreach = encode_attribute(OPTIONAL, Type.MP_UNREACH, struct.pack("!HB", afi, UNICAST))
     return frame(UPDATE, b"\0\0" + struct.pack("!H", len(unreach)) + unreach)
 
 
-def packed(prefixes: list[Prefix], room: int) -> Iterator[bytes]:
-    """As many prefixes in each piece as fit."""
+def pack_prefixes(prefixes: list[Prefix], room: int) -> Iterator[bytes]:
+    """Encodes prefixes into pieces of at most `room` bytes."""
     piece = bytearray()
     for each in prefixes:
         raw = prefix_codec.encode(each)
@@ -315,30 +415,49 @@
 
 
 def announcements(
-    prefixes: list[Prefix], attributes: Attributes, as4: bool, internal: bool, most: int = PLAIN
+    prefixes: list[Prefix],
+    attributes: Attributes,
+    as4: bool,
+    internal: bool,
+    max_size: int = MAX_SIZE,
 ) -> Iterator[bytes]:
-    """UPDATEs for prefixes of one family that share their attributes, as few as fit."""
-    plain = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
-    shared = path_attributes.encode(attributes, as4, internal, plain)
-    if plain:
-        for piece in packed(prefixes, most - HEAD - 4 - len(shared)):
-            yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(shared)) + shared + piece)
+    """Yields the UPDATE messages, as few as possible, that announce prefixes of one family with
+    shared attributes.
+    """
+    uses_next_hop_attribute = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
+    encoded_attributes = path_attributes.encode(attributes, as4, internal, uses_next_hop_attribute)
+    if uses_next_hop_attribute:
+        for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4 - len(encoded_attributes)):
+            yield frame(
+                UPDATE,
+                b"\0\0" + struct.pack("!H", len(encoded_attributes)) + encoded_attributes + piece,
+            )
         return
-    hop = attributes.next_hop
-    head = struct.pack("!HBB", prefixes[0].afi, UNICAST, len(hop)) + hop + b"\0"
-    for piece in packed(prefixes, most - HEAD - 4 - len(shared) - len(head) - 4):
-        value = head + piece
-        reach = struct.pack("!BBH", OPTIONAL | LONG, Type.MP_REACH, len(value)) + value
-        yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(reach) + len(shared)) + reach + shared)
+    next_hop = attributes.next_hop
+    reach_header = struct.pack("!HBB", prefixes[0].afi, UNICAST, len(next_hop)) + next_hop + b"\0"
+    for piece in pack_prefixes(
+        prefixes, max_size - HEADER_SIZE - 4 - len(encoded_attributes) - len(reach_header) - 4
+    ):
+        value = reach_header + piece
+        reach = struct.pack("!BBH", OPTIONAL | EXTENDED_LENGTH, Type.MP_REACH, len(value)) + value
+        yield frame(
+            UPDATE,
+            b"\0\0"
+            + struct.pack("!H", len(reach) + len(encoded_attributes))
+            + reach
+            + encoded_attributes,
+        )
 
 
-def withdrawals(prefixes: list[Prefix], most: int = PLAIN) -> Iterator[bytes]:
-    """UPDATEs that withdraw prefixes of one family."""
+def withdrawals(prefixes: list[Prefix], max_size: int = MAX_SIZE) -> Iterator[bytes]:
+    """Yields the UPDATE messages that withdraw prefixes of one family."""
     if prefixes[0].afi == Afi.IPV4:
-        for piece in packed(prefixes, most - HEAD - 4):
+        for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4):
             yield frame(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0")
         return
-    for piece in packed(prefixes, most - HEAD - 4 - 7):
+    for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4 - 7):
         value = struct.pack("!HB", prefixes[0].afi, UNICAST) + piece
-        unreach = struct.pack("!BBH", OPTIONAL | LONG, Type.MP_UNREACH, len(value)) + value
+        unreach = (
+            struct.pack("!BBH", OPTIONAL | EXTENDED_LENGTH, Type.MP_UNREACH, len(value)) + value
+        )
         yield frame(UPDATE, b"\0\0" + struct.pack("!H", len(unreach)) + unreach)
--- a/lilacwalk/bgp/readiness.py
+++ b/lilacwalk/bgp/readiness.py
@@ -1,33 +1,38 @@
-"""From what the deciding thread knows anyway to the node's state. Nothing is asked of the controller for
-it."""
+"""Derives the node's status from facts that the event loop already has."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from lilacwalk.bgp.announcement_policy import Node
+from lilacwalk.bgp.announcement_policy import NodeStatus
 
 
 class Facts(NamedTuple):
-    booted: bool  # the kernel has been up in this life
-    warm_at: int  # when a cold start is over; 0: it was none
-    linked: bool  # commands reach the kernel now, and all it had to say has been read
-    healthy: bool  # as the controller says
+    """The facts that determine the node's status."""
+
+    booted: bool  # the executor has been connected since this process started
+    warm_at: int  # time at which the warm-up after a cold start ends; 0 if there is none
+    linked: bool  # the executor is connected and its pending messages have been read
+    healthy: bool  # according to the overload controller
     leaving: bool
     failed: bool = False
 
 
-def node(facts: Facts, now: int) -> Node:
-    """A lost link counts as standing still: nothing that is admitted could be started. That it is often back
-    within 20 ms is for the hysteresis of what is announced, not for this."""
+def node_status(facts: Facts, now: int) -> NodeStatus:
+    """Returns the status that follows from the facts at `now`.
+
+    A lost executor link counts as standing still, as an admitted request could not be started. The
+    link is often restored within 20 ms; the announcement policy's hysteresis ignores such short
+    losses.
+    """
     if facts.failed:
-        return Node.GONE
+        return NodeStatus.GONE
     if facts.leaving:
-        return Node.LEAVING
+        return NodeStatus.LEAVING
     if not facts.booted:
-        return Node.COLD
+        return NodeStatus.COLD
     if not facts.linked:
-        return Node.STANDING_STILL
+        return NodeStatus.STANDING_STILL
     if now < facts.warm_at:
-        return Node.WARMING
-    return Node.READY if facts.healthy else Node.SICK
+        return NodeStatus.WARMING
+    return NodeStatus.READY if facts.healthy else NodeStatus.SICK
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -1,9 +1,11 @@
-"""What one peer has told us (its Adj-RIB-In, RFC 4271 section 3.2), in a trie for each family, bounded.
+"""Routes received from one peer (its Adj-RIB-In, RFC 4271 section 3.2): one trie per address
+family, limited in size.
 
-Prefixes that came with the same attributes share one record, so a prefix costs its node. A restart of the
-peer marks nothing one by one: each record bears the number of the session that brought it, and what an older
-session brought is stale until the new one has said it again, or its End-of-RIB has come (RFC 4724 section
-4.2)."""
+Prefixes that arrived with the same attributes share one `Route`, so that a prefix costs only its
+trie node. Each route carries the number of the session that brought it. Routes of an older session
+are stale until the current session announces them again or its End-of-RIB removes them (RFC 4724
+section 4.2); a restart of the peer therefore marks no routes one by one.
+"""
 
 from __future__ import annotations
 
@@ -11,94 +13,115 @@
 from dataclasses import dataclass
 
 from lilacwalk.bgp.attributes import Attributes
-from lilacwalk.bgp.policy import Refused, Rules
+from lilacwalk.bgp.policy import PeerPolicy, Refused
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from lilacwalk.bgp.trie import Trie
 
 
 @dataclass(eq=False, slots=True)
 class Route:
+    """A received route, shared by the prefixes that arrived with the same attributes."""
+
     attributes: Attributes
-    session: int  # which of the peer's sessions brought it
+    session: int  # number of the peer's session that announced it
+
 
+class PrefixLimitError(Exception):
+    """The peer announced more prefixes than `max-prefixes`."""
 
-class TooManyError(Exception):
-    """The peer has told more prefixes than it may."""
+    def __init__(self, afi: Afi, max_prefixes: int) -> None:
+        super().__init__(f"more than {max_prefixes} prefixes")
+        self.afi, self.max_prefixes = afi, max_prefixes
 
-    def __init__(self, afi: Afi, most: int) -> None:
-        super().__init__(f"more than {most} prefixes")
-        self.afi, self.most = afi, most
 
+class AdjRibIn:
+    """The routes received from one peer."""
 
-class Received:
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_prefixes: int) -> None:
+        self.max_prefixes = max_prefixes
         self.tries: dict[Afi, Trie[Route]] = {afi: Trie(afi) for afi in Afi}
-        self.session = 0  # the one that is told now
-        self.fresh_begun: dict[
-            Afi, int
-        ] = {}  # a refresh under way, by the session number it counts as
+        self.session = 0  # number of the current session; a route refresh counts as a session
+        # Session number under which each refresh under way stores routes.
+        self.refresh_sessions: dict[Afi, int] = {}
 
     def __len__(self) -> int:
         return sum(len(trie) for trie in self.tries.values())
 
-    def begin(self) -> None:
-        """A session has come up: what is there is stale until it is said again."""
+    def start_session(self) -> None:
+        """Starts a session: all routes become stale until they are announced again."""
         self.session += 1
-        self.fresh_begun.clear()
+        self.refresh_sessions.clear()
 
     def announce(self, attributes: Attributes, prefixes: Iterable[Prefix]) -> None:
-        """Raises TooManyError; what came before in the same message is then kept, and the session's end drops
-        it."""
+        """Stores the prefixes with their attributes.
+
+        Raises:
+            PrefixLimitError: Prefixes stored before the limit was reached stay; they are dropped with the
+                session.
+        """
         route = Route(attributes, self.session)
         for prefix in prefixes:
             trie = self.tries[prefix.afi]
-            if trie.set(prefix.bits, prefix.length, route) is None and len(self) > self.most:
+            if (
+                trie.set(prefix.bits, prefix.length, route) is None
+                and len(self) > self.max_prefixes
+            ):
                 trie.drop(prefix.bits, prefix.length)
-                raise TooManyError(prefix.afi, self.most)
+                raise PrefixLimitError(prefix.afi, self.max_prefixes)
 
     def withdraw(self, prefixes: Iterable[Prefix]) -> int:
-        """How many of them stood there."""
+        """Removes the prefixes; returns how many of them were present."""
         return sum(
             self.tries[each.afi].drop(each.bits, each.length) is not None for each in prefixes
         )
 
     def stale(self, afi: Afi) -> int:
+        """Returns the number of stale routes of a family."""
         return sum(route.session != self.session for _, route in self.tries[afi].walk())
 
     def drop_stale(self, afi: Afi) -> int:
-        """End-of-RIB, a refresh's end, or time is over."""
+        """Removes the stale routes of a family after End-of-RIB, the end of a refresh or a
+        time-out; returns how many.
+        """
         trie = self.tries[afi]
         old = [prefix for prefix, route in trie.walk() if route.session != self.session]
         return self.withdraw(old)
 
     def drop_family(self, afi: Afi) -> int:
+        """Removes all routes of a family; returns how many."""
         trie, self.tries[afi] = self.tries[afi], Trie(afi)
         return len(trie)
 
-    def refresh_begins(self, afi: Afi) -> None:
-        """RFC 7313 section 4: what is not told again by the refresh's end is gone."""
+    def start_refresh(self, afi: Afi) -> None:
+        """Starts a route refresh (RFC 7313 section 4): routes not announced again by its end are
+        removed.
+        """
         self.session += 1
-        self.fresh_begun[afi] = self.session
+        self.refresh_sessions[afi] = self.session
         for other in Afi:
-            if other is not afi:  # the other family's routes are none the older for it
+            if other is not afi:  # routes of the other family must not become stale
                 for _, route in self.tries[other].walk():
                     if route.session == self.session - 1:
                         route.session = self.session
 
-    def refresh_ends(self, afi: Afi) -> int:
-        return self.drop_stale(afi) if self.fresh_begun.pop(afi, None) is not None else 0
+    def end_refresh(self, afi: Afi) -> int:
+        """Ends a route refresh and removes the stale routes; returns how many."""
+        return self.drop_stale(afi) if self.refresh_sessions.pop(afi, None) is not None else 0
 
-    def used(self, rules: Rules, afi: Afi) -> Iterator[tuple[Prefix, Attributes | Refused]]:
-        """In order, each as the rules would have it."""
+    def evaluate(
+        self, policy: PeerPolicy, afi: Afi
+    ) -> Iterator[tuple[Prefix, Attributes | Refused]]:
+        """Yields all routes of a family in order, each with the result of the import policy."""
         for prefix, route in self.tries[afi].walk():
-            yield prefix, rules.taken(prefix, route.attributes)
+            yield prefix, policy.import_route(prefix, route.attributes)
 
-    def holding(self, rules: Rules, prefix: Prefix) -> tuple[Prefix, Attributes] | None:
-        """The longest usable route for it."""
+    def longest_usable(
+        self, policy: PeerPolicy, prefix: Prefix
+    ) -> tuple[Prefix, Attributes] | None:
+        """Returns the longest matching route for `prefix` that the import policy accepts, or None."""
         best = None
         for found, route in self.tries[prefix.afi].covering(prefix.bits, prefix.length):
-            taken = rules.taken(found, route.attributes)
-            if isinstance(taken, Attributes):
-                best = found, taken
+            result = policy.import_route(found, route.attributes)
+            if isinstance(result, Attributes):
+                best = found, result
         return best
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lilacwalk.bgp.admin import answering
-from lilacwalk.bgp.announcement_policy import UNWELL, Level, Node
+from lilacwalk.bgp.admin import create_admin_socket
+from lilacwalk.bgp.announcement_policy import UNHEALTHY_STATUSES, Level, NodeStatus
 from lilacwalk.bgp.config import BgpConfig, Service
-from lilacwalk.bgp.readiness import Facts, node
+from lilacwalk.bgp.readiness import Facts, node_status
 from lilacwalk.bgp.speaker_io import Speaker
 from lilacwalk.event_queue import EventQueue
 
@@ -61,17 +61,17 @@
         self.now = now
         self.on_withdrawn = on_withdrawn
         self.speaker = Speaker(
-            config, seed, self._withdrawal_sent, on_level=self._announcement_level_changed
+            config, seed, self._withdrawal_sent, on_level_change=self._announcement_level_changed
         )
         self.admin_socket = None
         if config.socket is not None:
             try:
-                self.admin_socket = answering(self.speaker, config.socket)
+                self.admin_socket = create_admin_socket(self.speaker, config.socket)
             except OSError:
                 if self.speaker.listener is not None:
                     self.speaker.listener.close()
                 raise
-        self.reported_state: Node | None = None
+        self.reported_state: NodeStatus | None = None
         self.listener_closes_at: int | None = None  # None until the withdrawal has been sent
 
     def start(self) -> None:
@@ -88,12 +88,12 @@
 
     def evaluate(self, facts: tuple, now: int) -> None:
         """Reports the node state if it changed; `facts` are the fields of `readiness.Facts`."""
-        if self.reported_state is Node.LEAVING:
+        if self.reported_state is NodeStatus.LEAVING:
             return
-        state = node(Facts(*facts), now)
-        if state is not self.reported_state and state is not Node.LEAVING:
+        state = node_status(Facts(*facts), now)
+        if state is not self.reported_state and state is not NodeStatus.LEAVING:
             self.reported_state = state
-            self.speaker.node(state)
+            self.speaker.set_node_status(state)
 
     def drain(self, close_delay: int) -> None:
         """Withdraws the announcements.
@@ -101,12 +101,12 @@
         `close_delay` is the time until the listener closes at the latest, in tenths of a
         millisecond.
         """
-        self.reported_state = Node.LEAVING
+        self.reported_state = NodeStatus.LEAVING
         self.speaker.leave(close_delay)
 
     def listener_may_close(self, now: int) -> bool:
         """Whether the withdrawal has taken effect, so that a drain may close the listener."""
-        if self.speaker.over.is_set():
+        if self.speaker.ended.is_set():
             return True
         return self.listener_closes_at is not None and now >= self.listener_closes_at
 
@@ -115,31 +115,31 @@
 
         The membership allows it only if enough other members serve.
         """
-        self.speaker.floor(allowed)
+        self.speaker.set_withdrawal_allowed(allowed)
 
     def set_own_service_mode(self, mode: str) -> None:
         """Limits announcements of this site's own services; `mode` is `whole`, `part` or `none`."""
-        self.speaker.capped(LEVELS_BY_SERVICE_MODE[mode])
+        self.speaker.set_level_cap(LEVELS_BY_SERVICE_MODE[mode])
 
     def announce_failover_prefixes(self, prefixes: tuple[object, ...]) -> None:
         """Announces these service prefixes of failed sites, instead of those set before."""
-        self.speaker.stand_in(tuple(Service(prefix=prefix) for prefix in prefixes))
+        self.speaker.set_failover_services(tuple(Service(prefix=prefix) for prefix in prefixes))
 
     def restore_flap_penalty(
         self, penalty: float, suppressed: bool, announced: bool, age: int
     ) -> None:
         """Restores flap damping stored by an earlier process `age` tenths of a millisecond ago."""
-        self.speaker.recall(penalty, suppressed, announced, age)
+        self.speaker.restore_penalty(penalty, suppressed, announced, age)
 
     def flap_penalty_state(self) -> tuple[float, bool, bool]:
         """Returns the flap penalty, whether it suppresses announcements, and whether any is made.
 
         The speaker's thread owns these values; they are read without a lock.
         """
-        announcing = self.speaker.speaking.announcing
-        is_leaving = announcing.node in (Node.LEAVING, Node.GONE)
+        announcing = self.speaker.state.announcement_policy
+        is_leaving = announcing.node_status in (NodeStatus.LEAVING, NodeStatus.GONE)
         return (
-            announcing.penalty.now(self.speaker.now()),
+            announcing.penalty.value_at(self.speaker.now()),
             announcing.penalty.suppressed,
             announcing.level is not Level.NONE and not is_leaving,
         )
@@ -149,7 +149,7 @@
         self.event_queue.post(self._apply_announcement_level, level)
 
     def _apply_announcement_level(self, level: Level) -> None:
-        self.on_withdrawn(level is Level.NONE and self.reported_state in UNWELL)
+        self.on_withdrawn(level is Level.NONE and self.reported_state in UNHEALTHY_STATUSES)
 
     def _withdrawal_sent(self, close_delay: int) -> None:
         """Passes the delay to the event loop; runs in the speaker's thread."""
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -1,4 +1,4 @@
-"""When a node is announced and how: the states of a node against simulated time."""
+"""When and how a node is announced, under simulated time."""
 
 import math
 
@@ -7,223 +7,261 @@
 from hypothesis import strategies as st
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.announcement_policy import Announcing, Level, Node, attributes
+from lilacwalk.bgp.announcement_policy import (
+    AnnouncementPolicy,
+    Level,
+    NodeStatus,
+    service_attributes,
+)
 from lilacwalk.bgp.attributes import GRACEFUL_SHUTDOWN
-from lilacwalk.bgp.capabilities import Agreed, Capabilities
+from lilacwalk.bgp.capabilities import Capabilities, NegotiatedCapabilities
 from lilacwalk.bgp.config import Damping
 from lilacwalk.bgp.damping import Penalty
-from lilacwalk.bgp.peer import Do
-from lilacwalk.bgp.readiness import Facts, node
-from tests.bgp.conftest import SECOND, THEM, orders, peer_block, speaking, update
+from lilacwalk.bgp.peer import ActionKind
+from lilacwalk.bgp.readiness import Facts, node_status
+from tests.bgp.conftest import SECOND, THEM, announce_config, make_speaker_state, peer_block, update
 
-LAST = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
+LAST_RESORT_BLOCK = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
 MS = 10
 
 
-class Life:
-    """A node's life: what level held from when to when."""
+class PolicyHarness:
+    """An announcement policy under simulated time, with the levels that it decided and when."""
 
     def __init__(self, more="", **changed):
         self.now = 1_000_000
-        self.machine = Announcing(orders(more, **changed), self.now)
+        self.policy = AnnouncementPolicy(announce_config(more, **changed), self.now)
         self.levels = []
-        self.look()
+        self.decide()
 
-    def look(self):
-        self.again = self.machine.decide(self.now).again
-        if not self.levels or self.levels[-1][1] is not self.machine.level:
-            self.levels.append((self.now, self.machine.level))
+    def decide(self):
+        self.next_check = self.policy.decide(self.now).next_check
+        if not self.levels or self.levels[-1][1] is not self.policy.level:
+            self.levels.append((self.now, self.policy.level))
 
-    def be(self, state, ms=0):
-        self.machine.told(state, self.now)
-        self.look()
+    def set_status(self, state, ms=0):
+        self.policy.set_node_status(state, self.now)
+        self.decide()
         return self.wait(ms)
 
     def wait(self, ms):
         end = self.now + ms * MS
-        while self.again is not None and self.again <= end:
-            assert self.again > self.now  # no time that passes nothing
-            self.now = self.again
-            self.look()
+        while self.next_check is not None and self.next_check <= end:
+            assert (
+                self.next_check > self.now
+            )  # a decision must not ask for a check at a time that has passed
+            self.now = self.next_check
+            self.decide()
         self.now = end
         return self
 
     @property
     def level(self):
-        return self.machine.level
+        return self.policy.level
 
 
-def test_a_node_is_announced_once_it_has_been_ready_for_long_enough():
-    life = Life().be(Node.COLD, 500).be(Node.WARMING, 500).be(Node.READY, 19)
-    assert life.level is Level.NONE
-    assert life.wait(1).level is Level.NORMAL
+def test_node_is_announced_after_being_ready_for_the_ready_time():
+    harness = (
+        PolicyHarness()
+        .set_status(NodeStatus.COLD, 500)
+        .set_status(NodeStatus.WARMING, 500)
+        .set_status(NodeStatus.READY, 19)
+    )
+    assert harness.level is Level.NONE
+    assert harness.wait(1).level is Level.NORMAL
 
 
-@pytest.mark.parametrize("state", [Node.COLD, Node.WARMING, Node.GONE])
-def test_a_node_that_starts_anew_or_is_gone_is_withdrawn_at_once(state):
-    assert Life().be(Node.READY, 100).be(state).level is Level.NONE
+@pytest.mark.parametrize("state", [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.GONE])
+def test_node_that_restarts_or_is_gone_is_withdrawn_at_once(state):
+    assert PolicyHarness().set_status(NodeStatus.READY, 100).set_status(state).level is Level.NONE
 
 
-def test_a_sick_node_is_less_wanted_then_withdrawn_and_well_again_only_after_a_while():
-    life = Life().be(Node.READY, 100).be(Node.SICK)
-    assert life.level is Level.LESS_WANTED
-    assert life.be(Node.READY, 49).level is Level.LESS_WANTED
-    assert life.wait(1).level is Level.NORMAL
-    assert life.be(Node.SICK, 99).level is Level.LESS_WANTED
-    assert life.wait(1).level is Level.NONE
-    assert life.be(Node.READY, 49).level is Level.NONE
-    assert life.wait(1).level is Level.NORMAL
+def test_sick_node_is_announced_with_lower_preference_then_withdrawn_and_recovers_after_the_well_after_time():
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK)
+    assert harness.level is Level.LESS_WANTED
+    assert harness.set_status(NodeStatus.READY, 49).level is Level.LESS_WANTED
+    assert harness.wait(1).level is Level.NORMAL
+    assert harness.set_status(NodeStatus.SICK, 99).level is Level.LESS_WANTED
+    assert harness.wait(1).level is Level.NONE
+    assert harness.set_status(NodeStatus.READY, 49).level is Level.NONE
+    assert harness.wait(1).level is Level.NORMAL
 
 
-def test_a_node_that_swings_between_sick_and_well_is_withdrawn_all_the_same():
-    life = Life().be(Node.READY, 100)
+def test_node_that_alternates_between_sick_and_ready_is_withdrawn():
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(4):
-        life.be(Node.SICK, 20).be(Node.READY, 10)
-    assert life.be(Node.SICK).level is Level.NONE
+        harness.set_status(NodeStatus.SICK, 20).set_status(NodeStatus.READY, 10)
+    assert harness.set_status(NodeStatus.SICK).level is Level.NONE
 
 
-def test_standing_still_for_a_moment_changes_nothing_where_the_file_gives_it_one():
-    life = Life(less_wanted_after="30ms")
-    life.be(Node.READY, 100).be(Node.STANDING_STILL, 29)
-    assert life.level is Level.NORMAL
-    assert life.wait(1).level is Level.LESS_WANTED
+def test_node_standing_still_for_less_than_the_less_wanted_after_time_keeps_its_level():
+    harness = PolicyHarness(less_wanted_after="30ms")
+    harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.STANDING_STILL, 29)
+    assert harness.level is Level.NORMAL
+    assert harness.wait(1).level is Level.LESS_WANTED
 
 
-def test_the_last_resort_stands_for_a_sick_node_never_for_one_that_stands_still_or_never_was_ready():
-    life = Life(LAST).be(Node.READY, 100).be(Node.SICK, 150)
-    assert life.level is Level.LAST_RESORT
-    assert life.be(Node.STANDING_STILL).level is Level.NONE
-    assert Life(LAST).be(Node.SICK, 500).level is Level.NONE
+def test_last_resort_applies_to_a_sick_node_but_not_to_a_node_that_stands_still_or_was_never_ready():
+    harness = (
+        PolicyHarness(LAST_RESORT_BLOCK)
+        .set_status(NodeStatus.READY, 100)
+        .set_status(NodeStatus.SICK, 150)
+    )
+    assert harness.level is Level.LAST_RESORT
+    assert harness.set_status(NodeStatus.STANDING_STILL).level is Level.NONE
+    assert PolicyHarness(LAST_RESORT_BLOCK).set_status(NodeStatus.SICK, 500).level is Level.NONE
     assert (
-        Life(LAST).be(Node.READY, 100).be(Node.SICK, 500).be(Node.READY, 60).level is Level.NORMAL
+        PolicyHarness(LAST_RESORT_BLOCK)
+        .set_status(NodeStatus.READY, 100)
+        .set_status(NodeStatus.SICK, 500)
+        .set_status(NodeStatus.READY, 60)
+        .level
+        is Level.NORMAL
     )
 
 
-def test_a_drain_is_less_wanted_then_withdrawn_then_the_listener_may_close_and_nothing_comes_back():
-    life = Life().be(Node.READY, 100)
-    life.machine.leave(life.now, None)
-    began = life.now
-    life.look()
-    assert life.level is Level.LEAVING
-    life.wait(30)
-    assert life.level is Level.NONE and life.machine.listener_at == began + 80 * MS
-    for state in (Node.READY, Node.COLD, Node.READY, Node.SICK):
-        assert life.be(state, 1000).level is Level.NONE
+def test_drain_lowers_preference_then_withdraws_then_lets_the_listener_close_for_good():
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
+    harness.policy.leave(harness.now, None)
+    began = harness.now
+    harness.decide()
+    assert harness.level is Level.LEAVING
+    harness.wait(30)
+    assert harness.level is Level.NONE and harness.policy.listener_may_close_at == began + 80 * MS
+    for state in (NodeStatus.READY, NodeStatus.COLD, NodeStatus.READY, NodeStatus.SICK):
+        assert harness.set_status(state, 1000).level is Level.NONE
 
 
 @pytest.mark.parametrize(
-    "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST, 150, Level.LAST_RESORT)]
+    "more, ms, level", [("", 50, Level.LESS_WANTED), (LAST_RESORT_BLOCK, 150, Level.LAST_RESORT)]
 )
-def test_a_sick_node_that_leaves_is_no_more_wanted_for_it(more, ms, level):
-    life = Life(more).be(Node.READY, 100).be(Node.SICK, ms)
-    life.machine.leave(life.now, None)
-    life.look()
-    assert life.level is level
-    assert life.wait(30).level is Level.NONE
+def test_drain_does_not_raise_the_preference_of_a_sick_node(more, ms, level):
+    harness = PolicyHarness(more).set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK, ms)
+    harness.policy.leave(harness.now, None)
+    harness.decide()
+    assert harness.level is level
+    assert harness.wait(30).level is Level.NONE
 
 
 @pytest.mark.parametrize(
     "grace, less_wanted, listener", [(500, 30, 80), (60, 10, 60), (50, 0, 50), (20, 0, 50)]
 )
-def test_a_short_grace_takes_from_the_time_of_being_less_wanted_never_from_the_spreading(
+def test_short_grace_shortens_the_graceful_shutdown_phase_but_not_the_propagation_time(
     grace, less_wanted, listener
 ):
-    life = Life().be(Node.READY, 100)
-    began = life.now
-    life.machine.leave(began, began + grace * MS)
-    life.look()
-    life.wait(1000)
-    gone = next(at for at, level in life.levels if level is Level.NONE and at >= began)
-    assert (gone - began, life.machine.listener_at - began) == (less_wanted * MS, listener * MS)
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
+    began = harness.now
+    harness.policy.leave(began, began + grace * MS)
+    harness.decide()
+    harness.wait(1000)
+    gone = next(at for at, level in harness.levels if level is Level.NONE and at >= began)
+    assert (gone - began, harness.policy.listener_may_close_at - began) == (
+        less_wanted * MS,
+        listener * MS,
+    )
 
 
-def test_a_node_that_flaps_every_100_ms_for_a_minute_is_announced_a_handful_of_times_and_then_proves_itself():
-    life = Life()
+def test_node_flapping_every_100_ms_for_a_minute_is_announced_at_most_4_times_then_after_being_stable():
+    harness = PolicyHarness()
     for _ in range(300):
-        life.be(Node.READY, 100).be(Node.COLD, 100)
-    announced = [at for at, level in life.levels if level is Level.NORMAL]
+        harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
+    announced = [at for at, level in harness.levels if level is Level.NORMAL]
     assert 1 <= len(announced) <= 4
-    assert life.machine.penalty.suppressed and life.machine.penalty.value <= 48_000
-    since = life.now
-    life.be(Node.READY, 60_000)
-    back = life.levels[-1]
-    assert back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND  # `longest`
-    assert all(level is Level.NONE for at, level in life.levels if since <= at < back[0])
+    assert harness.policy.penalty.suppressed and harness.policy.penalty.value <= 48_000
+    since = harness.now
+    harness.set_status(NodeStatus.READY, 60_000)
+    back = harness.levels[-1]
+    assert (
+        back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND
+    )  # limited by `longest`
+    assert all(level is Level.NONE for at, level in harness.levels if since <= at < back[0])
 
 
-def test_one_that_flaps_too_fast_to_be_announced_is_held_back_for_it_as_well():
-    life = Life(ready_for="200ms")
+def test_node_flapping_too_fast_to_be_announced_is_suppressed():
+    harness = PolicyHarness(ready_for="200ms")
     for _ in range(20):
-        life.be(Node.READY, 100).be(Node.COLD, 100)
-    assert life.be(Node.READY, 1000).level is Level.NONE and "damped" in life.machine.reason
+        harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
+    assert (
+        harness.set_status(NodeStatus.READY, 1000).level is Level.NONE
+        and "damped" in harness.policy.reason
+    )
 
 
-def test_a_withdrawal_is_never_damped():
-    life = Life().be(Node.READY, 100)
+def test_withdrawal_is_never_damped():
+    harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     for _ in range(10):
-        life.machine.penalty.add(1000, life.now)
-    assert life.be(Node.COLD).level is Level.NONE
+        harness.policy.penalty.add(1000, harness.now)
+    assert harness.set_status(NodeStatus.COLD).level is Level.NONE
 
 
-def test_the_penalty_halves_in_its_half_life_whatever_the_times_it_is_asked_at():
+def test_penalty_halves_per_half_life_regardless_of_when_it_is_read():
     asked, alone = (Penalty(Damping(half_life=SECOND, longest=10 * SECOND)) for _ in range(2))
     for each in (asked, alone):
         each.add(4000, 0)
     for now in range(0, 2 * SECOND, 777):
-        asked.holds(now)
-    assert alone.now(SECOND) == 2000 and math.isclose(asked.now(2 * SECOND), 1000)
-    free = alone.free_at()
-    assert alone.holds(free - 1) and not alone.holds(free) and asked.holds(free - 1)
+        asked.is_suppressed(now)
+    assert alone.value_at(SECOND) == 2000 and math.isclose(asked.value_at(2 * SECOND), 1000)
+    free = alone.reuse_at()
+    assert (
+        alone.is_suppressed(free - 1)
+        and not alone.is_suppressed(free)
+        and asked.is_suppressed(free - 1)
+    )
 
 
 states = st.lists(
     st.tuples(
-        st.sampled_from([each for each in Node if each is not Node.GONE]), st.integers(0, 400)
+        st.sampled_from([each for each in NodeStatus if each is not NodeStatus.GONE]),
+        st.integers(0, 400),
     ),
     max_size=40,
 )
 
 
 @given(states, st.booleans())
-def test_whatever_the_order_of_states_only_a_steady_ready_node_becomes_announced(order, last):
-    life, ready_since, left = Life(LAST if last else ""), None, False
+def test_only_a_node_that_stayed_ready_is_announced_in_any_sequence_of_states(order, last):
+    harness, ready_since, left = PolicyHarness(LAST_RESORT_BLOCK if last else ""), None, False
     for state, ms in order:
-        before = life.level
-        life.levels = []
-        began = life.now
+        before = harness.level
+        harness.levels = []
+        began = harness.now
         if not left:
             ready_since = (
-                (ready_since if ready_since is not None else began) if state is Node.READY else None
+                (ready_since if ready_since is not None else began)
+                if state is NodeStatus.READY
+                else None
             )
-            left = state is Node.LEAVING
-        life.be(state, ms)
-        for at, level in life.levels[:]:
+            left = state is NodeStatus.LEAVING
+        harness.set_status(state, ms)
+        for at, level in harness.levels[:]:
             if level > before:
                 assert ready_since is not None and not left, (state, level)
                 assert before is not Level.NONE or at >= ready_since + 20 * MS
             before = level
         if left:
             assert (
-                life.now < began + 30 * MS or life.level is Level.NONE or state is not Node.LEAVING
+                harness.now < began + 30 * MS
+                or harness.level is Level.NONE
+                or state is not NodeStatus.LEAVING
             )
-        if state in (Node.COLD, Node.WARMING) and not left:
-            assert life.level is Level.NONE
+        if state in (NodeStatus.COLD, NodeStatus.WARMING) and not left:
+            assert harness.level is Level.NONE
 
 
-def test_less_wanted_is_said_in_every_way_that_routers_know():
-    made = orders(peer_block() + LAST)
-    service, peer = made.service[0], made.peer[0]
+def test_lowered_level_sets_med_prepending_community_and_local_preference():
+    config = announce_config(peer_block() + LAST_RESORT_BLOCK)
+    service, peer = config.service[0], config.peer[0]
     normal, less, last, leaving = (
-        attributes(made, service, peer, level)
+        service_attributes(config, service, peer, level)
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LAST_RESORT, Level.LEAVING)
     )
     assert (normal.path_length, normal.med, normal.communities) == (1, None, ())
     assert (less.path_length, less.med, less.communities) == (3, 77, (GRACEFUL_SHUTDOWN,))
     assert (last.path_length, last.med) == (6, 9000)
     assert (leaving.path_length, leaving.communities) == (1, (GRACEFUL_SHUTDOWN,))
-    inside = orders(peer_block("127.0.0.1:1790", 65010) + LAST)
+    inside = announce_config(peer_block("127.0.0.1:1790", 65010) + LAST_RESORT_BLOCK)
     assert [
-        attributes(inside, inside.service[0], inside.peer[0], level).local_pref
+        service_attributes(inside, inside.service[0], inside.peer[0], level).local_pref
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LEAVING)
     ] == [100, 0, 0]
 
@@ -234,35 +272,35 @@
 @pytest.mark.parametrize(
     "change, state",
     [
-        ({}, Node.READY),
-        ({"booted": False, "linked": False}, Node.COLD),
-        ({"warm_at": 200}, Node.WARMING),
-        ({"warm_at": 50}, Node.READY),
-        ({"linked": False}, Node.STANDING_STILL),
-        ({"healthy": False}, Node.SICK),
-        ({"leaving": True, "booted": False}, Node.LEAVING),
-        ({"failed": True, "leaving": True}, Node.GONE),
+        ({}, NodeStatus.READY),
+        ({"booted": False, "linked": False}, NodeStatus.COLD),
+        ({"warm_at": 200}, NodeStatus.WARMING),
+        ({"warm_at": 50}, NodeStatus.READY),
+        ({"linked": False}, NodeStatus.STANDING_STILL),
+        ({"healthy": False}, NodeStatus.SICK),
+        ({"leaving": True, "booted": False}, NodeStatus.LEAVING),
+        ({"failed": True, "leaving": True}, NodeStatus.GONE),
     ],
 )
-def test_the_nodes_state_is_read_from_what_the_deciding_thread_knows(change, state):
-    assert node(READY._replace(**change), 100) is state
+def test_node_status_follows_from_the_facts(change, state):
+    assert node_status(READY._replace(**change), 100) is state
 
 
-# Together with peers
+# With peers
 
 
-class Speaker:
-    """A whole speaker without sockets, beside a peer that answers by hand."""
+class SpeakerHarness:
+    """A speaker without sockets, and a peer whose messages the test sends."""
 
     def __init__(self, more="", **changed):
-        self.now, self.machine = 1_000_000, speaking(more, **changed)
-        self.peer = next(iter(self.machine.peers.values()))
+        self.now, self.state = 1_000_000, make_speaker_state(more, **changed)
+        self.peer = next(iter(self.state.peers.values()))
 
     def up(self):
-        if not self.peer.main.number:
+        if not self.peer.primary.number:
             self.tick(SECOND)
-        link, address = self.peer.main.number, self.peer.peer.address
-        self.machine.connected(address, link, self.now)
+        link, address = self.peer.primary.number, self.peer.peer.address
+        self.state.connected(address, link, self.now)
         for data in (
             messages.encode(
                 messages.Open(THEM, 9, "127.0.0.20", Capabilities(families=((1, 1),), as4=THEM))
@@ -270,122 +308,132 @@
             messages.encode(messages.Keepalive()),
         ):
             [(kind, body)] = messages.Stream().feed(data)
-            self.machine.message(address, link, kind, body, self.now)
+            self.state.message(address, link, kind, body, self.now)
         return self
 
     def tick(self, time=0):
         end = self.now + time
-        while (due := self.machine.due()) is not None and due <= end:
+        while (due := self.state.next_due()) is not None and due <= end:
             self.now = max(due, self.now)
-            self.machine.tick(self.now)
+            self.state.tick(self.now)
         self.now = end
-        self.machine.tick(self.now)
+        self.state.tick(self.now)
         return self
 
     def sent(self):
-        """What was announced (`+`), withdrawn (`-`) and notified since it was asked last."""
+        """Routes announced (`+`), withdrawn (`-`) and Cease subcodes sent since the last call."""
         found = []
-        for action in self.machine.taken():
-            if action.do is Do.SEND:
-                for kind, body in messages.Stream().feed(action.about):
+        for action in self.state.take_actions():
+            if action.kind is ActionKind.SEND:
+                for kind, body in messages.Stream().feed(action.value):
                     if kind == 2:
-                        each = messages.decode(2, body, Agreed(as4=True))
+                        each = messages.decode(2, body, NegotiatedCapabilities(as4=True))
                         found += ["+"] * len(each.announced) + ["-"] * len(each.withdrawn)
                     elif kind == 3:
                         found.append(f"cease/{body[1]}")
         return found
 
 
-def test_a_session_dropped_in_a_drain_before_its_withdrawal_gets_nothing_when_it_is_back():
-    speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
-    assert speaker.tick(100 * MS).sent() == ["+"]
-    speaker.machine.leave(speaker.now, speaker.now + 500 * MS)
-    speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
-    assert "+" in speaker.sent()  # less wanted, before the loss
-    speaker.tick(40 * MS).up()
-    assert speaker.tick(5 * SECOND).sent() == []
+def test_session_lost_before_the_drains_withdrawal_gets_no_routes_when_reestablished_after_it():
+    harness = SpeakerHarness().up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    assert harness.tick(100 * MS).sent() == ["+"]
+    harness.state.leave(harness.now, harness.now + 500 * MS)
+    harness.state.connection_lost(
+        harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
+    )
+    assert "+" in harness.sent()  # the graceful shutdown announcement, before the loss
+    harness.tick(40 * MS).up()
+    assert harness.tick(5 * SECOND).sent() == []
 
 
 @pytest.mark.parametrize("wait", [0, 10])
-def test_a_session_that_comes_back_within_the_drains_first_part_learns_that_it_is_less_wanted(wait):
-    speaker = Speaker(graceful_shutdown="1s").up()
-    speaker.machine.node(Node.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.machine.leave(speaker.now, None)
-    speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
-    speaker.tick(500 * MS).sent()
-    assert speaker.up().sent() == ["+"] and speaker.peer.told[
-        speaker.machine.orders.service[0].prefix
+def test_session_reestablished_before_the_drains_withdrawal_gets_the_graceful_shutdown_community(
+    wait,
+):
+    harness = SpeakerHarness(graceful_shutdown="1s").up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.state.leave(harness.now, None)
+    harness.state.connection_lost(
+        harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
+    )
+    harness.tick(500 * MS).sent()
+    assert harness.up().sent() == ["+"] and harness.peer.adj_rib_out[
+        harness.state.config.service[0].prefix
     ].communities == (GRACEFUL_SHUTDOWN,)
-    assert speaker.tick(SECOND).sent() == ["-"]
-
-
-def test_a_session_dropped_after_the_withdrawal_left_gets_nothing_when_it_is_back():
-    speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.machine.leave(speaker.now, None)
-    assert speaker.tick(60 * MS).sent() == ["+", "-"]
-    speaker.machine.lost(speaker.peer.peer.address, speaker.peer.main.number, speaker.now, "reset")
-    speaker.tick(SECOND).up()
-    assert speaker.tick(SECOND).sent() == []
-
-
-def test_a_process_that_stood_still_gives_nobody_up_for_what_it_could_not_hear():
-    speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.now += 60 * SECOND  # a stop and a continue, or a clock that leapt
-    speaker.machine.tick(speaker.now)
-    assert speaker.peer.established and speaker.sent() == []
-    speaker.machine.message(
-        speaker.peer.peer.address, speaker.peer.main.number, 4, b"", speaker.now
+    assert harness.tick(SECOND).sent() == ["-"]
+
+
+def test_session_lost_after_the_drains_withdrawal_gets_no_routes_when_reestablished():
+    harness = SpeakerHarness().up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.state.leave(harness.now, None)
+    assert harness.tick(60 * MS).sent() == ["+", "-"]
+    harness.state.connection_lost(
+        harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
     )
-    speaker.machine.flushed(speaker.peer.peer.address, speaker.peer.main.number, speaker.now)
-    assert speaker.tick(SECOND).peer.established
-    assert speaker.tick(30 * SECOND).peer.downs == 1  # but in the end for what it did not say
+    harness.tick(SECOND).up()
+    assert harness.tick(SECOND).sent() == []
+
+
+def test_stalled_process_does_not_end_sessions_for_messages_that_it_could_not_read():
+    harness = SpeakerHarness().up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.now += 60 * SECOND  # as after SIGSTOP and SIGCONT, or a jump of the clock
+    harness.state.tick(harness.now)
+    assert harness.peer.established and harness.sent() == []
+    harness.state.message(
+        harness.peer.peer.address, harness.peer.primary.number, 4, b"", harness.now
+    )
+    harness.state.flushed(harness.peer.peer.address, harness.peer.primary.number, harness.now)
+    assert harness.tick(SECOND).peer.established
+    assert harness.tick(30 * SECOND).peer.downs == 1  # ends in the end, as the peer sends nothing
 
 
-def test_a_new_file_adds_and_removes_services_and_peers_without_ending_the_sessions_that_stay():
-    speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
+def test_reload_adds_and_removes_services_and_peers_and_keeps_unchanged_sessions():
+    harness = SpeakerHarness().up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
     two = "    service 192.0.2.11/32\n" + peer_block() + peer_block("127.0.0.1:1791")
-    assert speaker.machine.reordered(orders(two), speaker.now) == [
+    assert harness.state.reconfigure(announce_config(two), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
-    assert speaker.sent() == ["+"] and speaker.peer.established and len(speaker.machine.peers) == 2
-    assert speaker.machine.reordered(orders(peer_block()), speaker.now) == [
+    assert harness.sent() == ["+"] and harness.peer.established and len(harness.state.peers) == 2
+    assert harness.state.reconfigure(announce_config(peer_block()), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
-    assert speaker.sent() == ["-"] and speaker.peer.established
-    assert speaker.machine.reordered(orders(peer_block("127.0.0.1:1790", 65021)), speaker.now) == [
-        "peer-127.0.0.1:1790"
-    ]
-    assert speaker.sent() == ["-", "cease/6"]
-    assert speaker.machine.reordered(orders(), speaker.now) == ["peer-127.0.0.1:1790"]
-
-
-def test_a_drain_under_way_is_not_undone_by_a_new_file():
-    speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
-    speaker.tick(100 * MS).sent()
-    speaker.machine.leave(speaker.now, None)
-    speaker.tick(60 * MS).sent()
-    speaker.machine.reordered(orders("    service 192.0.2.11/32\n" + peer_block()), speaker.now)
-    assert speaker.tick(5 * SECOND).sent() == []
-
-
-def test_the_end_withdraws_all_and_says_why_and_what_was_received_is_shown():
-    speaker = Speaker().up()
-    speaker.machine.node(Node.READY, speaker.now)
-    address, link = speaker.peer.peer.address, speaker.peer.main.number
-    speaker.machine.message(address, link, 2, update("10.0.0.0/8")[19:], speaker.now)
-    [row] = speaker.machine.received(address)
+    assert harness.sent() == ["-"] and harness.peer.established
+    assert harness.state.reconfigure(
+        announce_config(peer_block("127.0.0.1:1790", 65021)), harness.now
+    ) == ["peer-127.0.0.1:1790"]
+    assert harness.sent() == ["-", "cease/6"]
+    assert harness.state.reconfigure(announce_config(), harness.now) == ["peer-127.0.0.1:1790"]
+
+
+def test_reload_does_not_undo_a_drain():
+    harness = SpeakerHarness().up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    harness.tick(100 * MS).sent()
+    harness.state.leave(harness.now, None)
+    harness.tick(60 * MS).sent()
+    harness.state.reconfigure(
+        announce_config("    service 192.0.2.11/32\n" + peer_block()), harness.now
+    )
+    assert harness.tick(5 * SECOND).sent() == []
+
+
+def test_received_route_without_import_policy_is_reported_as_refused_and_end_of_speaker_withdraws_and_sends_cease():
+    harness = SpeakerHarness().up()
+    harness.state.set_node_status(NodeStatus.READY, harness.now)
+    address, link = harness.peer.peer.address, harness.peer.primary.number
+    harness.state.message(address, link, 2, update("10.0.0.0/8")[19:], harness.now)
+    [row] = harness.state.received_routes(address)
     assert row["refused"] == "no import policy"  # RFC 8212
-    speaker.tick(100 * MS).sent()
-    speaker.machine.end(speaker.now)
-    assert speaker.sent() == ["-", "cease/2"] and speaker.machine.ended
+    harness.tick(100 * MS).sent()
+    harness.state.end(harness.now)
+    assert harness.sent() == ["-", "cease/2"] and harness.state.ended
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -1,4 +1,4 @@
-"""The speaker on loopback, beside routers of our own that behave, misbehave and restart."""
+"""The speaker on loopback with test routers that behave, misbehave and restart."""
 
 import os
 import random
@@ -14,67 +14,70 @@
 from click.testing import CliRunner
 
 from lilacwalk.bgp import messages
-from lilacwalk.bgp.admin import answering as answering_at
-from lilacwalk.bgp.announcement_policy import Node
+from lilacwalk.bgp.admin import create_admin_socket as answering_at
+from lilacwalk.bgp.announcement_policy import NodeStatus
 from lilacwalk.bgp.attributes import GRACEFUL_SHUTDOWN
 from lilacwalk.bgp.capabilities import GracefulRestart
-from lilacwalk.bgp.peer import Action, Do
+from lilacwalk.bgp.peer import Action, ActionKind
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.speaker_io import Bounds
 from lilacwalk.commands import lilacwalk
 from lilacwalk.protocols.admin_socket import query
 from lilacwalk.testing.bgp_router import PATIENCE, table
-from tests.bgp.conftest import THEM, orders, peer_block, update
+from tests.bgp.conftest import THEM, announce_config, peer_block, update
 
 SERVICE = "192.0.2.10/32"
 ROOT = Path(__file__).parents[2]
 
 
-def beside(*routers, more="", peer=(), **changed):
+def config_with_peers(*routers, more="", peer=(), **changed):
     blocks = "".join(peer_block(each.address, each.habits.asn, *peer) for each in routers)
-    return orders(blocks + more, **changed)
+    return announce_config(blocks + more, **changed)
 
 
-def until(speaker, question):
-    """Asked again and again, each time answered by the speaker's thread between two of its passes."""
-    give_up = time.monotonic() + PATIENCE
-    while not speaker.ask(question, PATIENCE):
-        assert time.monotonic() < give_up
+def wait_until(speaker, predicate):
+    """Repeats a query in the speaker's thread until its result is true."""
+    deadline = time.monotonic() + PATIENCE
+    while not speaker.query(predicate, PATIENCE):
+        assert time.monotonic() < deadline
 
 
-def test_a_service_is_announced_to_every_peer_and_withdrawn_before_the_listener_may_close(
+def test_service_is_announced_to_every_peer_and_withdrawn_before_the_listener_may_close(
     make_router, make_speaker
 ):
     routers, listener = [make_router(), make_router(asn=65021)], threading.Event()
-    left = []
+    remaining = []
     speaker = make_speaker(
-        beside(*routers), on_listener=lambda wait: (left.append(wait), listener.set())
+        config_with_peers(*routers),
+        on_withdrawal_sent=lambda wait: (remaining.append(wait), listener.set()),
     )
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     for router in routers:
         router.wait_held(SERVICE)
     speaker.leave(5000)
-    assert listener.wait(PATIENCE) and 0 < left[0] <= 500
+    assert listener.wait(PATIENCE) and 0 < remaining[0] <= 500
     for router in routers:
         router.wait_held()
-        told = [
-            each.message.reached[0][0].communities
+        output = [
+            each.message.reachable[0][0].communities
             for each in router.seen
             if each.what == "announced"
         ]
-        assert told == [(), (GRACEFUL_SHUTDOWN,)]
+        assert output == [(), (GRACEFUL_SHUTDOWN,)]
 
 
-def test_ipv6_services_go_to_peers_of_either_family(make_router, make_speaker):
+def test_ipv6_service_is_announced_over_an_ipv4_session(make_router, make_speaker):
     router = make_router()
-    made = beside(router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n")
-    make_speaker(made).node(Node.READY)
+    config = config_with_peers(
+        router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n"
+    )
+    make_speaker(config).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE, "2001:db8::10/128")
 
 
-def test_a_router_that_comes_up_late_is_told_then(make_router, make_speaker):
+def test_router_that_connects_late_or_reconnects_gets_the_routes(make_router, make_speaker):
     router = make_router(turn_away=3)
-    make_speaker(beside(router)).node(Node.READY)
+    make_speaker(config_with_peers(router)).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     router.drop()
     router.wait_count("up", 2)
@@ -90,76 +93,87 @@
         (messages.frame(2, b"\0\0\0\0\x21"), (3, 10)),
     ],
 )
-def test_bytes_that_are_no_messages_end_that_session_by_name_and_no_other(
+def test_invalid_bytes_end_only_that_session_with_the_right_code(
     make_router, make_speaker, broken, code
 ):
     bad, good = make_router(sends=[broken]), make_router(asn=65021)
-    make_speaker(beside(bad, good)).node(Node.READY)
-    told = bad.wait_count("notification").message
-    assert (told.code, told.subcode) == code
+    make_speaker(config_with_peers(bad, good)).set_node_status(NodeStatus.READY)
+    output = bad.wait_count("notification").message
+    assert (output.code, output.subcode) == code
     good.wait_held(SERVICE)
     assert good.sessions == 1
 
 
-def test_a_peer_that_floods_ends_its_own_session_and_one_that_may_is_held(
+def test_session_is_closed_for_a_peer_above_max_prefixes_and_kept_for_a_peer_at_max_prefixes(
     make_router, make_speaker
 ):
     flood = table(100_000, THEM)
     bad, good = make_router(sends=flood), make_router(asn=65021, sends=table(100_000, 65021))
-    made = orders(peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000"))
-    speaker = make_speaker(made)
-    speaker.node(Node.READY)
+    config = announce_config(
+        peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000")
+    )
+    speaker = make_speaker(config)
+    speaker.set_node_status(NodeStatus.READY)
     assert (bad.wait_count("notification").message.subcode) == 1
     good.wait_held(SERVICE)
-    until(speaker, lambda each: len(each.peers[good.address].received) == 100_000)
+    wait_until(speaker, lambda each: len(each.peers[good.address].adj_rib_in) == 100_000)
     assert good.count("lost") == 0
 
 
-def test_a_peer_that_stops_reading_is_cut_off_at_the_outboxes_bound(make_router, make_speaker):
+def test_peer_that_stops_reading_is_disconnected_when_the_send_buffer_is_full(
+    make_router, make_speaker
+):
     services = "".join(f"    service 198.51.{each >> 8}.{each & 255}/32\n" for each in range(20))
     router = make_router(reads=False)
-    speaker = make_speaker(beside(router, more=services), bounds=Bounds(outbox=2_000))
-    speaker.node(Node.READY)
-    until(speaker, lambda each: each.peers[router.address].told)
+    speaker = make_speaker(
+        config_with_peers(router, more=services), bounds=Bounds(send_buffer=2_000)
+    )
+    speaker.set_node_status(NodeStatus.READY)
+    wait_until(speaker, lambda each: each.peers[router.address].adj_rib_out)
 
     def fill(
         each,
-    ):  # more than the system takes for a socket, as a peer's refreshes would over hours
+    ):  # more than the socket's buffer holds, as hours of refreshes would be
         peer = each.peers[router.address]
-        if peer.up is not None:
+        if peer.established_link is not None:
             each.actions += [
-                Action(Do.SEND, peer.up.number, messages.end_of_rib(1)) for _ in range(100)
+                Action(ActionKind.SEND, peer.established_link.number, messages.end_of_rib(1))
+                for _ in range(100)
             ]
 
     while router.sessions == 1:
-        speaker.ask(fill)
-    ended = speaker.ask(lambda each: each.peers[router.address].last_end)
-    assert ended.reason == "stopped reading" and not speaker.over.is_set()
+        speaker.query(fill)
+    ended = speaker.query(lambda each: each.peers[router.address].last_end)
+    assert ended.reason == "stopped reading" and not speaker.ended.is_set()
 
 
-def test_a_peer_that_drips_one_byte_at_a_time_is_understood_and_holds_up_nobody(
+def test_peer_sending_single_bytes_is_understood_and_delays_no_other_peer(
     make_router, make_speaker
 ):
     slow, good = make_router(drip=0.002), make_router(asn=65021)
-    make_speaker(beside(slow, good)).node(Node.READY)
+    make_speaker(config_with_peers(slow, good)).set_node_status(NodeStatus.READY)
     good.wait_held(SERVICE)
     slow.wait_held(SERVICE)
 
 
-def test_two_connections_at_once_leave_one_session(make_router, make_speaker):
+def test_connection_collision_leaves_one_session(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
-    speaker = make_speaker(beside(router, peer=["mode both"], more="    listen 127.0.0.1:0\n"))
+    speaker = make_speaker(
+        config_with_peers(router, peer=["mode both"], more="    listen 127.0.0.1:0\n")
+    )
     router.connect(speaker.listener.getsockname())
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
-    shown = speaker.ask(lambda each: each.shown())
+    shown = speaker.query(lambda each: each.status())
     assert [each["state"] for each in shown["peers"]] == ["established"]
 
 
-def test_who_is_no_peer_is_turned_away_and_a_passive_peer_is_waited_for(make_router, make_speaker):
+def test_unknown_host_is_rejected_and_a_passive_peer_is_waited_for(make_router, make_speaker):
     router = make_router(host="127.0.0.7")
-    speaker = make_speaker(beside(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n"))
-    speaker.node(Node.READY)
+    speaker = make_speaker(
+        config_with_peers(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n")
+    )
+    speaker.set_node_status(NodeStatus.READY)
     stranger = socket.create_connection(speaker.listener.getsockname(), PATIENCE)
     assert stranger.recv(100)[18:21] == b"\3\6\5"
     assert router.sessions == 0
@@ -168,71 +182,73 @@
 
 
 @pytest.mark.parametrize("serves", [False, True])
-def test_after_a_crash_a_stale_route_at_the_peer_falls_with_the_first_end_of_rib(
+def test_stale_route_at_the_peer_after_a_crash_is_removed_by_the_first_end_of_rib(
     make_router, make_speaker, serves
 ):
     router = make_router(keep_stale=True, restart=GracefulRestart(30, families=((1, 1, True),)))
-    made = beside(router, more="    graceful-restart {\n        time 30s\n    }\n")
-    first = make_speaker(made)
-    first.node(Node.READY)
+    config = config_with_peers(router, more="    graceful-restart {\n        time 30s\n    }\n")
+    first = make_speaker(config)
+    first.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     crash(first)
     router.wait(lambda: router.stale, "a stale route")
-    second = make_speaker(made)
+    second = make_speaker(config)
     if serves:
-        second.node(Node.READY)
+        second.set_node_status(NodeStatus.READY)
     opened = router.wait_count("open", 2).message
     [kept] = {flag for _, _, flag in opened.capabilities.restart.families}
     assert (
         kept is False and opened.capabilities.restart.restarted
-    )  # a node just begun claims nothing
+    )  # a node that has just started claims no forwarding state
     router.wait_count("end_of_rib", 4)
     router.wait_held(*([SERVICE] if serves else []))
 
 
 def crash(speaker):
-    """Ends it as a defect would: no withdrawal, no cease."""
+    """Ends the speaker as an internal error would: without withdrawal or Cease."""
 
     def fail():
-        raise RuntimeError("a defect, made here")
+        raise RuntimeError("injected by the test")
 
     speaker.inbox.put((fail,))
-    assert speaker.over.wait(PATIENCE)
+    assert speaker.ended.wait(PATIENCE)
 
 
-def test_a_defect_in_the_speaker_closes_its_sessions_so_that_no_route_stays(
+def test_internal_error_of_the_speaker_closes_its_sessions_and_removes_its_routes(
     make_router, make_speaker
 ):
     router = make_router()
-    speaker = make_speaker(beside(router))
-    speaker.node(Node.READY)
+    speaker = make_speaker(config_with_peers(router))
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     crash(speaker)
     router.wait_held()
     assert speaker.failed
 
 
-def test_over_200_restarts_no_announcement_ever_stands_while_the_node_is_not_ready(
+def test_over_200_restarts_no_route_is_announced_while_the_node_is_not_ready(
     make_router, make_speaker
 ):
     rng, router = random.Random(7), make_router()
-    made = beside(router, ready_for="2ms", suppress="900000", reuse="800000")
+    config = config_with_peers(router, ready_for="2ms", suppress="900000", reuse="800000")
     for _ in range(200):
         sessions = router.count("up")
-        speaker = make_speaker(made)
-        for state in rng.sample([Node.COLD, Node.WARMING, Node.STANDING_STILL, Node.SICK], 2):
-            speaker.node(state)
+        speaker = make_speaker(config)
+        for state in rng.sample(
+            [NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.STANDING_STILL, NodeStatus.SICK], 2
+        ):
+            speaker.set_node_status(state)
         router.wait(lambda least=sessions: router.count("up") > least, "a session")
-        speaker.ask(lambda each: None)
+        speaker.query(lambda each: None)
         assert not router.held
-        speaker.node(Node.READY)
+        speaker.set_node_status(NodeStatus.READY)
         router.wait_held(SERVICE)
         if rng.random() < 0.4:
-            speaker.node(Node.COLD)
+            speaker.set_node_status(NodeStatus.COLD)
             router.wait_held()
             count = router.count("announced")
-            speaker.node(Node.WARMING)
-            speaker.ask(lambda each: None)
+            speaker.set_node_status(NodeStatus.WARMING)
+            speaker.query(lambda each: None)
             assert router.count("announced") == count
         if rng.random() < 0.3:
             crash(speaker)
@@ -241,7 +257,9 @@
         router.wait_held()
 
 
-def test_what_is_shown_over_the_socket_and_by_the_command(make_router, make_speaker, tmp_path):
+def test_admin_socket_and_bgp_command_report_sessions_and_routes(
+    make_router, make_speaker, tmp_path
+):
     router = make_router(sends=[update("10.0.0.0/8")])
     path, own = str(tmp_path / "bgp.sock"), tmp_path / "own.conf"
     text = (
@@ -254,12 +272,12 @@
     from lilacwalk.operator.loader import load_operator_file as read
 
     speaker = make_speaker(read(str(own)).announce)
-    answering = answering_at(speaker, path)
-    answering.start()
+    create_admin_socket = answering_at(speaker, path)
+    create_admin_socket.start()
     assert os.stat(path).st_mode & 0o777 == 0o600
-    speaker.node(Node.READY)
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
-    until(speaker, lambda each: len(each.peers[router.address].received) == 1)
+    wait_until(speaker, lambda each: len(each.peers[router.address].adj_rib_in) == 1)
 
     def run(*words):
         return CliRunner().invoke(lilacwalk, ["bgp", words[0], "--file", str(own), *words[1:]])
@@ -274,34 +292,34 @@
     assert run("route", "10.9.0.0/16").output == f"peer={name} prefix=10.0.0.0/8 path_length=1\n"
     assert run("received", "nobody").exit_code == run("route", "x").exit_code == 2
     assert query(path, "sing")["error"].startswith("ask:")
-    with pytest.raises(OSError):  # the name of one that answers is not taken from it
+    with pytest.raises(OSError):  # the path of a running admin socket is not taken over
         answering_at(speaker, path)
-    answering.close()
+    create_admin_socket.close()
     assert run("show").exit_code == 2
     (tmp_path / "bgp.sock").touch()
     os.unlink(path)
 
 
-def test_captured_messages_are_decoded_from_a_file_or_digits(tmp_path):
+def test_decode_command_reads_captured_messages_from_a_file_or_hexadecimal_input(tmp_path):
     last = messages.encode(messages.Notification(6, 2, b"\2hi"))
     good = update("10.0.0.0/8") + messages.end_of_rib(2) + last
     path = tmp_path / "captured"
     path.write_bytes(good)
-    told = CliRunner().invoke(lilacwalk, ["bgp", "decode", str(path)])
-    assert told.exit_code == 0 and told.output.splitlines() == [
+    output = CliRunner().invoke(lilacwalk, ["bgp", "decode", str(path)])
+    assert output.exit_code == 0 and output.output.splitlines() == [
         f"message=update announced=10.0.0.0/8 next_hop=127.0.0.20 path='{THEM}' origin=0 med=None "
         "local_pref=None communities=none",
         "message=update end_of_rib=ipv6",
         "message=notification reason=cease/shutdown text='hi' data=026869",
     ]
     digits = CliRunner().invoke(lilacwalk, ["bgp", "decode", "--hex"], input=good.hex())
-    assert digits.output == told.output
+    assert digits.output == output.output
     cut = CliRunner().invoke(lilacwalk, ["bgp", "decode"], input=good[:-1])
     assert cut.exit_code == 2 and "unfinished message" in cut.output
 
 
-class Announcing:
-    """`lilacwalk announce` as a process of its own."""
+class AnnounceProcess:
+    """`lilacwalk announce` as a process."""
 
     def __init__(self, tmp_path, router, more=""):
         self.own = tmp_path / "own.conf"
@@ -326,16 +344,16 @@
 
 
 @pytest.fixture
-def announcing(tmp_path, make_router):
-    made = []
+def announce_process(tmp_path, make_router):
+    config = []
 
     def make(more=""):
         router = make_router()
-        made.append(Announcing(tmp_path, router, more))
-        return made[-1], router
+        config.append(AnnounceProcess(tmp_path, router, more))
+        return config[-1], router
 
     yield make
-    for each in made:
+    for each in config:
         if each.process.poll() is None:
             each.process.kill()
         each.process.wait()
@@ -343,8 +361,8 @@
 
 
 @pytest.mark.parametrize("ends", ["end of input", "SIGTERM"])
-def test_the_command_follows_the_states_on_its_input_and_ends_with_a_cease(announcing, ends):
-    command, router = announcing()
+def test_announce_command_follows_states_on_its_input_and_ends_with_a_cease(announce_process, ends):
+    command, router = announce_process()
     for word in ("cold", "nonsense", "warming", "ready"):
         command.say(word)
     router.wait_held(SERVICE)
@@ -359,8 +377,10 @@
     assert "event=unknown_state" in command.process.stderr.read()
 
 
-def test_the_command_reads_its_file_again_and_keeps_the_old_one_where_the_new_is_wrong(announcing):
-    command, router = announcing()
+def test_announce_command_reloads_on_sighup_and_keeps_the_old_configuration_if_the_new_is_invalid(
+    announce_process,
+):
+    command, router = announce_process()
     command.say("ready")
     router.wait_held(SERVICE)
     command.write(router, " service 192.0.2.11/32\n")
@@ -377,21 +397,21 @@
     assert router.sessions == 1
 
 
-def test_the_command_without_a_usable_file_ends_with_2_and_every_fault(tmp_path):
+def test_announce_command_without_a_valid_file_exits_with_2(tmp_path):
     own = tmp_path / "own.conf"
     for text in ("", "announce {\n as x\n hold-time 1s\n}\n"):
         own.write_text(text)
-        told = CliRunner().invoke(lilacwalk, ["announce", "--file", str(own)])
-        assert told.exit_code == 2
+        output = CliRunner().invoke(lilacwalk, ["announce", "--file", str(own)])
+        assert output.exit_code == 2
 
 
-def test_a_clock_that_jumps_ends_no_session(make_router, make_speaker):
+def test_clock_jump_ends_no_session(make_router, make_speaker):
     router, ahead = make_router(hold=3), [0]
-    speaker = make_speaker(beside(router), clock=lambda: time.monotonic_ns() + ahead[0])
-    speaker.node(Node.READY)
+    speaker = make_speaker(config_with_peers(router), clock=lambda: time.monotonic_ns() + ahead[0])
+    speaker.set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     ahead[0] = 3600 * 10**9
-    speaker.ask(lambda each: None)
+    speaker.query(lambda each: None)
     router.send(messages.encode(messages.Keepalive()))
     sent = router.count("keepalive")
     router.wait(lambda: router.count("keepalive") > sent + 1, "keepalives after the jump")
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -139,33 +139,33 @@
 
 def test_an_unhealthy_node_withdraws_only_with_permission():
     """Covers the announcement policy; test_minimum_healthy covers who gets the permission."""
-    from lilacwalk.bgp.announcement_policy import Announcing, Level, Node
-    from tests.bgp.conftest import orders
+    from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
+    from tests.bgp.conftest import announce_config
 
-    policy = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
-    policy.told(Node.READY, 0)
+    policy = AnnouncementPolicy(announce_config("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    policy.set_node_status(NodeStatus.READY, 0)
     assert policy.decide(100_000).level is Level.NORMAL
-    policy.floor(False)
-    policy.told(Node.SICK, 100_000)
+    policy.set_withdrawal_allowed(False)
+    policy.set_node_status(NodeStatus.SICK, 100_000)
     decision = policy.decide(500_000)
     assert decision.level is Level.LESS_WANTED
-    assert "may go" in decision.reason
-    policy.floor(True)
+    assert "withdrawal is not allowed" in decision.reason
+    policy.set_withdrawal_allowed(True)
     assert policy.decide(500_001).level is Level.NONE
-    policy.floor(False)
+    policy.set_withdrawal_allowed(False)
     assert policy.decide(600_000).level is Level.NONE  # stays withdrawn until it is healthy
-    policy.told(Node.LEAVING, 600_000)
+    policy.set_node_status(NodeStatus.LEAVING, 600_000)
     assert policy.decide(600_000).level is Level.NONE
 
 
 def test_a_drain_withdraws_regardless_of_the_withdrawal_limit():
-    from lilacwalk.bgp.announcement_policy import Announcing, Level, Node
-    from tests.bgp.conftest import orders
+    from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
+    from tests.bgp.conftest import announce_config
 
-    policy = Announcing(orders("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
-    policy.told(Node.READY, 0)
+    policy = AnnouncementPolicy(announce_config("peer 127.0.0.1:1 {\n as 65020\n}\n"), 0)
+    policy.set_node_status(NodeStatus.READY, 0)
     policy.decide(100_000)
-    policy.floor(False)
+    policy.set_withdrawal_allowed(False)
     policy.leave(100_000, None)
     assert policy.decide(200_000).level is Level.NONE
 
@@ -235,9 +235,9 @@
 
 
 def test_member_states_have_the_names_of_the_node_states():
-    from lilacwalk.bgp.announcement_policy import Node
+    from lilacwalk.bgp.announcement_policy import NodeStatus
 
-    assert [node.value for node in Node] == [NODE_STATE_NAMES[state] for state in NodeState]
+    assert [node.value for node in NodeStatus] == [NODE_STATE_NAMES[state] for state in NodeState]
 
 
 def test_a_member_ends_within_two_seconds_of_sigterm(running_fleet):
