--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -23,10 +23,10 @@
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.operator.loader import parse_operator_file
 from lilacwalk.server.startup import SWITCH_INTERVAL, build
-from lilacwalk.testing.bgp_router import BgpRouter, Habits
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.proxy_client import Till
-from lilacwalk.testing.site_settings import handed
+from lilacwalk.testing.bgp_router import BgpRouter, RouterBehaviour
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.proxy_client import ProxyClient
+from lilacwalk.testing.site_settings import make_process_config
 
 
 def prefixes(count: int, seed: int = 1) -> list[tuple[int, int]]:
@@ -192,7 +192,7 @@
 
 def orders(routers: list[BgpRouter], more: str = ""):
     peers = "".join(
-        f" peer 127.0.0.1:{each.address[1]} {{\n  as {each.habits.asn}\n  connect-retry 100ms\n"
+        f" peer 127.0.0.1:{each.address[1]} {{\n  as {each.behaviour.asn}\n  connect-retry 100ms\n"
         f"{more} }}\n"
         for each in routers
     )
@@ -200,7 +200,7 @@
 
 
 def sessions(table: Table, count: int) -> None:
-    routers = [BgpRouter(Habits(asn=65_100 + each)) for each in range(count)]
+    routers = [BgpRouter(RouterBehaviour(asn=65_100 + each)) for each in range(count)]
     before, threads = resident(), threading.active_count()
     speaker = Speaker(orders(routers), 1)
     began = time.perf_counter()
@@ -267,9 +267,9 @@
 
 def one_beside(name: str, seconds: float) -> None:
     sys.setswitchinterval(SWITCH_INTERVAL)
-    kernel = Kernel(cores=4, work=lambda group, body: 0.002)
-    router = BgpRouter(Habits(sends=[]))
-    event_loop, parts = build(handed(kernel.address), EventQueue())
+    kernel = StandInExecutor(cores=4, work=lambda group, body: 0.002)
+    router = BgpRouter(RouterBehaviour(sends=[]))
+    event_loop, parts = build(make_process_config(kernel.address), EventQueue())
     took: list[float] = []
     drained = event_loop.take_items
 
@@ -295,19 +295,24 @@
     if name != "off":
         router.wait_held("192.0.2.10/32")
     feed = updates(100_000) if "100,000" in name else []
-    tills = [Till(event_loop.listener.address) for _ in range(8)]
+    proxy_clients = [ProxyClient(event_loop.listener.address) for _ in range(8)]
     before, until, sent, told = len(passes), time.monotonic() + seconds, 0, 0
     began = time.monotonic()
     while (now := time.monotonic()) < until:
         while sent < (now - began) * 300:
-            tills[sent % 8].ask("look")
+            proxy_clients[sent % 8].ask("look")
             sent += 1
         told_by_now = int(min(1.0, (now - began) / seconds) * len(feed))
         if told_by_now > told:
             router.send(b"".join(feed[told:told_by_now]))
             told = told_by_now
         time.sleep(0.003)
-    words = [word for till in tills for rows in list(till.answers.values()) for _, word, _ in rows]
+    words = [
+        word
+        for proxy_client in proxy_clients
+        for rows in list(proxy_client.answers.values())
+        for _, word, _ in rows
+    ]
     done = words.count("done")
     rows = passes[before:]
     print(quantile(rows, 0.5) * 1e6, quantile(rows, 0.99) * 1e6, resident(), done)
--- a/benchmarks/cold_budget.py
+++ b/benchmarks/cold_budget.py
@@ -15,22 +15,24 @@
 from math import sqrt
 
 from benchmarks.table import Table
-from lilacwalk.testing.dependency import Index
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.fleet import Rig
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.dependency import SharedDependency
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.fleet import ProcessFleet
+from lilacwalk.testing.proxy_client import ProxyClient
 
 WORK, SPAN, LOAD_S = 0.02, 1.0, 6.0  # seconds a call; of the window, as the rig tells it; of asking
 
 
 def played(size: int, share: float, seed: int) -> tuple[float, float, int, int]:
     """N, the most in the mean of a window, the most at one moment, calls made."""
-    index, rig = Index(size, WORK), Rig(seed, 1_000, "serve")
+    index, rig = SharedDependency(size, WORK), ProcessFleet(seed, 1_000, "serve")
     try:
         for at in range(size):
             each = rig.add(f"n{at}")
-            each.index, each.call_share = index, share
-            each.kernel = Kernel(2, lambda group, body: 0.004, calls=("look",), cold=True)
+            each.dependency, each.call_share = index, share
+            each.executor = StandInExecutor(
+                2, lambda group, body: 0.004, calls=("look",), cold=True
+            )
         rig.write = lambda each: each.file.write_text("")  # type: ignore[method-assign]
         rig.start(*rig.processes, wait=False)
         rig.wait(
@@ -47,7 +49,12 @@
             each.start()
         for each in asking:
             each.join()
-        return share * size, max(index.crowds(SPAN, 0.05)), index.most, index.made
+        return (
+            share * size,
+            max(index.mean_concurrency(SPAN, 0.05)),
+            index.max_in_flight,
+            index.calls_made,
+        )
     finally:
         rig.end()
         index.end()
@@ -63,13 +70,15 @@
 
 
 def ask(address: tuple[str, int], rate: float, chance: random.Random) -> None:
-    till = Till(address)  # here: who connects and says nothing for a second is closed
+    proxy_client = ProxyClient(
+        address
+    )  # here: who connects and says nothing for a second is closed
     due = time.monotonic()
     until = due + LOAD_S
     while (due := due + chance.expovariate(rate)) < until:
         time.sleep(max(0.0, due - time.monotonic()))
-        till.ask("look", wait_ms=1500)
-    till.end()
+        proxy_client.ask("look", wait_ms=1500)
+    proxy_client.end()
 
 
 def main() -> None:
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -33,10 +33,10 @@
 from lilacwalk.overload.model import Effect
 from lilacwalk.server.clock import Clock
 from lilacwalk.server.startup import SWITCH_INTERVAL, THREAD_STACK_BYTES, build
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.lossy_proxy import Proxy, Weather
-from lilacwalk.testing.proxy_client import Till
-from lilacwalk.testing.site_settings import SETTINGS, handed
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.lossy_proxy import LinkConditions, Proxy
+from lilacwalk.testing.proxy_client import ProxyClient
+from lilacwalk.testing.site_settings import SETTINGS, make_process_config
 
 SECRET = bytes(range(32))
 WORK = {"look": 0.003, "swap": 0.006, "move": 0.006}  # seconds on one core
@@ -381,9 +381,11 @@
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     )
-    kernel = Kernel(2, work=lambda group, body: WORK[group], result=lambda group, body: body[:64])
+    kernel = StandInExecutor(
+        2, work=lambda group, body: WORK[group], result=lambda group, body: body[:64]
+    )
     inbox = EventQueue()
-    event_loop, parts = build(handed(kernel.address, memory_mb=memory_mb), inbox)
+    event_loop, parts = build(make_process_config(kernel.address, memory_mb=memory_mb), inbox)
     secret = Path(tempfile.mkdtemp()) / "secrets"
     secret.touch(mode=0o600)
     secret.write_text(SECRET.hex())
@@ -454,7 +456,7 @@
     """So many devices, each with its own bad link through one proxy, asking at random."""
     rng, tokens = random.Random(seed), Tokens([SECRET], b"")
     threading.stack_size(THREAD_STACK_BYTES)
-    proxy = Proxy(("127.0.0.1", port), Weather(reset=0.01, stall=(0.5, 5.0)), seed)
+    proxy = Proxy(("127.0.0.1", port), LinkConditions(reset=0.01, stall=(0.5, 5.0)), seed)
     devices = [
         Device(proxy.address, tokens.make(DEVICE, b"d%d" % (first + each), 2**40), seed=seed + each)
         for each in range(count)
@@ -496,15 +498,21 @@
 
 
 def fleet_routers(port: int, rate: float, seconds: float) -> None:
-    rng, tills = random.Random(9), [Till(("127.0.0.1", port)) for _ in range(12)]
+    rng, proxy_clients = random.Random(9), [ProxyClient(("127.0.0.1", port)) for _ in range(12)]
     asked, began = [], time.monotonic()
     while (now := time.monotonic()) < began + seconds:
         if len(asked) < (now - began) * rate:
-            till = min(rng.sample(tills, 2), key=lambda each: len(each.asked) - len(each.answers))
+            proxy_client = min(
+                rng.sample(proxy_clients, 2), key=lambda each: len(each.asked) - len(each.answers)
+            )
             group = rng.choice(SHARES)
             more = {"k": f"r{len(asked)}"} if group == "swap" else {}
             asked.append(
-                (group, till, till.ask(group, b"x", 4_000 if group != "look" else 2_000, **more))
+                (
+                    group,
+                    proxy_client,
+                    proxy_client.ask(group, b"x", 4_000 if group != "look" else 2_000, **more),
+                )
             )
         else:
             time.sleep(0.001)
@@ -512,9 +520,9 @@
     done: dict[str, int] = {}
     total: dict[str, int] = {}
     many = 0
-    for group, till, tag in asked:
+    for group, proxy_client, tag in asked:
         total[group] = total.get(group, 0) + 1
-        rows = till.answers.get(tag, [])
+        rows = proxy_client.answers.get(tag, [])
         many += len(rows) != 1
         done[group] = done.get(group, 0) + any(word == "done" for _, word, _ in rows)
     print(json.dumps({"asked": total, "done": done, "not_one_answer": many}))
--- a/benchmarks/fleet_server.py
+++ b/benchmarks/fleet_server.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from benchmarks.table import Table, quantile
-from lilacwalk.testing.fleet import Rig
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.fleet import ProcessFleet
+from lilacwalk.testing.proxy_client import ProxyClient
 from lilacwalk.testing.site_outage import Outage
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -27,11 +27,13 @@
     return pages * os.sysconf("SC_PAGE_SIZE") / 1e6, (int(words[11]) + int(words[12])) / TICKS
 
 
-def loaded(rig: Rig, name: str, seconds: float, rate: float) -> tuple[float, float, float, float]:
+def loaded(
+    rig: ProcessFleet, name: str, seconds: float, rate: float
+) -> tuple[float, float, float, float]:
     """MB, CPU ms an exchange, and response time in ms: median and 99th."""
     line = next(line for line in rig.log(name).splitlines() if "event=started" in line)
     host, port = line.split("listen=")[1].split()[0].split(":")
-    till = Till((host, int(port)))
+    proxy_client = ProxyClient((host, int(port)))
     pid = rig.processes[name].popen.pid
     _, before = usage(pid)
     times, count, due = [], int(seconds * rate), time.monotonic()
@@ -39,12 +41,12 @@
     for _ in range(count):
         due += 1 / rate
         time.sleep(max(0.0, due - time.monotonic()))
-        asked.append(till.ask("look"))
+        asked.append(proxy_client.ask("look"))
     for tag in asked:
-        at, _, _ = till.answer(tag)
-        times.append((at - till.asked[tag]) * 1000)
+        at, _, _ = proxy_client.answer(tag)
+        times.append((at - proxy_client.asked[tag]) * 1000)
     megabytes, after = usage(pid)
-    till.end()
+    proxy_client.end()
     return megabytes, (after - before) * 1000 / count, quantile(times, 0.5), quantile(times, 0.99)
 
 
@@ -53,14 +55,14 @@
     for what, members in (("no view", 1), ("view of 4", 4), ("view of 24", 24)):
         found = []
         for turn in range(3):
-            rig = Rig(turn, 1_000, "serve")
+            rig = ProcessFleet(turn, 1_000, "serve")
             try:
                 for at in range(members):
                     rig.add(f"n{at}", seeds=["n0"])
                 if members == 1:
                     rig.write = lambda each: each.file.write_text("")  # type: ignore[method-assign]
                     rig.start("n0", wait=False)
-                    log = rig.processes["n0"].place / "log"
+                    log = rig.processes["n0"].directory / "log"
                     rig.wait(
                         lambda rig=rig, log=log: log.exists()
                         and "event=executor_up" in rig.log("n0"),
@@ -108,7 +110,7 @@
                     time.sleep(5.0)
                 sick = names[:4] + names[6:10]
                 for name in sick:
-                    made.rig.processes[name].kernel.end()
+                    made.rig.processes[name].executor.end()
                 worst, until = 0, time.monotonic() + 8.0
                 while time.monotonic() < until:
                     worst = max(worst, sum(not router.held for router in made.routers.values()))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -258,13 +258,13 @@
 
 
 def processes(quick: bool) -> None:
-    from lilacwalk.testing.fleet import Rig
+    from lilacwalk.testing.fleet import ProcessFleet
 
     rows = []
     for count in (6, 12, 24, 48) if not quick else (6, 12):
         times: dict[str, list[float]] = {}
         for seed in range(5 if not quick else 2):
-            rig = Rig(seed, 200)
+            rig = ProcessFleet(seed, 200)
             try:
                 names = [f"n{at}" for at in range(count)]
                 for at, name in enumerate(names):
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from benchmarks.table import Table, quantile
-from lilacwalk.testing.fleet import Rig
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.fleet import ProcessFleet
+from lilacwalk.testing.proxy_client import ProxyClient
 
 RATE, SECONDS = 150.0, 8.0
 FORMS = {
@@ -25,35 +25,35 @@
 
 def play(name: str, seed: int, view: int) -> list[float]:
     """The passes' microseconds."""
-    rig = Rig(seed, 1_000, "serve", store=False)
+    rig = ProcessFleet(seed, 1_000, "serve", store=False)
     try:
         for at in range(max(1, view)):
             rig.add(f"n{at}", seeds=["n0"])
         server = rig.processes["n0"]
-        server.passes = server.place / "passes"
-        server.extra = FORMS[name].format(place=server.place)
+        server.iteration_times_path = server.directory / "passes"
+        server.extra = FORMS[name].format(place=server.directory)
         if not view:
             rig.write = lambda each: each.file.write_text(each.extra)  # type: ignore[method-assign]
         rig.start(*rig.processes, wait=bool(view))
         rig.wait(
-            lambda: (server.place / "log").exists() and "event=executor_up" in rig.log("n0"),
+            lambda: (server.directory / "log").exists() and "event=executor_up" in rig.log("n0"),
             15,
             "up",
         )
         if view:
             rig.wait(rig.settled, 40, "settled")
-        till, due = Till(rig.address("n0")), time.monotonic()
+        proxy_client, due = ProxyClient(rig.address("n0")), time.monotonic()
         tags = []
         for at in range(int(RATE * SECONDS)):
             due += 1 / RATE
             time.sleep(max(0.0, due - time.monotonic()))
             group, key = ("swap", {"k": f"k{at}"}) if at % 2 else ("look", {})
-            tags.append(till.ask(group, b"%d" % at, **key))
+            tags.append(proxy_client.ask(group, b"%d" % at, **key))
         for tag in tags:
-            till.answer(tag)
-        till.end()
+            proxy_client.answer(tag)
+        proxy_client.end()
         rig.leave("n0")
-        return [float(word) for word in Path(server.passes).read_text().split()]
+        return [float(word) for word in Path(server.iteration_times_path).read_text().split()]
     finally:
         rig.end()
 
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -16,9 +16,9 @@
 
 from benchmarks.table import Table, quantile
 from lilacwalk.protocols.resp import encode_array
-from lilacwalk.testing.executor import Kernel
+from lilacwalk.testing.executor import StandInExecutor
 from lilacwalk.testing.fleet import ROOT
-from lilacwalk.testing.site_settings import handed
+from lilacwalk.testing.site_settings import make_process_config
 
 SIZE, GIVEN_UP = 30, 60.0  # processes; seconds
 
@@ -60,11 +60,13 @@
 
 def played(place: Path) -> list[float]:
     """Seconds of each, all killed and started again in one moment."""
-    kernels = [Kernel(2, cold=True) for _ in range(SIZE)]
+    kernels = [StandInExecutor(2, cold=True) for _ in range(SIZE)]
     addresses, configs = ports(SIZE), []
     for at, (kernel, (host, port)) in enumerate(zip(kernels, addresses, strict=True)):
         configs.append(place / f"{at}.json")
-        configs[-1].write_text(json.dumps(handed(kernel.address, f"{host}:{port}", 32.0, 384)))
+        configs[-1].write_text(
+            json.dumps(make_process_config(kernel.address, f"{host}:{port}", 32.0, 384))
+        )
     for _ in range(2):  # the second time is the restart
         begun, times = time.monotonic(), {}
         processes = [started(each) for each in configs]
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -44,7 +44,7 @@
             "whole": whole,
             "lost site": home,
             "stand-ins": others,
-            "twice": made.twice(),
+            "twice": made.count_duplicate_effects(),
             "refused": refused,
             "unanswered": unanswered / max(1, offered),
         }
--- a/benchmarks/storage_lives.py
+++ b/benchmarks/storage_lives.py
@@ -14,7 +14,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from benchmarks.table import Table
-from lilacwalk.testing.restart_soak import Lives
+from lilacwalk.testing.restart_soak import RestartSoak
 
 PLAYS, AGAIN = 5, 40
 WINDOW = 60.0 - 4.0  # the group's own, from the first asking; an effect comes within a wait of that
@@ -22,7 +22,7 @@
 
 def play(seed: int, lives: int) -> tuple[Counter, int, float]:
     """What became of exchanges; effects had more than once; seconds of a life."""
-    made = Lives(seed=seed, effects="600s")
+    made = RestartSoak(seed=seed, effects="600s")
     counts: Counter[str] = Counter()
     try:
         left: list[str] = []
@@ -30,7 +30,7 @@
         began = time.monotonic()
         for life in range(lives):
             made.start()
-            found = made.one_life([f"{life}-{at}" for at in range(60)], left)
+            found = made.run_until_kill([f"{life}-{at}" for at in range(60)], left)
             left = found.get("", []) + found.get("later", [])
             done += found.get("done", [])
             counts["completed"] += len(found.get("done", []))
@@ -43,7 +43,7 @@
         for key in made.rng.sample(done, min(AGAIN, len(done))):
             counts[f"completed before, asked again: {made.ask('swap', key)[0]}"] += 1
         counts["effects"] = sum(made.effects.values())
-        return counts, made.twice_within(WINDOW), spent
+        return counts, made.count_duplicates_within(WINDOW), spent
     finally:
         made.end()
 
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -20,9 +20,9 @@
 from pathlib import Path
 
 from benchmarks.table import Table, quantile
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.fleet import Rig
-from lilacwalk.testing.retrying_clients import CrowdProcess, Got, Habits
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.fleet import ProcessFleet
+from lilacwalk.testing.retrying_clients import ClientCounts, RetryBehaviour, RetryingClientsProcess
 
 LOST, BACK, END = 12, 22, 62
 WORK, CORES, RATE, CALLERS = 0.02, 2, 130.0, 40
@@ -35,13 +35,16 @@
     "no spread": "spread no",
     "no late-first": "late-first no",
 }
-HABITS = {"heed": Habits(), "heed nothing": Habits(heeds=False, marks=False)}
+HABITS = {
+    "heed": RetryBehaviour(),
+    "heed nothing": RetryBehaviour(honours_retry_after=False, marks_retries=False),
+}
 THIRD, BACK_AGAIN, WATCHED = 12, 30, 50
 
 
 def silent(task: tuple[str, str, int]) -> tuple:
     form, habit, seed = task
-    rig = Rig(seed, 500, "serve", store=False)
+    rig = ProcessFleet(seed, 500, "serve", store=False)
     try:
         server = rig.add("n0")
         words = FORMS[form]
@@ -54,29 +57,29 @@
             runs[0] += 1
             return WORK * (COLD if time.monotonic() < cold_until[0] else 1.0)
 
-        server.kernel = Kernel(CORES, work)
+        server.executor = StandInExecutor(CORES, work)
         rig.start("n0")
         rig.wait(lambda: "event=executor_up" in rig.log("n0"), 15, "up")
-        crowd = CrowdProcess(addresses(rig, ["n0"]), RATE, CALLERS, HABITS[habit], seed)
-        got = Got()
+        crowd = RetryingClientsProcess(addresses(rig, ["n0"]), RATE, CALLERS, HABITS[habit], seed)
+        got = ClientCounts()
         try:
-            crowd.until(LOST)
+            crowd.wait_until(LOST)
             rig.kill("n0")
             addresses(rig, [])
-            crowd.until(BACK - 1)
+            crowd.wait_until(BACK - 1)
             rig.start("n0", wait=False)
             rig.wait(lambda: rig.log("n0").count("event=executor_up") > 1, 15, "up again")
-            crowd.until(BACK)
+            crowd.wait_until(BACK)
             cold_until[0] = time.monotonic() + COLD_TIME
             addresses(rig, ["n0"])
-            crowd.until(END + 7)
+            crowd.wait_until(END + 7)
         finally:
             got = crowd.end()
         before = sum(got.completed[at] for at in range(3, LOST - 6)) / (LOST - 9)
         series = [got.completed[at] / max(1.0, before) for at in range(END)]
         steady = staying(series, BACK, END)
-        asked = sum(got.wished[at] for at in range(BACK, END))
-        tries = sum(got.tries[at] for at in range(BACK, END))
+        asked = sum(got.requests[at] for at in range(BACK, END))
+        tries = sum(got.attempts[at] for at in range(BACK, END))
         done = sum(got.completed.values())
         return (
             habit,
@@ -94,9 +97,9 @@
         rig.end()
 
 
-def addresses(rig: Rig, names: list[str]) -> Path:
-    path = rig.place / "addresses"
-    new = rig.place / "addresses.new"
+def addresses(rig: ProcessFleet, names: list[str]) -> Path:
+    path = rig.directory / "addresses"
+    new = rig.directory / "addresses.new"
     new.write_text("".join("{}:{}\n".format(*rig.address(name)) for name in names))
     new.rename(path)
     return path
@@ -116,21 +119,21 @@
 def third(task: tuple[str, bool, int]) -> tuple:
     """Storms on or off, with the view of the fleet or without."""
     form, view, seed = task
-    rig = Rig(seed, 200, "serve", store=False)
+    rig = ProcessFleet(seed, 200, "serve", store=False)
     names = [f"n{at}" for at in range(12)]
     try:
         for name in names:
             server = rig.add(name, seeds=names[:2])
             words = FORMS[form]
             server.extra = "" if words is None else f"storms {{\n    {words}\n}}\n"
-            server.cpus, server.come_back_ms = 1, 5000.0
-            server.kernel = Kernel(1, lambda group, body: WORK)
+            server.cpus, server.max_retry_after_ms = 1, 5000.0
+            server.executor = StandInExecutor(1, lambda group, body: WORK)
         if not view:
             rig.write = lambda each: each.file.write_text(each.extra)  # type: ignore[method-assign]
         rig.start(*names, wait=view)
         for name in names:
             rig.wait(
-                lambda name=name: (rig.processes[name].place / "log").exists()
+                lambda name=name: (rig.processes[name].directory / "log").exists()
                 and "event=executor_up" in rig.log(name),
                 20,
                 "up",
@@ -138,35 +141,36 @@
         rate = 0.75 * len(names) / WORK
         path = addresses(rig, names)
         crowds = [
-            CrowdProcess(path, rate / 4, 60, HABITS["heed"], 10 * seed + at) for at in range(4)
+            RetryingClientsProcess(path, rate / 4, 60, HABITS["heed"], 10 * seed + at)
+            for at in range(4)
         ]
         try:
-            crowds[0].until(THIRD)
+            crowds[0].wait_until(THIRD)
             rig.kill(*names[:4])
             for name in names[:4]:
-                rig.processes[name].kernel.end()
+                rig.processes[name].executor.end()
             addresses(rig, names[4:])
-            crowds[0].until(BACK_AGAIN)
+            crowds[0].wait_until(BACK_AGAIN)
             for name in names[:4]:
-                rig.processes[name].kernel = Kernel(1, lambda group, body: WORK)
+                rig.processes[name].executor = StandInExecutor(1, lambda group, body: WORK)
             rig.start(*names[:4], wait=False)
             for name in names[:4]:
                 rig.wait(
                     lambda name=name: rig.log(name).count("event=executor_up") > 1, 20, "up again"
                 )
             addresses(rig, names)
-            crowds[0].until(WATCHED + 7)
+            crowds[0].wait_until(WATCHED + 7)
         finally:
             found = [crowd.end() for crowd in crowds]
         completed = [sum(got.completed[at] for got in found) for at in range(WATCHED)]
         before = mean([float(count) for count in completed[3 : THIRD - 1]])
         can = min(before, 8 / WORK)
         left = [count / can for count in completed]
-        told = [sum(got.told[at] for got in found) for at in range(10 * BACK_AGAIN)]
+        told = [sum(got.retry_after_times[at] for got in found) for at in range(10 * BACK_AGAIN)]
         after = told[10 * THIRD :]
         fullest = max(sum(after[at : at + 10]) for at in range(len(after) - 10))
-        tries = sum(got.tries[at] for got in found for at in range(THIRD, BACK_AGAIN))
-        wished = sum(got.wished[at] for got in found for at in range(THIRD, BACK_AGAIN))
+        tries = sum(got.attempts[at] for got in found for at in range(THIRD, BACK_AGAIN))
+        wished = sum(got.requests[at] for got in found for at in range(THIRD, BACK_AGAIN))
         taken = staying(left, THIRD, BACK_AGAIN + 3, 0.9)
         return (
             "with" if view else "without",
--- a/lilacwalk/testing/bgp_router.py
+++ b/lilacwalk/testing/bgp_router.py
@@ -1,5 +1,5 @@
 """A router that listens for speakers, holds what they announce, and records every message against the time
-and against what its owner says the node's state was. Its faults are scripted: each is a field of `Habits`."""
+and against what its owner says the node's state was. Its faults are scripted: each is a field of `RouterBehaviour`."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from lilacwalk.protocols.send_buffer import shut_down_socket
 
-PATIENCE = 10.0  # seconds until a wait for what never comes is given up: a failure, never a wait
+WAIT_TIMEOUT = (
+    10.0  # seconds until a wait for what never comes is given up: a failure, never a wait
+)
 
 
 @dataclass
-class Habits:
+class RouterBehaviour:
     asn: int = 65_020
     router_id: str = "127.0.0.20"
     hold: int = 9
     capabilities: Capabilities | None = None  # None: all that a good router knows
     restart: GracefulRestart | None = None
     keepalives: bool = True  # False: none after the OPEN, so the session never comes up
-    opens: bool = True
+    sends_open: bool = True
     reads: bool = True  # False: stops after the session is up
-    drip: float = 0.0  # seconds between single bytes of all that it sends
+    byte_interval: float = 0.0  # seconds between single bytes of all that it sends
     sends: list[bytes] = field(default_factory=list)  # raw, once the session is up
-    turn_away: int = 0  # connections closed at once, before it behaves
-    expires: bool = (
+    connections_to_reject: int = 0  # connections closed at once, before it behaves
+    enforces_hold_time: bool = (
         False  # ends a session that says nothing for its hold time, as a real router does
     )
     keep_stale: bool = False  # what a lost session announced stays until its End-of-RIB
 
-    def able(self) -> Capabilities:
+    def offered_capabilities(self) -> Capabilities:
         if self.capabilities is not None:
             return self.capabilities
         return Capabilities(
@@ -52,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class RouterEvent:
     """One message, or a session's `up` and `lost`."""
 
     at: float  # seconds, monotonic
@@ -73,12 +75,12 @@
 class BgpRouter:
     def __init__(
         self,
-        habits: Habits | None = None,
+        behaviour: RouterBehaviour | None = None,
         host: str = "127.0.0.1",
         state: Callable[[], str] = lambda: "",
     ) -> None:
-        self.habits, self.state = habits or Habits(), state
-        self.seen: list[Seen] = []
+        self.behaviour, self.state = behaviour or RouterBehaviour(), state
+        self.events: list[RouterEvent] = []
         self.held: dict[Prefix, Attributes] = {}  # what stands here now
         self.stale: set[Prefix] = set()
         self.changed = threading.Condition()
@@ -94,19 +96,19 @@
     def wait(self, ready: Callable[[], object], what: str = "") -> object:
         with self.changed:
             assert self.changed.wait_for(
-                ready, PATIENCE
-            ), f"{what or 'it'} did not come: {self.told()}"
+                ready, WAIT_TIMEOUT
+            ), f"{what or 'it'} did not come: {self.recent_events()}"
             return ready()
 
-    def told(self) -> list[str]:
-        return [f"{each.session}:{each.what}" for each in self.seen][-20:]
+    def recent_events(self) -> list[str]:
+        return [f"{each.session}:{each.what}" for each in self.events][-20:]
 
     def count(self, what: str) -> int:
-        return sum(each.what == what for each in self.seen)
+        return sum(each.what == what for each in self.events)
 
-    def wait_count(self, what: str, count: int = 1) -> Seen:
+    def wait_count(self, what: str, count: int = 1) -> RouterEvent:
         self.wait(lambda: self.count(what) >= count, f"{what} {count}")
-        return [each for each in self.seen if each.what == what][count - 1]
+        return [each for each in self.events if each.what == what][count - 1]
 
     def wait_held(self, *prefixes: str) -> None:
         wanted = {Prefix.of(each) for each in prefixes}
@@ -125,7 +127,7 @@
         """Opens a session from its own side."""
         sock = socket.socket()
         sock.bind((self.address[0], 0))
-        sock.settimeout(PATIENCE)
+        sock.settimeout(WAIT_TIMEOUT)
         sock.connect(address)
         sock.settimeout(None)
         threading.Thread(target=self._serve, args=(sock, "opened here"), daemon=True).start()
@@ -144,24 +146,24 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            if self.habits.turn_away:
-                self.habits.turn_away -= 1
+            if self.behaviour.connections_to_reject:
+                self.behaviour.connections_to_reject -= 1
                 sock.close()
                 continue
             threading.Thread(target=self._serve, args=(sock, "accepted"), daemon=True).start()
 
     def _note(self, session: int, what: str, message: object = None) -> None:
         with self.changed:
-            self.seen.append(Seen(time.monotonic(), session, what, message, self.state()))
+            self.events.append(RouterEvent(time.monotonic(), session, what, message, self.state()))
             self.changed.notify_all()
 
     def _say(self, sock: socket.socket, data: bytes) -> None:
-        if not self.habits.drip:
+        if not self.behaviour.byte_interval:
             sock.sendall(data)
             return
         for byte in data:
             sock.sendall(bytes((byte,)))
-            time.sleep(self.habits.drip)
+            time.sleep(self.behaviour.byte_interval)
 
     def _serve(self, sock: socket.socket, how: str) -> None:
         with self.changed:
@@ -169,15 +171,16 @@
             session = self.sessions
             self.socks.append(sock)
         self._note(session, how)
-        habits = self.habits
+        behaviour = self.behaviour
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            if habits.expires:
-                sock.settimeout(habits.hold)
-            if habits.opens:
-                able = habits.able()
+            if behaviour.enforces_hold_time:
+                sock.settimeout(behaviour.hold)
+            if behaviour.sends_open:
+                able = behaviour.offered_capabilities()
                 self._say(
-                    sock, messages.encode(Open(habits.asn, habits.hold, habits.router_id, able))
+                    sock,
+                    messages.encode(Open(behaviour.asn, behaviour.hold, behaviour.router_id, able)),
                 )
             self._read(sock, session)
         except (OSError, BgpError) as error:
@@ -187,27 +190,27 @@
             sock.close()
 
     def _read(self, sock: socket.socket, session: int) -> None:
-        habits, stream, agreed, up = self.habits, Stream(messages.EXTENDED), Agreed(), False
+        behaviour, stream, agreed, up = self.behaviour, Stream(messages.EXTENDED), Agreed(), False
         while chunk := sock.recv(65_536):
             for kind, body in stream.feed(chunk):
                 message = messages.decode(kind, body, agreed)
                 if isinstance(message, Open):
-                    agreed = Agreed.between(habits.able(), message.capabilities)
+                    agreed = Agreed.between(behaviour.offered_capabilities(), message.capabilities)
                     self._note(session, "open", message)
-                    if habits.keepalives:
+                    if behaviour.keepalives:
                         self._say(sock, messages.encode(Keepalive()))
                 elif isinstance(message, Keepalive):
                     self._note(session, "keepalive")
                     if not up:
                         up = True
                         self._note(session, "up")
-                        for data in habits.sends:
+                        for data in behaviour.sends:
                             self._say(sock, data)
-                        if not habits.reads:
+                        if not behaviour.reads:
                             with self.changed:
                                 self.changed.wait_for(lambda: self.over)
                             return
-                    elif habits.keepalives:
+                    elif behaviour.keepalives:
                         self._say(sock, messages.encode(Keepalive()))
                 elif isinstance(message, Update):
                     self._update(session, message)
@@ -238,7 +241,7 @@
     def _ended(self, session: int) -> None:
         with self.changed:
             if session == self.sessions:
-                if self.habits.keep_stale:
+                if self.behaviour.keep_stale:
                     self.stale |= set(self.held)
                 else:
                     self.held.clear()
--- a/lilacwalk/testing/dependency.py
+++ b/lilacwalk/testing/dependency.py
@@ -17,7 +17,7 @@
 CROWDED = 4  # times its slots in hand: from here on each call takes longer by the crowd's part
 
 
-class Index:
+class SharedDependency:
     def __init__(self, slots: int, work: float) -> None:
         self.slots, self.work = slots, work
         self.slowness = 1.0
@@ -25,7 +25,7 @@
         self.address = self.listener.getsockname()
         self.free = threading.Semaphore(slots)
         self.lock = threading.Lock()
-        self.in_hand = self.most = self.made = 0
+        self.in_flight = self.max_in_flight = self.calls_made = 0
         self.changes: list[tuple[float, int]] = []  # when, and how many were in hand from then on
         self.over = False
         threading.Thread(target=self._accept, daemon=True).start()
@@ -52,20 +52,20 @@
 
     def _answer(self) -> None:
         with self.lock:
-            self.in_hand += 1
-            self.made += 1
-            self.most = max(self.most, self.in_hand)
-            self.changes.append((time.monotonic(), self.in_hand))
-            crowd = max(1.0, self.in_hand / (CROWDED * self.slots))
+            self.in_flight += 1
+            self.calls_made += 1
+            self.max_in_flight = max(self.max_in_flight, self.in_flight)
+            self.changes.append((time.monotonic(), self.in_flight))
+            crowd = max(1.0, self.in_flight / (CROWDED * self.slots))
         try:
             with self.free:
                 time.sleep(self.work * self.slowness * crowd)
         finally:
             with self.lock:
-                self.in_hand -= 1
-                self.changes.append((time.monotonic(), self.in_hand))
+                self.in_flight -= 1
+                self.changes.append((time.monotonic(), self.in_flight))
 
-    def crowds(self, span: float, step: float) -> list[float]:
+    def mean_concurrency(self, span: float, step: float) -> list[float]:
         """The mean in hand over each window of `span` seconds, one every `step`."""
         with self.lock:
             changes = list(self.changes)
--- a/lilacwalk/testing/disk.py
+++ b/lilacwalk/testing/disk.py
@@ -13,7 +13,7 @@
     """The machine is gone in the middle of a step."""
 
 
-class BadDisk:
+class FaultyDisk:
     """`crash_at`: the step, counted from 1, in which it ends, part of that step done or not, as the seed
     says. What had been synced is there afterwards; of what had not, any prefix of each file, its last bytes
     perhaps spoilt."""
@@ -33,9 +33,9 @@
             raise OSError(self.fails[what], f"{what} fails here")
         return self.steps == self.crash_at
 
-    def crash(self) -> BadDisk:
+    def crash(self) -> FaultyDisk:
         """What is found after the machine is back: a good disk with the remains."""
-        after = BadDisk(self.rng.getrandbits(32))
+        after = FaultyDisk(self.rng.getrandbits(32))
         for name, data in self.files.items():
             if not self.named.get(name) and self.rng.random() < 0.5:
                 continue
--- a/lilacwalk/testing/executor.py
+++ b/lilacwalk/testing/executor.py
@@ -20,7 +20,7 @@
 OVER = 2.5
 
 
-class Kernel:
+class StandInExecutor:
     """Numbers its notices and replays them on a new link, as the protocol says. `ran` counts the runs by id,
     so that an effect had twice is seen."""
 
--- a/lilacwalk/testing/fleet.py
+++ b/lilacwalk/testing/fleet.py
@@ -26,11 +26,11 @@
 from typing import IO
 
 from lilacwalk.protocols.admin_socket import query
-from lilacwalk.testing.bgp_router import BgpRouter, Habits
+from lilacwalk.testing.bgp_router import BgpRouter, RouterBehaviour
 from lilacwalk.testing.datagram_switch import Faults, Stream, Switch
-from lilacwalk.testing.dependency import Index
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.site_settings import handed
+from lilacwalk.testing.dependency import SharedDependency
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.site_settings import make_process_config
 
 ROOT = Path(__file__).parent.parent.parent
 LOOK = 0.05  # seconds between two looks at what all believe
@@ -41,26 +41,26 @@
 class Process:
     name: str
     site: str
-    place: Path
-    real: tuple[str, int]
-    told: tuple[str, int]
+    directory: Path
+    listen_address: tuple[str, int]
+    advertised_address: tuple[str, int]
     seeds: tuple[str, ...]
     popen: subprocess.Popen | None = None
     stopped: bool = False
     full: bool = False
-    kernel: Kernel | None = None
-    index: Index | None = None  # shared: ended by whoever made it
+    executor: StandInExecutor | None = None
+    dependency: SharedDependency | None = None  # shared: ended by whoever made it
     call_share: float = 0.0  # its part of the calls in hand that the index survives
     starts: int = 0
-    held: socket.socket | None = None  # its port, until its first start
+    reserved_socket: socket.socket | None = None  # its port, until its first start
     extra: str = ""  # further lines of its file
-    called: str = ""  # the name in its file, where it is another
+    configured_name: str = ""  # the name in its file, where it is another
     cpus: int = 2  # of a whole app server
-    come_back_ms: float = 1000.0  # the longest that its denials may tell
+    max_retry_after_ms: float = 1000.0  # the longest that its denials may tell
     router: BgpRouter | None = None  # the stand-in that it announces to
     stream: Stream | None = None  # the link to it
     clock: Path | None = None  # how far its clock is off, in seconds; None: it is the machine's
-    passes: Path | None = None  # where it records how long its passes take
+    iteration_times_path: Path | None = None  # where it records how long its passes take
 
     @property
     def running(self) -> bool:
@@ -68,22 +68,22 @@
 
     @property
     def socket(self) -> str:
-        return str(self.place / "s")
+        return str(self.directory / "s")
 
     @property
     def file(self) -> Path:
-        return self.place / "conf"
+        return self.directory / "conf"
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class Observation:
     at: float  # seconds since the rig began
     name: str
     shown: dict
 
 
 @dataclass(eq=False)
-class Rig:
+class ProcessFleet:
     """`interval_ms`: the probe interval. Ended by `end`, which leaves nothing behind but what `keep`
     names."""
 
@@ -94,13 +94,13 @@
     store: bool = True
     program: tuple[str, ...] = ("lilacwalk",)  # the module that is started, with its words
     processes: dict[str, Process] = field(default_factory=dict)
-    looks: list[Look] = field(default_factory=list)
+    observations: list[Observation] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.place = Path(
+        self.directory = Path(
             tempfile.mkdtemp(prefix="lw-")
         )  # short: a Unix socket's path has 107 bytes at most
-        self.key = self.place / "key"
+        self.key = self.directory / "key"
         self.write_keys(secrets.token_hex(32))
         self.switch = Switch(self.seed)
         self.began = time.monotonic()
@@ -117,9 +117,9 @@
         site: str = "recife",
         seeds: Iterable[str] = (),
         extra: str = "",
-        called: str = "",
+        configured_name: str = "",
     ) -> Process:
-        place = self.place / name
+        place = self.directory / name
         place.mkdir()
         # Held until the process takes it: let go at once, it may become the switch's port for another.
         held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -127,18 +127,28 @@
         real = held.getsockname()
         told = self.switch.add(name, real)
         made = Process(
-            name, site, place, real, told, tuple(seeds), extra=extra, called=called, held=held
+            name,
+            site,
+            place,
+            real,
+            told,
+            tuple(seeds),
+            extra=extra,
+            configured_name=configured_name,
+            reserved_socket=held,
         )
         self.processes[name] = made
         return made
 
     def write(self, each: Process) -> None:
-        places = [self.processes[seed].told for seed in each.seeds if seed != each.name]
+        places = [
+            self.processes[seed].advertised_address for seed in each.seeds if seed != each.name
+        ]
         seeds = "\n".join(f"    seed {host}:{port}" for host, port in places)
-        store = f"    store {each.place}/store\n" if self.store else ""
+        store = f"    store {each.directory}/store\n" if self.store else ""
         each.file.write_text(
-            f"fleet {{\n    name {each.called or each.name}\n    site {each.site}\n"
-            f"    listen {each.real[0]}:{each.real[1]}\n    advertise {each.told[0]}:{each.told[1]}\n"
+            f"fleet {{\n    name {each.configured_name or each.name}\n    site {each.site}\n"
+            f"    listen {each.listen_address[0]}:{each.listen_address[1]}\n    advertise {each.advertised_address[0]}:{each.advertised_address[1]}\n"
             f"    key {self.key}\n{seeds}\n    probe-interval {self.interval_ms}ms\n"
             f"    socket {each.socket}\n{store}}}\n{each.extra}"
         )
@@ -149,9 +159,9 @@
             if each.running:
                 raise ValueError(f"{name} runs already")
             each.starts += 1
-            if each.held is not None:
-                each.held.close()
-                each.held = None
+            if each.reserved_socket is not None:
+                each.reserved_socket.close()
+                each.reserved_socket = None
             self.write(each)
             each.stopped = False
             arguments = [sys.executable, "-B", "-m", *self._launched(each)]
@@ -175,7 +185,7 @@
             )
             # through a pipe: a process whose files may not grow still has something to say
             threading.Thread(
-                target=copy, args=(each.popen.stdout, each.place / "log"), daemon=True
+                target=copy, args=(each.popen.stdout, each.directory / "log"), daemon=True
             ).start()
             if self.kind == "run":
                 self.tell(name, state)
@@ -186,18 +196,18 @@
                 )
 
     def _launched(self, each: Process) -> list[str]:
-        if each.clock is None and each.passes is None:
+        if each.clock is None and each.iteration_times_path is None:
             return list(self.program)
         words = ["lilacwalk.testing.process_launcher"]
-        for word, path in (("--clock", each.clock), ("--passes", each.passes)):
+        for word, path in (("--clock", each.clock), ("--passes", each.iteration_times_path)):
             words += [word, str(path)] if path is not None else []
         return [*words, "--"]
 
-    def announces(self, name: str, service: str, hold: int = 3) -> str:
+    def add_router(self, name: str, service: str, hold: int = 3) -> str:
         """Gives it a stand-in router, with a link of its own that can be cut; the announce block for its
         file."""
         each = self.processes[name]
-        each.router = BgpRouter(Habits(hold=hold, expires=True))
+        each.router = BgpRouter(RouterBehaviour(hold=hold, enforces_hold_time=True))
         each.stream = Stream(each.router.address)
         host, port = each.stream.address
         return (
@@ -207,22 +217,24 @@
         )
 
     def _handed(self, each: Process) -> Path:
-        if each.kernel is None:
-            each.kernel = Kernel(2)
-        given = handed(each.kernel.address) | {"name": each.called or each.name}
+        if each.executor is None:
+            each.executor = StandInExecutor(2)
+        given = make_process_config(each.executor.address) | {
+            "name": each.configured_name or each.name
+        }
         info = given["settings"]["family_info"]
         info["cpus"] = each.cpus
-        given["settings"]["limits"]["max_retry_after_ms"] = each.come_back_ms
-        if each.index is not None:
-            given["index"] = "{}:{}".format(*each.index.address)
+        given["settings"]["limits"]["max_retry_after_ms"] = each.max_retry_after_ms
+        if each.dependency is not None:
+            given["index"] = "{}:{}".format(*each.dependency.address)
             groups = [group["name"] for group in given["settings"]["classes"]]
             info |= {
                 "below": "common",
-                "calls_by_class": [name in each.kernel.calls for name in groups],
+                "calls_by_class": [name in each.executor.calls for name in groups],
                 "call_share": each.call_share,
                 "calls_over_ms": 1000.0,
             }
-        path = each.place / "handed.json"
+        path = each.directory / "handed.json"
         path.write_text(json.dumps(given))
         return path
 
@@ -247,7 +259,7 @@
             self.processes[name].popen.send_signal(signal.SIGSTOP)
             self.processes[name].stopped = True
 
-    def go_on(self, *names: str) -> None:
+    def resume(self, *names: str) -> None:
         for name in names:
             self.processes[name].popen.send_signal(signal.SIGCONT)
             self.processes[name].stopped = False
@@ -279,10 +291,10 @@
         start on."""
         each = self.processes[name]
         if each.clock is None:
-            each.clock = each.place / "clock"
+            each.clock = each.directory / "clock"
         each.clock.write_text(f"{seconds}")
 
-    def weather(self, name: str, **faults: float) -> None:
+    def impair(self, name: str, **faults: float) -> None:
         self.switch.ports[name].faults = Faults(**faults)
 
     def heal(self) -> None:
@@ -311,7 +323,7 @@
             return None
         if not isinstance(found, dict) or "error" in found:
             return None
-        self.looks.append(Look(time.monotonic() - self.began, name, found))
+        self.observations.append(Observation(time.monotonic() - self.began, name, found))
         return found
 
     def up(self) -> list[str]:
@@ -323,7 +335,7 @@
     def settled(self, names: Iterable[str] | None = None) -> bool:
         """All digests equal, all say that they are settled, and what they say is true."""
         names = list(self.up() if names is None else names)
-        true = {self.processes[name].called or name for name in names}
+        true = {self.processes[name].configured_name or name for name in names}
         found = self.all_shown(names)
         shown = [each for each in found.values() if each is not None]
         if len(shown) < len(names) or len({each["digest"] for each in shown}) != 1:
@@ -350,7 +362,7 @@
         return time.monotonic() - began
 
     def log(self, name: str) -> str:
-        return (self.processes[name].place / "log").read_text()
+        return (self.processes[name].directory / "log").read_text()
 
     def address(self, name: str, event: str = "event=started") -> tuple[str, int]:
         """Where a whole app server takes exchanges, in this life; or, by another event of its log, listens
@@ -368,20 +380,20 @@
             if each.popen is not None:
                 each.popen.wait()
                 each.popen.stdin.close()
-            if each.held is not None:
-                each.held.close()
-            for party in (each.kernel, each.stream, each.router):
+            if each.reserved_socket is not None:
+                each.reserved_socket.close()
+            for party in (each.executor, each.stream, each.router):
                 if party is not None:
                     party.end()
         self.switch.end()
         if self.keep is not None:
             shutil.copytree(
-                self.place,
+                self.directory,
                 self.keep,
                 dirs_exist_ok=True,
                 ignore=lambda place, names: [name for name in names if name in ("s", "key")],
             )
-        shutil.rmtree(self.place, ignore_errors=True)
+        shutil.rmtree(self.directory, ignore_errors=True)
 
 
 def present(shown: dict) -> set[str]:
--- a/lilacwalk/testing/lossy_proxy.py
+++ b/lilacwalk/testing/lossy_proxy.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class LinkConditions:
     """Times in seconds, rates in bytes a second; each chance is for one chunk of a link."""
 
     delay: float = 0.05
@@ -29,7 +29,7 @@
 
 
 class Proxy:
-    def __init__(self, to: tuple[str, int], weather: Weather, seed: int) -> None:
+    def __init__(self, to: tuple[str, int], weather: LinkConditions, seed: int) -> None:
         self.to, self.weather, self.rng = to, weather, random.Random(seed)
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address = self.listener.getsockname()
@@ -144,7 +144,7 @@
     def __init__(
         self,
         to: tuple[str, int],
-        weather: Weather,
+        weather: LinkConditions,
         seed: int,
         loss: float = 0.5,
         double: float = 0.02,
--- a/lilacwalk/testing/proxy_client.py
+++ b/lilacwalk/testing/proxy_client.py
@@ -13,7 +13,7 @@
 IDENTS = count(1)
 
 
-class Till:
+class ProxyClient:
     def __init__(self, address: tuple[str, int], customer: str = "acme") -> None:
         self.customer = customer
         self.sock = socket.create_connection(address, 10.0)
--- a/lilacwalk/testing/retrying_clients.py
+++ b/lilacwalk/testing/retrying_clients.py
@@ -7,9 +7,9 @@
     python -m lilacwalk.testing.retrying_clients ORDERS
 
 ORDERS is a JSON object: `addresses` (a file with a line for each app server, read again when it changes; a
-caller stays with one until its connection is lost), `rate`, `callers`, `habits`, `seed`, `group`. It says
+caller stays with one until its connection is lost), `rate`, `callers`, `behaviour`, `seed`, `group`. It says
 `began` with the monotonic clock on standard output, ends when its standard input does, and then prints what
-its clients got as one JSON object (`CrowdProcess` reads it)."""
+its clients got as one JSON object (`RetryingClientsProcess` reads it)."""
 
 from __future__ import annotations
 
@@ -26,62 +26,62 @@
 from itertools import count
 from pathlib import Path
 
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.proxy_client import ProxyClient
 
 LOOK = 0.002  # seconds between two looks for answers
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class RetryBehaviour:
     """Seconds."""
 
-    heeds: bool = True  # comes back when told
-    marks: bool = True  # says that it asks again
-    patience: float = 6.0
-    timeout: float = 1.0  # of one try
-    again: float = 0.2  # after silence, or where no time is told or heeded
-    most: int = 60  # tries of one wish
+    honours_retry_after: bool = True  # comes back when told
+    marks_retries: bool = True  # says that it asks again
+    request_timeout: float = 6.0
+    attempt_timeout: float = 1.0  # of one try
+    retry_delay: float = 0.2  # after silence, or where no time is told or heeded
+    max_attempts: int = 60  # tries of one wish
 
 
 @dataclass(eq=False, slots=True)
-class Wish:
+class ClientRequest:
     number: int
     born: float
     caller: int
     tries: int = 0
     tag: int = 0
-    till: Till | None = None
+    proxy_client: ProxyClient | None = None
     until: float = 0.0
 
 
 @dataclass(slots=True)
-class Got:
-    wished: Counter[int] = field(default_factory=Counter)  # by second
+class ClientCounts:
+    requests: Counter[int] = field(default_factory=Counter)  # by second
     completed: Counter[int] = field(default_factory=Counter)
     late: Counter[int] = field(
         default_factory=Counter
     )  # after its wish was given up: work for nobody
-    tries: Counter[int] = field(default_factory=Counter)  # by the second of the try
+    attempts: Counter[int] = field(default_factory=Counter)  # by the second of the try
     # by the tenth of a second for which a denial told to come back
-    told: Counter[int] = field(default_factory=Counter)
+    retry_after_times: Counter[int] = field(default_factory=Counter)
 
 
-class Crowd:
+class RetryingClients:
     def __init__(
         self,
         where: Callable[[], tuple[str, int] | None],
         rate: float,
         callers: int,
-        habits: Habits,
+        behaviour: RetryBehaviour,
         seed: int,
         group: str = "look",
     ) -> None:
         """`where`: the app server's address now; None while there is none. `rate`: wishes a second."""
-        self.where, self.rate, self.habits, self.group = where, rate, habits, group
+        self.where, self.rate, self.behaviour, self.group = where, rate, behaviour, group
         self.rng = random.Random(seed)
         self.callers = callers
-        self.tills: dict[int, Till] = {}
-        self.got = Got()
+        self.proxy_clients: dict[int, ProxyClient] = {}
+        self.counts = ClientCounts()
         self.began = time.monotonic()
         self.over = threading.Event()
         self.numbers = count(1)
@@ -95,33 +95,38 @@
     def end(self) -> None:
         self.over.set()
         self.thread.join(5.0)
-        for till in self.tills.values():
-            till.end()
+        for proxy_client in self.proxy_clients.values():
+            proxy_client.end()
 
     def service(self, second: int) -> float:
         """Of the wishes of this second, the part that was granted in its patience."""
-        return self.got.completed[second] / max(1, self.got.wished[second])
+        return self.counts.completed[second] / max(1, self.counts.requests[second])
 
     # Its thread
 
     def _run(self) -> None:
-        due: list[tuple[float, int, Wish]] = []
-        out: dict[int, Wish] = {}
+        due: list[tuple[float, int, ClientRequest]] = []
+        out: dict[int, ClientRequest] = {}
         next_wish = 0.0
         while not self.over.is_set():
             now = self.now
             while next_wish <= now:
-                wish = Wish(next(self.numbers), next_wish, self.rng.randrange(self.callers))
-                self.got.wished[int(next_wish)] += 1
+                wish = ClientRequest(
+                    next(self.numbers), next_wish, self.rng.randrange(self.callers)
+                )
+                self.counts.requests[int(next_wish)] += 1
                 heapq.heappush(due, (next_wish, wish.number, wish))
                 next_wish += self.rng.expovariate(self.rate)
             while due and due[0][0] <= now:
                 wish = heapq.heappop(due)[2]
-                if now - wish.born < self.habits.patience and wish.tries < self.habits.most:
+                if (
+                    now - wish.born < self.behaviour.request_timeout
+                    and wish.tries < self.behaviour.max_attempts
+                ):
                     if self._try(wish, now):
                         out[wish.number] = wish
                     else:
-                        heapq.heappush(due, (now + self.habits.again, wish.number, wish))
+                        heapq.heappush(due, (now + self.behaviour.retry_delay, wish.number, wish))
             for number, wish in list(out.items()):
                 if (wait := self._ended(wish, now)) is not None:
                     del out[number]
@@ -129,20 +134,22 @@
                         heapq.heappush(due, (now + wait, wish.number, wish))
             time.sleep(LOOK)
 
-    def _try(self, wish: Wish, now: float) -> bool:
+    def _try(self, wish: ClientRequest, now: float) -> bool:
         """Whether it was sent."""
         wish.tries += 1
-        self.got.tries[int(now)] += 1
-        till = self.tills.get(wish.caller)
+        self.counts.attempts[int(now)] += 1
+        proxy_client = self.proxy_clients.get(wish.caller)
         try:
-            if till is None or till.gone:
+            if proxy_client is None or proxy_client.gone:
                 address = self.where()
                 if address is None:
                     return False
-                till = self.tills[wish.caller] = Till(address)
-            wait = min(self.habits.timeout, self.habits.patience - (now - wish.born))
-            marked = {"r": 1} if self.habits.marks and wish.tries > 1 else {}
-            wish.tag = till.ask(
+                proxy_client = self.proxy_clients[wish.caller] = ProxyClient(address)
+            wait = min(
+                self.behaviour.attempt_timeout, self.behaviour.request_timeout - (now - wish.born)
+            )
+            marked = {"r": 1} if self.behaviour.marks_retries and wish.tries > 1 else {}
+            wish.tag = proxy_client.ask(
                 self.group,
                 b"wish %d" % wish.number,
                 max(1, int(wait * 1000)),
@@ -153,27 +160,31 @@
             OSError,
             IndexError,
         ):  # IndexError: a new life that has not said yet where it listens
-            self.tills.pop(wish.caller, None)
+            self.proxy_clients.pop(wish.caller, None)
             return False
-        wish.till, wish.until = till, now + wait
+        wish.proxy_client, wish.until = proxy_client, now + wait
         return True
 
-    def _ended(self, wish: Wish, now: float) -> float | None:
+    def _ended(self, wish: ClientRequest, now: float) -> float | None:
         """Seconds until it is tried again; negative: it is over; None: it waits for its answer."""
-        with wish.till.changed:
-            found = wish.till.answers.pop(wish.tag, None)
+        with wish.proxy_client.changed:
+            found = wish.proxy_client.answers.pop(wish.tag, None)
         if found is None:
-            if wish.till.gone or now > wish.until:
-                return self.habits.again
+            if wish.proxy_client.gone or now > wish.until:
+                return self.behaviour.retry_delay
             return None
-        told = wish.till.come_back.pop(wish.tag, 0.0)
+        told = wish.proxy_client.come_back.pop(wish.tag, 0.0)
         if told:
-            self.got.told[int(10 * (now + told))] += 1
+            self.counts.retry_after_times[int(10 * (now + told))] += 1
         if found[0][1] == "done":
-            table = self.got.completed if now - wish.born <= self.habits.patience else self.got.late
+            table = (
+                self.counts.completed
+                if now - wish.born <= self.behaviour.request_timeout
+                else self.counts.late
+            )
             table[int(wish.born)] += 1
             return -1.0
-        return told if told and self.habits.heeds else self.habits.again
+        return told if told and self.behaviour.honours_retry_after else self.behaviour.retry_delay
 
 
 class Addresses:
@@ -192,7 +203,7 @@
         return self.rng.choice(self.found) if self.found else None
 
 
-class CrowdProcess:
+class RetryingClientsProcess:
     """A crowd in a process of its own."""
 
     def __init__(
@@ -200,7 +211,7 @@
         addresses: Path,
         rate: float,
         callers: int,
-        habits: Habits,
+        behaviour: RetryBehaviour,
         seed: int,
         group: str = "look",
     ) -> None:
@@ -208,7 +219,7 @@
             "addresses": str(addresses),
             "rate": rate,
             "callers": callers,
-            "habits": asdict(habits),
+            "behaviour": asdict(behaviour),
             "seed": seed,
             "group": group,
         }
@@ -225,10 +236,10 @@
     def now(self) -> float:
         return time.monotonic() - self.began
 
-    def until(self, second: float) -> None:
+    def wait_until(self, second: float) -> None:
         time.sleep(max(0.0, second - self.now))
 
-    def end(self) -> Got:
+    def end(self) -> ClientCounts:
         """What they got. Ends the process whatever happens."""
         try:
             text, _ = self.popen.communicate(timeout=15.0)
@@ -236,7 +247,7 @@
             if self.popen.poll() is None:
                 self.popen.kill()
                 self.popen.wait()
-        return Got(
+        return ClientCounts(
             *(
                 Counter({int(second): count for second, count in table.items()})
                 for table in json.loads(text)
@@ -246,19 +257,19 @@
 
 def main() -> None:
     orders = json.loads(sys.argv[1])
-    crowd = Crowd(
+    crowd = RetryingClients(
         Addresses(orders["addresses"], orders["seed"]),
         orders["rate"],
         orders["callers"],
-        Habits(**orders["habits"]),
+        RetryBehaviour(**orders["behaviour"]),
         orders["seed"],
         orders["group"],
     )
     print(f"began {crowd.began}", flush=True)
     sys.stdin.read()
     crowd.end()
-    got = crowd.got
-    print(json.dumps([got.wished, got.completed, got.late, got.tries, got.told]))
+    got = crowd.counts
+    print(json.dumps([got.requests, got.completed, got.late, got.attempts, got.retry_after_times]))
 
 
 if __name__ == "__main__":
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -58,7 +58,7 @@
 from lilacwalk.operator.syntax import Statement, parse_statements
 from lilacwalk.operator.units import parse_duration
 from lilacwalk.protocols.admin_socket import query
-from lilacwalk.testing.fleet import Rig
+from lilacwalk.testing.fleet import ProcessFleet
 from lilacwalk.testing.site_outage import BENEFIT, SITES, Outage
 
 SECOND = 10_000
@@ -447,11 +447,11 @@
             )
             self.rig = self.outage.rig
         else:
-            self.rig = Rig(seed, script.interval_ms, script.kind, keep, script.store)
+            self.rig = ProcessFleet(seed, script.interval_ms, script.kind, keep, script.store)
             for at, name in enumerate(names):
                 made = self.rig.add(name, script.site_of(at), names[: script.seeds])
                 if script.announce:
-                    made.extra = self.rig.announces(name, f"192.0.2.{at + 1}/32")
+                    made.extra = self.rig.add_router(name, f"192.0.2.{at + 1}/32")
         self.third = set(random.Random(seed).sample(names, max(1, script.members // 3)))
         self.verdicts: list[Verdict] = []
 
@@ -489,7 +489,7 @@
         self.rig.stop(*who)
 
     def do_continue(self, step: Step, who: list[str]) -> None:
-        self.rig.go_on(*who)
+        self.rig.resume(*who)
 
     def do_leave(self, step: Step, who: list[str]) -> None:
         codes = self.rig.leave(*who)
@@ -519,11 +519,11 @@
 
     def do_loss(self, step: Step, who: list[str]) -> None:
         for name in who:
-            self.rig.weather(name, loss=step.share)
+            self.rig.impair(name, loss=step.share)
 
     def do_delay(self, step: Step, who: list[str]) -> None:
         for name in who:
-            self.rig.weather(name, delay=step.time)
+            self.rig.impair(name, delay=step.time)
 
     def do_heal(self, step: Step, who: list[str]) -> None:
         self.rig.heal()
@@ -548,7 +548,7 @@
         self.outage.slowness.update(dict.fromkeys(who, step.share))
 
     def do_slow_shared(self, step: Step, who: list[str]) -> None:
-        self.outage.index.slowness = step.share
+        self.outage.dependency.slowness = step.share
 
     def do_order(self, step: Step, who: list[str]) -> None:
         name = next(name for name in self.rig.up())
@@ -583,13 +583,16 @@
 
     def do_stood_in(self, step: Step, who: list[str]) -> None:
         self.until(
-            step, lambda: "" if all(map(self.outage.stand_ins, step.who)) else "nobody stands in"
+            step,
+            lambda: "" if all(map(self.outage.failover_nodes, step.who)) else "nobody stands in",
         )
 
     def do_home(self, step: Step, who: list[str]) -> None:
         self.until(
             step,
-            lambda: " ".join(name for site in step.who for name in self.outage.stand_ins(site)),
+            lambda: " ".join(
+                name for site in step.who for name in self.outage.failover_nodes(site)
+            ),
         )
 
     def do_service(self, step: Step, who: list[str]) -> None:
@@ -619,16 +622,23 @@
         )
 
     def do_hold_calls(self, step: Step, who: list[str]) -> None:
-        before, began = self.outage.index.made, time.monotonic()
+        before, began = self.outage.dependency.calls_made, time.monotonic()
         time.sleep(step.time)
-        rate = (self.outage.index.made - before) / (time.monotonic() - began)
-        part = rate * self.outage.index.slowness / self.outage.shared
+        rate = (self.outage.dependency.calls_made - before) / (time.monotonic() - began)
+        part = rate * self.outage.dependency.slowness / self.outage.shared
         self.judge(
             Verdict(step, part <= step.share, step.time, f"{part:.0%}: {rate:.0f} calls a second")
         )
 
     def do_hold_once(self, step: Step, who: list[str]) -> None:
-        self.judge(Verdict(step, not self.outage.twice(), 0.0, f"{self.outage.twice()} done twice"))
+        self.judge(
+            Verdict(
+                step,
+                not self.outage.count_duplicate_effects(),
+                0.0,
+                f"{self.outage.count_duplicate_effects()} done twice",
+            )
+        )
 
     def watched(self, step: Step) -> tuple[int, int]:
         """The whole seconds of the time that begins now, when it is over and mostly answered."""
--- a/lilacwalk/testing/site_outage.py
+++ b/lilacwalk/testing/site_outage.py
@@ -15,10 +15,10 @@
 
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.testing.bgp_router import BgpRouter
-from lilacwalk.testing.dependency import Index
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.fleet import Rig
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.dependency import SharedDependency
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.fleet import ProcessFleet
+from lilacwalk.testing.proxy_client import ProxyClient
 
 SITES = ("recife", "caruaru", "natal")
 EFFECTS = {"look": "repeatable", "swap": "deduplicated", "move": "mutating"}  # likewise
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Going:
-    till: Till
+    proxy_client: ProxyClient
     tag: int
     second: Second
     group: str
@@ -87,11 +87,15 @@
         self.rng = random.Random(seed)
         self.nodes, self.work, self.late = nodes, work, late
         self.guests, self.shared, self.guest_worth = plan and guests, shared, guest_worth
-        self.index = Index(max(1, round(shared * INDEX_TIME)), INDEX_TIME) if shared else None
+        self.dependency = (
+            SharedDependency(max(1, round(shared * INDEX_TIME)), INDEX_TIME) if shared else None
+        )
         self.rate = {site: load * nodes / work for site in SITES}
-        self.rig = Rig(seed, interval_ms, "serve", keep)
+        self.rig = ProcessFleet(seed, interval_ms, "serve", keep)
         self.routers: dict[str, BgpRouter] = {}
-        self.tills: dict[tuple[str, str], Till] = {}  # by node and the site whose users ask
+        self.proxy_clients: dict[
+            tuple[str, str], ProxyClient
+        ] = {}  # by node and the site whose users ask
         self.seconds: dict[str, dict[int, Second]] = {site: {} for site in SITES}
         self.going: deque[Going] = deque()
         self.known: deque[tuple[float, dict[str, dict[str, int]]]] = deque()
@@ -103,27 +107,27 @@
             for at in range(nodes):
                 name = f"{site[0]}{at}"
                 process = self.rig.add(name, site, (names[0], names[nodes]))
-                process.extra = self.rig.announces(name, service(site)) + (
+                process.extra = self.rig.add_router(name, service(site)) + (
                     self._sites(load if plan_load is None else plan_load) if plan else ""
                 )
                 if kept:
                     process.extra += (
-                        f"store {{\n    directory {process.place}/kept\n    unkept {kept}\n}}\n"
+                        f"store {{\n    directory {process.directory}/kept\n    unkept {kept}\n}}\n"
                     )
                 self.routers[name] = process.router
-                process.kernel = self._kernel(name)
+                process.executor = self._kernel(name)
                 process.cpus = 1
-                if self.index is not None:
-                    process.index, process.call_share = (
-                        self.index,
-                        2 * self.index.slots / len(names),
+                if self.dependency is not None:
+                    process.dependency, process.call_share = (
+                        self.dependency,
+                        2 * self.dependency.slots / len(names),
                     )
 
-    def _kernel(self, name: str) -> Kernel:
-        return Kernel(
+    def _kernel(self, name: str) -> StandInExecutor:
+        return StandInExecutor(
             1,
             lambda group, body: self.work * self.slowness.get(name, 1.0),
-            calls=CALLS if self.index is not None else (),
+            calls=CALLS if self.dependency is not None else (),
         )
 
     def _sites(self, load: float) -> str:
@@ -140,7 +144,7 @@
             f"        effect {EFFECTS[group]}\n    }}\n"
             for group, benefit in BENEFIT.items()
         )
-        shared = f"    shared index {self.shared:g}\n{kinds}" if self.index is not None else ""
+        shared = f"    shared index {self.shared:g}\n{kinds}" if self.dependency is not None else ""
         return (
             f"sites {{\n{blocks}\n{shared}    headroom 0.05\n    guest-worth {self.guest_worth:g}\n"
             "    pace {\n        steady 1s\n        step 1s\n    }\n}\n"
@@ -169,7 +173,7 @@
         ]
         self.rig.kill(*names)
         for name in names:
-            self.rig.processes[name].kernel.end()
+            self.rig.processes[name].executor.end()
             self._forget(name)
 
     def cut_off(self, site: str, cut: bool = True) -> None:
@@ -185,17 +189,17 @@
             name for name, each in self.rig.processes.items() if each.site in who or name in who
         ]
         for name in names:
-            self.rig.processes[name].kernel = self._kernel(name)
+            self.rig.processes[name].executor = self._kernel(name)
         self.rig.start(*names, wait=False)
 
     def end(self) -> None:
         self.over.set()
         time.sleep(0.05)
-        for till in list(self.tills.values()):
-            till.end()
+        for proxy_client in list(self.proxy_clients.values()):
+            proxy_client.end()
         self.rig.end()
-        if self.index is not None:
-            self.index.end()
+        if self.dependency is not None:
+            self.dependency.end()
 
     @property
     def now(self) -> float:
@@ -245,43 +249,45 @@
             return
         name = rng.choice(names)
         try:
-            till = self._till(name, site)
-            tag = till.ask(group, wait_ms=WAIT_MS)
+            proxy_client = self._proxy_client(name, site)
+            tag = proxy_client.ask(group, wait_ms=WAIT_MS)
         except (OSError, KeyError, IndexError):
-            self.tills.pop((name, site), None)
+            self.proxy_clients.pop((name, site), None)
             second.other[group] += 1
             return
         self.going.append(
-            Going(till, tag, second, group, time.monotonic() + WAIT_MS / 1000 + 1, site, tried)
+            Going(
+                proxy_client, tag, second, group, time.monotonic() + WAIT_MS / 1000 + 1, site, tried
+            )
         )
 
-    def _till(self, name: str, site: str) -> Till:
+    def _proxy_client(self, name: str, site: str) -> ProxyClient:
         """Users of another site reach the node under their own site's service address."""
-        till = self.tills.get((name, site))
-        if till is None or till.gone:
+        proxy_client = self.proxy_clients.get((name, site))
+        if proxy_client is None or proxy_client.gone:
             guests = self.guests and self.rig.processes[name].site != site
             event = f"event=failover_listener_started site={site}" if guests else "event=started"
-            made = Till(self.rig.address(name, event))
-            till = self.tills[name, site] = made
-        return till
+            made = ProxyClient(self.rig.address(name, event))
+            proxy_client = self.proxy_clients[name, site] = made
+        return proxy_client
 
     def _forget(self, name: str) -> None:
-        for key in [key for key in list(self.tills) if key[0] == name]:
-            self.tills.pop(key, None)
+        for key in [key for key in list(self.proxy_clients) if key[0] == name]:
+            self.proxy_clients.pop(key, None)
 
     def _collect(self) -> None:
         rng = random.Random(self.rng.random())
         while not self.over.wait(0.01):
             for _ in range(len(self.going)):
                 each = self.going.popleft()
-                found = each.till.answers.pop(each.tag, None)
+                found = each.proxy_client.answers.pop(each.tag, None)
                 if found is not None:
                     word = found[0][1]
                     table = {"done": each.second.completed, "later": each.second.denied}
                     table.get(word, each.second.other)[each.group] += 1
-                elif each.till.gone and each.group == "look" and not each.tried:
+                elif each.proxy_client.gone and each.group == "look" and not each.tried:
                     self._try(each.site, each.group, each.second, rng, 1)
-                elif each.till.gone or time.monotonic() > each.until:
+                elif each.proxy_client.gone or time.monotonic() > each.until:
                     each.second.other[each.group] += 1
                 else:
                     self.going.append(each)
@@ -313,7 +319,7 @@
             1, sum(row.offered[group] for row in rows)
         )
 
-    def stand_ins(self, site: str) -> set[str]:
+    def failover_nodes(self, site: str) -> set[str]:
         """The nodes of other sites that announce its service."""
         prefix = Prefix.of(service(site))
         return {
@@ -322,11 +328,11 @@
             if prefix in router.held and self.rig.processes[name].site != site
         }
 
-    def twice(self) -> int:
+    def count_duplicate_effects(self) -> int:
         """Effects done more than once, of all kernels that are there."""
         return sum(
             count > 1
             for each in self.rig.processes.values()
-            if each.kernel is not None
-            for count in each.kernel.ran.values()
+            if each.executor is not None
+            for count in each.executor.ran.values()
         )
--- a/lilacwalk/testing/site_settings.py
+++ b/lilacwalk/testing/site_settings.py
@@ -43,7 +43,7 @@
 }
 
 
-def handed(
+def make_process_config(
     kernel: tuple[str, int],
     listen: str = "127.0.0.1:0",
     memory_mb: float = 192.0,
--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -15,7 +15,7 @@
 from lilacwalk.bgp.speaker_io import Speaker
 from lilacwalk.bgp.speaker_state import Speaking
 from lilacwalk.operator.loader import parse_operator_file
-from lilacwalk.testing.bgp_router import BgpRouter, Habits
+from lilacwalk.testing.bgp_router import BgpRouter, RouterBehaviour
 
 SECOND = 10_000
 US, THEM = 65_010, 65_020
@@ -154,8 +154,8 @@
 def make_router():
     routers = []
 
-    def make(state=lambda: "", host="127.0.0.1", **habits):
-        routers.append(BgpRouter(Habits(**habits), host, state))
+    def make(state=lambda: "", host="127.0.0.1", **behaviour):
+        routers.append(BgpRouter(RouterBehaviour(**behaviour), host, state))
         return routers[-1]
 
     yield make
--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -64,7 +64,7 @@
     link.sock.close()
     router.wait_held()
     assert (
-        router.seen[-1].message.withdrawn and router.count("announced") == 2
+        router.events[-1].message.withdrawn and router.count("announced") == 2
     )  # less wanted in between
 
 
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -23,7 +23,7 @@
 from lilacwalk.bgp.speaker_io import Bounds
 from lilacwalk.commands import lilacwalk
 from lilacwalk.protocols.admin_socket import query
-from lilacwalk.testing.bgp_router import PATIENCE, table
+from lilacwalk.testing.bgp_router import WAIT_TIMEOUT, table
 from tests.bgp.conftest import THEM, orders, peer_block, update
 
 SERVICE = "192.0.2.10/32"
@@ -31,14 +31,14 @@
 
 
 def beside(*routers, more="", peer=(), **changed):
-    blocks = "".join(peer_block(each.address, each.habits.asn, *peer) for each in routers)
+    blocks = "".join(peer_block(each.address, each.behaviour.asn, *peer) for each in routers)
     return orders(blocks + more, **changed)
 
 
 def until(speaker, question):
     """Asked again and again, each time answered by the speaker's thread between two of its passes."""
-    give_up = time.monotonic() + PATIENCE
-    while not speaker.ask(question, PATIENCE):
+    give_up = time.monotonic() + WAIT_TIMEOUT
+    while not speaker.ask(question, WAIT_TIMEOUT):
         assert time.monotonic() < give_up
 
 
@@ -54,12 +54,12 @@
     for router in routers:
         router.wait_held(SERVICE)
     speaker.leave(5000)
-    assert listener.wait(PATIENCE) and 0 < left[0] <= 500
+    assert listener.wait(WAIT_TIMEOUT) and 0 < left[0] <= 500
     for router in routers:
         router.wait_held()
         told = [
             each.message.reached[0][0].communities
-            for each in router.seen
+            for each in router.events
             if each.what == "announced"
         ]
         assert told == [(), (GRACEFUL_SHUTDOWN,)]
@@ -73,7 +73,7 @@
 
 
 def test_a_router_that_comes_up_late_is_told_then(make_router, make_speaker):
-    router = make_router(turn_away=3)
+    router = make_router(connections_to_reject=3)
     make_speaker(beside(router)).node(Node.READY)
     router.wait_held(SERVICE)
     router.drop()
@@ -140,7 +140,7 @@
 def test_a_peer_that_drips_one_byte_at_a_time_is_understood_and_holds_up_nobody(
     make_router, make_speaker
 ):
-    slow, good = make_router(drip=0.002), make_router(asn=65021)
+    slow, good = make_router(byte_interval=0.002), make_router(asn=65021)
     make_speaker(beside(slow, good)).node(Node.READY)
     good.wait_held(SERVICE)
     slow.wait_held(SERVICE)
@@ -160,7 +160,7 @@
     router = make_router(host="127.0.0.7")
     speaker = make_speaker(beside(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n"))
     speaker.node(Node.READY)
-    stranger = socket.create_connection(speaker.listener.getsockname(), PATIENCE)
+    stranger = socket.create_connection(speaker.listener.getsockname(), WAIT_TIMEOUT)
     assert stranger.recv(100)[18:21] == b"\3\6\5"
     assert router.sessions == 0
     router.connect(speaker.listener.getsockname())
@@ -197,7 +197,7 @@
         raise RuntimeError("a defect, made here")
 
     speaker.inbox.put((fail,))
-    assert speaker.over.wait(PATIENCE)
+    assert speaker.over.wait(WAIT_TIMEOUT)
 
 
 def test_a_defect_in_the_speaker_closes_its_sessions_so_that_no_route_stays(
@@ -353,9 +353,9 @@
     else:
         command.process.stdin.close()
     assert router.wait_count("notification").message.subcode == 2
-    order = [each.what for each in router.seen if each.what in ("withdrawn", "notification")]
+    order = [each.what for each in router.events if each.what in ("withdrawn", "notification")]
     assert order == ["withdrawn", "notification"]
-    assert command.process.wait(PATIENCE) == 0
+    assert command.process.wait(WAIT_TIMEOUT) == 0
     assert "event=unknown_state" in command.process.stderr.read()
 
 
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -16,8 +16,8 @@
 from lilacwalk.operator.loader import parse_operator_file
 from lilacwalk.overload.model import Effect
 from lilacwalk.server.startup import build
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.site_settings import handed
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.site_settings import make_process_config
 
 SECOND = 10_000
 START = 1_800_000_000 * SECOND
@@ -136,9 +136,11 @@
         self.path.touch(mode=0o600)
         self.secret = random_secrets.token_bytes(32)
         self.path.write_text(self.secret.hex() + "\n")
-        self.kernel = Kernel(cores, work, result)
+        self.kernel = StandInExecutor(cores, work, result)
         text = f"edge {{\n listen 127.0.0.1:0\n secrets {self.path}\n customer devices\n{block}}}\n"
-        self.event_loop, parts = build(handed(self.kernel.address, **given), EventQueue())
+        self.event_loop, parts = build(
+            make_process_config(self.kernel.address, **given), EventQueue()
+        )
         self.orders = parse_operator_file(text, "test")
         self.event_loop.subsystems.apply(self.orders)
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -21,7 +21,7 @@
 from lilacwalk.edge.config import EdgeConfig
 from lilacwalk.edge.device_service import Do
 from lilacwalk.edge.tokens import DEVICE, Tokens
-from lilacwalk.testing.lossy_proxy import UdpProxy, Weather
+from lilacwalk.testing.lossy_proxy import LinkConditions, UdpProxy
 from tests.edge.conftest import GROUPS, SECOND, SECRET, START
 
 HERE, THERE = ("127.0.0.1", 5000), ("127.0.0.1", 5001)
@@ -453,7 +453,7 @@
 
 def test_over_a_link_that_loses_doubles_and_reorders_no_effect_comes_twice(coap):
     site, address = coap()
-    weather = Weather(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
+    weather = LinkConditions(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
     proxy = UdpProxy(address, weather, 3, loss=0.6, double=1.0)  # what is not lost comes twice
     devices = [CoapDevice(proxy.address, site.token(b"c%d" % each), each) for each in range(8)]
 
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -16,8 +16,8 @@
 from lilacwalk.commands import lilacwalk
 from lilacwalk.edge import frames
 from lilacwalk.edge.frames import Hello, Refused
-from lilacwalk.testing.lossy_proxy import Proxy, Weather
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.lossy_proxy import LinkConditions, Proxy
+from lilacwalk.testing.proxy_client import ProxyClient
 
 PATIENCE = 10.0
 
@@ -32,11 +32,11 @@
 
 def test_devices_and_routers_are_served_beside_each_other(make_site):
     site = make_site()
-    device, till = site.device(), Till(site.event_loop.listener.address)
+    device, proxy_client = site.device(), ProxyClient(site.event_loop.listener.address)
     for each in range(20):
-        number, tag = device.ask("look", b"%d" % each), till.ask("look")
-        assert device.outcome(number, PATIENCE).word == 0 and till.answer(tag)[1] == "done"
-    till.end()
+        number, tag = device.ask("look", b"%d" % each), proxy_client.ask("look")
+        assert device.outcome(number, PATIENCE).word == 0 and proxy_client.answer(tag)[1] == "done"
+    proxy_client.end()
 
 
 def test_a_link_reset_before_the_acknowledgement_gets_the_same_answer_again(make_site):
@@ -57,7 +57,7 @@
     site = make_site()
     proxy = Proxy(
         site.address,
-        Weather(delay=0.005, jitter=0.005, to_bad=0.02, stall=(0.05, 0.2), reset=0.02),
+        LinkConditions(delay=0.005, jitter=0.005, to_bad=0.02, stall=(0.05, 0.2), reset=0.02),
         5,
     )
     devices = [site.device(b"t%d" % each, proxy.address, seed=each) for each in range(20)]
@@ -80,7 +80,7 @@
     make_site,
 ):
     site = make_site(result=lambda group, body: b"r" * 4_000)
-    proxy = Proxy(site.address, Weather(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
+    proxy = Proxy(site.address, LinkConditions(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
     device = site.device(address=proxy.address)
     device.outcome(device.ask("look", b"first"), PATIENCE)
     number, carried = device.ask("move", b"x"), proxy.bytes
--- a/tests/failover/test_integration.py
+++ b/tests/failover/test_integration.py
@@ -48,25 +48,25 @@
 def test_clients_of_a_failed_site_are_served_elsewhere_until_it_recovers(outage):
     fleet = outage()
     fleet.lose("recife")
-    fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "failover nodes chosen")
+    fleet.rig.wait(lambda: fleet.failover_nodes("recife"), MAX_WAIT, "failover nodes chosen")
     first_second = int(fleet.now) + 2
     fleet.rig.wait(lambda: fleet.now > first_second + 2, MAX_WAIT, "two whole seconds")
     row = fleet.seconds["recife"][first_second]
     assert sum(row.completed.values()) > 0.8 * sum(row.offered.values())
     fleet.bring_back("recife")
     fleet.rig.wait(
-        lambda: len(announced_nodes(fleet, "recife")) == 2 and not fleet.stand_ins("recife"),
+        lambda: len(announced_nodes(fleet, "recife")) == 2 and not fleet.failover_nodes("recife"),
         MAX_WAIT,
         "service restored",
     )
     fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT, "whole")
-    assert fleet.twice() == 0
+    assert fleet.count_duplicate_effects() == 0
 
 
 def test_a_recovering_site_announces_one_node_first_and_all_only_when_healthy(outage):
     fleet = outage()
     fleet.lose("recife")
-    fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "failover nodes chosen")
+    fleet.rig.wait(lambda: fleet.failover_nodes("recife"), MAX_WAIT, "failover nodes chosen")
     fleet.bring_back("recife")
     seen = []
 
@@ -101,7 +101,7 @@
     fleet.rig.wait(lambda: fleet.now > first_second + 2, MAX_WAIT, "whole seconds in the cut")
     row = fleet.seconds["recife"][first_second]
     assert sum(row.completed.values()) > 0.9 * sum(row.offered.values())
-    assert fleet.twice() == 0
+    assert fleet.count_duplicate_effects() == 0
 
 
 def test_a_disconnected_site_fails_over_and_recovers_when_its_link_is_back(outage):
@@ -109,7 +109,7 @@
     fleet = outage()
     fleet.cut_off("recife")
     fleet.rig.wait(
-        lambda: fleet.stand_ins("recife") and not announced_nodes(fleet, "recife"),
+        lambda: fleet.failover_nodes("recife") and not announced_nodes(fleet, "recife"),
         MAX_WAIT,
         "failover nodes chosen",
     )
@@ -120,19 +120,19 @@
     )
     fleet.cut_off("recife", False)
     fleet.rig.wait(
-        lambda: len(announced_nodes(fleet, "recife")) == 2 and not fleet.stand_ins("recife"),
+        lambda: len(announced_nodes(fleet, "recife")) == 2 and not fleet.failover_nodes("recife"),
         MAX_WAIT,
         "service restored",
     )
     fleet.rig.wait(lambda: stage(fleet, "c0", "recife") == "whole", MAX_WAIT, "whole")
-    assert fleet.twice() == 0
+    assert fleet.count_duplicate_effects() == 0
 
 
 def test_an_operator_drains_a_healthy_site_and_releases_it(outage):
     fleet = outage()
     query(fleet.rig.processes["n0"].socket, "sites drain recife 300")
     fleet.rig.wait(
-        lambda: fleet.stand_ins("recife") and not announced_nodes(fleet, "recife"),
+        lambda: fleet.failover_nodes("recife") and not announced_nodes(fleet, "recife"),
         MAX_WAIT,
         "moved away",
     )
@@ -143,7 +143,7 @@
     )
     query(fleet.rig.processes["c1"].socket, "sites release recife 60")
     fleet.rig.wait(
-        lambda: len(announced_nodes(fleet, "recife")) == 2 and not fleet.stand_ins("recife"),
+        lambda: len(announced_nodes(fleet, "recife")) == 2 and not fleet.failover_nodes("recife"),
         MAX_WAIT,
         "service restored",
     )
@@ -171,7 +171,7 @@
     fleet.lose("recife")
     fleet.rig.wait(lambda: set(fleet.rig.healths("r0").values()) == {"dead"}, MAX_WAIT, "known")
     assert "error" in describe_sites(fleet, "c0")
-    assert not fleet.stand_ins("recife")
+    assert not fleet.failover_nodes("recife")
     assert {site for site in SITES if announced_nodes(fleet, site)} == set(SITES[1:])
 
 
@@ -205,14 +205,14 @@
         "yields",
     )
     fleet.lose("recife")
-    fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "other failover nodes chosen")
-    assert "c0" not in fleet.stand_ins("recife")
+    fleet.rig.wait(lambda: fleet.failover_nodes("recife"), MAX_WAIT, "other failover nodes chosen")
+    assert "c0" not in fleet.failover_nodes("recife")
 
 
 def test_a_failover_target_sheds_the_lowest_weight_failover_traffic_first(outage):
     fleet = outage(load=0.75)
     fleet.lose("recife")
-    fleet.rig.wait(lambda: fleet.stand_ins("recife"), MAX_WAIT, "failover nodes chosen")
+    fleet.rig.wait(lambda: fleet.failover_nodes("recife"), MAX_WAIT, "failover nodes chosen")
     begun = int(fleet.now) + 2
     fleet.rig.wait(lambda: fleet.now > begun + 6, MAX_WAIT, "whole seconds with failover traffic")
     failover_denied = fleet.denied(begun, begun + 5, "look", ("recife",))
@@ -220,7 +220,7 @@
     assert failover_denied > 0.1
     assert failover_denied > 1.3 * local_denied  # less capacity is left for both
     assert fleet.denied(begun, begun + 5, "swap", ("recife",)) < failover_denied / 2
-    name = next(iter(fleet.stand_ins("recife")))
+    name = next(iter(fleet.failover_nodes("recife")))
     failover_traffic = describe_sites(fleet, name)["guests"]
     assert failover_traffic["active"]
     assert any(flow["from"] == "recife" and flow["turned"] for flow in failover_traffic["flows"])
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -15,7 +15,7 @@
     NodeState,
 )
 from lilacwalk.membership.swim import Membership
-from lilacwalk.testing.fleet import Rig
+from lilacwalk.testing.fleet import ProcessFleet
 
 SECOND = 10_000
 KEY = bytes(range(32))
@@ -78,7 +78,7 @@
     rigs = []
 
     def make(count=0, sites=("recife",), seeds=1, **more):
-        rig = Rig(**({"interval_ms": 100} | more))
+        rig = ProcessFleet(**({"interval_ms": 100} | more))
         rigs.append(rig)
         for at, name in enumerate(names(count)):
             rig.add(name, sites[at * len(sites) // count], names(count)[:seeds])
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -8,7 +8,7 @@
 
 from lilacwalk.commands import lilacwalk as commands
 from lilacwalk.membership.messages import NODE_STATE_NAMES, NodeState
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.proxy_client import ProxyClient
 from tests.conftest import ROOT, Site
 from tests.membership.conftest import names
 
@@ -48,7 +48,7 @@
 def test_a_lost_executor_is_reported_as_stalled_and_a_drain_as_draining_then_left(servers):
     rig = servers(3)
     rig.wait(lambda: state_of(rig, "n2", "n0") == "ready", SOON, "ready")
-    rig.processes["n2"].kernel.end()
+    rig.processes["n2"].executor.end()
     rig.wait(lambda: state_of(rig, "n2", "n0") == "standing-still", SOON, "lost executor reported")
     rig.processes["n1"].popen.terminate()
     rig.wait(
@@ -75,9 +75,9 @@
     port = int(
         next(word for word in rig.log("n0").split() if word.startswith("listen=")).split(":")[1]
     )
-    till = Till(("127.0.0.1", port))
-    assert till.answer(till.ask("look"))[1] == "done"
-    till.end()
+    proxy_client = ProxyClient(("127.0.0.1", port))
+    assert proxy_client.answer(proxy_client.ask("look"))[1] == "done"
+    proxy_client.end()
 
 
 def test_a_reload_adds_the_block_changes_its_seeds_and_removes_it(servers):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -49,7 +49,7 @@
     rig = running(6)
     rig.stop("n2")
     rig.wait(lambda: set(rig.healths("n2").values()) == {"dead"}, SOON, "given up")
-    rig.go_on("n2")
+    rig.resume("n2")
     rig.wait(rig.settled, SOON, "back")
     assert rig.show("n2")["counts"].get("dead", 0) == 0
 
@@ -69,7 +69,7 @@
 
 def test_two_processes_under_one_name_are_reported_and_one_yields(make_rig):
     rig = make_rig(4)
-    rig.add("twin", seeds=["n0"], called="n2")
+    rig.add("twin", seeds=["n0"], configured_name="n2")
     rig.start(*names(4))
     rig.wait(rig.settled, SOON, "settled")
     rig.start("twin")
@@ -95,7 +95,7 @@
 
 def test_a_store_that_cannot_be_opened_takes_nothing_from_the_view(make_rig):
     rig = make_rig(3)
-    (rig.processes["n1"].place / "store").write_text("a file where a directory should be")
+    (rig.processes["n1"].directory / "store").write_text("a file where a directory should be")
     rig.start(*names(3))
     rig.wait(rig.settled, SOON, "settled")
     rig.wait(lambda: rig.show("n1")["store"] == "not-kept", SOON, "named")
@@ -115,7 +115,7 @@
 
 
 def has_kept_members(rig, name):
-    store = rig.processes[name].place / "store"
+    store = rig.processes[name].directory / "store"
     return any(b"members" in each.read_bytes() for each in store.iterdir())
 
 
@@ -151,7 +151,7 @@
             *(good[:at] for at in range(len(good))),
         ]
         for data in wrong:
-            sock.sendto(data, rig.processes["n1"].real)
+            sock.sendto(data, rig.processes["n1"].listen_address)
         rig.wait(
             lambda: "why=long" in rig.log("n1") and "why=seal" in rig.log("n1"),
             SOON,
@@ -172,7 +172,7 @@
 def test_lost_duplicated_delayed_and_reordered_datagrams_lose_no_member(running):
     rig = running(8)
     for name in names(8):
-        rig.weather(name, loss=0.05, double=0.1, delay=0.002, jitter=0.02)
+        rig.impair(name, loss=0.05, double=0.1, delay=0.002, jitter=0.02)
     rig.kill("n3")
     rig.wait(lambda: set(rig.healths("n3").values()) == {"dead"}, SOON, "known to all")
     assert all(
--- a/tests/retry_storms/test_integration.py
+++ b/tests/retry_storms/test_integration.py
@@ -6,9 +6,9 @@
 import pytest
 
 from lilacwalk.protocols.admin_socket import query
-from lilacwalk.testing.executor import Kernel
-from lilacwalk.testing.fleet import Rig
-from lilacwalk.testing.retrying_clients import Crowd, Habits
+from lilacwalk.testing.executor import StandInExecutor
+from lilacwalk.testing.fleet import ProcessFleet
+from lilacwalk.testing.retrying_clients import RetryBehaviour, RetryingClients
 from tests.conftest import ROOT
 
 SOON = 25.0  # seconds: a failure, never a wait
@@ -17,11 +17,11 @@
 
 @pytest.fixture
 def node():
-    rig = Rig(1, 500, "serve", store=False)
+    rig = ProcessFleet(1, 500, "serve", store=False)
     server = rig.add("n0")
     server.cpus = 1
-    server.extra = f"storms {{\n    socket {server.place}/storms\n}}\n"
-    server.kernel = Kernel(1, lambda _group, _body: WORK)
+    server.extra = f"storms {{\n    socket {server.directory}/storms\n}}\n"
+    server.executor = StandInExecutor(1, lambda _group, _body: WORK)
     rig.start("n0")
     rig.wait(lambda: "event=executor_up" in rig.log("n0"), SOON, "up")
     yield rig
@@ -29,7 +29,7 @@
 
 
 def status(rig):
-    return query(f"{rig.processes['n0'].place}/storms", "show")
+    return query(f"{rig.processes['n0'].directory}/storms", "show")
 
 
 def stall(rig, crowd, seconds):
@@ -38,13 +38,19 @@
     rig.stop("n0")
     began = crowd.now
     rig.wait(lambda: crowd.now > began + seconds, SOON, "silent for a while")
-    rig.go_on("n0")
+    rig.resume("n0")
 
 
 def test_storm_of_clients_that_ignore_retry_after_is_damped_and_ends_with_its_cause(node):
     # Half of what the core completes: on a busy machine it completes less, and near its
     # capacity there is no baseline.
-    crowd = Crowd(lambda: node.address("n0"), 25.0, 20, Habits(heeds=False, marks=False), 1)
+    crowd = RetryingClients(
+        lambda: node.address("n0"),
+        25.0,
+        20,
+        RetryBehaviour(honours_retry_after=False, marks_retries=False),
+        1,
+    )
     try:
         stall(node, crowd, 6.0)
         node.wait(lambda: "stage=damped" in node.log("n0"), SOON, "damped")
@@ -56,12 +62,14 @@
 
 
 def test_overload_by_first_attempts_alone_is_left_to_the_controller(node):
-    crowd = Crowd(lambda: node.address("n0"), 100.0, 20, Habits(most=1), 2)
+    crowd = RetryingClients(
+        lambda: node.address("n0"), 100.0, 20, RetryBehaviour(max_attempts=1), 2
+    )
     try:
         node.wait(lambda: crowd.now > 8.0, SOON, "overload for a while")
         assert status(node)["stage"] == "usual"
         assert not status(node)["shed_budget"]
-        assert sum(crowd.got.completed.values()) > 100
+        assert sum(crowd.counts.completed.values()) > 100
     finally:
         crowd.end()
 
@@ -90,7 +98,7 @@
     """The same node with a store of its own, started anew with it."""
     server = node.processes["n0"]
     node.leave("n0")
-    server.extra += f"store {{\n    directory {server.place}/kept\n}}\n"
+    server.extra += f"store {{\n    directory {server.directory}/kept\n}}\n"
     node.start("n0")
     node.wait(lambda: node.log("n0").count("event=executor_up") == 2, SOON, "up with a store")
     node.wait(lambda: disk_state(node) == "", SOON, "its disk keeps")
@@ -105,10 +113,16 @@
 
 
 def test_disk_that_fills_in_a_storm_rejects_effects_alone_and_the_storm_ends(node_with_store):
-    crowd = Crowd(
-        lambda: node_with_store.address("n0"), 20.0, 20, Habits(heeds=False, marks=False), 3
+    crowd = RetryingClients(
+        lambda: node_with_store.address("n0"),
+        20.0,
+        20,
+        RetryBehaviour(honours_retry_after=False, marks_retries=False),
+        3,
+    )
+    effects = RetryingClients(
+        lambda: node_with_store.address("n0"), 4.0, 4, RetryBehaviour(), 4, "swap"
     )
-    effects = Crowd(lambda: node_with_store.address("n0"), 4.0, 4, Habits(), 4, "swap")
     try:
         stall(node_with_store, crowd, 5.0)
         node_with_store.fill("n0")
@@ -119,29 +133,31 @@
         )
         second = int(crowd.now) + 1
         node_with_store.wait(lambda: crowd.now > second + 3, SOON, "two whole seconds")
-        assert sum(crowd.got.completed[at] for at in (second, second + 1)) > 10
-        assert not sum(effects.got.completed[at] for at in (second, second + 1))
+        assert sum(crowd.counts.completed[at] for at in (second, second + 1)) > 10
+        assert not sum(effects.counts.completed[at] for at in (second, second + 1))
         node_with_store.fill("n0", False)
         node_with_store.wait(
             lambda: disk_state(node_with_store) == "", SOON, "keeps again by itself"
         )
-        done = sum(effects.got.completed.values())
+        done = sum(effects.counts.completed.values())
         node_with_store.wait(
-            lambda: sum(effects.got.completed.values()) > done, SOON, "effects are had again"
+            lambda: sum(effects.counts.completed.values()) > done, SOON, "effects are had again"
         )
-        assert max(node_with_store.processes["n0"].kernel.ran.values()) == 1
+        assert max(node_with_store.processes["n0"].executor.ran.values()) == 1
     finally:
         crowd.end()
         effects.end()
 
 
 def test_clients_are_served_after_each_of_ten_crashes(node):
-    crowd = Crowd(lambda: node.address("n0"), 20.0, 20, Habits(timeout=0.5), 5)
+    crowd = RetryingClients(
+        lambda: node.address("n0"), 20.0, 20, RetryBehaviour(attempt_timeout=0.5), 5
+    )
     try:
         for life in range(2, 12):
-            done = sum(crowd.got.completed.values())
+            done = sum(crowd.counts.completed.values())
             node.wait(
-                lambda done=done: sum(crowd.got.completed.values()) > done + 5, SOON, "served"
+                lambda done=done: sum(crowd.counts.completed.values()) > done + 5, SOON, "served"
             )
             node.kill("n0")
             node.start("n0", wait=False)
@@ -156,12 +172,18 @@
 
 
 def test_clients_that_obey_retry_after_are_given_different_times(node):
-    crowd = Crowd(lambda: node.address("n0"), 30.0, 30, Habits(patience=20.0, timeout=4.0), 6)
+    crowd = RetryingClients(
+        lambda: node.address("n0"),
+        30.0,
+        30,
+        RetryBehaviour(request_timeout=20.0, attempt_timeout=4.0),
+        6,
+    )
     try:
         stall(node, crowd, 6.0)
-        node.wait(lambda: sum(crowd.got.told.values()) > 100, SOON, "many are told")
+        node.wait(lambda: sum(crowd.counts.retry_after_times.values()) > 100, SOON, "many are told")
         node.wait(lambda: status(node)["stage"] == "usual", SOON, "over")
-        told = crowd.got.told
+        told = crowd.counts.retry_after_times
         assert max(told.values()) < 0.5 * sum(told.values())  # in the fullest tenth of a second
     finally:
         crowd.end()
--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -15,8 +15,8 @@
 from lilacwalk.storage.operations import Durability, JournalLimits, WriteRequest
 from lilacwalk.storage.recovery import recover
 from lilacwalk.storage.store import open_journal, perform
-from lilacwalk.testing.disk import BadDisk
-from lilacwalk.testing.restart_soak import Lives
+from lilacwalk.testing.disk import FaultyDisk
+from lilacwalk.testing.restart_soak import RestartSoak
 from tests.conftest import ROOT
 
 SOON = 15.0  # seconds: a failure, never a wait
@@ -92,7 +92,7 @@
 
 
 def count_operations(seed):
-    disk = BadDisk(seed)
+    disk = FaultyDisk(seed)
     run_history(Process(disk), random.Random(seed))
     return disk.steps
 
@@ -103,7 +103,7 @@
     made = []
 
     def make(**words):
-        made.append(Lives(**words))
+        made.append(RestartSoak(**words))
         return made[-1]
 
     yield make
@@ -134,7 +134,7 @@
 def listen_for_devices(server):
     """Gives the server a listener for devices at a fixed address; returns a maker of devices."""
     secret = bytes(range(32))
-    path = server.server.place / "secrets"
+    path = server.server.directory / "secrets"
     path.write_text(secret.hex() + "\n")
     path.chmod(0o600)
     with socket.create_server(("127.0.0.1", 0)) as free:
--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -23,7 +23,7 @@
     soak.put("swap", "a")
     soak.rig.wait(lambda: soak.effects[b"a"], SOON, "it runs")
     soak.kill()
-    soak.server.kernel.notices.clear()  # a kernel that was started anew knows nothing
+    soak.server.executor.notices.clear()  # a kernel that was started anew knows nothing
     soak.start()
     word, _ = soak.ask("swap", "a")
     assert word not in ("done", "later")
@@ -36,7 +36,7 @@
     soak.put("move", "m", i="00000000000000aa")
     soak.rig.wait(lambda: soak.effects[b"m"], SOON, "it runs")
     soak.kill()
-    soak.server.kernel.notices.clear()
+    soak.server.executor.notices.clear()
     soak.start()
     assert soak.ask("move", "m", i="00000000000000aa")[0] not in ("done", "later")
     assert soak.effects[b"m"] == 1
@@ -48,7 +48,7 @@
     left, settled = [], {}
     for life in range(8):
         soak.start()
-        found = soak.one_life([f"{life}-{at}" for at in range(60)], left)
+        found = soak.run_until_kill([f"{life}-{at}" for at in range(60)], left)
         left = found.get("", []) + [key for key in found.get("later", [])]
         settled |= {
             key: word
--- a/tests/storage/test_journal.py
+++ b/tests/storage/test_journal.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lilacwalk.storage.operations import Acknowledgement, Durability, JournalLimits, OperationKind
-from lilacwalk.testing.disk import BadDisk, CrashError
+from lilacwalk.testing.disk import CrashError, FaultyDisk
 from tests.storage.conftest import Process, check_recovered, run_history
 
 
@@ -19,7 +19,7 @@
     ],
 )
 def test_failing_disk_has_a_mode_in_which_no_writer_waits_and_recovers_from_it(what, number, mode):
-    disk = BadDisk()
+    disk = FaultyDisk()
     process = Process(disk)
     process.put(b"a", b"1")
     process.work()
@@ -46,7 +46,7 @@
 
 def test_crash_at_any_operation_after_a_failed_write_loses_nothing_acknowledged():
     for crash_at in range(1, 12):
-        disk = BadDisk(5)
+        disk = FaultyDisk(5)
         process = Process(disk)
         run_history(process, random.Random(5), 20)
         disk.fails = {"append": errno.ENOSPC}
@@ -62,7 +62,7 @@
 
 
 def test_size_limit_refuses_records_until_a_snapshot_has_made_room():
-    disk = BadDisk()
+    disk = FaultyDisk()
     process = Process(
         disk,
         limits=JournalLimits(
@@ -81,7 +81,7 @@
 
 
 def test_slow_sync_keeps_no_writer_waiting_and_changes_the_mode():
-    process = Process(BadDisk())
+    process = Process(FaultyDisk())
     process.put(b"a", b"1")
     process.now += 20
     while process.journal.next_operation(process.now).kind is not OperationKind.SYNC:
@@ -108,7 +108,7 @@
     ],
 )
 def test_record_is_acknowledged_only_when_it_is_as_durable_as_asked(durability, after):
-    process = Process(BadDisk(), durability)
+    process = Process(FaultyDisk(), durability)
     process.put(b"a", b"1")
     seen = None
     process.now += 20
@@ -121,7 +121,7 @@
 
 
 def test_records_that_come_while_the_disk_is_busy_form_one_batch():
-    process = Process(BadDisk(), limits=JournalLimits())
+    process = Process(FaultyDisk(), limits=JournalLimits())
     for each in range(100):
         process.put(b"%d" % each, b"x")
     process.work()
--- a/tests/storage/test_persistence.py
+++ b/tests/storage/test_persistence.py
@@ -23,7 +23,7 @@
 
 def test_node_that_crashes_while_announced_is_damped_after_restarts(make_soak):
     soak = make_soak()
-    announce = soak.rig.announces("n0", "192.0.2.1/32")
+    announce = soak.rig.add_router("n0", "192.0.2.1/32")
     soak.server.extra += announce.replace(
         "announce {\n",
         "announce {\n    damping {\n        half-life 60s\n" "        longest 300s\n    }\n",
@@ -49,7 +49,7 @@
 
 def test_drain_does_not_count_as_a_flap(make_soak):
     soak = make_soak()
-    soak.server.extra += soak.rig.announces("n0", "192.0.2.1/32")
+    soak.server.extra += soak.rig.add_router("n0", "192.0.2.1/32")
     for _ in range(5):
         soak.start()
         soak.rig.wait(lambda: soak.server.router.held, SOON, "announced")
@@ -68,7 +68,7 @@
         second = device.ask("move", b"two", 4_000)
         soak.rig.wait(lambda: soak.effects[b"two"], SOON, "it runs")
         soak.kill()
-        soak.server.kernel.notices.clear()
+        soak.server.executor.notices.clear()
         soak.start()
         assert device.outcome(second, SOON).word == TERMINATED
         assert soak.effects[b"two"] == 1
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -7,14 +7,14 @@
 
 from lilacwalk.storage.operations import JournalLimits
 from lilacwalk.storage.recovery import recover
-from lilacwalk.testing.disk import BadDisk, CrashError
+from lilacwalk.testing.disk import CrashError, FaultyDisk
 from tests.storage.conftest import Process, check_recovered, count_operations, run_history
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_crash_at_any_operation_loses_nothing_acknowledged_and_invents_no_row(seed):
     for crash_at in range(1, count_operations(seed) + 1):
-        disk = BadDisk(seed, crash_at)
+        disk = FaultyDisk(seed, crash_at)
         first = None
         try:
             first = Process(disk)
@@ -35,7 +35,7 @@
 
 def test_repeated_crashes_during_recovery_lose_nothing_acknowledged():
     for seed in range(30):
-        disk, rng = BadDisk(seed, 30 + seed), random.Random(seed)
+        disk, rng = FaultyDisk(seed, 30 + seed), random.Random(seed)
         process = Process(disk)
         with contextlib.suppress(CrashError):
             run_history(process, rng)
@@ -50,7 +50,7 @@
 
 
 def test_rows_survive_many_processes_with_a_crash_in_each():
-    disk, rng, history, acknowledged = BadDisk(1), random.Random(1), {}, {}
+    disk, rng, history, acknowledged = FaultyDisk(1), random.Random(1), {}, {}
     for _ in range(40):
         disk.crash_at = disk.steps + rng.randrange(3, 60)
         process = None
@@ -71,7 +71,7 @@
 
 
 def test_damaged_snapshot_is_passed_over_for_the_previous_one():
-    disk = BadDisk()
+    disk = FaultyDisk()
     process = Process(disk)
     run_history(process, random.Random(3), 200)
     newest, before = sorted(
@@ -87,7 +87,7 @@
 
 
 def test_missing_log_file_ends_the_log_there_and_quarantines_the_rest():
-    disk = BadDisk()
+    disk = FaultyDisk()
     process = Process(
         disk,
         limits=JournalLimits(
