--- a/lilacwalk/testing/__init__.py
+++ b/lilacwalk/testing/__init__.py
@@ -1,1 +1,1 @@
-"""The other side of each protocol, written here: for tests, the demo and experiments."""
+"""Stand-ins for the other side of each protocol: for tests, fault-injection scenarios and benchmarks."""
--- a/lilacwalk/testing/accept_loop.py
+++ b/lilacwalk/testing/accept_loop.py
@@ -1,4 +1,4 @@
-"""Connections to a stand-in, each served by a thread of its own until the listener is hung up."""
+"""Accepts connections for a stand-in server and serves each in its own thread."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def serve_each(
-    listener: socket.socket, over: Callable[[], bool], serve: Callable[[socket.socket], None]
+    listener: socket.socket, is_over: Callable[[], bool], serve: Callable[[socket.socket], None]
 ) -> None:
-    while not over():
+    """Accepts until `is_over` is true or the listener is closed."""
+    while not is_over():
         try:
             sock, _ = listener.accept()
         except OSError:
--- a/lilacwalk/testing/bgp_router.py
+++ b/lilacwalk/testing/bgp_router.py
@@ -1,5 +1,5 @@
-"""A router that listens for speakers, holds what they announce, and records every message against the time
-and against what its owner says the node's state was. Its faults are scripted: each is a field of `RouterBehaviour`."""
+"""A stand-in BGP router. It accepts sessions, holds the announced routes and records each message with the
+time and with the node state that its owner reports. `RouterBehaviour` sets its faults."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from lilacwalk.protocols.send_buffer import shut_down_socket
 
-WAIT_TIMEOUT = (
-    10.0  # seconds until a wait for what never comes is given up: a failure, never a wait
-)
+WAIT_TIMEOUT = 10.0  # seconds; only a failing test waits that long
 
 
 @dataclass
 class RouterBehaviour:
+    """The router's settings and faults; by default it has no faults."""
+
     asn: int = 65_020
     router_id: str = "127.0.0.20"
-    hold: int = 9
-    capabilities: Capabilities | None = None  # None: all that a good router knows
+    hold: int = 9  # hold time in seconds
+    capabilities: Capabilities | None = None  # None: the defaults of `offered_capabilities`
     restart: GracefulRestart | None = None
-    keepalives: bool = True  # False: none after the OPEN, so the session never comes up
+    keepalives: bool = True  # False: sends no KEEPALIVE, so the session is never established
     sends_open: bool = True
-    reads: bool = True  # False: stops after the session is up
-    byte_interval: float = 0.0  # seconds between single bytes of all that it sends
-    sends: list[bytes] = field(default_factory=list)  # raw, once the session is up
-    connections_to_reject: int = 0  # connections closed at once, before it behaves
-    enforces_hold_time: bool = (
-        False  # ends a session that says nothing for its hold time, as a real router does
-    )
-    keep_stale: bool = False  # what a lost session announced stays until its End-of-RIB
+    reads: bool = True  # False: stops reading once the session is established
+    byte_interval: float = 0.0  # seconds between bytes; 0: sends each message whole
+    # raw bytes to send when the session is established
+    sends: list[bytes] = field(default_factory=list)
+    connections_to_reject: int = 0  # closes the first connections at once
+    # ends a session that has sent nothing for the hold time, as a real router does
+    enforces_hold_time: bool = False
+    keep_stale: bool = False  # keeps the routes of a lost session until the next End-of-RIB
 
     def offered_capabilities(self) -> Capabilities:
         if self.capabilities is not None:
@@ -55,17 +55,17 @@
 
 @dataclass(frozen=True)
 class RouterEvent:
-    """One message, or a session's `up` and `lost`."""
+    """A received message, or a change of a session such as `up` or `lost`."""
 
-    at: float  # seconds, monotonic
+    at: float  # seconds, monotonic clock
     session: int
     what: str
     message: object
-    state: str  # the node's, as the owner said it last
+    state: str  # of the node, as reported by the router's owner
 
 
 def table(count: int, asn: int, at: int = 0x14000000, length: int = 32) -> list[bytes]:
-    """UPDATEs of so many distinct IPv4 prefixes."""
+    """Encodes UPDATEs that announce `count` distinct IPv4 prefixes from `at` on."""
     step = 1 << (32 - length)
     rows = [Prefix(Afi.IPV4, at + each * step, length) for each in range(count)]
     attributes = Attributes(as_path=((SEQUENCE, (asn,)),), next_hop=bytes((127, 0, 0, 20)))
@@ -81,7 +81,7 @@
     ) -> None:
         self.behaviour, self.state = behaviour or RouterBehaviour(), state
         self.events: list[RouterEvent] = []
-        self.held: dict[Prefix, Attributes] = {}  # what stands here now
+        self.held: dict[Prefix, Attributes] = {}  # the routes announced now
         self.stale: set[Prefix] = set()
         self.changed = threading.Condition()
         self.sessions = 0
@@ -91,13 +91,13 @@
         self.address = self.listener.getsockname()[:2]
         threading.Thread(target=self._accept, daemon=True).start()
 
-    # What tests ask
+    # Queries of tests
 
     def wait(self, ready: Callable[[], object], what: str = "") -> object:
         with self.changed:
             assert self.changed.wait_for(
                 ready, WAIT_TIMEOUT
-            ), f"{what or 'it'} did not come: {self.recent_events()}"
+            ), f"no {what or 'result'} within {WAIT_TIMEOUT:g} s; last events: {self.recent_events()}"
             return ready()
 
     def recent_events(self) -> list[str]:
@@ -114,17 +114,17 @@
         wanted = {Prefix.of(each) for each in prefixes}
         self.wait(lambda: set(self.held) == wanted, f"{prefixes} held")
 
-    # What tests do to it
+    # Actions of tests
 
     def send(self, data: bytes) -> None:
         self.socks[-1].sendall(data)
 
     def drop(self, reset: bool = True) -> None:
-        """Ends the session as a broken link would."""
+        """Breaks the newest session's connection, with a reset unless `reset` is false."""
         shut_down_socket(self.socks[-1], reset)
 
     def connect(self, address: tuple[str, int]) -> None:
-        """Opens a session from its own side."""
+        """Connects to a speaker and opens a session there."""
         sock = socket.socket()
         sock.bind((self.address[0], 0))
         sock.settimeout(WAIT_TIMEOUT)
@@ -138,7 +138,7 @@
             shut_down_socket(sock)
             sock.close()
 
-    # Its own threads
+    # Threads
 
     def _accept(self) -> None:
         while not self.over:
@@ -152,12 +152,12 @@
                 continue
             threading.Thread(target=self._serve, args=(sock, "accepted"), daemon=True).start()
 
-    def _note(self, session: int, what: str, message: object = None) -> None:
+    def _record(self, session: int, what: str, message: object = None) -> None:
         with self.changed:
             self.events.append(RouterEvent(time.monotonic(), session, what, message, self.state()))
             self.changed.notify_all()
 
-    def _say(self, sock: socket.socket, data: bytes) -> None:
+    def _send(self, sock: socket.socket, data: bytes) -> None:
         if not self.behaviour.byte_interval:
             sock.sendall(data)
             return
@@ -165,28 +165,30 @@
             sock.sendall(bytes((byte,)))
             time.sleep(self.behaviour.byte_interval)
 
-    def _serve(self, sock: socket.socket, how: str) -> None:
+    def _serve(self, sock: socket.socket, origin: str) -> None:
         with self.changed:
             self.sessions += 1
             session = self.sessions
             self.socks.append(sock)
-        self._note(session, how)
+        self._record(session, origin)
         behaviour = self.behaviour
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if behaviour.enforces_hold_time:
                 sock.settimeout(behaviour.hold)
             if behaviour.sends_open:
-                able = behaviour.offered_capabilities()
-                self._say(
+                capabilities = behaviour.offered_capabilities()
+                self._send(
                     sock,
-                    messages.encode(Open(behaviour.asn, behaviour.hold, behaviour.router_id, able)),
+                    messages.encode(
+                        Open(behaviour.asn, behaviour.hold, behaviour.router_id, capabilities)
+                    ),
                 )
             self._read(sock, session)
         except (OSError, BgpError) as error:
-            self._note(session, "broken", str(error))
+            self._record(session, "broken", str(error))
         finally:
-            self._ended(session)
+            self._session_ended(session)
             sock.close()
 
     def _read(self, sock: socket.socket, session: int) -> None:
@@ -196,28 +198,28 @@
                 message = messages.decode(kind, body, agreed)
                 if isinstance(message, Open):
                     agreed = Agreed.between(behaviour.offered_capabilities(), message.capabilities)
-                    self._note(session, "open", message)
+                    self._record(session, "open", message)
                     if behaviour.keepalives:
-                        self._say(sock, messages.encode(Keepalive()))
+                        self._send(sock, messages.encode(Keepalive()))
                 elif isinstance(message, Keepalive):
-                    self._note(session, "keepalive")
+                    self._record(session, "keepalive")
                     if not up:
                         up = True
-                        self._note(session, "up")
+                        self._record(session, "up")
                         for data in behaviour.sends:
-                            self._say(sock, data)
+                            self._send(sock, data)
                         if not behaviour.reads:
                             with self.changed:
                                 self.changed.wait_for(lambda: self.over)
                             return
                     elif behaviour.keepalives:
-                        self._say(sock, messages.encode(Keepalive()))
+                        self._send(sock, messages.encode(Keepalive()))
                 elif isinstance(message, Update):
                     self._update(session, message)
                 elif isinstance(message, Notification):
-                    self._note(session, "notification", message)
+                    self._record(session, "notification", message)
                 else:
-                    self._note(session, "refresh", message)
+                    self._record(session, "refresh", message)
 
     def _update(self, session: int, update: Update) -> None:
         with self.changed:
@@ -232,17 +234,17 @@
                     self.stale.discard(prefix)
                     self.held.pop(prefix, None)
         if update.end_of_rib is not None:
-            self._note(session, "end_of_rib", update)
+            self._record(session, "end_of_rib", update)
         elif update.reached:
-            self._note(session, "announced", update)
+            self._record(session, "announced", update)
         else:
-            self._note(session, "withdrawn", update)
+            self._record(session, "withdrawn", update)
 
-    def _ended(self, session: int) -> None:
+    def _session_ended(self, session: int) -> None:
         with self.changed:
             if session == self.sessions:
                 if self.behaviour.keep_stale:
                     self.stale |= set(self.held)
                 else:
                     self.held.clear()
-        self._note(session, "lost")
+        self._record(session, "lost")
--- a/lilacwalk/testing/datagram_switch.py
+++ b/lilacwalk/testing/datagram_switch.py
@@ -1,6 +1,6 @@
-"""A switch for datagrams between members: each member has a port here that it tells the others; what
-arrives there is sent on to where it really listens, or not, as the faults of the moment say. Who sent it is
-told by where it came from."""
+"""A switch for datagrams between fleet members, with faults. Each member advertises its port on the switch.
+The switch forwards a datagram from that port to the address where the member listens, or loses, delays or
+duplicates it, as the current faults require. The source address identifies the sender."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-READ = 65_536
+READ_BYTES = 65_536
 
 
 @dataclass(slots=True)
 class Faults:
-    """Of one direction between two members; seconds and shares."""
+    """Faults of one direction between two members, or of all datagrams to and from one member.
+
+    `delay` and `jitter` are in seconds, `loss` and `double` are probabilities per datagram.
+    """
 
     cut: bool = False
     loss: float = 0.0
@@ -31,21 +34,24 @@
 @dataclass(eq=False, slots=True)
 class Port:
     name: str
-    near: socket.socket  # what others send to
-    real: tuple[str, int]
+    near: socket.socket  # receives the datagrams of the other members
+    listen_address: tuple[str, int]  # of the member itself
     sent: int = 0
     sent_bytes: int = 0
-    faults: Faults = field(default_factory=Faults)  # of all that it sends and is sent
+    faults: Faults = field(default_factory=Faults)  # of all datagrams from and to the member
 
 
 class Stream:
-    """One member's connections to one party (a BGP peer), carried on here; while cut they stay open and
-    nothing comes through, as when a link breaks: what was under way is carried on when it is whole again."""
+    """Forwards one member's TCP connections to one peer, such as a BGP router.
+
+    While the link is cut, connections stay open and no data passes, as when a real link breaks. Data in
+    transit is delivered after the cut.
+    """
 
-    def __init__(self, to: tuple[str, int]) -> None:
-        self.to = to
-        self.whole = threading.Event()
-        self.whole.set()
+    def __init__(self, target: tuple[str, int]) -> None:
+        self.target = target
+        self.connected = threading.Event()  # clear while the link is cut
+        self.connected.set()
         self.over = False
         self.socks: list[socket.socket] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -54,13 +60,13 @@
 
     def cut(self, cut: bool = True) -> None:
         if cut:
-            self.whole.clear()
+            self.connected.clear()
         else:
-            self.whole.set()
+            self.connected.set()
 
     def end(self) -> None:
         self.over = True
-        self.whole.set()
+        self.connected.set()
         for sock in [self.listener, *self.socks]:
             try:
                 sock.shutdown(socket.SHUT_RDWR)
@@ -72,8 +78,8 @@
         while not self.over:
             try:
                 near, _ = self.listener.accept()
-                self.whole.wait()  # a connection that is begun in a cut opens when it is over
-                far = socket.create_connection(self.to, 2.0)
+                self.connected.wait()  # a connection begun during a cut opens after it
+                far = socket.create_connection(self.target, 2.0)
             except OSError:
                 if self.over:
                     return
@@ -81,16 +87,16 @@
             far.settimeout(None)
             self.socks += [near, far]
             for one, other in ((near, far), (far, near)):
-                threading.Thread(target=self._pump, args=(one, other), daemon=True).start()
+                threading.Thread(target=self._copy, args=(one, other), daemon=True).start()
 
-    def _pump(self, one: socket.socket, other: socket.socket) -> None:
+    def _copy(self, one: socket.socket, other: socket.socket) -> None:
         try:
-            while data := one.recv(READ):
-                self.whole.wait()
+            while data := one.recv(READ_BYTES):
+                self.connected.wait()
                 other.sendall(data)
         except OSError:
             pass
-        self.whole.wait()  # nor does an end come through
+        self.connected.wait()  # a close is delivered only after the cut, like data
         for sock in (one, other):
             try:
                 sock.shutdown(socket.SHUT_RDWR)
@@ -102,8 +108,8 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.ports: dict[str, Port] = {}
-        self.by_real: dict[tuple[str, int], Port] = {}
-        self.between: dict[tuple[str, str], Faults] = {}
+        self.by_listen_address: dict[tuple[str, int], Port] = {}
+        self.link_faults: dict[tuple[str, str], Faults] = {}
         self.selector = selectors.DefaultSelector()
         self.lock = threading.Lock()
         self.due: list[tuple] = []
@@ -114,27 +120,27 @@
         self.over = False
         threading.Thread(target=self._run, name="switch", daemon=True).start()
 
-    def add(self, name: str, real: tuple[str, int]) -> tuple[str, int]:
-        """The address at which others reach it."""
+    def add(self, name: str, listen_address: tuple[str, int]) -> tuple[str, int]:
+        """Adds a member; returns the address at which the others reach it."""
         near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_194_304)
         near.bind(("127.0.0.1", 0))
         near.setblocking(False)
-        port = Port(name, near, real)
+        port = Port(name, near, listen_address)
         with self.lock:
-            self.ports[name], self.by_real[real] = port, port
+            self.ports[name], self.by_listen_address[listen_address] = port, port
         self.selector.register(near, selectors.EVENT_READ, port)
         self.wake_in.send(b".")
         return near.getsockname()
 
     def faults(self, one: str, other: str) -> Faults:
-        """Of what goes from one to the other."""
+        """The faults of datagrams from `one` to `other`."""
         with self.lock:
-            return self.between.setdefault((one, other), Faults())
+            return self.link_faults.setdefault((one, other), Faults())
 
     def heal(self) -> None:
         with self.lock:
-            self.between.clear()
+            self.link_faults.clear()
             for port in self.ports.values():
                 port.faults = Faults()
 
@@ -162,21 +168,21 @@
     def _read(self, port: Port) -> None:
         for _ in range(64):
             try:
-                data, source = port.near.recvfrom(READ)
+                data, source = port.near.recvfrom(READ_BYTES)
             except OSError:
                 return
-            sender = self.by_real.get(source)
+            sender = self.by_listen_address.get(source)
             if sender is None:
-                self.counts["stranger"] += 1  # from no member: a test's own, passed on as it is
+                self.counts["stranger"] += 1  # not a member: sent by a test, forwarded unchanged
                 self._deliver(port, data)
                 continue
             sender.sent += 1
             sender.sent_bytes += len(data)
-            self._carry(sender, port, data)
+            self._forward(sender, port, data)
 
-    def _carry(self, sender: Port, port: Port, data: bytes) -> None:
-        rng, between = self.rng, self.between.get((sender.name, port.name))
-        each = [sender.faults, port.faults, *([between] if between is not None else [])]
+    def _forward(self, sender: Port, port: Port, data: bytes) -> None:
+        rng, link_faults = self.rng, self.link_faults.get((sender.name, port.name))
+        each = [sender.faults, port.faults, *([link_faults] if link_faults is not None else [])]
         lost = any(rng.random() < faults.loss for faults in each if faults.loss)
         if lost or any(faults.cut for faults in each):
             self.counts["lost"] += 1
@@ -192,6 +198,6 @@
     def _deliver(self, port: Port, data: bytes) -> None:
         self.counts["carried"] += 1
         try:
-            port.near.sendto(data, port.real)
+            port.near.sendto(data, port.listen_address)
         except OSError:
             self.counts["undelivered"] += 1
--- a/lilacwalk/testing/dependency.py
+++ b/lilacwalk/testing/dependency.py
@@ -1,5 +1,6 @@
-"""A dependency that all app servers share: answers each call after `work` seconds on one of `slots`, and
-slower the more wait, as a crowded store does. Counts the calls made and the most in hand at once."""
+"""A stand-in for a dependency that all app servers share. It answers a call after `work` seconds in one of
+`slots`. The more calls are in flight, the longer each takes, as in an overloaded store. It counts the calls and the
+largest number in flight at once."""
 
 from __future__ import annotations
 
@@ -14,7 +15,8 @@
 from lilacwalk.protocols.send_buffer import shut_down_socket
 from lilacwalk.testing.accept_loop import serve_each
 
-CROWDED = 4  # times its slots in hand: from here on each call takes longer by the crowd's part
+# Above this number of calls in flight per slot, the time of a call grows in proportion to the calls in flight.
+OVERLOAD_RATIO = 4
 
 
 class SharedDependency:
@@ -23,10 +25,10 @@
         self.slowness = 1.0
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.address = self.listener.getsockname()
-        self.free = threading.Semaphore(slots)
+        self.free_slots = threading.Semaphore(slots)
         self.lock = threading.Lock()
         self.in_flight = self.max_in_flight = self.calls_made = 0
-        self.changes: list[tuple[float, int]] = []  # when, and how many were in hand from then on
+        self.changes: list[tuple[float, int]] = []  # (time, number of calls in flight from then on)
         self.over = False
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -39,7 +41,7 @@
         serve_each(self.listener, lambda: self.over, self._serve)
 
     def _serve(self, sock: socket.socket) -> None:
-        """One call at a time on each connection, as the app servers make them."""
+        """Answers one call at a time on each connection, as the app servers send them."""
         parser = LineParser(lambda words: words[0] == "GET", 512, 65_536)
         try:
             while chunk := sock.recv(65_536):
@@ -56,30 +58,32 @@
             self.calls_made += 1
             self.max_in_flight = max(self.max_in_flight, self.in_flight)
             self.changes.append((time.monotonic(), self.in_flight))
-            crowd = max(1.0, self.in_flight / (CROWDED * self.slots))
+            slowdown = max(1.0, self.in_flight / (OVERLOAD_RATIO * self.slots))
         try:
-            with self.free:
-                time.sleep(self.work * self.slowness * crowd)
+            with self.free_slots:
+                time.sleep(self.work * self.slowness * slowdown)
         finally:
             with self.lock:
                 self.in_flight -= 1
                 self.changes.append((time.monotonic(), self.in_flight))
 
     def mean_concurrency(self, span: float, step: float) -> list[float]:
-        """The mean in hand over each window of `span` seconds, one every `step`."""
+        """The mean number of calls in flight in windows of `span` seconds that begin every `step` seconds."""
         with self.lock:
             changes = list(self.changes)
         if not changes:
             return []
-        sums, total = [(changes[0][0], 0.0)], 0.0
-        for (since, held), (until, _) in zip(changes, changes[1:], strict=False):
-            total += held * (until - since)
-            sums.append((until, total))
+        integrals, total = [(changes[0][0], 0.0)], 0.0
+        for (since, in_flight), (until, _) in zip(changes, changes[1:], strict=False):
+            total += in_flight * (until - since)
+            integrals.append((until, total))
 
-        def until(moment: float) -> float:
-            at = bisect.bisect_right(sums, (moment, inf)) - 1
-            return 0.0 if at < 0 else sums[at][1] + changes[at][1] * (moment - sums[at][0])
+        def integral_until(moment: float) -> float:
+            at = bisect.bisect_right(integrals, (moment, inf)) - 1
+            return (
+                0.0 if at < 0 else integrals[at][1] + changes[at][1] * (moment - integrals[at][0])
+            )
 
-        starts = int((sums[-1][0] - sums[0][0] - span) / step)
-        moments = [sums[0][0] + step * each for each in range(max(0, starts) + 1)]
-        return [(until(each + span) - until(each)) / span for each in moments]
+        starts = int((integrals[-1][0] - integrals[0][0] - span) / step)
+        moments = [integrals[0][0] + step * each for each in range(max(0, starts) + 1)]
+        return [(integral_until(each + span) - integral_until(each)) / span for each in moments]
--- a/lilacwalk/testing/executor.py
+++ b/lilacwalk/testing/executor.py
@@ -1,6 +1,6 @@
-"""A kernel that links one app server at a time and runs what it is told to, each run for as long as `work`
-says, on so many cores. A group that is said to make a call makes it half way through its run, off the
-cores."""
+"""A stand-in executor for one app server at a time. It runs each request for the time that `work` returns, on
+`cores` cores. Requests of the classes in `calls` call a dependency halfway through their run and occupy no core
+during the call."""
 
 from __future__ import annotations
 
@@ -16,26 +16,32 @@
 from lilacwalk.protocols.send_buffer import shut_down_socket
 from lilacwalk.testing.accept_loop import serve_each
 
-# seconds at a call after which its exchange is over, and the run with it: longer than stand-in callers wait
-OVER = 2.5
+# Seconds after which a run is interrupted whose call was not answered. It is longer than the time that stand-in clients wait.
+CALL_TIMEOUT = 2.5
 
 
 class StandInExecutor:
-    """Numbers its notices and replays them on a new link, as the protocol says. `ran` counts the runs by id,
-    so that an effect had twice is seen."""
+    """Numbers its notices and replays them on a new connection, as the protocol requires.
+
+    `ran` counts the runs by request id, so that tests find effects that were applied twice. `work` gives the
+    seconds of a run and `result` its result, each from the request class and body. With `cold`, the executor
+    reports that it is still booting.
+    """
 
     def __init__(
         self,
         cores: int = 1,
-        work: Callable[[str, bytes], float] = lambda group, body: 0.0,
-        result: Callable[[str, bytes], bytes] = lambda group, body: b"ok",
+        work: Callable[[str, bytes], float] = lambda class_name, body: 0.0,
+        result: Callable[[str, bytes], bytes] = lambda class_name, body: b"ok",
         calls: tuple[str, ...] = (),
         cold: bool = False,
     ) -> None:
         self.cold = cold
         self.cores, self.work, self.result, self.calls = cores, work, result, calls
-        self.at_call: dict[str, tuple[str, bytes, float]] = {}  # by id: waits for its reply since
-        self.back: set[str] = set()  # from a call: the second half of their runs
+        # runs that wait for the answer to their call, by id: class, body and start of the call
+        self.calls_in_progress: dict[str, tuple[str, bytes, float]] = {}
+        # ids of runs whose call was answered and which are in their second half
+        self.resumed: set[str] = set()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
         self.ran: dict[str, int] = {}
@@ -45,11 +51,12 @@
         self.lock = threading.Condition()
         self.link: socket.socket | None = None
         self.notices: deque[tuple[int, bytes]] = deque(maxlen=4_000)
-        self.number = 0
+        self.last_number = 0
         self.waiting: deque[tuple[str, str, bytes]] = deque()
-        self.running: list[tuple[float, int, str, str, bytes]] = []  # by their ends
-        self.known: set[str] = set()
-        self.order = 0
+        # heap of (end, order of starts, id, class, body)
+        self.running: list[tuple[float, int, str, str, bytes]] = []
+        self.scheduled: set[str] = set()  # ids that were scheduled: a repeated SCHED is ignored
+        self.start_count = 0
         for target in (self._accept, self._run):
             threading.Thread(target=target, daemon=True).start()
 
@@ -63,6 +70,7 @@
                 sock.close()
 
     def lose_link(self) -> None:
+        """Closes the connection to the app server; it may connect again."""
         if self.link is not None:
             self.link.shutdown(socket.SHUT_RDWR)
 
@@ -74,7 +82,7 @@
         try:
             while chunk := sock.recv(65_536):
                 for words, body in parser.feed(chunk):
-                    self._told(sock, words, b"" if body is None else bytes(body))
+                    self._handle_message(sock, words, b"" if body is None else bytes(body))
         except (OSError, FramingError):
             pass
         with self.lock:
@@ -82,7 +90,7 @@
                 self.link = None
         sock.close()
 
-    def _told(self, sock: socket.socket, words: list[str], body: bytes) -> None:
+    def _handle_message(self, sock: socket.socket, words: list[str], body: bytes) -> None:
         with self.lock:
             if words[0] == "OPEN":
                 self.link = sock
@@ -98,19 +106,19 @@
             elif words[0] == "SYSINFO":
                 busy = len(self.running) / self.cores
                 sock.sendall(f"INFO {words[1]} {min(1.0, busy)} {len(self.waiting)}\r\n".encode())
-            elif words[0] == "SCHED" and words[1] not in self.known:
-                self.known.add(words[1])
+            elif words[0] == "SCHED" and words[1] not in self.scheduled:
+                self.scheduled.add(words[1])
                 self.waiting.append((words[1], words[2], body))
                 self._start()
                 self.lock.notify_all()
-            elif words[0] in ("IODONE", "NOIO") and words[1] in self.at_call:
-                group, asked, _ = self.at_call.pop(words[1])
-                self.back.add(words[1])
-                self.waiting.appendleft((words[1], group, asked))
+            elif words[0] in ("IODONE", "NOIO") and words[1] in self.calls_in_progress:
+                class_name, request_body, _ = self.calls_in_progress.pop(words[1])
+                self.resumed.add(words[1])
+                self.waiting.appendleft((words[1], class_name, request_body))
                 self._start()
                 self.lock.notify_all()
             elif words[0] == "PREEMPT":
-                if self.at_call.pop(words[1], None) is not None:
+                if self.calls_in_progress.pop(words[1], None) is not None:
                     self._notice(words[1], b"interrupted", b"")
                 for each in [each for each in self.running if each[2] == words[1]]:
                     self.running.remove(each)
@@ -123,45 +131,53 @@
 
     def _start(self) -> None:
         while self.waiting and len(self.running) < self.cores:
-            ident, group, body = self.waiting.popleft()
-            self.ran[ident] = self.ran.get(ident, 0) + (ident not in self.back)
-            self.order += 1
-            end = time.monotonic() + self.work(group, body) / (2 if group in self.calls else 1)
-            heapq.heappush(self.running, (end, self.order, ident, group, body))
+            ident, class_name, body = self.waiting.popleft()
+            self.ran[ident] = self.ran.get(ident, 0) + (ident not in self.resumed)
+            self.start_count += 1
+            end = time.monotonic() + self.work(class_name, body) / (
+                2 if class_name in self.calls else 1
+            )
+            heapq.heappush(self.running, (end, self.start_count, ident, class_name, body))
 
     def _run(self) -> None:
         with self.lock:
             while not self.over:
                 now = time.monotonic()
                 while self.running and self.running[0][0] <= now:
-                    _, _, ident, group, body = heapq.heappop(self.running)
-                    if group in self.calls and ident not in self.back:
-                        self._asks(ident, group, body)
+                    _, _, ident, class_name, body = heapq.heappop(self.running)
+                    if class_name in self.calls and ident not in self.resumed:
+                        self._request_call(ident, class_name, body)
                     else:
-                        self.back.discard(ident)
+                        self.resumed.discard(ident)
                         self.finished += 1
-                        self._notice(ident, b"success", self.result(group, body))
+                        self._notice(ident, b"success", self.result(class_name, body))
                     self._start()
                 for ident in [
-                    ident for ident, (_, _, since) in self.at_call.items() if now - since > OVER
+                    ident
+                    for ident, (_, _, since) in self.calls_in_progress.items()
+                    if now - since > CALL_TIMEOUT
                 ]:
-                    del self.at_call[ident]
+                    del self.calls_in_progress[ident]
                     self._notice(ident, b"interrupted", b"")
                 ends = [each[0] for each in self.running[:1]]
-                ends += [since + OVER for _, _, since in self.at_call.values()][:1]
+                ends += [since + CALL_TIMEOUT for _, _, since in self.calls_in_progress.values()][
+                    :1
+                ]
                 self.lock.wait(max(0.0, min(ends) - now) + 0.0001 if ends else None)
 
-    def _notice(self, ident: str, end: bytes, result: bytes) -> None:
-        self._say(b"REAP", b"%b %b 1 %d\r\n%b\r\n" % (ident.encode(), end, len(result), result))
+    def _notice(self, ident: str, outcome: bytes, result: bytes) -> None:
+        self._send_numbered(
+            b"REAP", b"%b %b 1 %d\r\n%b\r\n" % (ident.encode(), outcome, len(result), result)
+        )
 
-    def _asks(self, ident: str, group: str, body: bytes) -> None:
-        self.at_call[ident] = group, body, time.monotonic()
-        self._say(b"IOREQ", b"%b 1\r\n?\r\n" % ident.encode())
+    def _request_call(self, ident: str, class_name: str, body: bytes) -> None:
+        self.calls_in_progress[ident] = class_name, body, time.monotonic()
+        self._send_numbered(b"IOREQ", b"%b 1\r\n?\r\n" % ident.encode())
 
-    def _say(self, word: bytes, rest: bytes) -> None:
-        self.number += 1
-        data = b"%b %d %b" % (word, self.number, rest)
-        self.notices.append((self.number, data))
+    def _send_numbered(self, word: bytes, rest: bytes) -> None:
+        self.last_number += 1
+        data = b"%b %d %b" % (word, self.last_number, rest)
+        self.notices.append((self.last_number, data))
         if self.link is not None:
             try:
                 self.link.sendall(data)
--- a/lilacwalk/testing/fleet.py
+++ b/lilacwalk/testing/fleet.py
@@ -1,11 +1,14 @@
-"""Real processes of the program as members of a fleet, a switch between them, and what each believes over
-time.
+"""A fleet of real processes with a datagram switch between them. It records each member's view over time.
 
-Each member has a directory with its file, log and store. `kind` says what it is: `fleet run`, or a whole
-app server with a stand-in kernel. Faults: processes killed, stopped, continued, started cold; links cut one
-way or both, lossy, slow, doubling, with a member's BGP session through the same link; disks filled (by a
-limit on file size set in the child), or made unreadable; clocks that are off, or jump
-(`testing/process_launcher.py`)."""
+Each member has a directory with its operator file, log and store. The fleet's `kind` is `run` (the command
+`fleet run`) or `serve` (whole app servers with stand-in executors). Faults:
+
+- processes are killed, stopped, resumed or started cold;
+- links are cut in one direction or both, lose, delay or duplicate datagrams; a member's BGP session runs over
+  the same link;
+- disks are full (through a limit on the file size of the process) or unreadable;
+- clocks have an offset or jump (`testing/process_launcher.py`).
+"""
 
 from __future__ import annotations
 
@@ -33,12 +36,14 @@
 from lilacwalk.testing.site_settings import make_process_config
 
 ROOT = Path(__file__).parent.parent.parent
-LOOK = 0.05  # seconds between two looks at what all believe
-STARTING = 15.0  # seconds a process may take until it answers: a failure, never a wait
+POLL_INTERVAL = 0.05  # seconds between two polls of a condition
+START_TIMEOUT = 15.0  # seconds for a start or an exit; only a failing test waits that long
 
 
 @dataclass(eq=False, slots=True)
 class Process:
+    """One member: its settings, its process and the stand-ins that belong to it."""
+
     name: str
     site: str
     directory: Path
@@ -49,18 +54,18 @@
     stopped: bool = False
     full: bool = False
     executor: StandInExecutor | None = None
-    dependency: SharedDependency | None = None  # shared: ended by whoever made it
-    call_share: float = 0.0  # its part of the calls in hand that the index survives
+    dependency: SharedDependency | None = None  # shared by members, so it is not ended with them
+    call_share: float = 0.0  # share of the calls in flight that the dependency can bear
     starts: int = 0
-    reserved_socket: socket.socket | None = None  # its port, until its first start
-    extra: str = ""  # further lines of its file
-    configured_name: str = ""  # the name in its file, where it is another
-    cpus: int = 2  # of a whole app server
-    max_retry_after_ms: float = 1000.0  # the longest that its denials may tell
-    router: BgpRouter | None = None  # the stand-in that it announces to
-    stream: Stream | None = None  # the link to it
-    clock: Path | None = None  # how far its clock is off, in seconds; None: it is the machine's
-    iteration_times_path: Path | None = None  # where it records how long its passes take
+    reserved_socket: socket.socket | None = None  # reserves the port until the first start
+    extra: str = ""  # further lines of the operator file
+    configured_name: str = ""  # the name in the operator file, if it differs from `name`
+    cpus: int = 2  # kind `serve` only
+    max_retry_after_ms: float = 1000.0  # longest retry-after of a denial
+    router: BgpRouter | None = None  # stand-in BGP peer
+    stream: Stream | None = None  # the link to `router`
+    clock: Path | None = None  # file with the clock's offset in seconds; None: the machine's clock
+    iteration_times_path: Path | None = None  # file for the times of event loop iterations
 
     @property
     def running(self) -> bool:
@@ -77,29 +82,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    at: float  # seconds since the rig began
+    """A member's answer to `show`."""
+
+    at: float  # seconds since the fleet was created
     name: str
     shown: dict
 
 
 @dataclass(eq=False)
 class ProcessFleet:
-    """`interval_ms`: the probe interval. Ended by `end`, which leaves nothing behind but what `keep`
-    names."""
+    """`interval_ms` is the probe interval.
+
+    `end` stops all processes and removes all files. If `keep` names a directory, their files and logs are
+    copied to it first.
+    """
 
     seed: int = 1
     interval_ms: int = 200
     kind: str = "run"
     keep: str | None = None
     store: bool = True
-    program: tuple[str, ...] = ("lilacwalk",)  # the module that is started, with its words
+    program: tuple[str, ...] = ("lilacwalk",)  # module to start, and its first arguments
     processes: dict[str, Process] = field(default_factory=dict)
     observations: list[Observation] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.directory = Path(
-            tempfile.mkdtemp(prefix="lw-")
-        )  # short: a Unix socket's path has 107 bytes at most
+        # the prefix is short because the path of a Unix socket is limited to 107 bytes
+        self.directory = Path(tempfile.mkdtemp(prefix="lw-"))
         self.key = self.directory / "key"
         self.write_keys(secrets.token_hex(32))
         self.switch = Switch(self.seed)
@@ -119,19 +128,19 @@
         extra: str = "",
         configured_name: str = "",
     ) -> Process:
-        place = self.directory / name
-        place.mkdir()
-        # Held until the process takes it: let go at once, it may become the switch's port for another.
+        directory = self.directory / name
+        directory.mkdir()
+        # The port is reserved until the process starts: otherwise the switch could get it for another member.
         held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         held.bind(("127.0.0.1", 0))
-        real = held.getsockname()
-        told = self.switch.add(name, real)
+        listen_address = held.getsockname()
+        advertised_address = self.switch.add(name, listen_address)
         made = Process(
             name,
             site,
-            place,
-            real,
-            told,
+            directory,
+            listen_address,
+            advertised_address,
             tuple(seeds),
             extra=extra,
             configured_name=configured_name,
@@ -141,10 +150,11 @@
         return made
 
     def write(self, each: Process) -> None:
-        places = [
+        """Writes the member's operator file."""
+        addresses = [
             self.processes[seed].advertised_address for seed in each.seeds if seed != each.name
         ]
-        seeds = "\n".join(f"    seed {host}:{port}" for host, port in places)
+        seeds = "\n".join(f"    seed {host}:{port}" for host, port in addresses)
         store = f"    store {each.directory}/store\n" if self.store else ""
         each.file.write_text(
             f"fleet {{\n    name {each.configured_name or each.name}\n    site {each.site}\n"
@@ -157,19 +167,19 @@
         for name in names:
             each = self.processes[name]
             if each.running:
-                raise ValueError(f"{name} runs already")
+                raise ValueError(f"cannot start {name}: it is running")
             each.starts += 1
             if each.reserved_socket is not None:
                 each.reserved_socket.close()
                 each.reserved_socket = None
             self.write(each)
             each.stopped = False
-            arguments = [sys.executable, "-B", "-m", *self._launched(each)]
+            arguments = [sys.executable, "-B", "-m", *self._program(each)]
             if self.kind == "serve":
                 arguments += [
                     "serve",
                     "--config",
-                    str(self._handed(each)),
+                    str(self._write_config(each)),
                     "--file",
                     str(each.file),
                 ]
@@ -181,31 +191,36 @@
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
-                preexec_fn=no_room if each.full else None,
+                preexec_fn=forbid_file_growth if each.full else None,
             )
-            # through a pipe: a process whose files may not grow still has something to say
+            # The log goes through a pipe: a process that may not extend files can still write to it.
             threading.Thread(
-                target=copy, args=(each.popen.stdout, each.directory / "log"), daemon=True
+                target=append_lines, args=(each.popen.stdout, each.directory / "log"), daemon=True
             ).start()
             if self.kind == "run":
                 self.tell(name, state)
         if wait:
             for name in names:
                 self.wait(
-                    lambda name=name: self.show(name) is not None, STARTING, f"{name} answers"
+                    lambda name=name: self.show(name) is not None, START_TIMEOUT, f"{name} answers"
                 )
 
-    def _launched(self, each: Process) -> list[str]:
+    def _program(self, each: Process) -> list[str]:
         if each.clock is None and each.iteration_times_path is None:
             return list(self.program)
-        words = ["lilacwalk.testing.process_launcher"]
-        for word, path in (("--clock", each.clock), ("--passes", each.iteration_times_path)):
-            words += [word, str(path)] if path is not None else []
-        return [*words, "--"]
+        program = ["lilacwalk.testing.process_launcher"]
+        for option, path in (
+            ("--clock", each.clock),
+            ("--iteration-times", each.iteration_times_path),
+        ):
+            program += [option, str(path)] if path is not None else []
+        return [*program, "--"]
 
     def add_router(self, name: str, service: str, hold: int = 3) -> str:
-        """Gives it a stand-in router, with a link of its own that can be cut; the announce block for its
-        file."""
+        """Adds a stand-in router for the member, and a link to it that can be cut.
+
+        Returns the announce block for the operator file.
+        """
         each = self.processes[name]
         each.router = BgpRouter(RouterBehaviour(hold=hold, enforces_hold_time=True))
         each.stream = Stream(each.router.address)
@@ -216,26 +231,26 @@
             f"    peer {host}:{port} {{\n        as 65020\n        connect-retry 100ms\n    }}\n}}\n"
         )
 
-    def _handed(self, each: Process) -> Path:
+    def _write_config(self, each: Process) -> Path:
         if each.executor is None:
             each.executor = StandInExecutor(2)
-        given = make_process_config(each.executor.address) | {
+        config = make_process_config(each.executor.address) | {
             "name": each.configured_name or each.name
         }
-        info = given["settings"]["family_info"]
+        info = config["settings"]["family_info"]
         info["cpus"] = each.cpus
-        given["settings"]["limits"]["max_retry_after_ms"] = each.max_retry_after_ms
+        config["settings"]["limits"]["max_retry_after_ms"] = each.max_retry_after_ms
         if each.dependency is not None:
-            given["index"] = "{}:{}".format(*each.dependency.address)
-            groups = [group["name"] for group in given["settings"]["classes"]]
+            config["index"] = "{}:{}".format(*each.dependency.address)
+            class_names = [request_class["name"] for request_class in config["settings"]["classes"]]
             info |= {
                 "below": "common",
-                "calls_by_class": [name in each.executor.calls for name in groups],
+                "calls_by_class": [name in each.executor.calls for name in class_names],
                 "call_share": each.call_share,
                 "calls_over_ms": 1000.0,
             }
-        path = each.directory / "handed.json"
-        path.write_text(json.dumps(given))
+        path = each.directory / "config.json"
+        path.write_text(json.dumps(config))
         return path
 
     def tell(self, name: str, state: str) -> None:
@@ -247,7 +262,7 @@
     # Faults
 
     def kill(self, *names: str) -> None:
-        """All at once, then waited for."""
+        """Kills all processes at once, then waits for their end."""
         running = [each for name in names if (each := self.processes[name]).running]
         for each in running:
             each.popen.kill()
@@ -265,12 +280,13 @@
             self.processes[name].stopped = False
 
     def leave(self, *names: str) -> list[int]:
-        """The exit codes."""
+        """Terminates the processes with SIGTERM; returns their exit codes."""
         for name in names:
             self.processes[name].popen.terminate()
-        return [self.processes[name].popen.wait(STARTING) for name in names]
+        return [self.processes[name].popen.wait(START_TIMEOUT) for name in names]
 
     def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
+        """Cuts the links from `one` to `other`; if `both`, also those from `other` to `one`."""
         others = list(other)
         for here in one:
             for there in others:
@@ -279,22 +295,25 @@
                     self.switch.faults(there, here).cut = True
 
     def unplug(self, *names: str) -> None:
-        """Their whole link breaks: to all other members and to their routers. Among themselves they are
-        heard."""
+        """Cuts the links to all other members and to the routers. Links among `names` stay."""
         self.cut(names, [name for name in self.processes if name not in names])
         for name in names:
             if (stream := self.processes[name].stream) is not None:
                 stream.cut()
 
     def set_clock(self, name: str, seconds: float) -> None:
-        """Off by so much from now on, in a process whose `clock` was named before its start; or from its next
-        start on."""
+        """Sets the offset of the member's clock.
+
+        If `clock` was set before the process started, the offset is in effect at once, otherwise from the next
+        start on.
+        """
         each = self.processes[name]
         if each.clock is None:
             each.clock = each.directory / "clock"
         each.clock.write_text(f"{seconds}")
 
     def impair(self, name: str, **faults: float) -> None:
+        """Sets the faults of all datagrams from and to the member."""
         self.switch.ports[name].faults = Faults(**faults)
 
     def heal(self) -> None:
@@ -304,16 +323,19 @@
                 each.stream.cut(False)
 
     def fill(self, name: str, full: bool = True) -> None:
-        """Its disk, for this process from now on, or for its next start."""
+        """Makes the member's disk full, or not, for the running process and for the next start."""
         each = self.processes[name]
         each.full = full
         if each.running:
-            room = 0 if full else resource.RLIM_INFINITY
-            resource.prlimit(each.popen.pid, resource.RLIMIT_FSIZE, (room, resource.RLIM_INFINITY))
+            max_bytes = 0 if full else resource.RLIM_INFINITY
+            resource.prlimit(
+                each.popen.pid, resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY)
+            )
 
-    # What they believe
+    # Views of the members
 
     def show(self, name: str) -> dict | None:
+        """The member's answer to `show`; None if it gives none."""
         each = self.processes[name]
         if not each.running or each.stopped:
             return None
@@ -327,13 +349,14 @@
         return found
 
     def up(self) -> list[str]:
+        """The names of the members that run and are not stopped."""
         return [each.name for each in self.processes.values() if each.running and not each.stopped]
 
     def all_shown(self, names: Iterable[str] | None = None) -> dict[str, dict | None]:
         return {name: self.show(name) for name in (self.up() if names is None else names)}
 
     def settled(self, names: Iterable[str] | None = None) -> bool:
-        """All digests equal, all say that they are settled, and what they say is true."""
+        """Whether all views are settled and equal, and list exactly `names` as present."""
         names = list(self.up() if names is None else names)
         true = {self.processes[name].configured_name or name for name in names}
         found = self.all_shown(names)
@@ -345,6 +368,7 @@
         )
 
     def healths(self, of: str, by: Iterable[str] | None = None) -> dict[str, str]:
+        """The health of `of` in the view of each member in `by`."""
         found = {}
         for name, shown in self.all_shown(by).items():
             if shown is not None and name != of:
@@ -353,20 +377,23 @@
         return found
 
     def wait(self, reached: Callable[[], bool], most: float, what: str) -> float:
-        """How long it took, in seconds. Raises TimeoutError."""
+        """Waits until `reached` is true; returns the seconds that it took. Raises TimeoutError after `most`."""
         began = time.monotonic()
         while not reached():
             if time.monotonic() - began > most:
-                raise TimeoutError(f"not within {most:g} s: {what}")
-            time.sleep(LOOK)
+                raise TimeoutError(f"condition not reached within {most:g} s: {what}")
+            time.sleep(POLL_INTERVAL)
         return time.monotonic() - began
 
     def log(self, name: str) -> str:
         return (self.processes[name].directory / "log").read_text()
 
     def address(self, name: str, event: str = "event=started") -> tuple[str, int]:
-        """Where a whole app server takes exchanges, in this life; or, by another event of its log, listens
-        besides. Raises IndexError before it says so."""
+        """The address at which an app server listens for proxies since its last start.
+
+        With another `event` of its log, the address that this event names. Raises IndexError if the event is
+        not logged yet.
+        """
         started = [line for line in self.log(name).splitlines() if event in line]
         host, port = (
             started[self.processes[name].starts - 1].split("listen=")[1].split()[0].split(":")
@@ -382,32 +409,36 @@
                 each.popen.stdin.close()
             if each.reserved_socket is not None:
                 each.reserved_socket.close()
-            for party in (each.executor, each.stream, each.router):
-                if party is not None:
-                    party.end()
+            for stand_in in (each.executor, each.stream, each.router):
+                if stand_in is not None:
+                    stand_in.end()
         self.switch.end()
         if self.keep is not None:
             shutil.copytree(
                 self.directory,
                 self.keep,
                 dirs_exist_ok=True,
-                ignore=lambda place, names: [name for name in names if name in ("s", "key")],
+                ignore=lambda directory, names: [name for name in names if name in ("s", "key")],
             )
         shutil.rmtree(self.directory, ignore_errors=True)
 
 
 def present(shown: dict) -> set[str]:
+    """The members that a view lists as alive or suspect."""
     return {row["name"] for row in shown["members"] if row["health"] in ("alive", "suspect")}
 
 
-def copy(lines: IO[bytes], path: Path) -> None:
+def append_lines(lines: IO[bytes], path: Path) -> None:
     with lines, open(path, "ab") as log:
         for line in lines:
             log.write(line)
             log.flush()
 
 
-def no_room() -> None:
-    """In the child: no file grows. The signal for it is ignored, so that writing fails as on a full disk."""
+def forbid_file_growth() -> None:
+    """In the child: sets the limit on file size to 0, so that writes fail as on a full disk.
+
+    SIGXFSZ, which such a write raises, is ignored.
+    """
     signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
--- a/lilacwalk/testing/lossy_proxy.py
+++ b/lilacwalk/testing/lossy_proxy.py
@@ -1,6 +1,10 @@
-"""A bad link between a device and the edge: delay, bandwidth, stalls of seconds, resets, all drawn from a
-seed. What TCP makes of loss is a stall and a burst, so for TCP loss is played as that (Gilbert-Elliott: a
-good and a bad state)."""
+"""Proxies that imitate a bad link between a device and the edge: delay, limited bandwidth, stalls of seconds
+and resets, all drawn from a seed.
+
+Packet loss appears to a TCP application as a stall followed by a burst, so the TCP proxy imitates loss by stalls.
+A Gilbert-Elliott model with a good and a bad state decides when data is stalled, or a datagram lost: only in the bad
+state.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +21,22 @@
 
 @dataclass(frozen=True)
 class LinkConditions:
-    """Times in seconds, rates in bytes a second; each chance is for one chunk of a link."""
+    """Times in seconds, rates in bytes per second; probabilities are per chunk of data or per datagram."""
 
     delay: float = 0.05
     jitter: float = 0.02
     rate: float = 20_000.0
-    to_bad: float = 0.02  # from the good state to the bad one
-    to_good: float = 0.5
-    stall: tuple[float, float] = (0.5, 2.0)  # for a chunk in the bad state
-    reset: float = 0.0
+    to_bad: float = 0.02  # probability of the change from the good state to the bad one
+    to_good: float = 0.5  # probability of the change from the bad state to the good one
+    stall: tuple[float, float] = (0.5, 2.0)  # range of the stall of a chunk in the bad state
+    reset: float = 0.0  # probability of a reset of the connection
 
 
 class Proxy:
-    def __init__(self, to: tuple[str, int], weather: LinkConditions, seed: int) -> None:
-        self.to, self.weather, self.rng = to, weather, random.Random(seed)
+    """Forwards TCP connections over a bad link."""
+
+    def __init__(self, to: tuple[str, int], conditions: LinkConditions, seed: int) -> None:
+        self.to, self.conditions, self.rng = to, conditions, random.Random(seed)
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address = self.listener.getsockname()
         self.pairs: list[tuple[socket.socket, socket.socket]] = []
@@ -44,7 +50,7 @@
             threading.Thread(target=target, daemon=True).start()
 
     def stall(self, seconds: float) -> None:
-        """All links stand still for so long from now."""
+        """Delivers nothing on any connection for `seconds` from now."""
         with self.lock:
             self.stalled_until = time.monotonic() + seconds
 
@@ -82,33 +88,37 @@
                 seeds = self.rng.getrandbits(32), self.rng.getrandbits(32)
             for source, sink, seed in ((near, far, seeds[0]), (far, near, seeds[1])):
                 threading.Thread(
-                    target=self._carry, args=(source, sink, pair, random.Random(seed)), daemon=True
+                    target=self._schedule,
+                    args=(source, sink, pair, random.Random(seed)),
+                    daemon=True,
                 ).start()
 
-    def _carry(self, source, sink, pair, rng: random.Random) -> None:
-        weather, bad, free_at, arrives = self.weather, False, 0.0, 0.0
+    def _schedule(self, source, sink, pair, rng: random.Random) -> None:
+        conditions, bad, free_at, arrives = self.conditions, False, 0.0, 0.0
         try:
             while True:
                 chunk = source.recv(2_048)
                 now = time.monotonic()
-                bad = rng.random() >= weather.to_good if bad else rng.random() < weather.to_bad
-                at = max(now, free_at) + len(chunk) / weather.rate
+                bad = (
+                    rng.random() >= conditions.to_good if bad else rng.random() < conditions.to_bad
+                )
+                at = max(now, free_at) + len(chunk) / conditions.rate
                 if bad:
                     self.stalls += 1
-                    at += rng.uniform(*weather.stall)
-                if weather.reset and rng.random() < weather.reset:
+                    at += rng.uniform(*conditions.stall)
+                if conditions.reset and rng.random() < conditions.reset:
                     self.resets += 1
                     self._reset(pair)
                     return
                 free_at = at
-                late = weather.delay + rng.uniform(0, weather.jitter)
-                arrives = max(arrives, at + late)  # one stream, in order
+                delay = conditions.delay + rng.uniform(0, conditions.jitter)
+                arrives = max(arrives, at + delay)  # a stream stays in order
                 with self.lock:
                     heapq.heappush(self.due, (arrives, next(self.order), sink, chunk))
                     self.lock.notify()
                 if not chunk:
                     return
-                # a sender is held back as a link's own buffer would: a second's worth at most
+                # Backpressure: at most one second's worth of data is buffered, as on a link with a buffer.
                 if free_at - now > 1.0:
                     time.sleep(min(1.0, free_at - now - 1.0))
         except OSError:
@@ -139,18 +149,18 @@
 
 
 class UdpProxy:
-    """The same for datagrams: loss in bursts, doubling, reordering."""
+    """Forwards datagrams over a bad link: loss in bursts, duplication and reordering."""
 
     def __init__(
         self,
         to: tuple[str, int],
-        weather: LinkConditions,
+        conditions: LinkConditions,
         seed: int,
         loss: float = 0.5,
         double: float = 0.02,
     ) -> None:
-        """`loss`: of a datagram in the bad state."""
-        self.to, self.weather, self.loss, self.double = to, weather, loss, double
+        """`loss` is the probability of losing a datagram in the bad state, `double` that of duplicating one."""
+        self.to, self.conditions, self.loss, self.double = to, conditions, loss, double
         self.rng = random.Random(seed)
         self.near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.near.bind(("127.0.0.1", 0))
@@ -160,7 +170,7 @@
         self.lost = self.doubled = 0
         self.order, self.due = count(), []
         self.lock = threading.Condition()
-        for target in (self._upward, self._deliver):
+        for target in (self._receive_from_clients, self._deliver):
             threading.Thread(target=target, daemon=True).start()
 
     def end(self) -> None:
@@ -170,7 +180,7 @@
         for sock in [self.near, *self.far.values()]:
             sock.close()
 
-    def _upward(self) -> None:
+    def _receive_from_clients(self) -> None:
         while not self.over:
             try:
                 data, address = self.near.recvfrom(65_536)
@@ -182,10 +192,12 @@
             if sock is None:
                 sock = self.far[address] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 sock.connect(self.to)
-                threading.Thread(target=self._downward, args=(sock, address), daemon=True).start()
-            self._carry(sock, None, data)
+                threading.Thread(
+                    target=self._receive_from_server, args=(sock, address), daemon=True
+                ).start()
+            self._schedule(sock, None, data)
 
-    def _downward(self, sock: socket.socket, address: tuple) -> None:
+    def _receive_from_server(self, sock: socket.socket, address: tuple) -> None:
         while not self.over:
             try:
                 data = sock.recv(65_536)
@@ -193,13 +205,13 @@
                 if self.over:
                     return
                 continue
-            self._carry(self.near, address, data)
+            self._schedule(self.near, address, data)
 
-    def _carry(self, sock: socket.socket, address: tuple | None, data: bytes) -> None:
+    def _schedule(self, sock: socket.socket, address: tuple | None, data: bytes) -> None:
         with self.lock:
-            rng, weather = self.rng, self.weather
+            rng, conditions = self.rng, self.conditions
             self.bad = (
-                rng.random() >= weather.to_good if self.bad else rng.random() < weather.to_bad
+                rng.random() >= conditions.to_good if self.bad else rng.random() < conditions.to_bad
             )
             copies = (
                 0 if self.bad and rng.random() < self.loss else 1 + (rng.random() < self.double)
@@ -207,7 +219,7 @@
             self.lost += not copies
             self.doubled += copies == 2
             for _ in range(copies):
-                at = time.monotonic() + weather.delay + rng.uniform(0, weather.jitter)
+                at = time.monotonic() + conditions.delay + rng.uniform(0, conditions.jitter)
                 heapq.heappush(self.due, (at, next(self.order), sock, address, data))
             self.lock.notify()
 
--- a/lilacwalk/testing/proxy_client.py
+++ b/lilacwalk/testing/proxy_client.py
@@ -1,4 +1,5 @@
-"""A caller of the routers' protocol: asks, remembers each answer and how many came for one tag."""
+"""A client of the proxies' protocol. It sends requests and records all answers to each tag, so that tests find
+duplicate answers."""
 
 from __future__ import annotations
 
@@ -10,44 +11,51 @@
 from lilacwalk.protocols.errors import FramingError
 from lilacwalk.protocols.resp import RespParser, encode_array
 
-IDENTS = count(1)
+REQUEST_IDS = count(1)
 
 
 class ProxyClient:
-    def __init__(self, address: tuple[str, int], customer: str = "acme") -> None:
-        self.customer = customer
+    def __init__(self, address: tuple[str, int], tenant: str = "acme") -> None:
+        self.tenant = tenant
         self.sock = socket.create_connection(address, 10.0)
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.changed = threading.Condition()
-        self.asked: dict[int, float] = {}
+        self.asked: dict[int, float] = {}  # time of sending by tag
         self.answers: dict[int, list[tuple[float, str, bytes]]] = {}
-        self.come_back: dict[int, float] = {}  # seconds that a denial asked to stay away
+        self.retry_after: dict[int, float] = {}  # retry-after of a denial in seconds, by tag
         self.tags = count(1)
         self.gone = False
         threading.Thread(target=self._read, daemon=True).start()
 
-    def ask(self, group: str, body: bytes = b"hello", wait_ms: int = 1000, **fields: object) -> int:
+    def ask(
+        self, class_name: str, body: bytes = b"hello", wait_ms: int = 1000, **fields: object
+    ) -> int:
         tag = next(self.tags)
         fields = {
-            "i": f"{0x5000_0000_0000 + next(IDENTS):016x}",
+            "i": f"{0x5000_0000_0000 + next(REQUEST_IDS):016x}",
             "s": int(time.time() * 1000),
             "d": wait_ms,
-            "t": self.customer,
+            "t": self.tenant,
             "m": "8.0",
             "p": "0.5",
         } | fields
         text = ",".join(f"{name}={value}" for name, value in fields.items())
         with self.changed:
             self.asked[tag] = time.monotonic()
-        self.sock.sendall(encode_array(b"SUBMIT", b"%d" % tag, group.encode(), text.encode(), body))
+        self.sock.sendall(
+            encode_array(b"SUBMIT", b"%d" % tag, class_name.encode(), text.encode(), body)
+        )
         return tag
 
-    def answer(self, tag: int, patience: float = 10.0) -> tuple[float, str, bytes]:
-        """When it came, its word and its body. Raises TimeoutError."""
+    def answer(self, tag: int, timeout: float = 10.0) -> tuple[float, str, bytes]:
+        """The first answer to `tag`: its arrival time, word and body.
+
+        Raises TimeoutError if none arrives in time, KeyError if the connection was lost before.
+        """
         with self.changed:
-            if not self.changed.wait_for(lambda: tag in self.answers or self.gone, patience):
-                raise TimeoutError(f"no answer to {tag}")
+            if not self.changed.wait_for(lambda: tag in self.answers or self.gone, timeout):
+                raise TimeoutError(f"no answer to tag {tag} within {timeout:g} s")
             return self.answers[tag][0]
 
     def end(self) -> None:
@@ -69,7 +77,7 @@
                             bytes(parts[2] or b"").decode().split(",") if len(parts) > 2 else ()
                         ):
                             if field.startswith("w="):
-                                self.come_back[tag] = float(field[2:]) / 1000
+                                self.retry_after[tag] = float(field[2:]) / 1000
                         with self.changed:
                             self.answers.setdefault(tag, []).append((time.monotonic(), word, body))
                             self.changed.notify_all()
--- a/lilacwalk/testing/restart_soak.py
+++ b/lilacwalk/testing/restart_soak.py
@@ -1,6 +1,8 @@
-"""One app server with a store and a kernel, killed and started again and again, and its callers, who ask
-again for what they got no answer to; the kernel's effects are counted by what was asked, whatever the try's
-id. For tests and measurements of what outlives a kill."""
+"""One app server with a store and a stand-in executor, which is killed and restarted repeatedly, and a client
+that sends unanswered requests again. For tests and measurements of what survives a kill.
+
+Effects are counted by the request body, so that two attempts of one request count as the same effect although
+their ids differ."""
 
 from __future__ import annotations
 
@@ -9,50 +11,56 @@
 from collections import Counter
 
 from lilacwalk.testing.executor import StandInExecutor
-from lilacwalk.testing.fleet import STARTING, Process, ProcessFleet
+from lilacwalk.testing.fleet import START_TIMEOUT, Process, ProcessFleet
 from lilacwalk.testing.proxy_client import ProxyClient
 
 WAIT_MS = 4_000
 
 
 class RestartSoak:
-    """`work`: seconds of a run. Ended by `end`."""
+    """An app server that tests kill and restart.
+
+    `work` is the time of a run in seconds. `end` stops all processes.
+    """
 
     def __init__(self, seed: int = 1, work: float = 0.004, cores: int = 2, **words: str) -> None:
-        """`words`: of the store block, beside its directory."""
+        """`words` are further settings of the store block, beside its directory and socket."""
         self.rng = random.Random(seed)
         self.effects: Counter[bytes] = Counter()
-        self.times: dict[bytes, list[float]] = {}  # of each effect
+        self.times: dict[bytes, list[float]] = {}  # monotonic times of each effect, by request body
         self.work = work
         self.rig = ProcessFleet(seed, 200, "serve", store=False)
         self.server: Process = self.rig.add("n0")
         self.server.cpus = cores
-        self.server.executor = self._kernel()
+        self.server.executor = self._make_executor()
         self.directory = self.server.directory / "kept"
         self.socket = self.server.directory / "kept.sock"
-        self.ordered(**words)
+        self.write_store_block(**words)
         self.proxy_client: ProxyClient | None = None
 
-    def _kernel(self) -> StandInExecutor:
-        def had(group: str, body: bytes) -> float:
+    def _make_executor(self) -> StandInExecutor:
+        def run_time(class_name: str, body: bytes) -> float:
             self.effects[bytes(body)] += 1
             self.times.setdefault(bytes(body), []).append(time.monotonic())
             return self.work
 
-        return StandInExecutor(self.server.cpus, had, lambda group, body: b"did " + body)
+        return StandInExecutor(self.server.cpus, run_time, lambda class_name, body: b"did " + body)
 
-    def ordered(self, **words: str) -> None:
+    def write_store_block(self, **words: str) -> None:
         lines = "".join(f"    {name.replace('_', '-')} {word}\n" for name, word in words.items())
         self.server.extra = (
             f"store {{\n    directory {self.directory}\n    socket {self.socket}\n{lines}}}\n"
         )
 
     def start(self, state: str | None = "state=kept") -> ProxyClient:
-        """`state`: what the log says before anything is asked; None: that it listens is enough."""
+        """Starts the app server and connects a client.
+
+        `state` is a text to wait for in the log first; with None it is enough that the executor is connected.
+        """
         before = len(self._log())
         self.rig.start("n0", wait=False)
         for what in ("event=started", "event=executor_up", *([state] if state else [])):
-            self.rig.wait(lambda what=what: what in self._log()[before:], STARTING, what)
+            self.rig.wait(lambda what=what: what in self._log()[before:], START_TIMEOUT, what)
         self.proxy_client = ProxyClient(self.rig.address("n0"))
         return self.proxy_client
 
@@ -65,33 +73,42 @@
         if self.proxy_client is not None:
             self.proxy_client.end()
 
-    def ask(self, group: str, key: str, **fields: object) -> tuple[str, bytes]:
-        """The word and body of its answer; ("", b"") where the connection was lost before one."""
-        tag = self.put(group, key, **fields)
+    def ask(self, class_name: str, key: str, **fields: object) -> tuple[str, bytes]:
+        """Sends a request; returns the word and body of its answer.
+
+        They are empty if the connection was lost before the answer.
+        """
+        tag = self.put(class_name, key, **fields)
         try:
             _, word, body = self.proxy_client.answer(tag)
         except KeyError:
             return "", b""
         return word, body
 
-    def put(self, group: str, key: str, **fields: object) -> int:
-        known = {"k": key} if group == "swap" else {}
-        return self.proxy_client.ask(group, key.encode(), WAIT_MS, **known, **fields)
+    def put(self, class_name: str, key: str, **fields: object) -> int:
+        known = {"k": key} if class_name == "swap" else {}
+        return self.proxy_client.ask(class_name, key.encode(), WAIT_MS, **known, **fields)
 
     def end(self) -> None:
         if self.proxy_client is not None:
             self.proxy_client.end()
         self.rig.end()
 
-    # One life in which many are under way when it is killed
+    # Kills with many requests in flight
 
     def count_duplicates_within(self, window: float) -> int:
-        """Effects had again within so many seconds of the first time: later a key is forgotten by right."""
+        """The number of effects that were applied again within `window` seconds of the first time.
+
+        After the window, an idempotency key may be forgotten.
+        """
         return sum(each[1] - each[0] <= window for each in self.times.values() if len(each) > 1)
 
     def run_until_kill(self, keys: list[str], again: list[str]) -> dict[str, list[str]]:
-        """Asks `again` (what had no answer before) and as many of the keys as come before the kill, at a
-        drawn instant. Returns keys by what became of them: answers' words, and "" for none."""
+        """Sends requests for the keys in `again`, then for those in `keys`, and kills the app server at a drawn time.
+
+        `again` holds the keys whose requests had no answer before. Returns the keys by the word of their answer:
+        "" if there was none, `unasked` if the request was not sent before the kill.
+        """
         proxy_client, found = self.proxy_client, {}
         tags = {}
         until = time.monotonic() + self.rng.uniform(0.005, 0.08)
--- a/lilacwalk/testing/retrying_clients.py
+++ b/lilacwalk/testing/retrying_clients.py
@@ -1,15 +1,17 @@
-"""A crowd of clients who try again: wishes come by a Poisson process, each is tried until it is answered or
-its patience is over, and what they do when they are turned away or hear nothing is the crowd's habit. Counts
-what they got, second by second of the wish.
+"""Clients that retry: requests arrive by a Poisson process, and each is attempted until it is answered or its
+time-out has passed. `RetryBehaviour` says how the clients react to a denial and to a missing answer. The outcomes
+are counted by the second in which the request arrived.
 
-In a process of its own, so that what is measured is the app server and not the crowd's interpreter:
+The clients can run in a process of their own, so that they do not compete with the measured app server for the
+interpreter:
 
-    python -m lilacwalk.testing.retrying_clients ORDERS
+    python -m lilacwalk.testing.retrying_clients OPTIONS
 
-ORDERS is a JSON object: `addresses` (a file with a line for each app server, read again when it changes; a
-caller stays with one until its connection is lost), `rate`, `callers`, `behaviour`, `seed`, `group`. It says
-`began` with the monotonic clock on standard output, ends when its standard input does, and then prints what
-its clients got as one JSON object (`RetryingClientsProcess` reads it)."""
+OPTIONS is a JSON object with the fields `addresses`, `rate`, `clients`, `behaviour`, `seed` and `class_name`.
+`addresses` names a file with the address of an app server in each line; it is read again while the clients run.
+A client stays with one app server until its connection is lost. The process prints `began` and the monotonic time
+on standard output, stops at the end of its standard input and then prints its counts as one JSON array
+(`RetryingClientsProcess` reads it)."""
 
 from __future__ import annotations
 
@@ -28,27 +30,28 @@
 
 from lilacwalk.testing.proxy_client import ProxyClient
 
-LOOK = 0.002  # seconds between two looks for answers
+POLL_INTERVAL = 0.002  # seconds between two polls for answers
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBehaviour:
-    """Seconds."""
+    """How clients retry; times in seconds."""
 
-    honours_retry_after: bool = True  # comes back when told
-    marks_retries: bool = True  # says that it asks again
-    request_timeout: float = 6.0
-    attempt_timeout: float = 1.0  # of one try
-    retry_delay: float = 0.2  # after silence, or where no time is told or heeded
-    max_attempts: int = 60  # tries of one wish
+    honours_retry_after: bool = True
+    marks_retries: bool = True  # retries carry the retry flag
+    request_timeout: float = 6.0  # for all attempts of a request together
+    attempt_timeout: float = 1.0
+    # after a missing answer, and after a denial whose retry-after is missing or not honoured
+    retry_delay: float = 0.2
+    max_attempts: int = 60
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
     number: int
-    born: float
-    caller: int
-    tries: int = 0
+    arrived: float
+    client: int
+    attempts: int = 0
     tag: int = 0
     proxy_client: ProxyClient | None = None
     until: float = 0.0
@@ -56,30 +59,40 @@
 
 @dataclass(slots=True)
 class ClientCounts:
-    requests: Counter[int] = field(default_factory=Counter)  # by second
+    """Counts by the second in which the request arrived, except where noted."""
+
+    requests: Counter[int] = field(default_factory=Counter)
     completed: Counter[int] = field(default_factory=Counter)
-    late: Counter[int] = field(
-        default_factory=Counter
-    )  # after its wish was given up: work for nobody
-    attempts: Counter[int] = field(default_factory=Counter)  # by the second of the try
-    # by the tenth of a second for which a denial told to come back
+    # completed after the request's time-out: wasted work
+    late: Counter[int] = field(default_factory=Counter)
+    attempts: Counter[int] = field(default_factory=Counter)  # by the second of the attempt
+    # denials, by the tenth of a second at which their retry-after ends
     retry_after_times: Counter[int] = field(default_factory=Counter)
 
 
 class RetryingClients:
     def __init__(
         self,
-        where: Callable[[], tuple[str, int] | None],
+        find_server: Callable[[], tuple[str, int] | None],
         rate: float,
-        callers: int,
+        clients: int,
         behaviour: RetryBehaviour,
         seed: int,
-        group: str = "look",
+        class_name: str = "look",
     ) -> None:
-        """`where`: the app server's address now; None while there is none. `rate`: wishes a second."""
-        self.where, self.rate, self.behaviour, self.group = where, rate, behaviour, group
+        """Starts the thread of the clients.
+
+        `find_server` returns the address of an app server, or None while there is none. `rate` is the number of
+        requests per second.
+        """
+        self.find_server, self.rate, self.behaviour, self.class_name = (
+            find_server,
+            rate,
+            behaviour,
+            class_name,
+        )
         self.rng = random.Random(seed)
-        self.callers = callers
+        self.clients = clients
         self.proxy_clients: dict[int, ProxyClient] = {}
         self.counts = ClientCounts()
         self.began = time.monotonic()
@@ -98,133 +111,140 @@
         for proxy_client in self.proxy_clients.values():
             proxy_client.end()
 
-    def service(self, second: int) -> float:
-        """Of the wishes of this second, the part that was granted in its patience."""
+    def success_ratio(self, second: int) -> float:
+        """The share of the requests of this second that were completed before their time-out."""
         return self.counts.completed[second] / max(1, self.counts.requests[second])
 
-    # Its thread
+    # The thread
 
     def _run(self) -> None:
         due: list[tuple[float, int, ClientRequest]] = []
-        out: dict[int, ClientRequest] = {}
-        next_wish = 0.0
+        in_flight: dict[int, ClientRequest] = {}
+        next_arrival = 0.0
         while not self.over.is_set():
             now = self.now
-            while next_wish <= now:
-                wish = ClientRequest(
-                    next(self.numbers), next_wish, self.rng.randrange(self.callers)
+            while next_arrival <= now:
+                request = ClientRequest(
+                    next(self.numbers), next_arrival, self.rng.randrange(self.clients)
                 )
-                self.counts.requests[int(next_wish)] += 1
-                heapq.heappush(due, (next_wish, wish.number, wish))
-                next_wish += self.rng.expovariate(self.rate)
+                self.counts.requests[int(next_arrival)] += 1
+                heapq.heappush(due, (next_arrival, request.number, request))
+                next_arrival += self.rng.expovariate(self.rate)
             while due and due[0][0] <= now:
-                wish = heapq.heappop(due)[2]
+                request = heapq.heappop(due)[2]
                 if (
-                    now - wish.born < self.behaviour.request_timeout
-                    and wish.tries < self.behaviour.max_attempts
+                    now - request.arrived < self.behaviour.request_timeout
+                    and request.attempts < self.behaviour.max_attempts
                 ):
-                    if self._try(wish, now):
-                        out[wish.number] = wish
+                    if self._attempt(request, now):
+                        in_flight[request.number] = request
                     else:
-                        heapq.heappush(due, (now + self.behaviour.retry_delay, wish.number, wish))
-            for number, wish in list(out.items()):
-                if (wait := self._ended(wish, now)) is not None:
-                    del out[number]
+                        heapq.heappush(
+                            due, (now + self.behaviour.retry_delay, request.number, request)
+                        )
+            for number, request in list(in_flight.items()):
+                if (wait := self._next_step(request, now)) is not None:
+                    del in_flight[number]
                     if wait >= 0:
-                        heapq.heappush(due, (now + wait, wish.number, wish))
-            time.sleep(LOOK)
+                        heapq.heappush(due, (now + wait, request.number, request))
+            time.sleep(POLL_INTERVAL)
 
-    def _try(self, wish: ClientRequest, now: float) -> bool:
-        """Whether it was sent."""
-        wish.tries += 1
+    def _attempt(self, request: ClientRequest, now: float) -> bool:
+        """Sends an attempt; returns whether it could be sent."""
+        request.attempts += 1
         self.counts.attempts[int(now)] += 1
-        proxy_client = self.proxy_clients.get(wish.caller)
+        proxy_client = self.proxy_clients.get(request.client)
         try:
             if proxy_client is None or proxy_client.gone:
-                address = self.where()
+                address = self.find_server()
                 if address is None:
                     return False
-                proxy_client = self.proxy_clients[wish.caller] = ProxyClient(address)
+                proxy_client = self.proxy_clients[request.client] = ProxyClient(address)
             wait = min(
-                self.behaviour.attempt_timeout, self.behaviour.request_timeout - (now - wish.born)
+                self.behaviour.attempt_timeout,
+                self.behaviour.request_timeout - (now - request.arrived),
             )
-            marked = {"r": 1} if self.behaviour.marks_retries and wish.tries > 1 else {}
-            wish.tag = proxy_client.ask(
-                self.group,
-                b"wish %d" % wish.number,
+            marked = {"r": 1} if self.behaviour.marks_retries and request.attempts > 1 else {}
+            request.tag = proxy_client.ask(
+                self.class_name,
+                b"wish %d" % request.number,
                 max(1, int(wait * 1000)),
-                f=wish.caller,
+                f=request.client,
                 **marked,
             )
-        except (
-            OSError,
-            IndexError,
-        ):  # IndexError: a new life that has not said yet where it listens
-            self.proxy_clients.pop(wish.caller, None)
+        except (OSError, IndexError):
+            # IndexError: a restarted app server has not logged its address yet
+            self.proxy_clients.pop(request.client, None)
             return False
-        wish.proxy_client, wish.until = proxy_client, now + wait
+        request.proxy_client, request.until = proxy_client, now + wait
         return True
 
-    def _ended(self, wish: ClientRequest, now: float) -> float | None:
-        """Seconds until it is tried again; negative: it is over; None: it waits for its answer."""
-        with wish.proxy_client.changed:
-            found = wish.proxy_client.answers.pop(wish.tag, None)
+    def _next_step(self, request: ClientRequest, now: float) -> float | None:
+        """Seconds until the next attempt; negative if the request is answered, None while an answer is awaited."""
+        with request.proxy_client.changed:
+            found = request.proxy_client.answers.pop(request.tag, None)
         if found is None:
-            if wish.proxy_client.gone or now > wish.until:
+            if request.proxy_client.gone or now > request.until:
                 return self.behaviour.retry_delay
             return None
-        told = wish.proxy_client.come_back.pop(wish.tag, 0.0)
-        if told:
-            self.counts.retry_after_times[int(10 * (now + told))] += 1
+        retry_after = request.proxy_client.retry_after.pop(request.tag, 0.0)
+        if retry_after:
+            self.counts.retry_after_times[int(10 * (now + retry_after))] += 1
         if found[0][1] == "done":
             table = (
                 self.counts.completed
-                if now - wish.born <= self.behaviour.request_timeout
+                if now - request.arrived <= self.behaviour.request_timeout
                 else self.counts.late
             )
-            table[int(wish.born)] += 1
+            table[int(request.arrived)] += 1
             return -1.0
-        return told if told and self.behaviour.honours_retry_after else self.behaviour.retry_delay
+        return (
+            retry_after
+            if retry_after and self.behaviour.honours_retry_after
+            else self.behaviour.retry_delay
+        )
 
 
 class Addresses:
-    """A file with a line for each app server: whom a caller asks that has no connection, drawn evenly."""
+    """Draws an app server, with equal probability, from a file with one address in each line."""
 
     def __init__(self, path: str, seed: int) -> None:
         self.path, self.rng = Path(path), random.Random(seed)
-        self.read_at, self.found = 0.0, []
+        self.read_at, self.addresses = 0.0, []
 
     def __call__(self) -> tuple[str, int] | None:
         now = time.monotonic()
         if now - self.read_at > 0.05:
             self.read_at = now
             lines = self.path.read_text().split()
-            self.found = [(host, int(port)) for host, port in (line.split(":") for line in lines)]
-        return self.rng.choice(self.found) if self.found else None
+            self.addresses = [
+                (host, int(port)) for host, port in (line.split(":") for line in lines)
+            ]
+        return self.rng.choice(self.addresses) if self.addresses else None
 
 
 class RetryingClientsProcess:
-    """A crowd in a process of its own."""
+    """Retrying clients in a process of their own."""
 
     def __init__(
         self,
         addresses: Path,
         rate: float,
-        callers: int,
+        clients: int,
         behaviour: RetryBehaviour,
         seed: int,
-        group: str = "look",
+        class_name: str = "look",
     ) -> None:
-        orders = {
+        options = {
             "addresses": str(addresses),
             "rate": rate,
-            "callers": callers,
+            "clients": clients,
             "behaviour": asdict(behaviour),
             "seed": seed,
-            "group": group,
+            "class_name": class_name,
         }
         self.popen = subprocess.Popen(
-            [sys.executable, "-B", "-m", "lilacwalk.testing.retrying_clients", json.dumps(orders)],
+            [sys.executable, "-B", "-m", "lilacwalk.testing.retrying_clients", json.dumps(options)],
             cwd=Path(__file__).parent.parent.parent,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -240,7 +260,7 @@
         time.sleep(max(0.0, second - self.now))
 
     def end(self) -> ClientCounts:
-        """What they got. Ends the process whatever happens."""
+        """Stops the clients and returns their counts. The process is killed if it does not answer."""
         try:
             text, _ = self.popen.communicate(timeout=15.0)
         finally:
@@ -256,20 +276,30 @@
 
 
 def main() -> None:
-    orders = json.loads(sys.argv[1])
-    crowd = RetryingClients(
-        Addresses(orders["addresses"], orders["seed"]),
-        orders["rate"],
-        orders["callers"],
-        RetryBehaviour(**orders["behaviour"]),
-        orders["seed"],
-        orders["group"],
+    options = json.loads(sys.argv[1])
+    clients = RetryingClients(
+        Addresses(options["addresses"], options["seed"]),
+        options["rate"],
+        options["clients"],
+        RetryBehaviour(**options["behaviour"]),
+        options["seed"],
+        options["class_name"],
     )
-    print(f"began {crowd.began}", flush=True)
+    print(f"began {clients.began}", flush=True)
     sys.stdin.read()
-    crowd.end()
-    got = crowd.counts
-    print(json.dumps([got.requests, got.completed, got.late, got.attempts, got.retry_after_times]))
+    clients.end()
+    counts = clients.counts
+    print(
+        json.dumps(
+            [
+                counts.requests,
+                counts.completed,
+                counts.late,
+                counts.attempts,
+                counts.retry_after_times,
+            ]
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -1,49 +1,50 @@
-"""A drill: a script of faults between real processes, with what is expected of them beside it. Statements
-are those of the operator's own file, one a line; setting lines first, then steps in their order.
+"""Fault-injection scenarios (drills): a script of faults between real processes, and the results expected of them.
+Statements have the syntax of the operator file, one a line. Settings come first, then the steps in their order.
 
-    members 12               how many; n0, n1, …
-    sites recife natal       in equal parts, in this order
+    members 12               number of members; they are named n0, n1, …
+    sites recife natal       the members are divided equally among the sites, in this order
     probe-interval 200ms
-    seeds 2                  the first so many are the seeds of all
-    seed 7                   of what is drawn: `third`, loss, order
-    store no                 nothing is kept (default: yes)
-    kind serve               whole app servers with stand-in kernels (default: run)
-    announce yes             kind serve: each announces a service to a stand-in router of its own
-    users 75%                whole app servers on the sites recife, caruaru and natal (r0, …, c0, …, n0, …), a
-                             plan for the loss of a site, and users who load all of them to so much
-    users-late 500ms         how late users learn what is announced
-    shared 100               with users: swap makes a call to a dependency of all sites that survives so many
-                             a second
-    guest-worth 20%          with users: of a guest's exchange against the same of home traffic
-    kept refused             with users: each keeps its effects; the rule while it cannot (or: marked)
+    seeds 2                  number of members, from n0 on, that are the seed members of all
+    seed 7                   seed of all random draws: `third`, loss, order
+    store no                 members have no store (default: yes)
+    kind serve               whole app servers with stand-in executors (default: run)
+    announce yes             with kind serve: each member announces a service to a stand-in router of its own
+    users 75%                app servers on the sites recife, caruaru and natal (r0, …, c0, …, n0, …) with a
+                             failover plan, and users whose load is this share of the capacity of all sites
+    users-late 500ms         time after which users know of a changed announcement
+    shared 100               with users: swap requests call a dependency of all sites that can bear this number of
+                             calls per second
+    guest-worth 20%          with users: the benefit of failover traffic relative to that of home traffic
+    kept refused             with users: each member has an effect log; the rule while it cannot persist effects
+                             (refused or marked)
 
     start WHO                kill WHO             stop WHO             continue WHO
     leave WHO                tell STATE WHO       fill WHO             empty WHO
-    cut WHO [from WHO]       both ways            mute WHO [to WHO]    one way: what they send
+    cut WHO [from WHO]       both directions      mute WHO [to WHO]    one direction: datagrams of WHO
     loss 30% WHO             delay 20ms WHO       heal                 wait 2s
-    unplug WHO               the whole link, announcements too; `heal` mends it
-    clock -24h WHO           off by so much from now on (ahead: 24h, right again: 0s)
-    lose WHO                 power: process and kernel at once        back WHO
-    slow WHO 3               their cores, by a factor
-    slow-shared 4            the shared dependency, by a factor
-    order drain SITE 60s     as an operator: drain, hold or release
+    unplug WHO               cuts the whole link, that to the router too; `heal` restores it
+    clock -24h WHO           sets the clock's offset (24h: ahead, 0s: correct again)
+    lose WHO                 power failure: ends process and executor    back WHO
+    slow WHO 3               makes requests on WHO take longer by a factor
+    slow-shared 4            makes calls to the shared dependency take longer by a factor
+    order drain SITE 60s     an operator's order: drain, hold or release
 
     expect settled [WHO] within 10s
-    expect health WORD WHO within 8s              by all who are up and not themselves in WHO
+    expect health WORD WHO within 8s              in the view of all running members outside of WHO
     expect conclusion WORD WHO within 8s
     expect store WORD WHO within 8s
-    expect disk WORD WHO within 8s                as all who are up see it: kept, full, …
-    expect announced|withdrawn WHO within 8s      as their own routers hold it
-    expect stage WORD SITE within 8s              by all who are up on other sites
-    expect stood-in|home SITE within 8s           whether others announce its service
-    expect service 95% [SITE] within 10s          of the benefit that users want, over the last two seconds
-    hold WORD WHO 5s                              nobody who is up says otherwise for so long
-    hold service 80% [SITE] 5s                    over that time
-    hold denied 5% CLASS 5s                       at most so much of an endpoint group, over that time
-    hold calls 110% 5s                            at most so much of what the shared dependency survives
-    hold once                                     no effect was done twice so far
-
-WHO: names, sites, all, third (drawn once), rest (all that are not third)."""
+    expect disk WORD WHO within 8s                in the view of all running members: kept, full, …
+    expect announced|withdrawn WHO within 8s      according to the routes of their own routers
+    expect stage WORD SITE within 8s              in the view of all running members on other sites
+    expect stood-in|home SITE within 8s           some, or no, node of another site announces its service
+    expect service 95% [SITE] within 10s          share of the offered benefit, over the last two seconds
+    hold WORD WHO 5s                              no running member reports another health in this time
+    hold service 80% [SITE] 5s                    share of the offered benefit, over this time
+    hold denied 5% CLASS 5s                       at most this share of a request class, over this time
+    hold calls 110% 5s                            at most this share of the calls that the dependency can bear
+    hold once                                     no effect was applied twice so far
+
+WHO: names of members or sites, all, third (a third of the members, drawn once), rest (the members not in third)."""
 
 from __future__ import annotations
 
@@ -110,16 +111,18 @@
     "hold_calls",
 )
 WITH_ROUTERS = ("announced", "withdrawn", "unplug")
-LATEST = 2  # seconds over which service is looked at: one has too few exchanges of the rarest group
-MOST_MEMBERS = 64  # processes on one machine: of 18 MB each
+SERVICE_WINDOW_SECONDS = 2  # one second has too few requests of the rarest class
+MAX_MEMBERS = 64  # processes of 18 MB each on one machine
 
 
 class BadScriptError(Exception):
-    """Every fault, one a line: FILE:LINE: word: expected …"""
+    """The script has errors; the message lists them, one a line, as `FILE:LINE: word: expected …`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
+    """A step of a script; `verb` selects the method `ScenarioRun.do_…` that carries it out."""
+
     line: int
     text: str
     verb: str
@@ -127,11 +130,13 @@
     other: tuple[str, ...] = ()
     word: str = ""
     time: float = 0.0  # seconds
-    share: float = 0.0
+    share: float = 0.0  # a share, or the factor of `slow` and `slow-shared`
 
 
 @dataclass(slots=True)
 class Script:
+    """The settings and steps of a script; the module's documentation describes the settings."""
+
     path: str
     members: int = 12
     sites: tuple[str, ...] = ("recife",)
@@ -141,10 +146,10 @@
     store: bool = True
     kind: str = "run"
     announce: bool = False
-    users: float = 0.0
-    users_late: float = 0.5
-    kept: str = ""
-    shared: int = 0
+    users: float = 0.0  # share of the capacity of all sites; 0: no users
+    users_late: float = 0.5  # seconds
+    kept: str = ""  # rule while effects cannot be persisted; empty: no effect log
+    shared: int = 0  # calls per second; 0: no shared dependency
     guest_worth: float = 1.0
     steps: list[Step] = field(default_factory=list)
 
@@ -160,6 +165,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
+    """Whether an expectation held, after how many seconds, and the deviation or value that was found."""
+
     step: Step
     held: bool
     took: float
@@ -167,7 +174,7 @@
 
 
 def read(path: str) -> Script:
-    """Raises BadScriptError."""
+    """Reads a script. Raises BadScriptError with all its errors."""
     try:
         statements, faults = parse_statements(read_text(path))
     except UnusableFileError as error:
@@ -177,17 +184,17 @@
     for each in statements:
         try:
             if each.block is not None:
-                raise WordError(each.keyword, "no block")
-            if not setting(script, each):
-                script.steps.append(step(each))
+                raise WordError(each.keyword, "a statement without a block")
+            if not apply_setting(script, each):
+                script.steps.append(parse_step(each))
         except WordError as error:
             found.append((each.line, error.word, error.expected))
     if script.users:
         script.sites, script.kind = SITES, "serve"
         if script.members % len(SITES):
-            found.append((1, "members", f"a multiple of {len(SITES)} where there are users"))
+            found.append((1, "members", f"a multiple of {len(SITES)} in a script with users"))
     if script.announce and script.kind != "serve":
-        found.append((1, "announce", "kind serve before it"))
+        found.append((1, "announce", "kind serve in the script"))
     known = {*script.names, *script.sites, "all", "third", "rest"}
     for each in script.steps:
         found += [
@@ -202,7 +209,7 @@
         if each.verb in WITH_ROUTERS and not (script.users or script.announce):
             found.append((each.line, each.verb, "a script with users, or announce yes"))
     if len(script.sites) > script.members:
-        found.append((1, "sites", "no more sites than members"))
+        found.append((1, "sites", f"at most as many sites as members, {script.members}"))
     if found:
         raise BadScriptError(
             "\n".join(
@@ -214,6 +221,8 @@
 
 
 class WordError(Exception):
+    """A word of a statement is wrong; `expected` describes the allowed words."""
+
     def __init__(self, word: str, expected: str) -> None:
         super().__init__(word)
         self.word, self.expected = word, expected
@@ -236,52 +245,52 @@
 )
 
 
-def setting(script: Script, each: Statement) -> bool:
-    """Whether it was one."""
+def apply_setting(script: Script, each: Statement) -> bool:
+    """Applies a settings line to the script; returns false if the statement is not one."""
     if each.keyword not in SETTINGS:
         return False
     if script.steps:
-        raise WordError(each.keyword, "settings before the first step")
+        raise WordError(each.keyword, "all settings before the first step")
     if not each.words:
-        raise WordError(each.keyword, "a word behind it")
+        raise WordError(each.keyword, "a value after the keyword")
     word = each.words[0]
     if each.keyword == "sites":
         script.sites = tuple(each.words)
     elif each.keyword == "probe-interval":
-        script.interval_ms = int(seconds(word) * 1000)
+        script.interval_ms = int(parse_seconds(word) * 1000)
     elif each.keyword == "store":
         script.store = one_of(word, ("yes", "no")) == "yes"
     elif each.keyword == "announce":
         script.announce = one_of(word, ("yes", "no")) == "yes"
     elif each.keyword == "users":
-        script.users = percent(word)
+        script.users = parse_percent(word)
     elif each.keyword == "guest-worth":
-        script.guest_worth = max(0.01, min(1.0, percent(word)))
+        script.guest_worth = max(0.01, min(1.0, parse_percent(word)))
     elif each.keyword == "kept":
         script.kept = one_of(word, ("refused", "marked"))
     elif each.keyword == "users-late":
-        script.users_late = seconds(word)
+        script.users_late = parse_seconds(word)
     elif each.keyword == "kind":
         script.kind = one_of(word, ("run", "serve"))
     else:
-        most = MOST_MEMBERS if each.keyword not in ("seed", "shared") else 1 << 31
+        most = MAX_MEMBERS if each.keyword not in ("seed", "shared") else 1 << 31
         if not word.isdecimal() or not 1 <= int(word) <= most:
             raise WordError(word, f"a whole number from 1 to {most}")
         setattr(script, each.keyword, int(word))
     return True
 
 
-def seconds(word: str) -> float:
+def parse_seconds(word: str) -> float:
     try:
         return parse_duration(word) / SECOND
     except ValueError as error:
         raise WordError(word, str(error)) from None
 
 
-def percent(word: str) -> float:
+def parse_percent(word: str) -> float:
     number = word.removesuffix("%")
     if not word.endswith("%") or not number.isdecimal() or int(number) > 200:
-        raise WordError(word, "a share, as 30%")
+        raise WordError(word, "a percentage from 0% to 200%, such as 30%")
     return int(number) / 100
 
 
@@ -291,18 +300,19 @@
     return word
 
 
-def some(words: list[str], at: str) -> tuple[str, ...]:
+def require_names(words: list[str], verb: str) -> tuple[str, ...]:
     if not words:
-        raise WordError(at, "who")
+        raise WordError(verb, "names of members or sites, all, third or rest")
     return tuple(words)
 
 
 def split_at(words: list[str], word: str) -> tuple[list[str], list[str]]:
+    """The words before and after `word`."""
     at = words.index(word) if word in words else len(words)
     return words[:at], words[at + 1 :]
 
 
-def step(each: Statement) -> Step:
+def parse_step(each: Statement) -> Step:
     line, text, verb, words = each.line, str(each), each.keyword, list(each.words)
     if verb in (
         "start",
@@ -316,98 +326,119 @@
         "lose",
         "back",
     ):
-        return Step(line, text, verb, some(words, verb))
+        return Step(line, text, verb, require_names(words, verb))
     if verb in ("cut", "mute"):
         who, other = split_at(words, "from" if verb == "cut" else "to")
-        return Step(line, text, verb, some(who, verb), tuple(other))
+        return Step(line, text, verb, require_names(who, verb), tuple(other))
     if verb == "heal" and not words:
         return Step(line, text, verb)
-    readers = {
-        "wait": wait,
-        "loss": loss,
-        "delay": delay,
-        "tell": tell,
-        "hold": hold,
-        "expect": expect,
-        "clock": clock,
-        "slow": slow,
-        "slow-shared": slow_shared,
-        "order": order,
+    parsers = {
+        "wait": parse_wait,
+        "loss": parse_loss,
+        "delay": parse_delay,
+        "tell": parse_tell,
+        "hold": parse_hold,
+        "expect": parse_expect,
+        "clock": parse_clock,
+        "slow": parse_slow,
+        "slow-shared": parse_slow_shared,
+        "order": parse_order,
     }
-    if verb in readers and words:
-        return readers[verb](line, text, words)
+    if verb in parsers and words:
+        return parsers[verb](line, text, words)
     raise WordError(verb, "a setting, or a step with its words: " + ", ".join(VERBS))
 
 
-def wait(line: int, text: str, words: list[str]) -> Step:
-    return Step(line, text, "wait", time=seconds(words[0]))
+def parse_wait(line: int, text: str, words: list[str]) -> Step:
+    return Step(line, text, "wait", time=parse_seconds(words[0]))
 
 
-def delay(line: int, text: str, words: list[str]) -> Step:
-    return Step(line, text, "delay", some(words[1:], "delay"), time=seconds(words[0]))
+def parse_delay(line: int, text: str, words: list[str]) -> Step:
+    return Step(
+        line, text, "delay", require_names(words[1:], "delay"), time=parse_seconds(words[0])
+    )
 
 
-def loss(line: int, text: str, words: list[str]) -> Step:
-    return Step(line, text, "loss", some(words[1:], "loss"), share=min(1.0, percent(words[0])))
+def parse_loss(line: int, text: str, words: list[str]) -> Step:
+    return Step(
+        line,
+        text,
+        "loss",
+        require_names(words[1:], "loss"),
+        share=min(1.0, parse_percent(words[0])),
+    )
 
 
-def clock(line: int, text: str, words: list[str]) -> Step:
+def parse_clock(line: int, text: str, words: list[str]) -> Step:
     sign = -1 if words[0].startswith("-") else 1
     return Step(
-        line, text, "clock", some(words[1:], "clock"), time=sign * seconds(words[0].lstrip("-"))
+        line,
+        text,
+        "clock",
+        require_names(words[1:], "clock"),
+        time=sign * parse_seconds(words[0].lstrip("-")),
     )
 
 
-def slow(line: int, text: str, words: list[str]) -> Step:
+def parse_slow(line: int, text: str, words: list[str]) -> Step:
     if not words[-1].replace(".", "", 1).isdecimal() or not float(words[-1]):
-        raise WordError(words[-1], "a factor, as 3")
-    return Step(line, text, "slow", some(words[:-1], "slow"), share=float(words[-1]))
+        raise WordError(words[-1], "a factor above 0, such as 3")
+    return Step(line, text, "slow", require_names(words[:-1], "slow"), share=float(words[-1]))
 
 
-def slow_shared(line: int, text: str, words: list[str]) -> Step:
-    return replace(slow(line, text, ["shared", *words[-1:]]), verb="slow_shared", who=())
+def parse_slow_shared(line: int, text: str, words: list[str]) -> Step:
+    return replace(parse_slow(line, text, ["shared", *words[-1:]]), verb="slow_shared", who=())
 
 
-def order(line: int, text: str, words: list[str]) -> Step:
+def parse_order(line: int, text: str, words: list[str]) -> Step:
     if len(words) != 3:
-        raise WordError(words[-1], "drain, hold or release, a site and a time")
+        raise WordError(words[-1], "three words: drain, hold or release, a site and a time")
     return Step(
-        line, text, "order", (words[1],), word=one_of(words[0], ORDERS), time=seconds(words[2])
+        line,
+        text,
+        "order",
+        (words[1],),
+        word=one_of(words[0], ORDERS),
+        time=parse_seconds(words[2]),
     )
 
 
-def tell(line: int, text: str, words: list[str]) -> Step:
-    return Step(line, text, "tell", some(words[1:], "tell"), word=one_of(words[0], STATES))
+def parse_tell(line: int, text: str, words: list[str]) -> Step:
+    return Step(line, text, "tell", require_names(words[1:], "tell"), word=one_of(words[0], STATES))
 
 
-def hold(line: int, text: str, words: list[str]) -> Step:
+def parse_hold(line: int, text: str, words: list[str]) -> Step:
     if words == ["once"]:
         return Step(line, text, "hold_once")
     if words[0] in ("service", "denied") and len(words) > 2:
-        share, rest, time_ = percent(words[1]), words[2:-1], seconds(words[-1])
+        share, rest, time_ = parse_percent(words[1]), words[2:-1], parse_seconds(words[-1])
         if words[0] == "service":
             return Step(line, text, "hold_service", tuple(rest), share=share, time=time_)
         if len(rest) != 1:
-            raise WordError(words[-1], "one endpoint group and a time")
+            raise WordError(words[-1], "one request class and a time")
         return Step(
             line, text, "hold_denied", word=one_of(rest[0], tuple(BENEFIT)), share=share, time=time_
         )
     if words[0] == "calls" and len(words) == 3:
-        return Step(line, text, "hold_calls", share=percent(words[1]), time=seconds(words[2]))
-    who, word = some(words[1:-1], "hold"), one_of(words[0], HEALTHS)
-    return Step(line, text, "hold", who, word=word, time=seconds(words[-1]))
+        return Step(
+            line, text, "hold_calls", share=parse_percent(words[1]), time=parse_seconds(words[2])
+        )
+    who, word = require_names(words[1:-1], "hold"), one_of(words[0], HEALTHS)
+    return Step(line, text, "hold", who, word=word, time=parse_seconds(words[-1]))
 
 
-def expect(line: int, text: str, words: list[str]) -> Step:
+def parse_expect(line: int, text: str, words: list[str]) -> Step:
     if len(words) < 3 or words[-2] != "within":
-        raise WordError(words[-1], "within and a time at the end of the line")
-    what, rest, within = words[0], words[1:-2], seconds(words[-1])
+        raise WordError(words[-1], "`within` and a time at the end of the line")
+    what, rest, within = words[0], words[1:-2], parse_seconds(words[-1])
     if what == "settled":
         return Step(line, text, "settled", tuple(rest), time=within)
     if what in ("announced", "withdrawn", "stood-in", "home"):
-        return Step(line, text, what.replace("-", "_"), some(rest, what), time=within)
+        return Step(line, text, what.replace("-", "_"), require_names(rest, what), time=within)
     if what == "service" and rest:
-        return Step(line, text, "service", tuple(rest[1:]), share=percent(rest[0]), time=within)
+        return Step(
+            line, text, "service", tuple(rest[1:]), share=parse_percent(rest[0]), time=within
+        )
     table = {
         "health": HEALTHS,
         "conclusion": CONCLUSIONS,
@@ -419,14 +450,21 @@
         raise WordError(
             what,
             "settled, service, announced, withdrawn, stood-in or home; or health, "
-            "conclusion, store, disk or stage, and what it should be",
+            "conclusion, store, disk or stage, followed by the expected value",
         )
     return Step(
-        line, text, what, some(rest[1:], what), word=one_of(rest[0], table[what]), time=within
+        line,
+        text,
+        what,
+        require_names(rest[1:], what),
+        word=one_of(rest[0], table[what]),
+        time=within,
     )
 
 
-class Playing:
+class ScenarioRun:
+    """Runs the steps of a script; the methods `do_…` carry out one kind of step each."""
+
     def __init__(
         self, script: Script, seed: int, keep: str | None, say: Callable[[str], None]
     ) -> None:
@@ -438,7 +476,7 @@
                 script.members // len(SITES),
                 load=script.users,
                 seed=seed,
-                late=script.users_late,
+                route_delay=script.users_late,
                 interval_ms=script.interval_ms,
                 keep=keep,
                 kept=script.kept,
@@ -494,7 +532,9 @@
     def do_leave(self, step: Step, who: list[str]) -> None:
         codes = self.rig.leave(*who)
         if any(codes):
-            self.verdicts.append(Verdict(step, False, 0.0, f"exit codes {codes}"))
+            self.verdicts.append(
+                Verdict(step, False, 0.0, f"exit codes {codes}, expected 0 from each")
+            )
 
     def do_tell(self, step: Step, who: list[str]) -> None:
         for name in who:
@@ -556,68 +596,74 @@
             self.rig.processes[name].socket, f"sites {step.word} {step.who[0]} {int(step.time)}"
         )
         if "error" in found:
-            self.judge(Verdict(step, False, 0.0, found["error"]))
+            self.record_verdict(Verdict(step, False, 0.0, found["error"]))
 
     # Expectations
 
     def do_settled(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: "" if self.rig.settled(who or None) else self.spread(who))
+        self.wait_until(
+            step, lambda: "" if self.rig.settled(who or None) else self.view_deviation(who)
+        )
 
     def do_health(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: self.disagreeing(step.word, who))
+        self.wait_until(step, lambda: self.health_deviation(step.word, who))
 
     def do_conclusion(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: self.differing("conclusion", step.word, who))
+        self.wait_until(step, lambda: self.state_deviation("conclusion", step.word, who))
 
     def do_store(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: self.differing("store", step.word, who))
+        self.wait_until(step, lambda: self.state_deviation("store", step.word, who))
 
     def do_announced(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: self.routes(who, True))
+        self.wait_until(step, lambda: self.route_deviation(who, True))
 
     def do_withdrawn(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: self.routes(who, False))
+        self.wait_until(step, lambda: self.route_deviation(who, False))
 
     def do_stage(self, step: Step, who: list[str]) -> None:
-        self.until(step, lambda: self.staged(step.who, step.word))
+        self.wait_until(step, lambda: self.stage_deviation(step.who, step.word))
 
     def do_stood_in(self, step: Step, who: list[str]) -> None:
-        self.until(
+        self.wait_until(
             step,
-            lambda: "" if all(map(self.outage.failover_nodes, step.who)) else "nobody stands in",
+            lambda: ""
+            if all(map(self.outage.failover_nodes, step.who))
+            else "no node of another site announces its service",
         )
 
     def do_home(self, step: Step, who: list[str]) -> None:
-        self.until(
+        self.wait_until(
             step,
-            lambda: " ".join(
-                name for site in step.who for name in self.outage.failover_nodes(site)
+            lambda: ", ".join(
+                f"{name} announces the service of {site}"
+                for site in step.who
+                for name in self.outage.failover_nodes(site)
             ),
         )
 
     def do_service(self, step: Step, who: list[str]) -> None:
         first = self.outage.now
 
-        def wrong() -> (
-            str
-        ):  # only whole seconds that lie behind the step, answered for the most part
+        # Only whole seconds after the begin of the step count. The most recent second is left out, as many of its
+        # requests are not answered yet.
+        def deviation() -> str:
             end = int(self.outage.now) - 1
-            if end - LATEST < first:
-                return "not yet"
-            return self.short(end - LATEST, end, step)
+            if end - SERVICE_WINDOW_SECONDS < first:
+                return "too few seconds since the step"
+            return self.service_deviation(end - SERVICE_WINDOW_SECONDS, end, step)
 
-        self.until(step, wrong)
+        self.wait_until(step, deviation)
 
     def do_hold_service(self, step: Step, who: list[str]) -> None:
-        first, end = self.watched(step)
-        found = self.short(first, end, step)
-        self.judge(
+        first, end = self.wait_for_window(step)
+        found = self.service_deviation(first, end, step)
+        self.record_verdict(
             Verdict(step, not found, step.time, found or f"{self.outage.share(first, end):.1%}")
         )
 
     def do_hold_denied(self, step: Step, who: list[str]) -> None:
-        part = self.outage.denied(*self.watched(step), step.word)
-        self.judge(
+        part = self.outage.denied(*self.wait_for_window(step), step.word)
+        self.record_verdict(
             Verdict(step, part <= step.share, step.time, f"{part:.1%} of {step.word} denied")
         )
 
@@ -626,22 +672,30 @@
         time.sleep(step.time)
         rate = (self.outage.dependency.calls_made - before) / (time.monotonic() - began)
         part = rate * self.outage.dependency.slowness / self.outage.shared
-        self.judge(
-            Verdict(step, part <= step.share, step.time, f"{part:.0%}: {rate:.0f} calls a second")
+        self.record_verdict(
+            Verdict(
+                step,
+                part <= step.share,
+                step.time,
+                f"{part:.0%} of the calls that the dependency can bear: {rate:.0f} calls per second",
+            )
         )
 
     def do_hold_once(self, step: Step, who: list[str]) -> None:
-        self.judge(
+        self.record_verdict(
             Verdict(
                 step,
                 not self.outage.count_duplicate_effects(),
                 0.0,
-                f"{self.outage.count_duplicate_effects()} done twice",
+                f"{self.outage.count_duplicate_effects()} effects applied twice",
             )
         )
 
-    def watched(self, step: Step) -> tuple[int, int]:
-        """The whole seconds of the time that begins now, when it is over and mostly answered."""
+    def wait_for_window(self, step: Step) -> tuple[int, int]:
+        """Waits for the time of the step; returns its first whole second and the one after its last.
+
+        It also waits for one second more, after which most requests of the last second are answered.
+        """
         first = int(self.outage.now) + 1
         end = first + max(1, int(step.time))
         while self.outage.now < end + 1:
@@ -650,41 +704,48 @@
 
     def do_disk(self, step: Step, who: list[str]) -> None:
         word = "" if step.word == "kept" else step.word
-        self.until(step, lambda: self.told_of(who, "disk", word))
+        self.wait_until(step, lambda: self.reported_deviation(who, "disk", word))
 
     def do_hold(self, step: Step, who: list[str]) -> None:
         began = time.monotonic()
         found = ""
         while not found and time.monotonic() - began < step.time:
-            found = self.disagreeing(step.word, who)
+            found = self.health_deviation(step.word, who)
             time.sleep(0.02)
-        self.judge(Verdict(step, not found, time.monotonic() - began, found))
+        self.record_verdict(Verdict(step, not found, time.monotonic() - began, found))
 
-    def until(self, step: Step, wrong: Callable[[], str]) -> None:
+    def wait_until(self, step: Step, deviation: Callable[[], str]) -> None:
+        """Waits until `deviation` returns an empty text, at most for the time of the step."""
         began = time.monotonic()
-        while (found := wrong()) and time.monotonic() - began < step.time:
+        while (found := deviation()) and time.monotonic() - began < step.time:
             time.sleep(0.02)
-        self.judge(Verdict(step, not found, time.monotonic() - began, found))
+        self.record_verdict(Verdict(step, not found, time.monotonic() - began, found))
 
-    def judge(self, verdict: Verdict) -> None:
+    def record_verdict(self, verdict: Verdict) -> None:
         self.verdicts.append(verdict)
         self.say(
             f"{time.monotonic() - self.rig.began:8.2f} s  "
             + (f"held after {verdict.took:.2f} s" if verdict.held else f"NOT HELD: {verdict.found}")
         )
 
-    # What is wrong, in words; empty: nothing
+    # Descriptions of the deviation from the expectation; empty if there is none
 
-    def short(self, first: int, end: int, step: Step) -> str:
+    def service_deviation(self, first: int, end: int, step: Step) -> str:
         share = self.outage.share(first, end, step.who or SITES)
-        return "" if share >= step.share else f"{share:.1%} of the benefit"
+        return (
+            ""
+            if share >= step.share
+            else f"{share:.1%} of the offered benefit, expected at least {step.share:.1%}"
+        )
 
-    def routes(self, who: list[str], wanted: bool) -> str:
-        return " ".join(
-            name for name in who if bool(self.rig.processes[name].router.held) is not wanted
+    def route_deviation(self, who: list[str], wanted: bool) -> str:
+        return ", ".join(
+            f"the router of {name} holds {'no' if wanted else 'a'} route"
+            for name in who
+            if bool(self.rig.processes[name].router.held) is not wanted
         )
 
-    def staged(self, sites: tuple[str, ...], word: str) -> str:
+    def stage_deviation(self, sites: tuple[str, ...], word: str) -> str:
         for name in self.rig.up():
             if self.rig.processes[name].site in sites:
                 continue
@@ -694,63 +755,65 @@
                 return f"{name} does not answer"
             for each in found.get("sites", []):
                 if each["site"] in sites and each["stage"] != word:
-                    return f"{name}: {each['site']} is {each['stage']} ({each['why']})"
+                    return f"{name} reports that {each['site']} is {each['stage']} ({each['why']}), expected {word}"
         return ""
 
-    def disagreeing(self, word: str, who: list[str]) -> str:
-        askers = [name for name in self.rig.up() if name not in who] or self.rig.up()
-        for name, shown in self.rig.all_shown(askers).items():
+    def health_deviation(self, word: str, who: list[str]) -> str:
+        reporters = [name for name in self.rig.up() if name not in who] or self.rig.up()
+        for name, shown in self.rig.all_shown(reporters).items():
             if shown is None:
                 return f"{name} does not answer"
             healths = {row["name"]: row["health"] for row in shown["members"]}
             for of in who:
                 if of != name and (health := healths.get(of, "unknown")) != word:
-                    return f"{name} says {of} is {health}"
+                    return f"{name} reports that {of} is {health}, expected {word}"
         return ""
 
-    def told_of(self, who: list[str], field_: str, word: str) -> str:
+    def reported_deviation(self, who: list[str], field_: str, word: str) -> str:
         for name, shown in self.rig.all_shown().items():
             if shown is None:
                 return f"{name} does not answer"
             for row in shown["members"]:
                 if row["name"] in who and row[field_] != word:
-                    return f"{name} says {row['name']} {field_} {row[field_] or 'kept'}"
+                    return f"{name} reports that the {field_} of {row['name']} is {row[field_] or 'kept'}, expected {word or 'kept'}"
         return ""
 
-    def differing(self, field_: str, word: str, who: list[str]) -> str:
+    def state_deviation(self, field_: str, word: str, who: list[str]) -> str:
         for name, shown in self.rig.all_shown(who).items():
             if shown is None:
                 return f"{name} does not answer"
             if shown[field_] != word:
-                return f"{name}: {shown[field_]} ({shown['reason']})"
+                return (
+                    f"{name} reports {field_} {shown[field_]} ({shown['reason']}), expected {word}"
+                )
         return ""
 
-    def spread(self, who: list[str]) -> str:
+    def view_deviation(self, who: list[str]) -> str:
         found = self.rig.all_shown(who or None)
         shown = [each for each in found.values() if each is not None]
         if not shown:
-            return "nobody answers"
+            return "no member answers"
         counts = [each["present"] for each in shown]
         digests = len({each["digest"] for each in shown})
         unsettled = sum(not each["settled"] for each in shown)
-        return f"{digests} views, {min(counts)} to {max(counts)} present, {unsettled} not settled"
+        return f"{digests} different views, {min(counts)} to {max(counts)} members present, {unsettled} views not settled"
 
 
 def play(
     script: Script, seed: int | None = None, keep: str | None = None, quiet: bool = False, out=None
 ) -> bool:
-    """Whether all expectations held."""
+    """Runs a script and prints its steps and verdicts; returns whether all expectations held."""
     out = out or sys.stdout
 
     def say(text: str) -> None:
         if not quiet:
             print(text, file=out, flush=True)
 
-    playing = Playing(script, script.seed if seed is None else seed, keep, say)
+    scenario_run = ScenarioRun(script, script.seed if seed is None else seed, keep, say)
     try:
-        verdicts = playing.run()
+        verdicts = scenario_run.run()
     finally:
-        (playing.outage or playing.rig).end()
+        (scenario_run.outage or scenario_run.rig).end()
     width = max([len(each.step.text) for each in verdicts], default=0)
     say(f"\n{'line':>4}  {'expected':<{width}}  took")
     for each in verdicts:
--- a/lilacwalk/testing/site_outage.py
+++ b/lilacwalk/testing/site_outage.py
@@ -1,9 +1,9 @@
-"""Three sites of whole app servers, each with a kernel; users of each site who follow what is announced for
-it; and what they got, second by second. For drills and measurements of a site's loss.
+"""Three sites of app servers with stand-in executors, and users of each site who follow its route announcements.
+It counts the outcomes of the users' requests by second. For drills and measurements of the loss of a site.
 
-A user's exchange goes to a node that announces the site's service, one of those that are wanted most
-(shortest path), as it was known `late` seconds ago; drawn evenly among them. A loss of the connection loses
-the exchange, as a process that died does; nothing is tried again but what is repeatable, once, elsewhere."""
+A user's request goes to a node that announces the site's service by the shortest AS path, as it was announced
+`route_delay` seconds ago; one of several is drawn with equal probability. Requests are lost with their connection, as
+when a process dies. Only repeatable requests are retried, once and on any announcing node."""
 
 from __future__ import annotations
 
@@ -21,49 +21,54 @@
 from lilacwalk.testing.proxy_client import ProxyClient
 
 SITES = ("recife", "caruaru", "natal")
-EFFECTS = {"look": "repeatable", "swap": "deduplicated", "move": "mutating"}  # likewise
-BENEFIT = {"look": 1.0, "swap": 4.0, "move": 2.0}  # as the stand-in site's settings have it
-MIX = ("look", "look", "swap", "move")  # what users ask, each as often
-CALLS = ("swap",)  # these call the shared dependency, where there is one
-INDEX_TIME = 0.02  # seconds of a call there
+# the effects of `site_settings`, in the terms of the operator file
+EFFECTS = {"look": "repeatable", "swap": "deduplicated", "move": "mutating"}
+BENEFIT = {"look": 1.0, "swap": 4.0, "move": 2.0}  # as in `site_settings`
+# classes of the users' requests; each entry is drawn with equal probability
+MIX = ("look", "look", "swap", "move")
+CALLS = ("swap",)  # classes that call the shared dependency, if there is one
+DEPENDENCY_CALL_TIME = 0.02  # seconds
 WAIT_MS = 2_000
 
 
 def service(site: str) -> str:
+    """The prefix of the site's service address."""
     return f"192.0.2.{10 * (1 + SITES.index(site))}/32"
 
 
 @dataclass(slots=True)
 class Second:
-    """Of one site's users, by the second in which they asked."""
+    """Outcomes of the requests that one site's users sent in one second, by request class."""
 
     offered: Counter[str] = field(default_factory=Counter)
     completed: Counter[str] = field(default_factory=Counter)
     denied: Counter[str] = field(default_factory=Counter)
-    # terminated, lost with a connection, or nobody to ask
+    # terminated, lost with a connection, or without a node that announces the service
     other: Counter[str] = field(default_factory=Counter)
 
     @property
-    def benefit(self) -> float:
-        return sum(BENEFIT[group] * count for group, count in self.completed.items())
+    def completed_benefit(self) -> float:
+        return sum(BENEFIT[class_name] * count for class_name, count in self.completed.items())
 
     @property
-    def wanted(self) -> float:
-        return sum(BENEFIT[group] * count for group, count in self.offered.items())
+    def offered_benefit(self) -> float:
+        return sum(BENEFIT[class_name] * count for class_name, count in self.offered.items())
 
 
 @dataclass(slots=True)
-class Going:
+class PendingRequest:
     proxy_client: ProxyClient
     tag: int
     second: Second
-    group: str
+    class_name: str
     until: float
     site: str
-    tried: int
+    retries: int
 
 
 class Outage:
+    """The processes of three sites, their users, and the faults of whole sites or nodes."""
+
     def __init__(
         self,
         nodes: int = 4,
@@ -71,7 +76,7 @@
         load: float = 0.75,
         plan: bool = True,
         seed: int = 1,
-        late: float = 0.5,
+        route_delay: float = 0.5,
         interval_ms: int = 200,
         plan_load: float | None = None,
         keep: str | None = None,
@@ -80,26 +85,41 @@
         shared: float = 0.0,
         guest_worth: float = 1.0,
     ) -> None:
-        """`shared`: calls a second that a dependency of all sites survives; 0: there is none. `guests`:
-        nodes tell them from home traffic, where there is a plan. `kept`: each has a store of its own, and
-        this is its rule while that keeps nothing. `work`: seconds of one exchange on a node's one core;
-        `load`: of what all sites' cores can finish."""
+        """Prepares the processes; `start` starts them.
+
+        Args:
+            nodes: The number of nodes per site.
+            work: Seconds that one request takes on a node's only core.
+            load: The offered load as a share of the capacity of all sites.
+            plan: Whether the nodes have a failover plan.
+            seed: Of all random draws.
+            route_delay: Seconds after which users know of a changed announcement.
+            interval_ms: The probe interval of the fleet.
+            plan_load: The load per core in the plan, if it differs from `load`.
+            keep: A directory to which the files and logs are copied at the end.
+            kept: If not empty, each node has an effect log, with this rule while it cannot persist effects.
+            guests: Whether nodes distinguish failover traffic from home traffic; only with a plan.
+            shared: Calls per second that a dependency of all sites can bear; 0: no dependency.
+            guest_worth: The benefit of failover traffic relative to that of home traffic.
+        """
         self.rng = random.Random(seed)
-        self.nodes, self.work, self.late = nodes, work, late
+        self.nodes, self.work, self.route_delay = nodes, work, route_delay
         self.guests, self.shared, self.guest_worth = plan and guests, shared, guest_worth
         self.dependency = (
-            SharedDependency(max(1, round(shared * INDEX_TIME)), INDEX_TIME) if shared else None
+            SharedDependency(max(1, round(shared * DEPENDENCY_CALL_TIME)), DEPENDENCY_CALL_TIME)
+            if shared
+            else None
         )
         self.rate = {site: load * nodes / work for site in SITES}
         self.rig = ProcessFleet(seed, interval_ms, "serve", keep)
         self.routers: dict[str, BgpRouter] = {}
-        self.proxy_clients: dict[
-            tuple[str, str], ProxyClient
-        ] = {}  # by node and the site whose users ask
+        # by node and the site whose users send the requests
+        self.proxy_clients: dict[tuple[str, str], ProxyClient] = {}
         self.seconds: dict[str, dict[int, Second]] = {site: {} for site in SITES}
-        self.going: deque[Going] = deque()
-        self.known: deque[tuple[float, dict[str, dict[str, int]]]] = deque()
-        self.slowness: dict[str, float] = {}  # of a node's cores; as usual where it is not named
+        self.pending: deque[PendingRequest] = deque()
+        # recorded announcements: the time, and by site the path length of each announcing node
+        self.announcements: deque[tuple[float, dict[str, dict[str, int]]]] = deque()
+        self.slowness: dict[str, float] = {}  # factor on the work of a node; 1 if missing
         self.over = threading.Event()
         self.began = 0.0
         names = [f"{site[0]}{at}" for site in SITES for at in range(nodes)]
@@ -108,14 +128,14 @@
                 name = f"{site[0]}{at}"
                 process = self.rig.add(name, site, (names[0], names[nodes]))
                 process.extra = self.rig.add_router(name, service(site)) + (
-                    self._sites(load if plan_load is None else plan_load) if plan else ""
+                    self._sites_block(load if plan_load is None else plan_load) if plan else ""
                 )
                 if kept:
                     process.extra += (
                         f"store {{\n    directory {process.directory}/kept\n    unkept {kept}\n}}\n"
                     )
                 self.routers[name] = process.router
-                process.executor = self._kernel(name)
+                process.executor = self._make_executor(name)
                 process.cpus = 1
                 if self.dependency is not None:
                     process.dependency, process.call_share = (
@@ -123,14 +143,14 @@
                         2 * self.dependency.slots / len(names),
                     )
 
-    def _kernel(self, name: str) -> StandInExecutor:
+    def _make_executor(self, name: str) -> StandInExecutor:
         return StandInExecutor(
             1,
-            lambda group, body: self.work * self.slowness.get(name, 1.0),
+            lambda class_name, body: self.work * self.slowness.get(name, 1.0),
             calls=CALLS if self.dependency is not None else (),
         )
 
-    def _sites(self, load: float) -> str:
+    def _sites_block(self, load: float) -> str:
         guests = "        guests 127.0.0.1:0\n" if self.guests else ""
         blocks = "\n".join(
             f"    site {each} {{\n        cores {self.nodes}\n        load {load * self.nodes:.3f}\n"
@@ -138,19 +158,23 @@
             + f"\n        service {service(each)}\n{guests}    }}"
             for each in SITES
         )
-        kinds = "".join(
-            f"    class {group} {{\n        benefit {benefit}\n        share {MIX.count(group) / len(MIX)}\n"
-            f"        calls {int(group in CALLS)}\n        work {self.work * 1000:g}ms\n"
-            f"        effect {EFFECTS[group]}\n    }}\n"
-            for group, benefit in BENEFIT.items()
+        class_blocks = "".join(
+            f"    class {class_name} {{\n        benefit {benefit}\n        share {MIX.count(class_name) / len(MIX)}\n"
+            f"        calls {int(class_name in CALLS)}\n        work {self.work * 1000:g}ms\n"
+            f"        effect {EFFECTS[class_name]}\n    }}\n"
+            for class_name, benefit in BENEFIT.items()
+        )
+        shared = (
+            f"    shared index {self.shared:g}\n{class_blocks}"
+            if self.dependency is not None
+            else ""
         )
-        shared = f"    shared index {self.shared:g}\n{kinds}" if self.dependency is not None else ""
         return (
             f"sites {{\n{blocks}\n{shared}    headroom 0.05\n    guest-worth {self.guest_worth:g}\n"
             "    pace {\n        steady 1s\n        step 1s\n    }\n}\n"
         )
 
-    # Life
+    # Start, faults and end
 
     def start(self) -> None:
         self.rig.start(*self.rig.processes)
@@ -160,14 +184,14 @@
         )
         self.began = time.monotonic()
         for target in (
-            self._look,
-            self._collect,
-            *[lambda site=site: self._ask(site) for site in SITES],
+            self._record_announcements,
+            self._collect_answers,
+            *[lambda site=site: self._send_requests(site) for site in SITES],
         ):
             threading.Thread(target=target, daemon=True).start()
 
     def lose(self, *who: str) -> None:
-        """Power: processes and kernels of these sites or nodes, at once."""
+        """Ends processes and executors of these sites or nodes at once, as a power failure does."""
         names = [
             name for name, each in self.rig.processes.items() if each.site in who or name in who
         ]
@@ -177,7 +201,7 @@
             self._forget(name)
 
     def cut_off(self, site: str, cut: bool = True) -> None:
-        """Its link to the others and to the routers breaks, or is whole again. Its processes go on."""
+        """Cuts the site's link to the other sites and to the routers, or restores it. Its processes keep running."""
         names = [name for name, each in self.rig.processes.items() if each.site == site]
         if cut:
             self.rig.unplug(*names)
@@ -185,11 +209,12 @@
             self.rig.heal()
 
     def bring_back(self, *who: str) -> None:
+        """Starts these sites or nodes again, with new executors."""
         names = [
             name for name, each in self.rig.processes.items() if each.site in who or name in who
         ]
         for name in names:
-            self.rig.processes[name].executor = self._kernel(name)
+            self.rig.processes[name].executor = self._make_executor(name)
         self.rig.start(*names, wait=False)
 
     def end(self) -> None:
@@ -207,8 +232,8 @@
 
     # Users
 
-    def _look(self) -> None:
-        """What is announced, kept for as long as users learn it late."""
+    def _record_announcements(self) -> None:
+        """Records the announcements, and keeps them until users have learned the next ones."""
         prefixes = {Prefix.of(service(site)): site for site in SITES}
         while not self.over.wait(0.05):
             found: dict[str, dict[str, int]] = {site: {} for site in SITES}
@@ -217,19 +242,22 @@
                     site = prefixes.get(prefix)
                     if site is not None:
                         found[site][name] = sum(len(part) for _, part in attributes.as_path)
-            self.known.append((time.monotonic(), found))
-            while len(self.known) > 1 and self.known[1][0] <= time.monotonic() - self.late:
-                self.known.popleft()
-
-    def wanted(self, site: str) -> list[str]:
-        """Those that are preferred, as users know it."""
-        if not self.known:
+            self.announcements.append((time.monotonic(), found))
+            while (
+                len(self.announcements) > 1
+                and self.announcements[1][0] <= time.monotonic() - self.route_delay
+            ):
+                self.announcements.popleft()
+
+    def preferred_nodes(self, site: str) -> list[str]:
+        """The nodes with the shortest path to the site's service, as users know it."""
+        if not self.announcements:
             return []
-        paths = self.known[0][1][site]
+        paths = self.announcements[0][1][site]
         best = min(paths.values(), default=0)
         return sorted(name for name, length in paths.items() if length == best)
 
-    def _ask(self, site: str) -> None:
+    def _send_requests(self, site: str) -> None:
         rng = random.Random(f"{self.rng.random()} {site}")
         due = time.monotonic()
         while not self.over.is_set():
@@ -238,31 +266,42 @@
             if wait > 0 and self.over.wait(wait):
                 return
             second = self.seconds[site].setdefault(int(self.now), Second())
-            group = rng.choice(MIX)
-            second.offered[group] += 1
-            self._try(site, group, second, rng, 0)
+            class_name = rng.choice(MIX)
+            second.offered[class_name] += 1
+            self._send(site, class_name, second, rng, 0)
 
-    def _try(self, site: str, group: str, second: Second, rng: random.Random, tried: int) -> None:
-        names = self.wanted(site)
+    def _send(
+        self, site: str, class_name: str, second: Second, rng: random.Random, retries: int
+    ) -> None:
+        names = self.preferred_nodes(site)
         if not names:
-            second.other[group] += 1
+            second.other[class_name] += 1
             return
         name = rng.choice(names)
         try:
             proxy_client = self._proxy_client(name, site)
-            tag = proxy_client.ask(group, wait_ms=WAIT_MS)
+            tag = proxy_client.ask(class_name, wait_ms=WAIT_MS)
         except (OSError, KeyError, IndexError):
             self.proxy_clients.pop((name, site), None)
-            second.other[group] += 1
+            second.other[class_name] += 1
             return
-        self.going.append(
-            Going(
-                proxy_client, tag, second, group, time.monotonic() + WAIT_MS / 1000 + 1, site, tried
+        self.pending.append(
+            PendingRequest(
+                proxy_client,
+                tag,
+                second,
+                class_name,
+                time.monotonic() + WAIT_MS / 1000 + 1,
+                site,
+                retries,
             )
         )
 
     def _proxy_client(self, name: str, site: str) -> ProxyClient:
-        """Users of another site reach the node under their own site's service address."""
+        """The connection from the site's users to the node.
+
+        Users of another site than the node's connect to the failover listener for their site, if there is one.
+        """
         proxy_client = self.proxy_clients.get((name, site))
         if proxy_client is None or proxy_client.gone:
             guests = self.guests and self.rig.processes[name].site != site
@@ -275,27 +314,27 @@
         for key in [key for key in list(self.proxy_clients) if key[0] == name]:
             self.proxy_clients.pop(key, None)
 
-    def _collect(self) -> None:
+    def _collect_answers(self) -> None:
         rng = random.Random(self.rng.random())
         while not self.over.wait(0.01):
-            for _ in range(len(self.going)):
-                each = self.going.popleft()
+            for _ in range(len(self.pending)):
+                each = self.pending.popleft()
                 found = each.proxy_client.answers.pop(each.tag, None)
                 if found is not None:
                     word = found[0][1]
                     table = {"done": each.second.completed, "later": each.second.denied}
-                    table.get(word, each.second.other)[each.group] += 1
-                elif each.proxy_client.gone and each.group == "look" and not each.tried:
-                    self._try(each.site, each.group, each.second, rng, 1)
+                    table.get(word, each.second.other)[each.class_name] += 1
+                elif each.proxy_client.gone and each.class_name == "look" and not each.retries:
+                    self._send(each.site, each.class_name, each.second, rng, 1)
                 elif each.proxy_client.gone or time.monotonic() > each.until:
-                    each.second.other[each.group] += 1
+                    each.second.other[each.class_name] += 1
                 else:
-                    self.going.append(each)
+                    self.pending.append(each)
 
-    # What they got
+    # Outcomes
 
     def shares(self, sites: tuple[str, ...] = SITES) -> list[float]:
-        """Benefit completed over benefit offered, second by second."""
+        """The ratio of completed to offered benefit in each second since the start."""
         return [self.share(at, at + 1, sites) for at in range(int(self.now))]
 
     def rows(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> list[Second]:
@@ -307,20 +346,22 @@
         ]
 
     def share(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> float:
-        """The same of the seconds from the first to before the end."""
+        """The ratio of completed to offered benefit in the seconds from `first` to before `end`."""
         rows = self.rows(first, end, sites)
-        wanted = sum(row.wanted for row in rows)
-        return sum(row.benefit for row in rows) / wanted if wanted else 1.0
+        offered = sum(row.offered_benefit for row in rows)
+        return sum(row.completed_benefit for row in rows) / offered if offered else 1.0
 
-    def denied(self, first: int, end: int, group: str, sites: tuple[str, ...] = SITES) -> float:
-        """The part of a group's exchanges that was denied."""
+    def denied(
+        self, first: int, end: int, class_name: str, sites: tuple[str, ...] = SITES
+    ) -> float:
+        """The share of a class's requests that was denied in the seconds from `first` to before `end`."""
         rows = self.rows(first, end, sites)
-        return sum(row.denied[group] for row in rows) / max(
-            1, sum(row.offered[group] for row in rows)
+        return sum(row.denied[class_name] for row in rows) / max(
+            1, sum(row.offered[class_name] for row in rows)
         )
 
     def failover_nodes(self, site: str) -> set[str]:
-        """The nodes of other sites that announce its service."""
+        """The nodes of other sites that announce the site's service."""
         prefix = Prefix.of(service(site))
         return {
             name
@@ -329,7 +370,7 @@
         }
 
     def count_duplicate_effects(self) -> int:
-        """Effects done more than once, of all kernels that are there."""
+        """The number of requests that ran more than once, over all current executors."""
         return sum(
             count > 1
             for each in self.rig.processes.values()
--- a/lilacwalk/testing/site_settings.py
+++ b/lilacwalk/testing/site_settings.py
@@ -1,4 +1,4 @@
-"""What an app server is handed at a site of stand-ins: groups, limits, addresses."""
+"""The process configuration of an app server among stand-ins: request classes, limits and addresses."""
 
 from __future__ import annotations
 
@@ -44,18 +44,18 @@
 
 
 def make_process_config(
-    kernel: tuple[str, int],
+    executor: tuple[str, int],
     listen: str = "127.0.0.1:0",
     memory_mb: float = 192.0,
     sockets: int = 1024,
     stop_ms: int = 3000,
     **settings: object,
 ) -> dict:
-    where = f"{kernel[0]}:{kernel[1]}"
+    executor_address = f"{executor[0]}:{executor[1]}"
     return {
         "name": "n1",
         "listen": listen,
-        "kernel": where,
+        "kernel": executor_address,
         "directory": "127.0.0.1:9",
         "seed": "1f",
         "stop_ms": stop_ms,
--- a/tests/failover/test_integration.py
+++ b/tests/failover/test_integration.py
@@ -18,7 +18,7 @@
     outages = []
 
     def make(**more):
-        options = {"nodes": 2, "work": 0.02, "load": 0.4, "interval_ms": 100, "late": 0.1}
+        options = {"nodes": 2, "work": 0.02, "load": 0.4, "interval_ms": 100, "route_delay": 0.1}
         outages.append(Outage(**(options | more)))
         outages[-1].start()
         return outages[-1]
