--- a/lilacwalk/testing/accept_loop.py
+++ b/lilacwalk/testing/accept_loop.py
@@ -8,10 +8,10 @@
 
 
 def serve_each(
-    listener: socket.socket, is_over: Callable[[], bool], serve: Callable[[socket.socket], None]
+    listener: socket.socket, is_ended: Callable[[], bool], serve: Callable[[socket.socket], None]
 ) -> None:
-    """Accepts until `is_over` is true or the listener is closed."""
-    while not is_over():
+    """Accepts until `is_ended` is true or the listener is closed."""
+    while not is_ended():
         try:
             sock, _ = listener.accept()
         except OSError:
--- a/lilacwalk/testing/bgp_router.py
+++ b/lilacwalk/testing/bgp_router.py
@@ -1,5 +1,5 @@
 """A stand-in BGP router. It accepts sessions, holds the announced routes and records each message with the
-time and with the node state that its owner reports. `RouterBehaviour` sets its faults."""
+time and with the node's state at that time, which the `state` callback returns. `RouterBehaviour` sets its faults."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     session: int
     what: str
     message: object
-    state: str  # of the node, as reported by the router's owner
+    state: str  # the node's state at that time, from the `state` callback
 
 
 def table(count: int, asn: int, at: int = 0x14000000, length: int = 32) -> list[bytes]:
@@ -85,13 +85,13 @@
         self.stale: set[Prefix] = set()
         self.changed = threading.Condition()
         self.sessions = 0
-        self.over = False
+        self.ended = False
         self.socks: list[socket.socket] = []
         self.listener = socket.create_server((host, 0))
         self.address = self.listener.getsockname()[:2]
         threading.Thread(target=self._accept, daemon=True).start()
 
-    # Queries of tests
+    # Methods for tests: queries and waits
 
     def wait(self, ready: Callable[[], object], what: str = "") -> object:
         with self.changed:
@@ -114,7 +114,7 @@
         wanted = {Prefix.of(each) for each in prefixes}
         self.wait(lambda: set(self.held) == wanted, f"{prefixes} held")
 
-    # Actions of tests
+    # Methods for tests: actions
 
     def send(self, data: bytes) -> None:
         self.socks[-1].sendall(data)
@@ -133,7 +133,7 @@
         threading.Thread(target=self._serve, args=(sock, "opened here"), daemon=True).start()
 
     def end(self) -> None:
-        self.over = True
+        self.ended = True
         for sock in [self.listener, *self.socks]:
             shut_down_socket(sock)
             sock.close()
@@ -141,7 +141,7 @@
     # Threads
 
     def _accept(self) -> None:
-        while not self.over:
+        while not self.ended:
             try:
                 sock, _ = self.listener.accept()
             except OSError:
@@ -210,7 +210,7 @@
                             self._send(sock, data)
                         if not behaviour.reads:
                             with self.changed:
-                                self.changed.wait_for(lambda: self.over)
+                                self.changed.wait_for(lambda: self.ended)
                             return
                     elif behaviour.keepalives:
                         self._send(sock, messages.encode(Keepalive()))
--- a/lilacwalk/testing/datagram_switch.py
+++ b/lilacwalk/testing/datagram_switch.py
@@ -35,10 +35,10 @@
 class Port:
     name: str
     near: socket.socket  # receives the datagrams of the other members
-    listen_address: tuple[str, int]  # of the member itself
+    listen_address: tuple[str, int]  # the address at which the member itself listens
     sent: int = 0
     sent_bytes: int = 0
-    faults: Faults = field(default_factory=Faults)  # of all datagrams from and to the member
+    faults: Faults = field(default_factory=Faults)  # faults of all datagrams from and to the member
 
 
 class Stream:
@@ -52,7 +52,7 @@
         self.target = target
         self.connected = threading.Event()  # clear while the link is cut
         self.connected.set()
-        self.over = False
+        self.ended = False
         self.socks: list[socket.socket] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
@@ -65,7 +65,7 @@
             self.connected.set()
 
     def end(self) -> None:
-        self.over = True
+        self.ended = True
         self.connected.set()
         for sock in [self.listener, *self.socks]:
             try:
@@ -75,13 +75,13 @@
             sock.close()
 
     def _accept(self) -> None:
-        while not self.over:
+        while not self.ended:
             try:
                 near, _ = self.listener.accept()
                 self.connected.wait()  # a connection begun during a cut opens after it
                 far = socket.create_connection(self.target, 2.0)
             except OSError:
-                if self.over:
+                if self.ended:
                     return
                 continue
             far.settimeout(None)
@@ -117,7 +117,7 @@
         self.counts: Counter[str] = Counter()
         self.wake_in, self.wake_out = socket.socketpair()
         self.selector.register(self.wake_out, selectors.EVENT_READ, None)
-        self.over = False
+        self.ended = False
         threading.Thread(target=self._run, name="switch", daemon=True).start()
 
     def add(self, name: str, listen_address: tuple[str, int]) -> tuple[str, int]:
@@ -145,11 +145,11 @@
                 port.faults = Faults()
 
     def end(self) -> None:
-        self.over = True
+        self.ended = True
         self.wake_in.send(b".")
 
     def _run(self) -> None:
-        while not self.over:
+        while not self.ended:
             wait = max(0.0, self.due[0][0] - time.monotonic()) if self.due else None
             for key, _ in self.selector.select(wait):
                 if key.data is None:
--- a/lilacwalk/testing/dependency.py
+++ b/lilacwalk/testing/dependency.py
@@ -29,16 +29,16 @@
         self.lock = threading.Lock()
         self.in_flight = self.max_in_flight = self.calls_made = 0
         self.changes: list[tuple[float, int]] = []  # (time, number of calls in flight from then on)
-        self.over = False
+        self.ended = False
         threading.Thread(target=self._accept, daemon=True).start()
 
     def end(self) -> None:
-        self.over = True
+        self.ended = True
         shut_down_socket(self.listener)
         self.listener.close()
 
     def _accept(self) -> None:
-        serve_each(self.listener, lambda: self.over, self._serve)
+        serve_each(self.listener, lambda: self.ended, self._serve)
 
     def _serve(self, sock: socket.socket) -> None:
         """Answers one call at a time on each connection, as the app servers send them."""
--- a/lilacwalk/testing/disk.py
+++ b/lilacwalk/testing/disk.py
@@ -14,10 +14,12 @@
 
 
 class FaultyDisk:
-    """Crashes in operation number `crash_at`, counted from 1; 0: never.
+    """An in-memory disk with fault injection.
 
-    The seed determines how much of that operation is done. After the crash all synced data is there; of
-    unsynced data, any prefix of each file, in which a bit may be flipped.
+    The machine crashes in operation number `crash_at`, counted from 1; 0 means never. The seed determines how
+    much of that operation is done. After the crash, a file holds all its synced data and a prefix of any length
+    of its unsynced data, in which one bit may be flipped. Zero bytes may follow, and a file whose name was not
+    synced may be missing.
     """
 
     def __init__(self, seed: int = 0, crash_at: int = 0) -> None:
--- a/lilacwalk/testing/executor.py
+++ b/lilacwalk/testing/executor.py
@@ -46,7 +46,7 @@
         self.address = self.listener.getsockname()
         self.ran: dict[str, int] = {}
         self.finished = 0
-        self.over = False
+        self.ended = False
         self.began = time.monotonic()
         self.lock = threading.Condition()
         self.link: socket.socket | None = None
@@ -62,20 +62,20 @@
 
     def end(self) -> None:
         with self.lock:
-            self.over = True
+            self.ended = True
             self.lock.notify_all()
         for sock in (self.listener, self.link):
             if sock is not None:
                 shut_down_socket(sock)
                 sock.close()
 
-    def lose_link(self) -> None:
+    def close_connection(self) -> None:
         """Closes the connection to the app server; it may connect again."""
         if self.link is not None:
             self.link.shutdown(socket.SHUT_RDWR)
 
     def _accept(self) -> None:
-        serve_each(self.listener, lambda: self.over, self._serve)
+        serve_each(self.listener, lambda: self.ended, self._serve)
 
     def _serve(self, sock: socket.socket) -> None:
         parser = LineParser(lambda words: words[0] in ("SCHED", "IODONE"), 512, 65_536)
@@ -141,7 +141,7 @@
 
     def _run(self) -> None:
         with self.lock:
-            while not self.over:
+            while not self.ended:
                 now = time.monotonic()
                 while self.running and self.running[0][0] <= now:
                     _, _, ident, class_name, body = heapq.heappop(self.running)
--- a/lilacwalk/testing/fleet.py
+++ b/lilacwalk/testing/fleet.py
@@ -262,7 +262,7 @@
     # Faults
 
     def kill(self, *names: str) -> None:
-        """Kills all processes at once, then waits for their end."""
+        """Kills the running processes of these members at once, then waits for all of them to exit."""
         running = [each for name in names if (each := self.processes[name]).running]
         for each in running:
             each.popen.kill()
@@ -356,19 +356,22 @@
         return {name: self.show(name) for name in (self.up() if names is None else names)}
 
     def settled(self, names: Iterable[str] | None = None) -> bool:
-        """Whether all views are settled and equal, and list exactly `names` as present."""
+        """Whether the members in `names` have equal views that list exactly these members as present.
+
+        They must also report that their views are settled. `names` defaults to all running members.
+        """
         names = list(self.up() if names is None else names)
-        true = {self.processes[name].configured_name or name for name in names}
+        expected_names = {self.processes[name].configured_name or name for name in names}
         found = self.all_shown(names)
         shown = [each for each in found.values() if each is not None]
         if len(shown) < len(names) or len({each["digest"] for each in shown}) != 1:
             return False
         return all(each["settled"] for each in shown) and all(
-            present(each) == true for each in shown
+            present(each) == expected_names for each in shown
         )
 
     def healths(self, of: str, by: Iterable[str] | None = None) -> dict[str, str]:
-        """The health of `of` in the view of each member in `by`."""
+        """The health of `of` in the view of each other member in `by`, by default all running members."""
         found = {}
         for name, shown in self.all_shown(by).items():
             if shown is not None and name != of:
@@ -376,12 +379,15 @@
                 found[name] = rows.get(of, "unknown")
         return found
 
-    def wait(self, reached: Callable[[], bool], most: float, what: str) -> float:
-        """Waits until `reached` is true; returns the seconds that it took. Raises TimeoutError after `most`."""
+    def wait(self, reached: Callable[[], bool], timeout: float, what: str) -> float:
+        """Waits until `reached` is true; returns the seconds that it took.
+
+        Raises TimeoutError, with the description `what`, after `timeout` seconds.
+        """
         began = time.monotonic()
         while not reached():
-            if time.monotonic() - began > most:
-                raise TimeoutError(f"condition not reached within {most:g} s: {what}")
+            if time.monotonic() - began > timeout:
+                raise TimeoutError(f"condition not reached within {timeout:g} s: {what}")
             time.sleep(POLL_INTERVAL)
         return time.monotonic() - began
 
--- a/lilacwalk/testing/lossy_proxy.py
+++ b/lilacwalk/testing/lossy_proxy.py
@@ -44,7 +44,7 @@
         self.order = count()
         self.due: list[tuple] = []
         self.lock = threading.Condition()
-        self.over = False
+        self.ended = False
         self.stalls = self.resets = self.bytes = 0
         for target in (self._accept, self._deliver):
             threading.Thread(target=target, daemon=True).start()
@@ -62,7 +62,7 @@
 
     def end(self) -> None:
         with self.lock:
-            self.over = True
+            self.ended = True
             self.lock.notify_all()
         self.listener.close()
         self.reset_all()
@@ -73,12 +73,12 @@
             sock.close()
 
     def _accept(self) -> None:
-        while not self.over:
+        while not self.ended:
             try:
                 near, _ = self.listener.accept()
                 far = socket.create_connection(self.to, 5.0)
             except OSError:
-                if self.over:
+                if self.ended:
                     return
                 continue
             far.settimeout(None)
@@ -129,13 +129,13 @@
     def _deliver(self) -> None:
         while True:
             with self.lock:
-                while not self.over:
+                while not self.ended:
                     now = time.monotonic()
                     ready = max(self.due[0][0], self.stalled_until) if self.due else None
                     if ready is not None and ready <= now:
                         break
                     self.lock.wait(None if ready is None else ready - now)
-                if self.over:
+                if self.ended:
                     return
                 _, _, sink, chunk = heapq.heappop(self.due)
             try:
@@ -166,7 +166,7 @@
         self.near.bind(("127.0.0.1", 0))
         self.address = self.near.getsockname()
         self.far: dict[tuple, socket.socket] = {}
-        self.bad = self.over = False
+        self.bad = self.ended = False
         self.lost = self.doubled = 0
         self.order, self.due = count(), []
         self.lock = threading.Condition()
@@ -175,17 +175,17 @@
 
     def end(self) -> None:
         with self.lock:
-            self.over = True
+            self.ended = True
             self.lock.notify_all()
         for sock in [self.near, *self.far.values()]:
             sock.close()
 
     def _receive_from_clients(self) -> None:
-        while not self.over:
+        while not self.ended:
             try:
                 data, address = self.near.recvfrom(65_536)
             except OSError:
-                if self.over:
+                if self.ended:
                     return
                 continue
             sock = self.far.get(address)
@@ -198,11 +198,11 @@
             self._schedule(sock, None, data)
 
     def _receive_from_server(self, sock: socket.socket, address: tuple) -> None:
-        while not self.over:
+        while not self.ended:
             try:
                 data = sock.recv(65_536)
             except OSError:
-                if self.over:
+                if self.ended:
                     return
                 continue
             self._schedule(self.near, address, data)
@@ -226,9 +226,9 @@
     def _deliver(self) -> None:
         while True:
             with self.lock:
-                while not self.over and (not self.due or self.due[0][0] > time.monotonic()):
+                while not self.ended and (not self.due or self.due[0][0] > time.monotonic()):
                     self.lock.wait(self.due[0][0] - time.monotonic() if self.due else None)
-                if self.over:
+                if self.ended:
                     return
                 _, _, sock, address, data = heapq.heappop(self.due)
             try:
--- a/lilacwalk/testing/proxy_client.py
+++ b/lilacwalk/testing/proxy_client.py
@@ -25,7 +25,7 @@
         self.answers: dict[int, list[tuple[float, str, bytes]]] = {}
         self.retry_after: dict[int, float] = {}  # retry-after of a denial in seconds, by tag
         self.tags = count(1)
-        self.gone = False
+        self.gone = False  # whether the connection is closed
         threading.Thread(target=self._read, daemon=True).start()
 
     def ask(
@@ -49,7 +49,7 @@
         return tag
 
     def answer(self, tag: int, timeout: float = 10.0) -> tuple[float, str, bytes]:
-        """The first answer to `tag`: its arrival time, word and body.
+        """The first answer to `tag`: its arrival time, status word and body.
 
         Raises TimeoutError if none arrives in time, KeyError if the connection was lost before.
         """
@@ -70,7 +70,7 @@
         try:
             while chunk := self.sock.recv(65_536):
                 for parts in parser.feed(chunk):
-                    tag, word = int(bytes(parts[0])), bytes(parts[1]).decode()
+                    tag, status = int(bytes(parts[0])), bytes(parts[1]).decode()
                     body = bytes(parts[3]) if len(parts) > 3 else b""
                     if tag:
                         for field in (
@@ -79,7 +79,9 @@
                             if field.startswith("w="):
                                 self.retry_after[tag] = float(field[2:]) / 1000
                         with self.changed:
-                            self.answers.setdefault(tag, []).append((time.monotonic(), word, body))
+                            self.answers.setdefault(tag, []).append(
+                                (time.monotonic(), status, body)
+                            )
                             self.changed.notify_all()
         except (OSError, FramingError, ValueError):
             pass
--- a/lilacwalk/testing/restart_soak.py
+++ b/lilacwalk/testing/restart_soak.py
@@ -1,5 +1,5 @@
 """One app server with a store and a stand-in executor, which is killed and restarted repeatedly, and a client
-that sends unanswered requests again. For tests and measurements of what survives a kill.
+that sends unanswered requests again. Tests and measurements of the data that survives a kill use it.
 
 Effects are counted by the request body, so that two attempts of one request count as the same effect although
 their ids differ."""
@@ -23,8 +23,10 @@
     `work` is the time of a run in seconds. `end` stops all processes.
     """
 
-    def __init__(self, seed: int = 1, work: float = 0.004, cores: int = 2, **words: str) -> None:
-        """`words` are further settings of the store block, beside its directory and socket."""
+    def __init__(
+        self, seed: int = 1, work: float = 0.004, cores: int = 2, **store_settings: str
+    ) -> None:
+        """`store_settings` are added to the store block, which has settings for its directory and socket already."""
         self.rng = random.Random(seed)
         self.effects: Counter[bytes] = Counter()
         self.times: dict[bytes, list[float]] = {}  # monotonic times of each effect, by request body
@@ -35,7 +37,7 @@
         self.server.executor = self._make_executor()
         self.directory = self.server.directory / "kept"
         self.socket = self.server.directory / "kept.sock"
-        self.write_store_block(**words)
+        self.write_store_block(**store_settings)
         self.proxy_client: ProxyClient | None = None
 
     def _make_executor(self) -> StandInExecutor:
@@ -46,8 +48,10 @@
 
         return StandInExecutor(self.server.cpus, run_time, lambda class_name, body: b"did " + body)
 
-    def write_store_block(self, **words: str) -> None:
-        lines = "".join(f"    {name.replace('_', '-')} {word}\n" for name, word in words.items())
+    def write_store_block(self, **store_settings: str) -> None:
+        lines = "".join(
+            f"    {name.replace('_', '-')} {value}\n" for name, value in store_settings.items()
+        )
         self.server.extra = (
             f"store {{\n    directory {self.directory}\n    socket {self.socket}\n{lines}}}\n"
         )
@@ -74,16 +78,16 @@
             self.proxy_client.end()
 
     def ask(self, class_name: str, key: str, **fields: object) -> tuple[str, bytes]:
-        """Sends a request; returns the word and body of its answer.
+        """Sends a request and waits for its answer; returns the answer's status word and body.
 
-        They are empty if the connection was lost before the answer.
+        Both are empty if the connection was lost before the answer arrived.
         """
         tag = self.put(class_name, key, **fields)
         try:
-            _, word, body = self.proxy_client.answer(tag)
+            _, status, body = self.proxy_client.answer(tag)
         except KeyError:
             return "", b""
-        return word, body
+        return status, body
 
     def put(self, class_name: str, key: str, **fields: object) -> int:
         known = {"k": key} if class_name == "swap" else {}
@@ -94,7 +98,7 @@
             self.proxy_client.end()
         self.rig.end()
 
-    # Kills with many requests in flight
+    # Kills while many requests are in flight
 
     def count_duplicates_within(self, window: float) -> int:
         """The number of effects that were applied again within `window` seconds of the first time.
@@ -104,10 +108,11 @@
         return sum(each[1] - each[0] <= window for each in self.times.values() if len(each) > 1)
 
     def run_until_kill(self, keys: list[str], again: list[str]) -> dict[str, list[str]]:
-        """Sends requests for the keys in `again`, then for those in `keys`, and kills the app server at a drawn time.
+        """Sends requests, first for the keys in `again`, and kills the app server after a random time.
 
-        `again` holds the keys whose requests had no answer before. Returns the keys by the word of their answer:
-        "" if there was none, `unasked` if the request was not sent before the kill.
+        The time is between 5 and 80 ms. `again` holds the keys whose earlier requests were not answered or were
+        denied. Returns the keys by the status word of their answer; `""` stands for no answer, `unsent` for a
+        request that was not sent before the kill.
         """
         proxy_client, found = self.proxy_client, {}
         tags = {}
@@ -125,6 +130,6 @@
             proxy_client.changed.wait_for(lambda: proxy_client.gone, 5.0)
         for key in [*again, *keys]:
             answers = proxy_client.answers.get(tags.get(key, -1), [])
-            word = answers[0][1] if answers else "" if key in tags else "unasked"
-            found.setdefault(word, []).append(key)
+            status = answers[0][1] if answers else "" if key in tags else "unsent"
+            found.setdefault(status, []).append(key)
         return found
--- a/lilacwalk/testing/retrying_clients.py
+++ b/lilacwalk/testing/retrying_clients.py
@@ -39,7 +39,7 @@
 
     honours_retry_after: bool = True
     marks_retries: bool = True  # retries carry the retry flag
-    request_timeout: float = 6.0  # for all attempts of a request together
+    request_timeout: float = 6.0  # limit for all attempts of a request together
     attempt_timeout: float = 1.0
     # after a missing answer, and after a denial whose retry-after is missing or not honoured
     retry_delay: float = 0.2
@@ -96,7 +96,7 @@
         self.proxy_clients: dict[int, ProxyClient] = {}
         self.counts = ClientCounts()
         self.began = time.monotonic()
-        self.over = threading.Event()
+        self.ended = threading.Event()
         self.numbers = count(1)
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
@@ -106,7 +106,7 @@
         return time.monotonic() - self.began
 
     def end(self) -> None:
-        self.over.set()
+        self.ended.set()
         self.thread.join(5.0)
         for proxy_client in self.proxy_clients.values():
             proxy_client.end()
@@ -121,7 +121,7 @@
         due: list[tuple[float, int, ClientRequest]] = []
         in_flight: dict[int, ClientRequest] = {}
         next_arrival = 0.0
-        while not self.over.is_set():
+        while not self.ended.is_set():
             now = self.now
             while next_arrival <= now:
                 request = ClientRequest(
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -11,12 +11,12 @@
     announce yes             with kind serve: each member announces a service to a stand-in router of its own
     users 75%                app servers on the sites recife, caruaru and natal (r0, …, c0, …, n0, …) with a
                              failover plan, and users whose load is this share of the capacity of all sites
-    users-late 500ms         time after which users know of a changed announcement
+    users-late 500ms         time after which a changed announcement takes effect on the users' requests
     shared 100               with users: swap requests call a dependency of all sites that can bear this number of
                              calls per second
     guest-worth 20%          with users: the benefit of failover traffic relative to that of home traffic
-    kept refused             with users: each member has an effect log; the rule while it cannot persist effects
-                             (refused or marked)
+    kept refused             with users: each member has an effect log; the treatment of requests while it cannot
+                             persist effects (refused or marked)
 
     start WHO                kill WHO             stop WHO             continue WHO
     leave WHO                tell STATE WHO       fill WHO             empty WHO
@@ -130,7 +130,8 @@
     other: tuple[str, ...] = ()
     word: str = ""
     time: float = 0.0  # seconds
-    share: float = 0.0  # a share, or the factor of `slow` and `slow-shared`
+    # the percentage of `loss`, `service`, `denied` and `calls` as a fraction, or the factor of `slow`, `slow-shared`
+    share: float = 0.0
 
 
 @dataclass(slots=True)
@@ -148,7 +149,7 @@
     announce: bool = False
     users: float = 0.0  # share of the capacity of all sites; 0: no users
     users_late: float = 0.5  # seconds
-    kept: str = ""  # rule while effects cannot be persisted; empty: no effect log
+    kept: str = ""  # treatment of requests while effects cannot be persisted: `refused`, `marked`; empty: no effect log
     shared: int = 0  # calls per second; 0: no shared dependency
     guest_worth: float = 1.0
     steps: list[Step] = field(default_factory=list)
@@ -273,9 +274,9 @@
     elif each.keyword == "kind":
         script.kind = one_of(word, ("run", "serve"))
     else:
-        most = MAX_MEMBERS if each.keyword not in ("seed", "shared") else 1 << 31
-        if not word.isdecimal() or not 1 <= int(word) <= most:
-            raise WordError(word, f"a whole number from 1 to {most}")
+        max_value = MAX_MEMBERS if each.keyword not in ("seed", "shared") else 1 << 31
+        if not word.isdecimal() or not 1 <= int(word) <= max_value:
+            raise WordError(word, f"a whole number from 1 to {max_value}")
         setattr(script, each.keyword, int(word))
     return True
 
@@ -392,7 +393,7 @@
 
 def parse_order(line: int, text: str, words: list[str]) -> Step:
     if len(words) != 3:
-        raise WordError(words[-1], "three words: drain, hold or release, a site and a time")
+        raise WordError("order", "three words after it: drain, hold or release, a site and a time")
     return Step(
         line,
         text,
@@ -415,7 +416,7 @@
         if words[0] == "service":
             return Step(line, text, "hold_service", tuple(rest), share=share, time=time_)
         if len(rest) != 1:
-            raise WordError(words[-1], "one request class and a time")
+            raise WordError(" ".join(rest) or "denied", "exactly one request class and then a time")
         return Step(
             line, text, "hold_denied", word=one_of(rest[0], tuple(BENEFIT)), share=share, time=time_
         )
@@ -429,7 +430,9 @@
 
 def parse_expect(line: int, text: str, words: list[str]) -> Step:
     if len(words) < 3 or words[-2] != "within":
-        raise WordError(words[-1], "`within` and a time at the end of the line")
+        raise WordError(
+            words[-1], "`within` and a time at the end of the line, such as `within 8s`"
+        )
     what, rest, within = words[0], words[1:-2], parse_seconds(words[-1])
     if what == "settled":
         return Step(line, text, "settled", tuple(rest), time=within)
@@ -466,9 +469,9 @@
     """Runs the steps of a script; the methods `do_…` carry out one kind of step each."""
 
     def __init__(
-        self, script: Script, seed: int, keep: str | None, say: Callable[[str], None]
+        self, script: Script, seed: int, keep: str | None, print_line: Callable[[str], None]
     ) -> None:
-        self.script, self.say = script, say
+        self.script, self.print_line = script, print_line
         self.outage: Outage | None = None
         names = script.names
         if script.users:
@@ -508,7 +511,7 @@
 
     def run(self) -> list[Verdict]:
         for each in self.script.steps:
-            self.say(f"{time.monotonic() - self.rig.began:8.2f} s  {each.text}")
+            self.print_line(f"{time.monotonic() - self.rig.began:8.2f} s  {each.text}")
             getattr(self, "do_" + each.verb)(each, self.names(each.who))
         return self.verdicts
 
@@ -723,7 +726,7 @@
 
     def record_verdict(self, verdict: Verdict) -> None:
         self.verdicts.append(verdict)
-        self.say(
+        self.print_line(
             f"{time.monotonic() - self.rig.began:8.2f} s  "
             + (f"held after {verdict.took:.2f} s" if verdict.held else f"NOT HELD: {verdict.found}")
         )
@@ -805,19 +808,19 @@
     """Runs a script and prints its steps and verdicts; returns whether all expectations held."""
     out = out or sys.stdout
 
-    def say(text: str) -> None:
+    def print_line(text: str) -> None:
         if not quiet:
             print(text, file=out, flush=True)
 
-    scenario_run = ScenarioRun(script, script.seed if seed is None else seed, keep, say)
+    scenario_run = ScenarioRun(script, script.seed if seed is None else seed, keep, print_line)
     try:
         verdicts = scenario_run.run()
     finally:
         (scenario_run.outage or scenario_run.rig).end()
     width = max([len(each.step.text) for each in verdicts], default=0)
-    say(f"\n{'line':>4}  {'expected':<{width}}  took")
+    print_line(f"\n{'line':>4}  {'expected':<{width}}  took")
     for each in verdicts:
-        say(
+        print_line(
             f"{each.step.line:>4}  {each.step.text:<{width}}  {each.took:.2f} s"
             f"{'' if each.held else '  NOT HELD'}"
         )
--- a/lilacwalk/testing/site_outage.py
+++ b/lilacwalk/testing/site_outage.py
@@ -1,5 +1,5 @@
 """Three sites of app servers with stand-in executors, and users of each site who follow its route announcements.
-It counts the outcomes of the users' requests by second. For drills and measurements of the loss of a site.
+It counts the outcomes of the users' requests by second. Drills and measurements of the loss of a site use it.
 
 A user's request goes to a node that announces the site's service by the shortest AS path, as it was announced
 `route_delay` seconds ago; one of several is drawn with equal probability. Requests are lost with their connection, as
@@ -21,9 +21,9 @@
 from lilacwalk.testing.proxy_client import ProxyClient
 
 SITES = ("recife", "caruaru", "natal")
-# the effects of `site_settings`, in the terms of the operator file
+# effect by request class, as in `site_settings`, in the keywords of the operator file
 EFFECTS = {"look": "repeatable", "swap": "deduplicated", "move": "mutating"}
-BENEFIT = {"look": 1.0, "swap": 4.0, "move": 2.0}  # as in `site_settings`
+BENEFIT = {"look": 1.0, "swap": 4.0, "move": 2.0}  # benefit by request class, as in `site_settings`
 # classes of the users' requests; each entry is drawn with equal probability
 MIX = ("look", "look", "swap", "move")
 CALLS = ("swap",)  # classes that call the shared dependency, if there is one
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Second:
+class SecondCounts:
     """Outcomes of the requests that one site's users sent in one second, by request class."""
 
     offered: Counter[str] = field(default_factory=Counter)
@@ -59,7 +59,7 @@
 class PendingRequest:
     proxy_client: ProxyClient
     tag: int
-    second: Second
+    second: SecondCounts
     class_name: str
     until: float
     site: str
@@ -92,8 +92,8 @@
             work: Seconds that one request takes on a node's only core.
             load: The offered load as a share of the capacity of all sites.
             plan: Whether the nodes have a failover plan.
-            seed: Of all random draws.
-            route_delay: Seconds after which users know of a changed announcement.
+            seed: The seed of all random draws.
+            route_delay: Seconds after which a changed announcement takes effect on the users' requests.
             interval_ms: The probe interval of the fleet.
             plan_load: The load per core in the plan, if it differs from `load`.
             keep: A directory to which the files and logs are copied at the end.
@@ -113,14 +113,14 @@
         self.rate = {site: load * nodes / work for site in SITES}
         self.rig = ProcessFleet(seed, interval_ms, "serve", keep)
         self.routers: dict[str, BgpRouter] = {}
-        # by node and the site whose users send the requests
+        # connections by node and by the site whose users send the requests
         self.proxy_clients: dict[tuple[str, str], ProxyClient] = {}
-        self.seconds: dict[str, dict[int, Second]] = {site: {} for site in SITES}
+        self.seconds: dict[str, dict[int, SecondCounts]] = {site: {} for site in SITES}
         self.pending: deque[PendingRequest] = deque()
         # recorded announcements: the time, and by site the path length of each announcing node
         self.announcements: deque[tuple[float, dict[str, dict[str, int]]]] = deque()
         self.slowness: dict[str, float] = {}  # factor on the work of a node; 1 if missing
-        self.over = threading.Event()
+        self.ended = threading.Event()
         self.began = 0.0
         names = [f"{site[0]}{at}" for site in SITES for at in range(nodes)]
         for site in SITES:
@@ -198,7 +198,7 @@
         self.rig.kill(*names)
         for name in names:
             self.rig.processes[name].executor.end()
-            self._forget(name)
+            self._remove_connections(name)
 
     def cut_off(self, site: str, cut: bool = True) -> None:
         """Cuts the site's link to the other sites and to the routers, or restores it. Its processes keep running."""
@@ -218,7 +218,7 @@
         self.rig.start(*names, wait=False)
 
     def end(self) -> None:
-        self.over.set()
+        self.ended.set()
         time.sleep(0.05)
         for proxy_client in list(self.proxy_clients.values()):
             proxy_client.end()
@@ -233,9 +233,13 @@
     # Users
 
     def _record_announcements(self) -> None:
-        """Records the announcements, and keeps them until users have learned the next ones."""
+        """Takes a snapshot of the announced routes every 50 ms.
+
+        A snapshot is dropped once the following one is at least `route_delay` seconds old, so the first snapshot
+        is the one that determines where users send their requests.
+        """
         prefixes = {Prefix.of(service(site)): site for site in SITES}
-        while not self.over.wait(0.05):
+        while not self.ended.wait(0.05):
             found: dict[str, dict[str, int]] = {site: {} for site in SITES}
             for name, router in self.routers.items():
                 for prefix, attributes in list(router.held.items()):
@@ -250,7 +254,7 @@
                 self.announcements.popleft()
 
     def preferred_nodes(self, site: str) -> list[str]:
-        """The nodes with the shortest path to the site's service, as users know it."""
+        """Returns the nodes that announced the site's service by the shortest AS path `route_delay` seconds ago."""
         if not self.announcements:
             return []
         paths = self.announcements[0][1][site]
@@ -260,18 +264,18 @@
     def _send_requests(self, site: str) -> None:
         rng = random.Random(f"{self.rng.random()} {site}")
         due = time.monotonic()
-        while not self.over.is_set():
+        while not self.ended.is_set():
             due += rng.expovariate(self.rate[site])
             wait = due - time.monotonic()
-            if wait > 0 and self.over.wait(wait):
+            if wait > 0 and self.ended.wait(wait):
                 return
-            second = self.seconds[site].setdefault(int(self.now), Second())
+            second = self.seconds[site].setdefault(int(self.now), SecondCounts())
             class_name = rng.choice(MIX)
             second.offered[class_name] += 1
             self._send(site, class_name, second, rng, 0)
 
     def _send(
-        self, site: str, class_name: str, second: Second, rng: random.Random, retries: int
+        self, site: str, class_name: str, second: SecondCounts, rng: random.Random, retries: int
     ) -> None:
         names = self.preferred_nodes(site)
         if not names:
@@ -298,7 +302,7 @@
         )
 
     def _proxy_client(self, name: str, site: str) -> ProxyClient:
-        """The connection from the site's users to the node.
+        """Returns the connection from the site's users to the node; connects if there is none.
 
         Users of another site than the node's connect to the failover listener for their site, if there is one.
         """
@@ -310,20 +314,20 @@
             proxy_client = self.proxy_clients[name, site] = made
         return proxy_client
 
-    def _forget(self, name: str) -> None:
+    def _remove_connections(self, name: str) -> None:
         for key in [key for key in list(self.proxy_clients) if key[0] == name]:
             self.proxy_clients.pop(key, None)
 
     def _collect_answers(self) -> None:
         rng = random.Random(self.rng.random())
-        while not self.over.wait(0.01):
+        while not self.ended.wait(0.01):
             for _ in range(len(self.pending)):
                 each = self.pending.popleft()
                 found = each.proxy_client.answers.pop(each.tag, None)
                 if found is not None:
-                    word = found[0][1]
+                    status = found[0][1]
                     table = {"done": each.second.completed, "later": each.second.denied}
-                    table.get(word, each.second.other)[each.class_name] += 1
+                    table.get(status, each.second.other)[each.class_name] += 1
                 elif each.proxy_client.gone and each.class_name == "look" and not each.retries:
                     self._send(each.site, each.class_name, each.second, rng, 1)
                 elif each.proxy_client.gone or time.monotonic() > each.until:
@@ -337,7 +341,7 @@
         """The ratio of completed to offered benefit in each second since the start."""
         return [self.share(at, at + 1, sites) for at in range(int(self.now))]
 
-    def rows(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> list[Second]:
+    def rows(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> list[SecondCounts]:
         return [
             row
             for site in sites
--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -53,7 +53,7 @@
         settled |= {
             key: word
             for word, keys in found.items()
-            if word not in ("", "later", "unasked")
+            if word not in ("", "later", "unsent")
             for key in keys
         }
     soak.start()
