--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -62,7 +62,7 @@
     link.sock.close()
     router.wait_held()
     assert (
-        router.seen[-1].message.withdrawn and router.count("announced") == 2
+        router.events[-1].message.withdrawn and router.count("announced") == 2
     )  # the second one lowered the preference
 
 
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -23,7 +23,7 @@
 from lilacwalk.bgp.speaker_io import Bounds
 from lilacwalk.commands import lilacwalk
 from lilacwalk.protocols.admin_socket import query
-from lilacwalk.testing.bgp_router import PATIENCE, table
+from lilacwalk.testing.bgp_router import WAIT_TIMEOUT, table
 from tests.bgp.conftest import THEM, announce_config, peer_block, update
 
 SERVICE = "192.0.2.10/32"
@@ -31,14 +31,14 @@
 
 
 def config_with_peers(*routers, more="", peer=(), **changed):
-    blocks = "".join(peer_block(each.address, each.habits.asn, *peer) for each in routers)
+    blocks = "".join(peer_block(each.address, each.behaviour.asn, *peer) for each in routers)
     return announce_config(blocks + more, **changed)
 
 
 def wait_until(speaker, predicate):
     """Repeats a query in the speaker's thread until its result is true."""
-    deadline = time.monotonic() + PATIENCE
-    while not speaker.query(predicate, PATIENCE):
+    deadline = time.monotonic() + WAIT_TIMEOUT
+    while not speaker.query(predicate, WAIT_TIMEOUT):
         assert time.monotonic() < deadline
 
 
@@ -55,12 +55,12 @@
     for router in routers:
         router.wait_held(SERVICE)
     speaker.leave(5000)
-    assert listener.wait(PATIENCE) and 0 < remaining[0] <= 500
+    assert listener.wait(WAIT_TIMEOUT) and 0 < remaining[0] <= 500
     for router in routers:
         router.wait_held()
         output = [
             each.message.reachable[0][0].communities
-            for each in router.seen
+            for each in router.events
             if each.what == "announced"
         ]
         assert output == [(), (GRACEFUL_SHUTDOWN,)]
@@ -76,7 +76,7 @@
 
 
 def test_router_that_connects_late_or_reconnects_gets_the_routes(make_router, make_speaker):
-    router = make_router(turn_away=3)
+    router = make_router(connections_to_reject=3)
     make_speaker(config_with_peers(router)).set_node_status(NodeStatus.READY)
     router.wait_held(SERVICE)
     router.drop()
@@ -150,7 +150,7 @@
 def test_peer_sending_single_bytes_is_understood_and_delays_no_other_peer(
     make_router, make_speaker
 ):
-    slow, good = make_router(drip=0.002), make_router(asn=65021)
+    slow, good = make_router(byte_interval=0.002), make_router(asn=65021)
     make_speaker(config_with_peers(slow, good)).set_node_status(NodeStatus.READY)
     good.wait_held(SERVICE)
     slow.wait_held(SERVICE)
@@ -174,7 +174,7 @@
         config_with_peers(router, peer=["mode passive"], more="    listen 127.0.0.1:0\n")
     )
     speaker.set_node_status(NodeStatus.READY)
-    stranger = socket.create_connection(speaker.listener.getsockname(), PATIENCE)
+    stranger = socket.create_connection(speaker.listener.getsockname(), WAIT_TIMEOUT)
     assert stranger.recv(100)[18:21] == b"\3\6\5"
     assert router.sessions == 0
     router.connect(speaker.listener.getsockname())
@@ -211,7 +211,7 @@
         raise RuntimeError("injected by the test")
 
     speaker.inbox.put((fail,))
-    assert speaker.ended.wait(PATIENCE)
+    assert speaker.ended.wait(WAIT_TIMEOUT)
 
 
 def test_internal_error_of_the_speaker_closes_its_sessions_and_removes_its_routes(
@@ -371,9 +371,9 @@
     else:
         command.process.stdin.close()
     assert router.wait_count("notification").message.subcode == 2
-    order = [each.what for each in router.seen if each.what in ("withdrawn", "notification")]
+    order = [each.what for each in router.events if each.what in ("withdrawn", "notification")]
     assert order == ["withdrawn", "notification"]
-    assert command.process.wait(PATIENCE) == 0
+    assert command.process.wait(WAIT_TIMEOUT) == 0
     assert "event=unknown_state" in command.process.stderr.read()
 
 
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -27,7 +27,7 @@
 from lilacwalk.edge.config import EdgeConfig
 from lilacwalk.edge.device_service import ActionType
 from lilacwalk.edge.tokens import DEVICE, Tokens
-from lilacwalk.testing.lossy_proxy import UdpProxy, Weather
+from lilacwalk.testing.lossy_proxy import LinkConditions, UdpProxy
 from tests.edge.conftest import GROUPS, SECOND, SECRET, START
 
 ADDRESS, OTHER_ADDRESS = ("127.0.0.1", 5000), ("127.0.0.1", 5001)
@@ -484,7 +484,7 @@
 
 def test_loss_duplication_and_reordering_execute_no_request_twice(coap):
     site, address = coap()
-    weather = Weather(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
+    weather = LinkConditions(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
     proxy = UdpProxy(
         address, weather, 3, loss=0.6, double=1.0
     )  # each datagram that is not lost is duplicated
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -16,8 +16,8 @@
 from lilacwalk.commands import lilacwalk
 from lilacwalk.edge import frames
 from lilacwalk.edge.frames import Hello, Refused
-from lilacwalk.testing.lossy_proxy import Proxy, Weather
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.lossy_proxy import LinkConditions, Proxy
+from lilacwalk.testing.proxy_client import ProxyClient
 
 TIMEOUT_SECONDS = 10.0
 
@@ -32,11 +32,14 @@
 
 def test_devices_and_proxies_are_served_at_the_same_time(make_site):
     site = make_site()
-    device, till = site.device(), Till(site.event_loop.listener.address)
+    device, proxy_client = site.device(), ProxyClient(site.event_loop.listener.address)
     for each in range(20):
-        number, tag = device.ask("look", b"%d" % each), till.ask("look")
-        assert device.outcome(number, TIMEOUT_SECONDS).word == 0 and till.answer(tag)[1] == "done"
-    till.end()
+        number, tag = device.ask("look", b"%d" % each), proxy_client.ask("look")
+        assert (
+            device.outcome(number, TIMEOUT_SECONDS).word == 0
+            and proxy_client.answer(tag)[1] == "done"
+        )
+    proxy_client.end()
 
 
 def test_after_a_connection_reset_during_execution_the_answer_follows_and_the_request_runs_once(
@@ -59,7 +62,7 @@
     site = make_site()
     proxy = Proxy(
         site.address,
-        Weather(delay=0.005, jitter=0.005, to_bad=0.02, stall=(0.05, 0.2), reset=0.02),
+        LinkConditions(delay=0.005, jitter=0.005, to_bad=0.02, stall=(0.05, 0.2), reset=0.02),
         5,
     )
     devices = [site.device(b"t%d" % each, proxy.address, seed=each) for each in range(20)]
@@ -82,7 +85,7 @@
     make_site,
 ):
     site = make_site(result=lambda group, body: b"r" * 4_000)
-    proxy = Proxy(site.address, Weather(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
+    proxy = Proxy(site.address, LinkConditions(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
     device = site.device(address=proxy.address)
     device.outcome(device.ask("look", b"first"), TIMEOUT_SECONDS)
     number, carried = device.ask("move", b"x"), proxy.bytes
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -15,7 +15,7 @@
     NodeState,
 )
 from lilacwalk.membership.swim import Membership
-from lilacwalk.testing.fleet import Rig
+from lilacwalk.testing.fleet import ProcessFleet
 
 SECOND = 10_000
 KEY = bytes(range(32))
@@ -81,7 +81,7 @@
     rigs = []
 
     def make(count=0, sites=("recife",), seeds=1, **options):
-        rig = Rig(**({"interval_ms": 100} | options))
+        rig = ProcessFleet(**({"interval_ms": 100} | options))
         rigs.append(rig)
         for index, name in enumerate(member_names(count)):
             rig.add(name, sites[index * len(sites) // count], member_names(count)[:seeds])
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -8,7 +8,7 @@
 
 from lilacwalk.commands import lilacwalk as commands
 from lilacwalk.membership.messages import NODE_STATE_NAMES, NodeState
-from lilacwalk.testing.proxy_client import Till
+from lilacwalk.testing.proxy_client import ProxyClient
 from tests.conftest import ROOT, Site
 from tests.membership.conftest import member_names
 
@@ -48,7 +48,7 @@
 def test_a_lost_executor_is_reported_as_stalled_and_a_drain_as_draining_then_left(server_fleet):
     rig = server_fleet(3)
     rig.wait(lambda: state_of(rig, "n2", "n0") == "ready", TIMEOUT_SECONDS, "ready")
-    rig.processes["n2"].kernel.end()
+    rig.processes["n2"].executor.end()
     rig.wait(
         lambda: state_of(rig, "n2", "n0") == "standing-still",
         TIMEOUT_SECONDS,
@@ -85,7 +85,7 @@
     port = int(
         next(word for word in rig.log("n0").split() if word.startswith("listen=")).split(":")[1]
     )
-    client = Till(("127.0.0.1", port))
+    client = ProxyClient(("127.0.0.1", port))
     assert client.answer(client.ask("look"))[1] == "done"
     client.end()
 
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -57,7 +57,7 @@
     rig.wait(
         lambda: set(rig.healths("n2").values()) == {"dead"}, TIMEOUT_SECONDS, "n2 declared dead"
     )
-    rig.go_on("n2")
+    rig.resume("n2")
     rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with n2")
     assert rig.show("n2")["counts"].get("dead", 0) == 0
 
@@ -83,7 +83,7 @@
 
 def test_two_processes_under_one_name_are_reported_and_one_yields(make_rig):
     rig = make_rig(4)
-    rig.add("twin", seeds=["n0"], called="n2")
+    rig.add("twin", seeds=["n0"], configured_name="n2")
     rig.start(*member_names(4))
     rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
     rig.start("twin")
@@ -111,7 +111,7 @@
 
 def test_a_store_that_cannot_be_opened_does_not_affect_the_view(make_rig):
     rig = make_rig(3)
-    (rig.processes["n1"].place / "store").write_text("a file instead of a directory")
+    (rig.processes["n1"].directory / "store").write_text("a file instead of a directory")
     rig.start(*member_names(3))
     rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
     rig.wait(lambda: rig.show("n1")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
@@ -131,7 +131,7 @@
 
 
 def has_stored_members(rig, name):
-    store = rig.processes[name].place / "store"
+    store = rig.processes[name].directory / "store"
     return any(b"members" in file.read_bytes() for file in store.iterdir())
 
 
@@ -169,7 +169,7 @@
             *(valid[:length] for length in range(len(valid))),
         ]
         for data in invalid:
-            sock.sendto(data, rig.processes["n1"].real)
+            sock.sendto(data, rig.processes["n1"].listen_address)
         rig.wait(
             lambda: "why=long" in rig.log("n1") and "why=seal" in rig.log("n1"),
             TIMEOUT_SECONDS,
@@ -190,7 +190,7 @@
 def test_lost_duplicated_delayed_and_reordered_datagrams_cause_no_false_death(running_fleet):
     rig = running_fleet(8)
     for name in member_names(8):
-        rig.weather(name, loss=0.05, double=0.1, delay=0.002, jitter=0.02)
+        rig.impair(name, loss=0.05, double=0.1, delay=0.002, jitter=0.02)
     rig.kill("n3")
     rig.wait(
         lambda: set(rig.healths("n3").values()) == {"dead"}, TIMEOUT_SECONDS, "declared dead by all"
