--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -13,12 +13,12 @@
 from multiprocessing import Pool
 
 from benchmarks.table import Table
-from lilacwalk.emulator.events import Events
-from lilacwalk.emulator.simulation import SECOND, Group, Scenario, play
+from lilacwalk.emulator.events import EventQueue
+from lilacwalk.emulator.simulation import SECOND, RequestClassSpec, Scenario, play
 
 GROUPS = (
-    Group("look", 0.6, 2_000, 20_000, 100_000),
-    Group("swap", 0.4, 4_000, 40_000, 100_000, 4.0, "deduplicated"),
+    RequestClassSpec("look", 0.6, 2_000, 20_000, 100_000),
+    RequestClassSpec("swap", 0.4, 4_000, 40_000, 100_000, 4.0, "deduplicated"),
 )
 PENDING, TURNS = 1_000_000, 500_000
 
@@ -42,7 +42,7 @@
     """A million pending events spread over ten minutes; each that happens puts in another."""
     rows = []
     for pending in (1_000, 100_000, PENDING):
-        for form in (Heap, Events):
+        for form in (Heap, EventQueue):
             rng, made = random.Random(1), form()
             span = 6_000_000
             times = [rng.randrange(span) for _ in range(pending)]
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -113,13 +113,17 @@
     rng = world.rng
     victim = rng.choice(names[2:])
     world.kill(victim)
-    found["crash to all"] = world.run_until(lambda: world.known_gone(victim), 60 * SECOND)
+    found["crash to all"] = world.run_until(
+        lambda: world.absent_from_all_views(victim), 60 * SECOND
+    )
     world.add(victim, world.nodes[victim].site, names[:2])
     found["back"] = world.run_until(world.all_settled, 60 * SECOND, SECOND // 4)
     third = rng.sample(names[2:], count // 3)
     for name in third:
         world.kill(name)
-    found["third to all"] = world.run_until(lambda: world.known_gone(*third), 90 * SECOND)
+    found["third to all"] = world.run_until(
+        lambda: world.absent_from_all_views(*third), 90 * SECOND
+    )
     for name in third:
         world.add(name, world.nodes[name].site, names[:2])
     world.run_until(world.all_settled, 60 * SECOND, SECOND // 4)
@@ -165,7 +169,7 @@
 
 def one_loss(task: tuple) -> tuple[float, int, int, float, float]:
     count, seed, loss, form, seconds = task
-    world, names, _ = fleet(count, seed, form, loss=loss, weigh=count <= 100)
+    world, names, _ = fleet(count, seed, form, loss=loss, count_bytes=count <= 100)
     world.run(30 * SECOND)
     before = [dict(node.machine.counts) for node in world.up()]
     sent = sum(node.sent for node in world.up()), sum(node.sent_bytes for node in world.up())
@@ -230,7 +234,7 @@
     rows = []
     for count in (10, 30, 100, 300, 1_000) if not quick else (10, 100):
         started = time.process_time()
-        world, names, _ = fleet(count, 1, "ours", weigh=True)
+        world, names, _ = fleet(count, 1, "ours", count_bytes=True)
         world.run(30 * SECOND)
         sent = sum(node.sent for node in world.up()), sum(node.sent_bytes for node in world.up())
         began, seconds = time.process_time(), 20
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -50,18 +50,18 @@
         double: float = 0.0,
         most: int = 2_000,
         forget: int = 36_000_000,
-        weigh: bool = False,
+        count_bytes: bool = False,
         machine: Callable[..., Membership] = Membership,
         most_waiting: int = 1_000,
     ) -> None:
         self.rng = random.Random(seed)
         self.interval, self.delay, self.jitter = interval, delay, jitter
-        self.loss, self.double, self.most, self.forget, self.weigh = (
+        self.loss, self.double, self.most, self.forget, self.count_bytes = (
             loss,
             double,
             most,
             forget,
-            weigh,
+            count_bytes,
         )
         self.machine, self.most_waiting = machine, most_waiting
         self.now, self.order = 0, 0
@@ -197,7 +197,7 @@
 
     def _send(self, node: Node, to: tuple[str, int], told: Datagram) -> None:
         node.sent += 1
-        if self.weigh:
+        if self.count_bytes:
             node.sent_bytes += len(encode(told)) + HEADER_BYTES
         there = self.at_address.get(to)
         if there is None or (node.name, there.name) in self.cuts:
@@ -233,7 +233,7 @@
             each for each in self.nodes.values() if each.machine is not None and not each.paused
         ]
 
-    def believed(self, node: Node) -> set[str]:
+    def present_names(self, node: Node) -> set[str]:
         return {each.name for each in node.machine.view.present}
 
     def all_settled(self) -> bool:
@@ -247,5 +247,5 @@
             for each in up
         )
 
-    def known_gone(self, *names: str) -> bool:
-        return all(not self.believed(each) & set(names) for each in self.up())
+    def absent_from_all_views(self, *names: str) -> bool:
+        return all(not self.present_names(each) & set(names) for each in self.up())
--- a/lilacwalk/emulator/dependency.py
+++ b/lilacwalk/emulator/dependency.py
@@ -11,14 +11,14 @@
 from collections import deque
 from collections.abc import Callable
 
-from lilacwalk.emulator.events import Events
+from lilacwalk.emulator.events import EventQueue
 from lilacwalk.overload.model import Outcome
 
 
 class Dependency:
     def __init__(
         self,
-        events: Events,
+        events: EventQueue,
         slots: int,
         mean: int,
         rng: random.Random,
--- a/lilacwalk/emulator/events.py
+++ b/lilacwalk/emulator/events.py
@@ -18,7 +18,7 @@
 WIDTH = 10  # a ms: some tens of events at the rates of a fleet
 
 
-class Events:
+class EventQueue:
     def __init__(self, width: int = WIDTH) -> None:
         self.now = 0
         self.width = width
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from lilacwalk.emulator.events import Events
+from lilacwalk.emulator.events import EventQueue
 
 SLOWEST = 0.05
 
@@ -24,7 +24,7 @@
 class Machine:
     def __init__(
         self,
-        events: Events,
+        events: EventQueue,
         cores: int,
         speed: float = 1.0,
         crowd: float = 8.0,
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from lilacwalk.emulator.events import Events
+from lilacwalk.emulator.events import EventQueue
 from lilacwalk.emulator.server import COMPLETED, DENIED, LOST, Reply, Server, Try
 from lilacwalk.overload.model import Effect, RequestClass
 
@@ -71,7 +71,7 @@
     """`draw`: (group, work, patience) of the next wish. `rate`: wishes a second, by the time."""
 
     number: int
-    events: Events
+    events: EventQueue
     rng: random.Random
     habits: Habits
     servers: Callable[[int], list[Server]]  # as they were listed at a time
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -12,7 +12,7 @@
 
 from lilacwalk.emulator.baselines import Oracle, Plain
 from lilacwalk.emulator.dependency import Dependency
-from lilacwalk.emulator.events import Events
+from lilacwalk.emulator.events import EventQueue
 from lilacwalk.emulator.processor_sharing import Machine
 from lilacwalk.overload.controller import Controller
 from lilacwalk.overload.events import (
@@ -94,7 +94,7 @@
 
     name: str
     site: str
-    events: Events
+    events: EventQueue
     settings: ServerSettings
     make: Callable[[ServerSettings, int], Controller | Plain]
     dependency: Dependency | None
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -9,7 +9,7 @@
 
 from lilacwalk.emulator.baselines import KINDS
 from lilacwalk.emulator.dependency import Dependency
-from lilacwalk.emulator.events import Events
+from lilacwalk.emulator.events import EventQueue
 from lilacwalk.emulator.faults import OF_SERVERS, Fault
 from lilacwalk.emulator.processor_sharing import Machine
 from lilacwalk.emulator.proxies import Habits, Router, Second
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class RequestClassSpec:
     """Times in tenths of a ms; `share` of the wishes; `work` of a core, on the average."""
 
     name: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    groups: tuple[Group, ...]
+    groups: tuple[RequestClassSpec, ...]
     servers: int = 20
     routers: int = 10
     sites: tuple[str, ...] = ("recife",)
@@ -109,7 +109,7 @@
 class World:
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
-        self.events = Events()
+        self.events = EventQueue()
         self.rng = random.Random(f"world {seed}")
         self.breaches: list[Breach] = []
         self.effects: dict[int, int] = {}
@@ -152,7 +152,7 @@
         self.listed: list[tuple[int, list[Server]]] = []
         self.routers = [self._router(at) for at in range(scenario.routers)]
 
-    def _group(self, each: Group) -> RequestClass:
+    def _group(self, each: RequestClassSpec) -> RequestClass:
         return RequestClass(
             each.name,
             each.benefit,
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -41,7 +41,7 @@
 from lilacwalk.emulator.faults import KINDS as FAULTS
 from lilacwalk.emulator.faults import Fault as Wrong
 from lilacwalk.emulator.proxies import CHOICES, Habits
-from lilacwalk.emulator.simulation import Group as Kind
+from lilacwalk.emulator.simulation import RequestClassSpec
 from lilacwalk.emulator.simulation import Scenario as Played
 from lilacwalk.membership.config import NAME
 
@@ -104,8 +104,8 @@
     skip_benefit: Part = 0.0
     spread: Part = 1.0
 
-    def made(self) -> Kind:
-        return Kind(
+    def made(self) -> RequestClassSpec:
+        return RequestClassSpec(
             self.name,
             self.share,
             self.work,
--- a/tests/emulator/conftest.py
+++ b/tests/emulator/conftest.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from lilacwalk.emulator.simulation import SECOND, Group, Scenario
+from lilacwalk.emulator.simulation import SECOND, RequestClassSpec, Scenario
 
 GROUPS = (
-    Group("look", 0.6, 200, 2_000, 20_000),
-    Group("swap", 0.4, 400, 4_000, 40_000, 4.0, "deduplicated"),
+    RequestClassSpec("look", 0.6, 200, 2_000, 20_000),
+    RequestClassSpec("swap", 0.4, 400, 4_000, 40_000, 4.0, "deduplicated"),
 )
 
 
--- a/tests/emulator/test_models.py
+++ b/tests/emulator/test_models.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lilacwalk.emulator.dependency import Dependency
-from lilacwalk.emulator.events import Events
+from lilacwalk.emulator.events import EventQueue
 from lilacwalk.emulator.processor_sharing import Machine
 from lilacwalk.overload.model import Outcome
 
@@ -15,7 +15,7 @@
     spread,
 ):
     """M/G/1 with processor sharing: s / (1 - ρ), at 0.7 for constant and for exponential work."""
-    events, rng, took = Events(), random.Random(3), []
+    events, rng, took = EventQueue(), random.Random(3), []
     machine = Machine(events, 1, crowd=1e9)
 
     def arrive():
@@ -30,7 +30,7 @@
 
 
 def test_no_run_is_faster_than_alone_and_work_is_conserved():
-    events, ended = Events(), {}
+    events, ended = EventQueue(), {}
     machine = Machine(events, 2)
     for work in (100, 200, 300, 400):
         machine.start(work, lambda what: ended.setdefault(what, events.now), work)
@@ -40,7 +40,7 @@
 
 
 def test_a_crowd_slows_the_whole_machine_and_a_larger_one_ends_it():
-    events, died = Events(), []
+    events, died = EventQueue(), []
     machine = Machine(
         events, 1, crowd=4.0, contention=0.1, death=20.0, on_death=lambda: died.append(1)
     )
@@ -53,7 +53,7 @@
 
 
 def test_a_cold_machine_is_slow_for_its_warm_up_and_a_stopped_run_is_none():
-    events, ended = Events(), []
+    events, ended = EventQueue(), []
     machine = Machine(events, 1, cold=0.5, warm_up=100)
     kept = machine.start(100, ended.append, "kept")
     gone = machine.start(100, ended.append, "gone")
@@ -65,7 +65,7 @@
 
 
 def test_while_it_stands_still_nothing_moves_and_then_goes_on():
-    events, ended = Events(), []
+    events, ended = EventQueue(), []
     machine = Machine(events, 1)
     machine.start(100, lambda _: ended.append(events.now))
     events.run(50)
@@ -78,7 +78,7 @@
 
 
 def test_a_dependency_works_on_so_many_and_slows_and_dies_with_the_crowd():
-    events, ended = Events(), []
+    events, ended = EventQueue(), []
     index = Dependency(events, 2, 100, random.Random(1), crowd=2.0, death=10.0)
     for _ in range(4):
         index.call(lambda ending: ended.append((ending, events.now)))
@@ -96,7 +96,7 @@
 
 
 def test_events_of_one_time_come_as_they_were_put_in_wherever_they_lie():
-    events, seen, rng = Events(), [], random.Random(5)
+    events, seen, rng = EventQueue(), [], random.Random(5)
     times = [rng.randrange(2_000) for _ in range(3_000)]
     for number, time in enumerate(times):
         events.put(time, seen.append, (time, number))
@@ -110,7 +110,7 @@
 
 
 def test_what_is_put_into_the_past_happens_now():
-    events, seen = Events(), []
+    events, seen = EventQueue(), []
     events.run(500)
     events.put(10, lambda: seen.append(events.now))
     events.run(500)
--- a/tests/membership/test_simulated.py
+++ b/tests/membership/test_simulated.py
@@ -28,10 +28,12 @@
     world = fleet(12, seed, loss=loss)
     killed = ["n1", "n4", "n7", "n10"]
     world.kill("n1"), world.kill("n4"), world.kill("n7"), world.kill("n10")
-    duration = world.run_until(lambda: world.known_gone(*killed), 40 * SECOND)
+    duration = world.run_until(lambda: world.absent_from_all_views(*killed), 40 * SECOND)
     assert duration is not None
     assert duration <= 20 * SECOND
-    assert all(world.believed(node) == set(member_names(12)) - set(killed) for node in world.up())
+    assert all(
+        world.present_names(node) == set(member_names(12)) - set(killed) for node in world.up()
+    )
 
 
 @pytest.mark.parametrize("new_address", [None, ("10.0.0.2", 5)])
@@ -60,7 +62,7 @@
 def test_a_member_paused_for_longer_than_a_suspicion_refutes_and_declares_no_member_dead():
     world = fleet(12)
     world.pause("n5")
-    assert world.run_until(lambda: world.known_gone("n5"), 30 * SECOND) is not None
+    assert world.run_until(lambda: world.absent_from_all_views("n5"), 30 * SECOND) is not None
     world.run(60 * SECOND)
     before = total_count(world, "dead")
     world.resume("n5")
@@ -134,7 +136,7 @@
     together = set(sites[healed_first[0]] + sites[healed_first[1]])
     world.cuts = {(one, other) for one, other in world.cuts if not {one, other} <= together}
     world.run(15 * SECOND)
-    assert all(world.believed(world.nodes[name]) == together for name in together)
+    assert all(world.present_names(world.nodes[name]) == together for name in together)
     world.heal()
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
 
