--- a/lilacwalk/emulator/__init__.py
+++ b/lilacwalk/emulator/__init__.py
@@ -1,2 +1,4 @@
-"""The program's own machines in simulated time, between links that lose, delay and cut. `datagrams` is the
-world of the view of the fleet; nothing of what decides is copied here."""
+"""Discrete-event simulations that run the program's own state machines in simulated time.
+
+`simulation` runs app servers with the real controller; `datagrams` runs fleet membership over links that lose,
+delay and cut datagrams. The decision code is imported, not copied."""
--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -1,18 +1,20 @@
-"""What an app server may do instead of the design: plainer forms of the controller's face, for comparison.
-
-All of them keep the rules that are not theirs to trade: one final answer by the due time, no effect twice
-(repeats join the first), memory. They differ in what they admit. Each runs as many at once as its limit says;
-the rest waits in one line, first come first served.
-
-AllIn        admits all; the line grows as it likes
-Fixed        a fixed number in hand, the rest denied at once
-Gradient     a limit that follows the gradient of response time, as published for adaptive concurrency
-             limits: new = limit * clamp(tolerance * long / short, 0.5, 1) + room for a queue, smoothed
-Codel        a line whose head is denied while the time that it stood has been over a target for an interval,
-             the interval shrinking with the square root of drops (RFC 8289, at exchanges in place of packets)
-Bucket       tokens at a fixed rate, with a burst
-Oracle       knows what the machine runs and what each exchange takes: admits what can still be in time, the
-             best benefit for its work first; what it cannot know is what comes later"""
+"""Simpler admission policies with the controller's interface, for comparison with the controller.
+
+All of them keep these rules: one final answer by the deadline, no effect twice (duplicates are coalesced with the
+original request), and the memory limit. They differ in the requests that they admit. Each runs at most
+`concurrency_limit()` requests at once; the others wait in one queue, first in, first out unless stated otherwise.
+
+AdmitAll       admits every request; the length of the queue is not limited
+FixedLimit     limits the number of requests in progress; rejects the others at once
+GradientLimit  a limit that follows the gradient of response time, as published for adaptive concurrency limits:
+               new = limit * clamp(tolerance * long / short, 0.5, 1) + room for a queue, smoothed
+CoDel          rejects the request at the head of the queue when queueing time has been over a target for an
+               interval; the interval shrinks with the square root of the number of drops (RFC 8289, applied to
+               requests in place of packets)
+TokenBucket    admits at the rate of a token bucket, with a burst
+Oracle         knows the work of each request and what the machine runs: admits requests that can still meet their
+               latency objective, and runs the one with the highest weight per work first. It does not know future
+               arrivals."""
 
 from __future__ import annotations
 
@@ -43,55 +45,56 @@
 )
 
 SECOND = 10_000
-SWEEP = 250
-MEMORY = 0.9
-MARGIN = 300  # before its due time: a sweep and what the answer takes
+TICK_INTERVAL = 250
+MAX_MEMORY_FRACTION = 0.9
+# Time before a request's deadline at which it is answered: one tick and the time to send the answer.
+DEADLINE_MARGIN = 300
 
 
-class Plain:
-    """Subclasses say whether one is let in, and how many run at once."""
+class Baseline:
+    """Subclasses decide which requests are admitted and how many run at once."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         self.server, self.now = server, now
-        self.sink: DecisionSink = None  # type: ignore[assignment]  # for the length of a round
-        self.held: list[Request] = []
-        self.open: dict[Request, None] = {}
+        self.sink: DecisionSink = None  # type: ignore[assignment]  # set by process_batch
+        self.queued: list[Request] = []
+        self.open_requests: dict[Request, None] = {}
         self.running: dict[Request, None] = {}
-        self.calling = 0
-        self.memory = 0.0
-        self.due: list[tuple[int, int, Request]] = []
-        self.order = count()
-        self.leave_by = 0
+        self.calls_in_progress = 0
+        self.memory_in_use_kb = 0.0
+        self.deadlines: list[tuple[int, int, Request]] = []
+        self.sequence_numbers = count()
+        self.drain_deadline = 0
 
-    # What the kinds decide
+    # Policy, overridden by subclasses
 
-    def admits(self, ex: Request) -> bool:
+    def should_admit(self, request: Request) -> bool:
         return True
 
-    def most(self) -> float:
+    def concurrency_limit(self) -> float:
         return float(self.server.cores)
 
-    def execution_learned(self, ex: Request, took: int) -> None:
+    def record_completion(self, request: Request, duration: int) -> None:
         pass
 
-    def line(self) -> None:
-        """Looks at those that wait, before any is started."""
+    def prune_queue(self) -> None:
+        """Rejects queued requests that should not run; called before requests are started."""
 
-    def best(self) -> Request:
-        return self.held[0]
+    def next_request(self) -> Request:
+        return self.queued[0]
 
-    # The controller's face
+    # Interface of the controller
 
     def process_batch(self, now: int, events: Sequence[Event], sink: DecisionSink) -> None:
-        """As the controller's."""
+        """Handles events and passes decisions to the sink, as `Controller.process_batch` does."""
         self.now, self.sink = now, sink
         for event in events:
             self._handle(event)
-        while self.due and self.due[0][0] <= now:
-            self._overdue(heapq.heappop(self.due)[2])
-        self.line()
-        while self.held and len(self.running) < self.most():
-            self._start(self.best())
+        while self.deadlines and self.deadlines[0][0] <= now:
+            self._expire(heapq.heappop(self.deadlines)[2])
+        self.prune_queue()
+        while self.queued and len(self.running) < self.concurrency_limit():
+            self._start(self.next_request())
 
     def _handle(self, event: Event) -> None:
         match event:
@@ -116,238 +119,269 @@
 
     def start(self) -> None:
         self.sink.report_health(True)
-        self.sink.set_timer(SWEEP)
+        self.sink.set_timer(TICK_INTERVAL)
 
     def timer_expired(self, core_use: float, run_queue: float) -> None:
-        self.sink.set_timer(SWEEP)
-
-    def request_received(self, ex: Request) -> None:
-        self.open[ex] = None
-        self.memory += ex.memory_kb
-        ex.objective_deadline = min(ex.deadline, ex.arrived_at + ex.request_class.latency_objective)
-        heapq.heappush(self.due, (ex.deadline - MARGIN, next(self.order), ex))
-        if ex.duplicate_of is not None and self._joins(ex):
+        self.sink.set_timer(TICK_INTERVAL)
+
+    def request_received(self, request: Request) -> None:
+        self.open_requests[request] = None
+        self.memory_in_use_kb += request.memory_kb
+        request.objective_deadline = min(
+            request.deadline, request.arrived_at + request.request_class.latency_objective
+        )
+        heapq.heappush(
+            self.deadlines,
+            (request.deadline - DEADLINE_MARGIN, next(self.sequence_numbers), request),
+        )
+        if request.duplicate_of is not None and self._handle_duplicate(request):
             return
-        full = (
-            self.memory + ex.memory_kb * (self.server.running_memory_factor - 1)
-            > MEMORY * self.server.memory_kb
+        exceeds_memory = (
+            self.memory_in_use_kb + request.memory_kb * (self.server.running_memory_factor - 1)
+            > MAX_MEMORY_FRACTION * self.server.memory_kb
         )
-        if full or self.leave_by or ex.deadline - self.now <= MARGIN or not self.admits(ex):
-            self._deny(ex)
+        if (
+            exceeds_memory
+            or self.drain_deadline
+            or request.deadline - self.now <= DEADLINE_MARGIN
+            or not self.should_admit(request)
+        ):
+            self._reject(request)
             return
-        if ex.request_class.effect is Effect.DEDUPLICATED:
-            self.sink.register_key(ex, ex.request_class.deduplication_window)
-        self.held.append(ex)
-
-    def _joins(self, ex: Request) -> bool:
-        first = ex.duplicate_of
-        if first.was_dispatched:
-            ex.state = RequestState.COALESCED
-            self.sink.coalesce(ex)
+        if request.request_class.effect is Effect.DEDUPLICATED:
+            self.sink.register_key(request, request.request_class.deduplication_window)
+        self.queued.append(request)
+
+    def _handle_duplicate(self, request: Request) -> bool:
+        original = request.duplicate_of
+        if original.was_dispatched:
+            request.state = RequestState.COALESCED
+            self.sink.coalesce(request)
             return True
-        if (
-            first.state is not RequestState.FINISHED
-        ):  # it has not run: this one is turned away, and may come again
-            self._deny(ex)
+        # The original is still queued: the duplicate is rejected, and the client may retry.
+        if original.state is not RequestState.FINISHED:
+            self._reject(request)
             return True
-        ex.duplicate_of = None
+        request.duplicate_of = None
         return False
 
-    def client_gone(self, ex: Request) -> None:
-        ex.answered = True
-        if ex.state is RequestState.QUEUED:
-            self._over(ex)
-
-    def execution_finished(self, ex: Request, ending: Outcome) -> None:
-        if ex.state is not RequestState.FINISHED:
-            if ex.was_dispatched and ending is Outcome.OK:
-                self.execution_learned(ex, self.now - ex.arrived_at)
-            ex.answered = True
-            self._over(ex)
-
-    def call_requested(self, ex: Request) -> None:
-        self.running.pop(ex, None)
-        ex.state = RequestState.CALL_IN_PROGRESS
-        self.calling += 1
-        self.sink.call_dependency(ex, ex.deadline - MARGIN)
-
-    def call_finished(self, ex: Request, ending: Outcome, lag: int) -> None:
-        self.calling -= 1
-        if ending is Outcome.OK:
-            ex.state = RequestState.RUNNING
-            self.running[ex] = None
-        elif not ex.answered:
-            ex.answered = True
-            self.sink.fail(ex)
-
-    def executor_link_changed(self, up: bool) -> None:
+    def client_gone(self, request: Request) -> None:
+        request.answered = True
+        if request.state is RequestState.QUEUED:
+            self._finish(request)
+
+    def execution_finished(self, request: Request, outcome: Outcome) -> None:
+        if request.state is not RequestState.FINISHED:
+            if request.was_dispatched and outcome is Outcome.OK:
+                self.record_completion(request, self.now - request.arrived_at)
+            request.answered = True
+            self._finish(request)
+
+    def call_requested(self, request: Request) -> None:
+        self.running.pop(request, None)
+        request.state = RequestState.CALL_IN_PROGRESS
+        self.calls_in_progress += 1
+        self.sink.call_dependency(request, request.deadline - DEADLINE_MARGIN)
+
+    def call_finished(self, request: Request, outcome: Outcome, elapsed: int) -> None:
+        self.calls_in_progress -= 1
+        if outcome is Outcome.OK:
+            request.state = RequestState.RUNNING
+            self.running[request] = None
+        elif not request.answered:
+            request.answered = True
+            self.sink.fail(request)
+
+    def executor_link_changed(self, is_up: bool) -> None:
         pass
 
-    def start_draining(self, stop: int) -> None:
-        self.leave_by = stop
+    def start_draining(self, stop_at: int) -> None:
+        self.drain_deadline = stop_at
         self.sink.report_health(False)
 
-    # What follows
+    # Carrying out decisions
 
-    def _start(self, ex: Request) -> None:
-        self.held.remove(ex)
-        ex.was_dispatched, ex.dispatched_at, ex.state = True, self.now, RequestState.RUNNING
-        self.running[ex] = None
-        self.memory += ex.memory_kb * (self.server.running_memory_factor - 1)
-        self.sink.dispatch(ex)
+    def _start(self, request: Request) -> None:
+        self.queued.remove(request)
+        request.was_dispatched, request.dispatched_at, request.state = (
+            True,
+            self.now,
+            RequestState.RUNNING,
+        )
+        self.running[request] = None
+        self.memory_in_use_kb += request.memory_kb * (self.server.running_memory_factor - 1)
+        self.sink.dispatch(request)
 
-    def _deny(self, ex: Request) -> None:
-        ex.answered = True
-        self._over(ex)
-        self.sink.reject(ex, 0, False)
+    def _reject(self, request: Request) -> None:
+        request.answered = True
+        self._finish(request)
+        self.sink.reject(request, 0, False)
 
-    def _overdue(self, ex: Request) -> None:
-        if ex.answered:
+    def _expire(self, request: Request) -> None:
+        if request.answered:
             return
-        ex.answered = True
-        if ex.was_dispatched or ex.state is RequestState.COALESCED:
-            self.sink.fail(ex)
+        request.answered = True
+        if request.was_dispatched or request.state is RequestState.COALESCED:
+            self.sink.fail(request)
         else:
-            self._deny(ex)
-
-    def _over(self, ex: Request) -> None:
-        if ex in self.held:
-            self.held.remove(ex)
-        self.running.pop(ex, None)
-        self.memory -= ex.memory_kb * (
-            self.server.running_memory_factor if ex.was_dispatched else 1
+            self._reject(request)
+
+    def _finish(self, request: Request) -> None:
+        if request in self.queued:
+            self.queued.remove(request)
+        self.running.pop(request, None)
+        self.memory_in_use_kb -= request.memory_kb * (
+            self.server.running_memory_factor if request.was_dispatched else 1
         )
-        ex.state = RequestState.FINISHED
-        self.open.pop(ex, None)
-        if not ex.was_dispatched and ex.request_class.effect is Effect.DEDUPLICATED:
-            self.sink.release_key(ex)
+        request.state = RequestState.FINISHED
+        self.open_requests.pop(request, None)
+        if not request.was_dispatched and request.request_class.effect is Effect.DEDUPLICATED:
+            self.sink.release_key(request)
 
 
-class AllIn(Plain):
+class AdmitAll(Baseline):
     pass
 
 
-class Fixed(Plain):
-    """Twice the cores in hand: as many wait as run."""
+class FixedLimit(Baseline):
+    """Limits requests in progress to twice the cores: as many wait as run."""
 
-    def admits(self, ex: Request) -> bool:
-        return len(self.held) + len(self.running) + self.calling < 2 * self.server.cores
+    def should_admit(self, request: Request) -> bool:
+        return len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.server.cores
 
 
-class Gradient(Plain):
-    """Limits from 1 to 200; tolerance 1.5; smoothing 0.2; a queue of the square root of the limit."""
+class GradientLimit(Baseline):
+    """Limits from 1 to 200; tolerance 1.5; smoothing 0.2; room for a queue of the square root of the limit."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
-        self.limit, self.long, self.short, self.seen = 2.0 * server.cores, 0.0, 0.0, 0
+        self.limit, self.long_average, self.short_average, self.sample_count = (
+            2.0 * server.cores,
+            0.0,
+            0.0,
+            0,
+        )
 
-    def admits(self, ex: Request) -> bool:
-        return len(self.held) + len(self.running) + self.calling < self.limit
+    def should_admit(self, request: Request) -> bool:
+        return len(self.queued) + len(self.running) + self.calls_in_progress < self.limit
 
-    def most(self) -> float:
+    def concurrency_limit(self) -> float:
         return self.limit
 
-    def execution_learned(self, ex: Request, took: int) -> None:
-        self.seen += 1
-        part = max(1 / self.seen, 0.005)
-        self.long += part * (took - self.long)
-        self.short += max(1 / self.seen, 0.1) * (took - self.short)
-        if self.long > 2 * self.short:
-            self.long *= 0.95  # recovers where the load has gone
-        gradient = max(0.5, min(1.0, 1.5 * self.long / max(1.0, self.short)))
-        wanted = self.limit * gradient + sqrt(self.limit)
-        if len(self.held) + len(self.running) >= self.limit / 2:
-            self.limit = max(1.0, min(200.0, 0.8 * self.limit + 0.2 * wanted))
+    def record_completion(self, request: Request, duration: int) -> None:
+        self.sample_count += 1
+        long_weight = max(1 / self.sample_count, 0.005)
+        self.long_average += long_weight * (duration - self.long_average)
+        self.short_average += max(1 / self.sample_count, 0.1) * (duration - self.short_average)
+        if self.long_average > 2 * self.short_average:
+            self.long_average *= 0.95  # lets the long average recover after load has fallen
+        gradient = max(0.5, min(1.0, 1.5 * self.long_average / max(1.0, self.short_average)))
+        target_limit = self.limit * gradient + sqrt(self.limit)
+        if len(self.queued) + len(self.running) >= self.limit / 2:
+            self.limit = max(1.0, min(200.0, 0.8 * self.limit + 0.2 * target_limit))
 
 
-class Codel(Plain):
-    """Target and interval are a tenth of, and once, the shortest SLO time."""
+class CoDel(Baseline):
+    """The interval is the shortest latency objective; the target is a tenth of it."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
-        shortest = min(group.latency_objective for group in server.request_classes)
-        self.target, self.interval = shortest // 10, shortest
+        shortest_objective = min(
+            request_class.latency_objective for request_class in server.request_classes
+        )
+        self.target, self.interval = shortest_objective // 10, shortest_objective
         self.above_since: int | None = None
-        self.drop_at, self.drops = 0, 0
+        self.next_drop_at, self.drop_count = 0, 0
 
-    def line(self) -> None:
-        while self.held:
-            head = self.held[0]
-            if self.now - head.arrived_at < self.target:
-                self.above_since, self.drops = None, 0
+    def prune_queue(self) -> None:
+        while self.queued:
+            oldest = self.queued[0]
+            if self.now - oldest.arrived_at < self.target:
+                self.above_since, self.drop_count = None, 0
                 return
             if self.above_since is None:
                 self.above_since = self.now
-                self.drop_at = self.now + self.interval
+                self.next_drop_at = self.now + self.interval
                 return
-            if self.now < self.drop_at:
+            if self.now < self.next_drop_at:
                 return
-            self.drops += 1
-            self.drop_at = self.now + int(self.interval / sqrt(self.drops))
-            self._deny(head)
+            self.drop_count += 1
+            self.next_drop_at = self.now + int(self.interval / sqrt(self.drop_count))
+            self._reject(oldest)
+
 
+class TokenBucket(Baseline):
+    """Refills at the rate at which the cores finish runs of mean duration.
 
-class Bucket(Plain):
-    """`rate` a second: what the cores finish of runs as long as a quarter of the shortest SLO time, until the
-    mean of what ran is known."""
+    The mean starts at a quarter of the shortest latency objective and is updated with each completed run."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
-        self.mean = min(group.latency_objective for group in server.request_classes) / 4
-        self.tokens, self.as_of = float(server.cores), now
+        self.mean_run_time = (
+            min(request_class.latency_objective for request_class in server.request_classes) / 4
+        )
+        self.tokens, self.refilled_at = float(server.cores), now
 
-    def execution_learned(self, ex: Request, took: int) -> None:
-        self.mean += 0.02 * (self.now - ex.dispatched_at - self.mean)
+    def record_completion(self, request: Request, duration: int) -> None:
+        self.mean_run_time += 0.02 * (self.now - request.dispatched_at - self.mean_run_time)
 
-    def admits(self, ex: Request) -> bool:
-        rate = self.server.cores / max(1.0, self.mean)
-        self.tokens = min(2.0 * self.server.cores, self.tokens + rate * (self.now - self.as_of))
-        self.as_of = self.now
+    def should_admit(self, request: Request) -> bool:
+        rate = self.server.cores / max(1.0, self.mean_run_time)
+        self.tokens = min(
+            2.0 * self.server.cores, self.tokens + rate * (self.now - self.refilled_at)
+        )
+        self.refilled_at = self.now
         if self.tokens < 1:
             return False
         self.tokens -= 1
         return True
 
 
-class Oracle(Plain):
-    """`work_of`: what an exchange really takes, by the exchange; set by whoever plays it."""
+class Oracle(Baseline):
+    """`work_of` returns the actual work of a request; the simulated server sets it."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
-        self.work_of: Callable[[Request], int] = lambda ex: ex.work_hint
+        self.work_of: Callable[[Request], int] = lambda request: request.work_hint
 
-    def _left(self) -> float:
-        """Work in hand, as if each run had half of its own before it."""
-        return sum(self.work_of(ex) / 2 for ex in self.running) / self.server.cores
+    def _remaining_time(self) -> float:
+        """Estimated time to finish the running requests, if half of the work of each remains."""
+        return sum(self.work_of(request) / 2 for request in self.running) / self.server.cores
 
-    def admits(self, ex: Request) -> bool:
-        ahead = sum(
-            self.work_of(other) for other in self.held if self._worth(other) >= self._worth(ex)
+    def should_admit(self, request: Request) -> bool:
+        work_ahead = sum(
+            self.work_of(other)
+            for other in self.queued
+            if self._weight_per_work(other) >= self._weight_per_work(request)
         )
-        wait = (
-            self._left() + ahead / self.server.cores
+        expected_wait = (
+            self._remaining_time() + work_ahead / self.server.cores
             if len(self.running) >= self.server.cores
             else 0.0
         )
-        return self.now + wait + self.work_of(ex) <= ex.objective_deadline
+        return self.now + expected_wait + self.work_of(request) <= request.objective_deadline
 
-    def _worth(self, ex: Request) -> float:
-        return ex.request_class.weight / max(1, self.work_of(ex))
+    def _weight_per_work(self, request: Request) -> float:
+        return request.request_class.weight / max(1, self.work_of(request))
 
-    def line(self) -> None:
-        for ex in [ex for ex in self.held if self.now + self.work_of(ex) > ex.objective_deadline]:
-            self._deny(ex)
+    def prune_queue(self) -> None:
+        for request in [
+            request
+            for request in self.queued
+            if self.now + self.work_of(request) > request.objective_deadline
+        ]:
+            self._reject(request)
 
-    def best(self) -> Request:
-        return max(self.held, key=self._worth)
+    def next_request(self) -> Request:
+        return max(self.queued, key=self._weight_per_work)
 
 
-KINDS: dict[str, type[Plain]] = {
-    "all-in": AllIn,
-    "fixed": Fixed,
-    "gradient": Gradient,
-    "codel": Codel,
-    "bucket": Bucket,
+BASELINES_BY_NAME: dict[str, type[Baseline]] = {
+    "all-in": AdmitAll,
+    "fixed": FixedLimit,
+    "gradient": GradientLimit,
+    "codel": CoDel,
+    "bucket": TokenBucket,
     "oracle": Oracle,
 }
-__all__ = ["KINDS", "MARGIN", "Plain"]
+__all__ = ["BASELINES_BY_NAME", "DEADLINE_MARGIN", "Baseline"]
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -1,10 +1,11 @@
-"""Members of a fleet in simulated time: the real `Membership`, an event queue in tenths of a ms, and links
-that lose, delay, double and cut. One seed, and the same events on every machine: nothing here asks a clock
-or a hash order.
+"""Members of a fleet in simulated time: the real `Membership`, an event queue in tenths of a millisecond, and
+links that lose, delay, duplicate and cut datagrams.
 
-Assumed: a datagram takes `delay` plus up to `jitter` tenths of a ms, each is lost independently of the
-others, a member handles what comes at once. What a queue, a slow interpreter or a full buffer add is
-measured with processes (`testing/fleet.py`), not here."""
+A seed gives the same events on every machine: nothing here depends on a clock or on hash order.
+
+Assumptions: a datagram takes `delay` plus up to `jitter` tenths of a ms, each is lost independently of the others,
+and a member handles a datagram in no time. The effects of a queue, a slow interpreter or a full buffer are measured
+with processes (`testing/fleet.py`), not here."""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 from lilacwalk.membership.messages import HEADER_BYTES, Datagram, GossipUpdate, NodeState, encode
 from lilacwalk.membership.swim import Membership
 
-WALL = 1_800_000_000_000  # ms of the Unix clock at the world's start
+WALL_CLOCK_START_MS = 1_800_000_000_000  # Unix time at the start of the simulation
 
 
 @dataclass(eq=False, slots=True)
@@ -28,12 +29,11 @@
     address: tuple[str, int]
     machine: Membership | None = None
     paused: bool = False
-    waiting: list[Datagram] = field(
-        default_factory=list
-    )  # in the socket of a process that stands still
-    wake: int = 1 << 62
-    clock_ms: int = 0  # how far its wall clock is off
-    stored: tuple[int, list[GossipUpdate]] | None = None
+    # Datagrams in the socket buffer of a paused process.
+    buffered: list[Datagram] = field(default_factory=list)
+    next_wake_at: int = 1 << 62
+    clock_ms: int = 0  # offset of the member's wall clock
+    persisted_state: tuple[int, list[GossipUpdate]] | None = None
     sent: int = 0
     sent_bytes: int = 0
     events: list[MembershipEvent] = field(default_factory=list)
@@ -52,8 +52,14 @@
         forget: int = 36_000_000,
         count_bytes: bool = False,
         machine: Callable[..., Membership] = Membership,
-        most_waiting: int = 1_000,
+        max_buffered: int = 1_000,
     ) -> None:
+        """Times are in tenths of a ms.
+
+        `interval`: probe interval; `loss`, `double`: probabilities that a datagram is lost or duplicated; `most`: limit
+        on members in a view; `forget`: time after which an absent member is forgotten; `count_bytes`: whether sent
+        bytes are counted; `machine`: class of the members' state machine; `max_buffered`: datagrams that the socket
+        buffer of a paused member holds."""
         self.rng = random.Random(seed)
         self.interval, self.delay, self.jitter = interval, delay, jitter
         self.loss, self.double, self.most, self.forget, self.count_bytes = (
@@ -63,15 +69,17 @@
             forget,
             count_bytes,
         )
-        self.machine, self.most_waiting = machine, most_waiting
-        self.now, self.order = 0, 0
-        self.queue: list[tuple] = []
+        self.machine, self.max_buffered = machine, max_buffered
+        self.now, self.sequence_number = 0, 0
+        self.event_heap: list[tuple] = []
         self.nodes: dict[str, Node] = {}
         self.at_address: dict[tuple[str, int], Node] = {}
-        self.cuts: set[tuple[str, str]] = set()  # (from, to): by member
-        self.lossy: dict[str, float] = {}  # by member, of what it sends and of what is sent to it
+        self.cuts: set[tuple[str, str]] = set()  # (from, to): names of members
+        self.lossy: dict[
+            str, float
+        ] = {}  # loss probability by member, for datagrams from and to it
 
-    # Who is there
+    # Members
 
     def add(
         self,
@@ -83,7 +91,8 @@
         keep: bool = False,
         state: NodeState = NodeState.READY,
     ) -> Node:
-        """Starts a process under this name; one that runs under it already is killed."""
+        """Starts a member under this name, and replaces one that runs under it. With `keep`, the member starts with its
+        persisted state."""
         node = self.nodes.get(name)
         if node is None:
             node = self.nodes[name] = Node(
@@ -93,40 +102,40 @@
             self.at_address.pop(node.address, None)
             node.address = address
         self.at_address[node.address] = node
-        node.clock_ms, node.paused, node.waiting = clock_ms, False, []
-        life, members = node.stored if keep and node.stored else (0, [])
-        places = tuple(self.nodes[seed].address for seed in seeds)
-        orders = MemberConfig(
+        node.clock_ms, node.paused, node.buffered = clock_ms, False, []
+        incarnation, members = node.persisted_state if keep and node.persisted_state else (0, [])
+        seed_addresses = tuple(self.nodes[seed].address for seed in seeds)
+        config = MemberConfig(
             node.name.split("'")[0],
             site,
             node.address,
-            places,
+            seed_addresses,
             self.interval,
             self.forget,
             0.34,
             self.most,
         )
         node.machine = self.machine(
-            orders,
+            config,
             random.Random(self.rng.getrandbits(64)),
             self.now,
-            WALL + self.now // 10 + clock_ms,
-            life,
+            WALL_CLOCK_START_MS + self.now // 10 + clock_ms,
+            incarnation,
             members,
         )
         node.machine.update_metadata(self.now, state=state)
-        node.wake = 1 << 62
-        self._wake(node, self.now + self.rng.randrange(self.interval // 10 + 1))
+        node.next_wake_at = 1 << 62
+        self._schedule_tick(node, self.now + self.rng.randrange(self.interval // 10 + 1))
         return node
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
         if node.machine is not None:
-            node.stored = (
+            node.persisted_state = (
                 node.machine.identity.incarnation,
-                [each.update() for each in node.machine.view.known()],
+                [member.update() for member in node.machine.view.known()],
             )
-        node.machine, node.waiting = None, []
+        node.machine, node.buffered = None, []
 
     def pause(self, name: str) -> None:
         self.nodes[name].paused = True
@@ -134,118 +143,128 @@
     def resume(self, name: str) -> None:
         node = self.nodes[name]
         node.paused = False
-        waiting, node.waiting = node.waiting, []
-        for told in waiting:
-            self._at(self.now, self._arrive, node, told)
-        self._wake(node, self.now)
+        buffered, node.buffered = node.buffered, []
+        for datagram in buffered:
+            self._schedule(self.now, self._arrive, node, datagram)
+        self._schedule_tick(node, self.now)
 
     def leave(self, name: str) -> None:
         node = self.nodes[name]
         node.machine.leave()
-        self._carry_out(node)
+        self._apply_outputs(node)
         node.machine = None
 
     # Links
 
-    def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
-        for here in one:
-            for there in other:
-                self.cuts.add((here, there))
+    def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
+        for source in sources:
+            for destination in destinations:
+                self.cuts.add((source, destination))
                 if both:
-                    self.cuts.add((there, here))
+                    self.cuts.add((destination, source))
 
     def heal(self) -> None:
         self.cuts.clear()
 
     # Time
 
-    def _at(self, time: int, action: Callable, *arguments) -> None:
-        self.order += 1
-        heapq.heappush(self.queue, (time, self.order, action, arguments))
+    def _schedule(self, time: int, action: Callable, *arguments) -> None:
+        self.sequence_number += 1
+        heapq.heappush(self.event_heap, (time, self.sequence_number, action, arguments))
 
-    def _wake(self, node: Node, time: int) -> None:
+    def _schedule_tick(self, node: Node, time: int) -> None:
         time = max(time, self.now)
-        if time < node.wake:
-            node.wake = time
-            self._at(time, self._tick, node, node.machine, time)
+        if time < node.next_wake_at:
+            node.next_wake_at = time
+            self._schedule(time, self._tick, node, node.machine, time)
 
     def _tick(self, node: Node, machine: Membership, time: int) -> None:
-        if node.machine is not machine or machine is None or node.wake != time:
+        if node.machine is not machine or machine is None or node.next_wake_at != time:
             return
-        node.wake = 1 << 62
+        node.next_wake_at = 1 << 62
         if node.paused:
             return
         machine.tick(self.now)
-        self._carry_out(node)
+        self._apply_outputs(node)
 
-    def _arrive(self, node: Node, told: Datagram) -> None:
+    def _arrive(self, node: Node, datagram: Datagram) -> None:
         if node.machine is None:
             return
         if node.paused:
-            if len(node.waiting) < self.most_waiting:
-                node.waiting.append(told)
+            if len(node.buffered) < self.max_buffered:
+                node.buffered.append(datagram)
             return
-        node.machine.receive(told, self.now)
-        self._carry_out(node)
+        node.machine.receive(datagram, self.now)
+        self._apply_outputs(node)
 
-    def _carry_out(self, node: Node) -> None:
+    def _apply_outputs(self, node: Node) -> None:
         machine = node.machine
         for send in machine.take_datagrams():
             self._send(node, send.address, send.datagram)
         node.events += machine.take_events()
-        self._wake(node, machine.next_deadline())
+        self._schedule_tick(node, machine.next_deadline())
 
-    def _send(self, node: Node, to: tuple[str, int], told: Datagram) -> None:
+    def _send(self, node: Node, to: tuple[str, int], datagram: Datagram) -> None:
         node.sent += 1
         if self.count_bytes:
-            node.sent_bytes += len(encode(told)) + HEADER_BYTES
-        there = self.at_address.get(to)
-        if there is None or (node.name, there.name) in self.cuts:
+            node.sent_bytes += len(encode(datagram)) + HEADER_BYTES
+        destination = self.at_address.get(to)
+        if destination is None or (node.name, destination.name) in self.cuts:
             return
-        own, its = self.lossy.get(node.name, 0.0), self.lossy.get(there.name, 0.0)
-        through = (1 - self.loss) * (1 - own) * (1 - its)
-        copies = 0 if self.rng.random() >= through else 1 + (self.rng.random() < self.double)
+        source_loss, destination_loss = (
+            self.lossy.get(node.name, 0.0),
+            self.lossy.get(destination.name, 0.0),
+        )
+        delivery_probability = (1 - self.loss) * (1 - source_loss) * (1 - destination_loss)
+        copies = (
+            0
+            if self.rng.random() >= delivery_probability
+            else 1 + (self.rng.random() < self.double)
+        )
         for _ in range(copies):
-            self._at(
-                self.now + self.delay + self.rng.randint(0, self.jitter), self._arrive, there, told
+            self._schedule(
+                self.now + self.delay + self.rng.randint(0, self.jitter),
+                self._arrive,
+                destination,
+                datagram,
             )
 
     def run(self, time: int) -> None:
         until = self.now + time
-        while self.queue and self.queue[0][0] <= until:
-            self.now, _, action, arguments = heapq.heappop(self.queue)
+        while self.event_heap and self.event_heap[0][0] <= until:
+            self.now, _, action, arguments = heapq.heappop(self.event_heap)
             action(*arguments)
         self.now = until
 
-    def run_until(self, reached: Callable[[], bool], most: int, step: int = 0) -> int | None:
-        """How long it took; None where it was not reached in time."""
-        began, step = self.now, step or self.interval // 10
-        while self.now - began <= most:
-            if reached():
-                return self.now - began
+    def run_until(self, condition: Callable[[], bool], most: int, step: int = 0) -> int | None:
+        """Runs until the condition holds. Returns the time taken, or None if it did not hold within `most`."""
+        started_at, step = self.now, step or self.interval // 10
+        while self.now - started_at <= most:
+            if condition():
+                return self.now - started_at
             self.run(step)
         return None
 
-    # What is true, and who knows it
+    # Actual state, and the members' views of it
 
     def up(self) -> list[Node]:
         return [
-            each for each in self.nodes.values() if each.machine is not None and not each.paused
+            node for node in self.nodes.values() if node.machine is not None and not node.paused
         ]
 
     def present_names(self, node: Node) -> set[str]:
-        return {each.name for each in node.machine.view.present}
+        return {member.name for member in node.machine.view.present}
 
     def all_settled(self) -> bool:
-        """All digests equal, and what they say is true."""
+        """Whether all views have the same digest and contain exactly the running members, none of them suspected."""
         up = self.up()
-        true = {each.machine.name for each in up}
+        running_names = {node.machine.name for node in up}
         first = up[0].machine.view.digest
-        return all(each.machine.view.digest == first for each in up) and all(
-            {member.name for member in each.machine.view.present} == true
-            and not each.machine.failure_detector.suspicions
-            for each in up
+        return all(node.machine.view.digest == first for node in up) and all(
+            {member.name for member in node.machine.view.present} == running_names
+            and not node.machine.failure_detector.suspicions
+            for node in up
         )
 
     def absent_from_all_views(self, *names: str) -> bool:
-        return all(not self.present_names(each) & set(names) for each in self.up())
+        return all(not self.present_names(node) & set(names) for node in self.up())
--- a/lilacwalk/emulator/dependency.py
+++ b/lilacwalk/emulator/dependency.py
@@ -1,9 +1,10 @@
-"""What all app servers call: a store or an index that they share.
+"""A dependency that all app servers share, such as a store or an index.
 
-Assumed: `slots` calls are worked on at once, each for its own time; more wait in one line, first come first
-served. Beyond `crowd` calls for each slot in its hands every call takes longer, in proportion; beyond `death`
-for each slot it is gone until it is told to come back, and refuses connections. A caller that gives up takes
-nothing off it: what was begun goes on, as with a store that does not look who still waits."""
+Assumptions: `slots` calls are in progress at once, each for its own duration; the others wait in one queue, first in,
+first out. Beyond `crowding_threshold` calls in flight per slot, every call takes longer, in proportion. Beyond
+`collapse_threshold` calls in flight per slot, the dependency fails and refuses connections until `restore` is called. A
+call that has started continues after its caller has given up, as in a store that does not check whether the client is
+still connected."""
 
 from __future__ import annotations
 
@@ -20,63 +21,69 @@
         self,
         events: EventQueue,
         slots: int,
-        mean: int,
+        mean_duration: int,
         rng: random.Random,
-        crowd: float = 4.0,
-        death: float = 0.0,
-        spread: float = 0.0,
+        crowding_threshold: float = 4.0,
+        collapse_threshold: float = 0.0,
+        variability: float = 0.0,
     ) -> None:
-        """`mean`: of a call, tenths of a ms; `spread`: 0 for a constant time, 1 for an exponential one.
-        `death` 0: none."""
-        self.events, self.slots, self.mean, self.rng = events, slots, mean, rng
-        self.crowd, self.death, self.spread = crowd, death, spread
+        """`mean_duration`: of a call, in tenths of a ms; `variability`: 0 for constant durations, 1 for exponential ones.
+        If `collapse_threshold` is 0, the dependency does not fail under load."""
+        self.events, self.slots, self.mean_duration, self.rng = events, slots, mean_duration, rng
+        self.crowding_threshold, self.collapse_threshold, self.variability = (
+            crowding_threshold,
+            collapse_threshold,
+            variability,
+        )
         self.slowness = 1.0
-        self.down = False
-        self.life = 0
-        self.in_work = 0
-        self.line: deque[Callable[[Outcome], None]] = deque()
-        self.made = self.most = 0
+        self.is_down = False
+        self.incarnation = 0
+        self.active_count = 0
+        self.queue: deque[Callable[[Outcome], None]] = deque()
+        self.call_count = self.max_in_flight = 0
 
     @property
-    def in_hands(self) -> int:
-        return self.in_work + len(self.line)
+    def in_flight(self) -> int:
+        return self.active_count + len(self.queue)
 
-    def call(self, on_end: Callable[[Outcome], None]) -> bool:
-        """Whether it was taken: False proves that it never ran."""
-        if self.down:
+    def call(self, on_complete: Callable[[Outcome], None]) -> bool:
+        """Returns whether the call was accepted; a call that was not accepted has not run."""
+        if self.is_down:
             return False
-        self.made += 1
-        self.line.append(on_end)
-        self.most = max(self.most, self.in_hands)
-        if self.death and self.in_hands > self.death * self.slots:
-            self.end()
+        self.call_count += 1
+        self.queue.append(on_complete)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
+        if self.collapse_threshold and self.in_flight > self.collapse_threshold * self.slots:
+            self.fail_all()
         else:
-            self._work()
+            self._start_queued()
         return True
 
-    def end(self) -> None:
-        """It dies: all calls in its hands break off."""
-        self.down, self.life = True, self.life + 1
-        lost, self.line, self.in_work = list(self.line), deque(), 0
-        for on_end in lost:
-            self.events.after(0, on_end, Outcome.CONNECTION_LOST)
+    def fail_all(self) -> None:
+        """Fails: all calls in flight end with a lost connection."""
+        self.is_down, self.incarnation = True, self.incarnation + 1
+        interrupted, self.queue, self.active_count = list(self.queue), deque(), 0
+        for on_complete in interrupted:
+            self.events.after(0, on_complete, Outcome.CONNECTION_LOST)
 
-    def back(self) -> None:
-        self.down = False
+    def restore(self) -> None:
+        self.is_down = False
 
-    def _work(self) -> None:
-        while self.line and self.in_work < self.slots:
-            crowd = max(1.0, self.in_hands / (self.crowd * self.slots))
-            time = self.mean * self.slowness * crowd
-            if self.spread:
-                time *= 1 - self.spread + self.spread * self.rng.expovariate(1.0)
-            self.in_work += 1
-            self.events.after(max(1, round(time)), self._ended, self.line.popleft(), self.life)
+    def _start_queued(self) -> None:
+        while self.queue and self.active_count < self.slots:
+            crowding_factor = max(1.0, self.in_flight / (self.crowding_threshold * self.slots))
+            duration = self.mean_duration * self.slowness * crowding_factor
+            if self.variability:
+                duration *= 1 - self.variability + self.variability * self.rng.expovariate(1.0)
+            self.active_count += 1
+            self.events.after(
+                max(1, round(duration)), self._complete, self.queue.popleft(), self.incarnation
+            )
 
-    def _ended(self, on_end: Callable[[Outcome], None], life: int) -> None:
-        if life != self.life:
-            on_end(Outcome.CONNECTION_LOST)
+    def _complete(self, on_complete: Callable[[Outcome], None], incarnation: int) -> None:
+        if incarnation != self.incarnation:
+            on_complete(Outcome.CONNECTION_LOST)
             return
-        self.in_work -= 1
-        self._work()
-        on_end(Outcome.OK)
+        self.active_count -= 1
+        self._start_queued()
+        on_complete(Outcome.OK)
--- a/lilacwalk/emulator/events.py
+++ b/lilacwalk/emulator/events.py
@@ -1,12 +1,12 @@
-"""What happens when, in simulated time: a calendar queue (Brown, 1988, with buckets sorted when they are
-reached) of events in tenths of a ms.
+"""Event queue of the simulation: a calendar queue (Brown, 1988) of events in tenths of a ms, whose buckets are sorted
+when they are reached.
 
-Good for: many events that lie far ahead (due times, timers, patience) and are mostly put in roughly in their
-order. Putting one in is an append to its bucket; a bucket is sorted once, by the library's sort, when its
-time comes. Cost: events into the bucket that is being emptied are inserted by bisection, so its width should
-hold some tens of events. Why not heapq: see benchmarks/events.py for both at a million pending events.
+Suited to many events that lie far ahead (deadlines, timers, timeouts) and are mostly added roughly in order. Adding an
+event appends it to its bucket; a bucket is sorted once, by `list.sort`, when its time comes. Events added to the bucket
+that is being emptied are inserted by bisection, so the bucket width should be chosen to hold some tens of events.
+`python -m benchmarks.emulator queue` compares the queue with heapq at a million pending events.
 
-Events of one time come in the order in which they were put in, on every machine."""
+Events with the same time are processed in the order in which they were added, on every machine."""
 
 from __future__ import annotations
 
@@ -15,59 +15,59 @@
 from collections.abc import Callable
 from itertools import count
 
-WIDTH = 10  # a ms: some tens of events at the rates of a fleet
+BUCKET_WIDTH = 10  # 1 ms holds some tens of events at the event rates of a simulated fleet
 
 
 class EventQueue:
-    def __init__(self, width: int = WIDTH) -> None:
+    def __init__(self, bucket_width: int = BUCKET_WIDTH) -> None:
         self.now = 0
-        self.width = width
-        self.numbers = count()
+        self.bucket_width = bucket_width
+        self.sequence_numbers = count()
         self.buckets: dict[int, list[tuple]] = {}
-        self.ahead: list[int] = []  # a heap of the buckets' indices
-        self.current: list[tuple] = []  # sorted; those before `at` have happened
-        self.at = 0
-        self.index = -1  # of the current bucket
-        self.happened = 0
+        self.pending_indices: list[int] = []  # heap of the indices of `buckets`
+        self.current: list[tuple] = []  # sorted bucket; events before `position` are processed
+        self.position = 0
+        self.current_index = -1  # index of the bucket in `current`
+        self.processed_count = 0
 
     def __len__(self) -> int:
-        return len(self.current) - self.at + sum(map(len, self.buckets.values()))
+        return len(self.current) - self.position + sum(map(len, self.buckets.values()))
 
     def put(self, time: int, action: Callable, *arguments) -> None:
-        """What lies in the past happens now."""
-        event = (max(time, self.now), next(self.numbers), action, arguments)
-        index = event[0] // self.width
-        if index <= self.index:
-            insort(self.current, event, self.at)
+        """Schedules an action; one with a time in the past is scheduled for the current time."""
+        event = (max(time, self.now), next(self.sequence_numbers), action, arguments)
+        index = event[0] // self.bucket_width
+        if index <= self.current_index:
+            insort(self.current, event, self.position)
             return
         bucket = self.buckets.get(index)
         if bucket is None:
             self.buckets[index] = [event]
-            heapq.heappush(self.ahead, index)
+            heapq.heappush(self.pending_indices, index)
         else:
             bucket.append(event)
 
     def after(self, time: int, action: Callable, *arguments) -> None:
         self.put(self.now + time, action, *arguments)
 
-    def next(self) -> int | None:
-        """When; None: nothing is due any more."""
-        if self.at < len(self.current):
-            return self.current[self.at][0]
-        if not self.ahead:
+    def next_time(self) -> int | None:
+        """Time of the next event, or None if no event is pending."""
+        if self.position < len(self.current):
+            return self.current[self.position][0]
+        if not self.pending_indices:
             return None
-        self.index = heapq.heappop(self.ahead)
-        self.current = self.buckets.pop(self.index)
+        self.current_index = heapq.heappop(self.pending_indices)
+        self.current = self.buckets.pop(self.current_index)
         self.current.sort()
-        self.at = 0
+        self.position = 0
         return self.current[0][0]
 
     def run(self, until: int) -> None:
-        """All that happens up to and at `until`. Then it is `until`."""
-        while (time := self.next()) is not None and time <= until:
-            _, _, action, arguments = self.current[self.at]
-            self.at += 1
+        """Processes all events up to and including `until`, and sets the current time to `until`."""
+        while (time := self.next_time()) is not None and time <= until:
+            _, _, action, arguments = self.current[self.position]
+            self.position += 1
             self.now = time
-            self.happened += 1
+            self.processed_count += 1
             action(*arguments)
         self.now = max(self.now, until)
--- a/lilacwalk/emulator/faults.py
+++ b/lilacwalk/emulator/faults.py
@@ -1,16 +1,16 @@
-"""What goes wrong, when, and to whom: by script or by seed, overlapping as they may. Times in tenths of a ms.
+"""Kinds of faults, and faults generated from a seed; they may overlap. Times are in tenths of a ms.
 
-crash       process and machine end; back after `time`, cold
-silence     it takes and says nothing for `time`; what runs goes on
-hang        nothing runs for `time`, all else goes on
-slow        its machine works at `factor` of its speed for `time`
-index-slow  the dependency takes `factor` times as long for `time`
-index-down  it is gone for `time`
-cut         routers of one half of all cannot reach the servers of a site for `time`
-surge       every router's rate times `factor` for `time`
-outlet      one router's rate times `factor` for `time`
-release     all servers are replaced, one after the other over `time`: drained, then started cold
-flap        crash and return every two seconds for `time`"""
+crash       process and machine end, and start cold after `duration`
+silence     the server accepts requests and answers none for `duration`; running requests continue
+hang        no run progresses for `duration`; everything else continues
+slow        the machine works at `factor` of its speed for `duration`
+index-slow  calls to the dependency take `factor` times as long for `duration`
+index-down  the dependency is down for `duration`
+cut         every other router cannot reach the servers of a site for `duration`
+surge       the request rate of every router is multiplied by `factor` for `duration`
+outlet      the request rate of one router is multiplied by `factor` for `duration`
+release     all servers are replaced, one after the other over `duration`: drained, then started cold
+flap        crash and restart every two seconds for `duration`"""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 
 SECOND = 10_000
-KINDS = (
+FAULT_KINDS = (
     "crash",
     "silence",
     "hang",
@@ -31,34 +31,34 @@
     "release",
     "flap",
 )
-OF_SERVERS = ("crash", "silence", "hang", "slow", "flap")
+SERVER_FAULT_KINDS = ("crash", "silence", "hang", "slow", "flap")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     kind: str
     at: int
-    time: int
-    share: float = 0.1  # of the servers that it takes, where it takes servers
+    duration: int
+    share: float = 0.1  # fraction of the servers that a fault of servers affects
     factor: float = 2.0
-    site: str = ""  # of a cut, or the only one whose servers are taken
+    site: str = ""  # site of a cut, or the only site whose servers a fault affects
 
     def __str__(self) -> str:
         return (
-            f"{self.kind} at {self.at / SECOND:g}s for {self.time / SECOND:g}s share {self.share:g} "
+            f"{self.kind} at {self.at / SECOND:g}s for {self.duration / SECOND:g}s share {self.share:g} "
             f"factor {self.factor:g}{' site ' + self.site if self.site else ''}"
         )
 
 
-def drawn(seed: int, length: int, count: int, sites: tuple[str, ...]) -> list[Fault]:
-    """So many, of any kind, in the middle of the time: what comes before shows the usual, what comes after
-    whether it comes back."""
+def generate_faults(seed: int, length: int, count: int, sites: tuple[str, ...]) -> list[Fault]:
+    """Returns `count` random faults in the middle of a run of `length`: the time before them shows normal service,
+    the time after them whether service recovers."""
     rng = random.Random(f"faults {seed}")
-    found = []
+    faults = []
     for _ in range(count):
-        kind = rng.choice(KINDS)
+        kind = rng.choice(FAULT_KINDS)
         factor = rng.choice((0.2, 0.5)) if kind == "slow" else rng.choice((1.5, 2.0, 4.0))
-        found.append(
+        faults.append(
             Fault(
                 kind,
                 rng.randrange(length // 5, length * 3 // 5),
@@ -68,4 +68,4 @@
                 rng.choice(sites) if kind == "cut" else "",
             )
         )
-    return sorted(found, key=lambda each: (each.at, each.kind))
+    return sorted(faults, key=lambda fault: (fault.at, fault.kind))
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -1,14 +1,14 @@
-"""A machine that runs exchanges: cores that all runs share.
+"""A machine that runs requests on cores that all runs share.
 
-Assumed: processor sharing. Each of n runs gets min(1, cores / n) of a core, at the machine's speed; nothing
-is lost to switching until the crowd: beyond `crowd` runs for each core, each further one takes `contention`
-off the whole machine's speed, as caches and locks do, down to a twentieth. A cold machine works at `cold` of
-its speed for `warm_up`, whatever it is asked. More than `death` runs for each core end it: memory and the run
-queue are gone.
+Assumptions: processor sharing. Each of n runs gets min(1, cores / n) of a core, at the machine's speed. Switching costs
+nothing up to `crowding_threshold` runs per core; beyond that, each further run takes the fraction `contention` off the
+speed of the whole machine, as contention for caches and locks does, down to a twentieth. A cold machine works at
+`cold_speed` of its speed for `warm_up`, whatever its load. More than `collapse_threshold` runs per core make it
+collapse, and memory and the run queue are lost.
 
-Closed forms that the tests hold it to: the mean time of a run in an M/G/1 with processor sharing is
-s / (1 - ρ), whatever the distribution of work (Kleinrock, 1976); no run is faster than alone; work is
-conserved."""
+The tests check it against closed forms: the mean time of a run in an M/G/1 queue with processor sharing is s / (1 - ρ)
+for a mean service time s and a utilization ρ, whatever the distribution of work (Kleinrock, 1976); no run is faster
+than when it runs alone; work is conserved."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from lilacwalk.emulator.events import EventQueue
 
-SLOWEST = 0.05
+MIN_SPEED_FACTOR = 0.05
 
 
 class Machine:
@@ -27,73 +27,80 @@
         events: EventQueue,
         cores: int,
         speed: float = 1.0,
-        crowd: float = 8.0,
+        crowding_threshold: float = 8.0,
         contention: float = 0.0,
-        death: float = 0.0,
-        cold: float = 1.0,
+        collapse_threshold: float = 0.0,
+        cold_speed: float = 1.0,
         warm_up: int = 0,
-        on_death: Callable[[], None] = lambda: None,
+        on_collapse: Callable[[], None] = lambda: None,
     ) -> None:
-        """`death` 0: none. Times in tenths of a ms."""
+        """Times are in tenths of a ms. If `collapse_threshold` is 0, the machine does not collapse."""
         self.events, self.cores, self.speed = events, cores, speed
-        self.crowd, self.contention, self.death, self.on_death = crowd, contention, death, on_death
-        self.cold, self.warm_at = cold, events.now + warm_up
+        self.crowding_threshold, self.contention, self.collapse_threshold, self.on_collapse = (
+            crowding_threshold,
+            contention,
+            collapse_threshold,
+            on_collapse,
+        )
+        self.cold_speed, self.warm_at = cold_speed, events.now + warm_up
         if warm_up:
-            events.after(warm_up, self._changed)
-        # Each run ends when the service that a run has attained since the beginning of all reaches its own
-        # level: one number moves for all of them, and a heap tells who is next.
-        self.attained = 0.0
-        self.as_of = events.now
+            events.after(warm_up, self._on_speed_change)
+        # Service attained by a run that has been running since the start of the machine. All runs progress at the same
+        # rate, so each run ends when this number reaches the level stored with it; `runs` is a heap by that level.
+        self.attained_service = 0.0
+        self.updated_at = events.now
         self.runs: list[tuple[float, int, object, Callable]] = []
-        self.left: set[int] = set()  # numbers of runs that were stopped
-        self.numbers = count()
+        self.cancelled_runs: set[int] = set()  # numbers of stopped runs that are still in `runs`
+        self.run_numbers = count()
         self.running = 0
-        self.busy = 0.0  # core time given, as work
-        self.turn = 0  # of the next end: those put in before a change are void
-        self.standing_still = False
+        self.core_time_used = 0.0  # core time used by runs, in units of work
+        self.generation = 0  # completion events of earlier generations are ignored
+        self.is_paused = False
 
-    # What is asked
+    # Runs
 
-    def start(self, work: float, on_end: Callable[[object], None], what: object = None) -> int:
-        """A run of so much work, in tenths of a ms of one core at full speed. Its number."""
+    def start(self, work: float, on_complete: Callable[[object], None], tag: object = None) -> int:
+        """Starts a run and returns its number. `work` is in tenths of a ms of one core at full speed."""
         self._advance()
-        number = next(self.numbers)
-        heapq.heappush(self.runs, (self.attained + max(0.0, work), number, what, on_end))
+        number = next(self.run_numbers)
+        heapq.heappush(
+            self.runs, (self.attained_service + max(0.0, work), number, tag, on_complete)
+        )
         self.running += 1
-        if self.death and self.running > self.death * self.cores:
-            self.on_death()
+        if self.collapse_threshold and self.running > self.collapse_threshold * self.cores:
+            self.on_collapse()
             return number
-        self._next()
+        self._schedule_next_completion()
         return number
 
     def stop(self, number: int) -> None:
-        """A run that has ended is none."""
-        if any(each[1] == number for each in self.runs) and number not in self.left:
+        """Stops a run; has no effect on a run that has ended."""
+        if any(run[1] == number for run in self.runs) and number not in self.cancelled_runs:
             self._advance()
-            self.left.add(number)
+            self.cancelled_runs.add(number)
             self.running -= 1
-            self._next()
+            self._schedule_next_completion()
 
-    def end(self) -> None:
-        """All that runs is lost."""
+    def clear(self) -> None:
+        """Drops all runs without calling their `on_complete`."""
         self._advance()
         self.runs.clear()
-        self.left.clear()
+        self.cancelled_runs.clear()
         self.running = 0
-        self.turn += 1
+        self.generation += 1
 
-    def stand_still(self, still: bool) -> None:
-        """The whole machine, as in a long pause: nothing moves."""
+    def set_paused(self, is_paused: bool) -> None:
+        """Pauses or resumes the whole machine; no run progresses while it is paused."""
         self._advance()
-        self.standing_still = still
-        self._next()
+        self.is_paused = is_paused
+        self._schedule_next_completion()
 
     def set_speed(self, speed: float) -> None:
         self._advance()
         self.speed = speed
-        self._next()
+        self._schedule_next_completion()
 
-    # What it tells, as a kernel's gauges do
+    # Gauges, as an operating system reports them
 
     @property
     def core_use(self) -> float:
@@ -101,58 +108,61 @@
 
     @property
     def run_queue(self) -> float:
-        """Runs beyond the cores."""
+        """Number of runs in excess of the cores."""
         return float(max(0, self.running - self.cores))
 
     # Time
 
     def rate(self) -> float:
-        """Of one run, in work a tenth of a ms."""
-        if not self.running or self.standing_still:
+        """Progress of one run, in work per tenth of a ms."""
+        if not self.running or self.is_paused:
             return 0.0
-        over = self.running - self.crowd * self.cores
-        slowed = max(SLOWEST, 1 - self.contention * over) if over > 0 else 1.0
-        cold = self.cold if self.events.now < self.warm_at else 1.0
-        return self.speed * slowed * cold * min(1.0, self.cores / self.running)
+        excess_runs = self.running - self.crowding_threshold * self.cores
+        contention_factor = (
+            max(MIN_SPEED_FACTOR, 1 - self.contention * excess_runs) if excess_runs > 0 else 1.0
+        )
+        cold_factor = self.cold_speed if self.events.now < self.warm_at else 1.0
+        return self.speed * contention_factor * cold_factor * min(1.0, self.cores / self.running)
 
     def _advance(self) -> None:
-        gone = self.events.now - self.as_of
-        if gone > 0:
-            rate = self.rate_then
-            self.attained += gone * rate
-            self.busy += gone * rate * self.running
-            self.as_of = self.events.now
+        elapsed = self.events.now - self.updated_at
+        if elapsed > 0:
+            rate = self.current_rate
+            self.attained_service += elapsed * rate
+            self.core_time_used += elapsed * rate * self.running
+            self.updated_at = self.events.now
 
-    rate_then = 0.0  # since `as_of`
+    current_rate = 0.0  # rate of one run since `updated_at`
 
-    def _changed(self) -> None:
+    def _on_speed_change(self) -> None:
         self._advance()
-        self._next()
-
-    def _next(self) -> None:
-        """The next end, as things are now."""
-        self.turn += 1
-        self.rate_then = self.rate()
-        while self.runs and self.runs[0][1] in self.left:
-            self.left.discard(heapq.heappop(self.runs)[1])
-        if self.runs and self.rate_then > 0:
-            wait = (self.runs[0][0] - self.attained) / self.rate_then
-            self.events.after(max(0, -int(-wait // 1)), self._ended, self.turn)
-
-    def _ended(self, turn: int) -> None:
-        if turn != self.turn:
+        self._schedule_next_completion()
+
+    def _schedule_next_completion(self) -> None:
+        """Schedules the next completion at the current rate."""
+        self.generation += 1
+        self.current_rate = self.rate()
+        while self.runs and self.runs[0][1] in self.cancelled_runs:
+            self.cancelled_runs.discard(heapq.heappop(self.runs)[1])
+        if self.runs and self.current_rate > 0:
+            delay = (self.runs[0][0] - self.attained_service) / self.current_rate
+            self.events.after(max(0, -int(-delay // 1)), self._complete_due_runs, self.generation)
+
+    def _complete_due_runs(self, generation: int) -> None:
+        if generation != self.generation:
             return
         self._advance()
-        ended = []
+        completed = []
         while self.runs and (
-            self.runs[0][1] in self.left or self.runs[0][0] <= self.attained + 1e-6
+            self.runs[0][1] in self.cancelled_runs
+            or self.runs[0][0] <= self.attained_service + 1e-6
         ):
-            each = heapq.heappop(self.runs)
-            if each[1] in self.left:
-                self.left.discard(each[1])
+            run = heapq.heappop(self.runs)
+            if run[1] in self.cancelled_runs:
+                self.cancelled_runs.discard(run[1])
             else:
                 self.running -= 1
-                ended.append(each)
-        self._next()
-        for _, _, what, on_end in ended:
-            on_end(what)
+                completed.append(run)
+        self._schedule_next_completion()
+        for _, _, tag, on_complete in completed:
+            on_complete(tag)
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -1,13 +1,14 @@
-"""Who brings exchanges: routers with their habits, and the clients behind them.
+"""Source of requests: routers (proxies) with their routing policy, and the clients behind them.
 
-Assumed: a router knows the app servers by a list that is `late` behind the truth, takes each wish to one of
-them by its habit, and on a denial or a loss to another, as its budget and the wish's patience allow. A client
-whose wish was not granted comes again itself, after the time that it was told or its own, until its patience
-is over. Wishes come by a Poisson process; a burst raises its rate; an outlet (one router in so many) may be
-many times as busy as the others.
+Assumptions: a router selects app servers from a list that is `list_delay` old. It sends each request to one of them by
+its `choice`, and after a rejection or a loss to another one, as far as its retry budget and the request's deadline
+allow. A series of such attempts is a round. When a round fails, the client sends the request again after the retry-after
+time that it received, or else after its own default delay, until the request's deadline. Requests arrive by a Poisson
+process; a surge raises its rate, and one router (an outlet) may be many times as busy as the others.
 
-Habits of choice: `random`; `two` (the less busy of two drawn ones, Mitzenmacher, 2001); `least` (outstanding
-here); `subject` (by the key's hash, on the next that is listed if it is gone)."""
+Choices: `random`; `two` (the one of two random servers with fewer outstanding attempts, Mitzenmacher, 2001); `least`
+(fewest outstanding attempts of this router); `subject` (by hash of the request's key and the server's name, so that a
+request moves to another server only if its own is not listed)."""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 from hashlib import blake2b
 
 from lilacwalk.emulator.events import EventQueue
-from lilacwalk.emulator.server import COMPLETED, DENIED, LOST, Reply, Server, Try
+from lilacwalk.emulator.server import COMPLETED, DENIED, LOST, Attempt, Reply, Server
 from lilacwalk.overload.model import Effect, RequestClass
 
 SECOND = 10_000
@@ -25,179 +26,205 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class RoutingBehavior:
     """Times in tenths of a ms."""
 
     choice: str = "two"
-    tries: int = 3  # of one wish in one walk
-    budget: float = 0.2  # further tries for each wish, on the average
-    marks: bool = True  # says that it asks again
-    heeds: bool = True  # asks no other where it is told so, and its clients come back when told
-    returns: int = 1  # times that a client comes again after a walk that failed
-    away: int = SECOND // 2  # where nothing was told
-    late: int = SECOND  # the list behind the truth
-    link: int = 5  # to an app server, one way
+    max_attempts: int = 3  # per request and round
+    budget: float = 0.2  # mean number of retries per request
+    marks_retries: bool = True  # whether retries are marked as such
+    # Whether the router obeys `no_retry_elsewhere`, and its clients the retry-after time.
+    honors_retry_after: bool = True
+    max_returns: int = 1  # times that a client repeats a request after a failed round
+    default_return_delay: int = SECOND // 2  # used without a retry-after time
+    list_delay: int = SECOND  # age of the list of servers
+    link_delay: int = 5  # one-way delay to an app server
 
 
 @dataclass(eq=False, slots=True)
-class Wish:
+class ClientRequest:
     number: int
-    group: RequestClass
-    born: int
-    until: int
+    request_class: RequestClass
+    created_at: int
+    deadline: int
     work: int
     router: Router
-    walks: int = 0
-    tries: int = 0
-    asked: list[Server] = field(default_factory=list)  # in this walk
+    round_count: int = 0
+    attempt_count: int = 0
+    attempted_servers: list[Server] = field(default_factory=list)  # in this round
 
 
 @dataclass(slots=True)
-class Second:
-    """Of the wishes born in one second."""
+class SecondStats:
+    """Results of the requests created in one second; attributes are columns of the stored table."""
 
-    wished: int = 0
-    granted: int = 0
-    in_time: int = 0
-    benefit: float = 0.0  # granted in time
-    wanted: float = 0.0
-    tries: int = 0
-    refused: int = 0  # given up on after a denial
-    lost: int = 0  # after a loss, a termination or silence
+    wished: int = 0  # requests created
+    granted: int = 0  # requests completed
+    in_time: int = 0  # requests completed within their latency objective
+    benefit: float = 0.0  # total weight of the requests in `in_time`
+    wanted: float = 0.0  # total weight of the requests created
+    tries: int = 0  # attempts sent
+    refused: int = 0  # requests that ended with a rejection
+    lost: int = 0  # requests that ended with a loss, a termination or a timeout
 
 
 @dataclass(eq=False, slots=True)
 class Router:
-    """`draw`: (group, work, patience) of the next wish. `rate`: wishes a second, by the time."""
+    """`draw_request` returns (request class, work, timeout) of the next request; `rate` returns requests per second at a
+    time; `servers` returns the servers that were listed at a time."""
 
     number: int
     events: EventQueue
     rng: random.Random
-    habits: Habits
-    servers: Callable[[int], list[Server]]  # as they were listed at a time
-    draw: Callable[[random.Random], tuple[RequestClass, int, int]]
+    behavior: RoutingBehavior
+    servers: Callable[[int], list[Server]]
+    draw_request: Callable[[random.Random], tuple[RequestClass, int, int]]
     rate: Callable[[int], float]
-    seconds: dict[int, Second]
-    busy: dict[Server, int] = field(default_factory=dict)
-    purse: float = 10.0
-    wishes: int = 0
+    seconds: dict[int, SecondStats]
+    outstanding: dict[Server, int] = field(default_factory=dict)
+    retry_tokens: float = 10.0
+    request_count: int = 0
 
-    def begin(self) -> None:
-        self._next()
+    def start(self) -> None:
+        self._schedule_next_request()
 
-    def _next(self) -> None:
+    def _schedule_next_request(self) -> None:
         rate = self.rate(self.events.now)
-        if rate <= 0:  # looked at again: a scenario may begin without traffic
-            self.events.after(SECOND // 10, self._next)
+        if rate <= 0:  # checked again later: a scenario may begin without traffic
+            self.events.after(SECOND // 10, self._schedule_next_request)
             return
-        self.events.after(max(1, round(self.rng.expovariate(rate) * SECOND)), self._wish)
+        self.events.after(max(1, round(self.rng.expovariate(rate) * SECOND)), self._create_request)
 
-    def _wish(self) -> None:
-        self._next()
-        group, work, patience = self.draw(self.rng)
+    def _create_request(self) -> None:
+        self._schedule_next_request()
+        request_class, work, timeout = self.draw_request(self.rng)
         now = self.events.now
-        self.wishes += 1
-        wish = Wish(self.number << 32 | self.wishes, group, now, now + patience, work, self)
-        second = self._second(wish)
-        second.wished += 1
-        second.wanted += group.weight
-        self.purse = min(100.0, self.purse + self.habits.budget)
-        self._walk(wish)
+        self.request_count += 1
+        request = ClientRequest(
+            self.number << 32 | self.request_count, request_class, now, now + timeout, work, self
+        )
+        stats = self._stats(request)
+        stats.wished += 1
+        stats.wanted += request_class.weight
+        self.retry_tokens = min(100.0, self.retry_tokens + self.behavior.budget)
+        self._start_round(request)
 
-    def _second(self, wish: Wish) -> Second:
-        return self.seconds.setdefault(wish.born // SECOND, Second())
+    def _stats(self, request: ClientRequest) -> SecondStats:
+        return self.seconds.setdefault(request.created_at // SECOND, SecondStats())
 
-    # One walk
+    # One round of attempts
 
-    def _walk(self, wish: Wish) -> None:
-        wish.walks += 1
-        wish.asked = []
-        self._try(wish)
+    def _start_round(self, request: ClientRequest) -> None:
+        request.round_count += 1
+        request.attempted_servers = []
+        self._send_attempt(request)
 
-    def _try(self, wish: Wish) -> None:
+    def _send_attempt(self, request: ClientRequest) -> None:
         now = self.events.now
-        server = self._choose(wish)
-        if server is None or now >= wish.until:
-            self._failed(wish, Reply(LOST))
+        server = self._choose(request)
+        if server is None or now >= request.deadline:
+            self._on_round_failure(request, Reply(LOST))
             return
-        wish.asked.append(server)
-        wish.tries += 1
-        self._second(wish).tries += 1
-        self.busy[server] = self.busy.get(server, 0) + 1
-        ask = Try(
-            wish.group,
-            wish.number,
+        request.attempted_servers.append(server)
+        request.attempt_count += 1
+        self._stats(request).tries += 1
+        self.outstanding[server] = self.outstanding.get(server, 0) + 1
+        attempt = Attempt(
+            request.request_class,
+            request.number,
             self.number,
-            wish.work,
-            wish.until - now - self.habits.link,
-            lambda ask, reply: self.events.after(
-                self.habits.link, self._replied, wish, ask, server, reply
+            request.work,
+            request.deadline - now - self.behavior.link_delay,
+            lambda attempt, reply: self.events.after(
+                self.behavior.link_delay, self._on_reply, request, attempt, server, reply
             ),
-            retry=self.habits.marks and wish.tries > 1,
+            is_retry=self.behavior.marks_retries and request.attempt_count > 1,
         )
-        self.events.after(self.habits.link, server.take, ask)
-        self.events.put(wish.until, self._given_up, wish, ask, server)
-
-    def _choose(self, wish: Wish) -> Server | None:
-        there = [
-            each
-            for each in self.servers(self.events.now - self.habits.late)
-            if each not in wish.asked
+        self.events.after(self.behavior.link_delay, server.receive, attempt)
+        self.events.put(request.deadline, self._on_timeout, request, attempt, server)
+
+    def _choose(self, request: ClientRequest) -> Server | None:
+        candidates = [
+            server
+            for server in self.servers(self.events.now - self.behavior.list_delay)
+            if server not in request.attempted_servers
         ]
-        if not there:
+        if not candidates:
             return None
-        if self.habits.choice == "subject":
+        if self.behavior.choice == "subject":
             return max(
-                there,
-                key=lambda each: blake2b(
-                    f"{wish.number >> 6} {each.name}".encode(), digest_size=8
+                candidates,
+                key=lambda server: blake2b(
+                    f"{request.number >> 6} {server.name}".encode(), digest_size=8
                 ).digest(),
             )
-        if self.habits.choice == "least":
-            least = min(self.busy.get(each, 0) for each in there)
-            there = [each for each in there if self.busy.get(each, 0) == least]
-        elif self.habits.choice == "two" and len(there) > 1:
-            return min(self.rng.sample(there, 2), key=lambda each: self.busy.get(each, 0))
-        return self.rng.choice(there)
-
-    def _given_up(self, wish: Wish, ask: Try, server: Server) -> None:
-        """Nothing came in time: silence, or a link that is cut."""
-        if not ask.sent:
-            ask.sent = 1
-            self.busy[server] -= 1
-            server.gone(ask)
-            self._second(wish).lost += 1
-
-    def _replied(self, wish: Wish, ask: Try, server: Server, reply: Reply) -> None:
-        if ask.sent:
-            return  # given up on before
-        ask.sent = 1
-        self.busy[server] -= 1
+        if self.behavior.choice == "least":
+            fewest = min(self.outstanding.get(server, 0) for server in candidates)
+            candidates = [
+                server for server in candidates if self.outstanding.get(server, 0) == fewest
+            ]
+        elif self.behavior.choice == "two" and len(candidates) > 1:
+            return min(
+                self.rng.sample(candidates, 2), key=lambda server: self.outstanding.get(server, 0)
+            )
+        return self.rng.choice(candidates)
+
+    def _on_timeout(self, request: ClientRequest, attempt: Attempt, server: Server) -> None:
+        """No reply arrived by the deadline: the server is silent, or the link is cut."""
+        if not attempt.settled:
+            attempt.settled = 1
+            self.outstanding[server] -= 1
+            server.client_disconnected(attempt)
+            self._stats(request).lost += 1
+
+    def _on_reply(
+        self, request: ClientRequest, attempt: Attempt, server: Server, reply: Reply
+    ) -> None:
+        if attempt.settled:
+            return  # timed out before
+        attempt.settled = 1
+        self.outstanding[server] -= 1
         now = self.events.now
-        if reply.word == COMPLETED:
-            second = self._second(wish)
-            second.granted += 1
-            if now - wish.born <= wish.group.latency_objective:
-                second.in_time += 1
-                second.benefit += wish.group.weight
+        if reply.kind == COMPLETED:
+            stats = self._stats(request)
+            stats.granted += 1
+            if now - request.created_at <= request.request_class.latency_objective:
+                stats.in_time += 1
+                stats.benefit += request.request_class.weight
             return
-        unsafe = reply.word != DENIED and wish.group.effect is Effect.NON_IDEMPOTENT
-        further = not unsafe and wish.tries < self.habits.tries * wish.walks and self.purse >= 1
-        if further and not (reply.not_elsewhere and self.habits.heeds):
-            self.purse -= 1
-            self._try(wish)
+        may_have_effect = (
+            reply.kind != DENIED and request.request_class.effect is Effect.NON_IDEMPOTENT
+        )
+        may_retry = (
+            not may_have_effect
+            and request.attempt_count < self.behavior.max_attempts * request.round_count
+            and self.retry_tokens >= 1
+        )
+        if may_retry and not (reply.no_retry_elsewhere and self.behavior.honors_retry_after):
+            self.retry_tokens -= 1
+            self._send_attempt(request)
         else:
-            self._failed(wish, reply, unsafe)
+            self._on_round_failure(request, reply, may_have_effect)
 
-    def _failed(self, wish: Wish, reply: Reply, unsafe: bool = False) -> None:
-        """The client comes again, or is done with it."""
+    def _on_round_failure(
+        self, request: ClientRequest, reply: Reply, may_have_effect: bool = False
+    ) -> None:
+        """The client starts another round after a delay, or the request fails."""
         now = self.events.now
-        wait = reply.come_back if reply.come_back and self.habits.heeds else self.habits.away
-        if not unsafe and wish.walks <= self.habits.returns and now + wait < wish.until:
-            self.events.after(wait, self._walk, wish)
+        delay = (
+            reply.retry_after
+            if reply.retry_after and self.behavior.honors_retry_after
+            else self.behavior.default_return_delay
+        )
+        if (
+            not may_have_effect
+            and request.round_count <= self.behavior.max_returns
+            and now + delay < request.deadline
+        ):
+            self.events.after(delay, self._start_round, request)
             return
-        second = self._second(wish)
-        if reply.word == DENIED:
-            second.refused += 1
+        stats = self._stats(request)
+        if reply.kind == DENIED:
+            stats.refused += 1
         else:
-            second.lost += 1
+            stats.lost += 1
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -1,16 +1,16 @@
-"""An app server in simulated time: the real `Controller` (or a baseline of the same face) as a writer of its
-decisions, over a modelled machine and dependency. What sockets, the interpreter and the kernel's link add is
-not modelled but for `handling`, a fixed time from a try's arrival until it is read.
+"""An app server in simulated time: the real `Controller` (or a baseline with the same interface) with a `Server` as its
+decision sink, over a simulated machine and dependency. The cost of sockets, the interpreter and the connection to the
+executor is not modelled, except for `read_delay`, a fixed time from an attempt's arrival until it is read.
 
-Assumed of an exchange: it runs once through; one that makes a call does so when half of its work is done,
-waits off the cores, and goes on. An effect is had when the run ends."""
+Assumptions: a request runs once from start to end. A request class that calls the dependency does so when half of its
+work is done, occupies no core while it waits, and then continues. The effect of a request occurs when its run ends."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from lilacwalk.emulator.baselines import Oracle, Plain
+from lilacwalk.emulator.baselines import Baseline, Oracle
 from lilacwalk.emulator.dependency import Dependency
 from lilacwalk.emulator.events import EventQueue
 from lilacwalk.emulator.processor_sharing import Machine
@@ -33,45 +33,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    word: str
-    come_back: int = 0
-    not_elsewhere: bool = False
+    kind: str
+    retry_after: int = 0
+    no_retry_elsewhere: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class Try:
-    """One exchange as its caller sends it. `work`: what it really takes, tenths of a ms of a core at full
-    speed. `key`: equal for tries of one wish."""
+class Attempt:
+    """One attempt of a request, as the router sends it. `work`: actual work in tenths of a ms of a core at full speed.
+    `key`: idempotency key, equal for all attempts of a request."""
 
-    group: RequestClass
+    request_class: RequestClass
     key: int
-    caller: int
+    client: int
     work: int
-    patience: int
-    on_reply: Callable[[Try, Reply], None]
-    retry: bool = False
-    hold_kb: float = 8.0
-    answers: int = 0
-    gone: bool = False  # nobody waits: none is owed
+    timeout: int
+    on_reply: Callable[[Attempt, Reply], None]
+    is_retry: bool = False
+    memory_kb: float = 8.0
+    answer_count: int = 0
+    client_gone: bool = False  # no answer is required any more
     gone_at: int = 0
-    sent: int = 0
-    due: int = 0
+    settled: int = 0  # 1 once the router has a reply or has timed out
+    deadline: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class Run:
-    ask: Try
-    ex: Request
-    number: int = -1  # on the machine
-    half: bool = False  # the first half of one that makes a call
-    waits: bool = False  # at its call
-    call: int = 0  # of which call a reply counts
-    called_at: int = 0
+    attempt: Attempt
+    request: Request
+    number: int = -1  # of the run on the machine
+    is_first_half: bool = False  # before the call of the dependency
+    is_waiting: bool = False  # for the result of the call
+    call_number: int = 0  # results of calls with another number are ignored
+    call_started_at: int = 0
 
 
 @dataclass(slots=True)
 class Breach:
-    """One of the four rules, broken."""
+    """A violation of one of the four rules. Its `repr` is stored with the results."""
 
     rule: str
     at: int
@@ -84,317 +84,350 @@
     completed: int = 0
     denied: int = 0
     terminated: int = 0
-    in_time: float = 0.0  # benefit of what was completed within its SLO time
-    t_sum: float = 0.0
+    in_time: float = 0.0  # total weight of requests completed within their latency objective
+    latency_ratio_sum: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class Server:
-    """`make`: from the settings and the time to what decides. `record`: effects had, by key."""
+    """`make_controller` creates the controller from the settings and the time; `effect_counts` holds the number of effects
+    by key, for all servers."""
 
     name: str
     site: str
     events: EventQueue
     settings: ServerSettings
-    make: Callable[[ServerSettings, int], Controller | Plain]
+    make_controller: Callable[[ServerSettings, int], Controller | Baseline]
     dependency: Dependency | None
-    machine_of: Callable[[Server], Machine]
+    make_machine: Callable[[Server], Machine]
     breaches: list[Breach]
-    effects: dict[int, int]
-    slack: int = 500  # of the rules, as sockets have it
-    handling: int = 2
-    up: bool = False
-    silent: bool = False  # takes and says nothing; what runs goes on
-    heard_since: int = 0  # the end of its last silence, or of its machine's last standstill
+    effect_counts: dict[int, int]
+    answer_grace: int = 500  # time after a deadline before a missing answer is a violation
+    read_delay: int = 2
+    is_up: bool = False
+    is_silent: bool = False  # accepts attempts and answers none; runs continue
+    responsive_since: int = 0  # end of the last silence
     healthy: bool = True
-    life: int = 0
-    value: float | None = None
-    decides: Controller | Plain | None = None
+    incarnation: int = 0
+    load_report: float | None = None
+    controller: Controller | Baseline | None = None
     machine: Machine | None = None
     runs: dict[Request, Run] = field(default_factory=dict)
-    kept: dict[tuple[str, int], tuple[Request, int]] = field(default_factory=dict)
-    joined: dict[Request, list[Request]] = field(default_factory=dict)
-    asks: dict[Request, Try] = field(default_factory=dict)
-    waiting: list[Event] = field(default_factory=list)  # of the next batch
+    keys: dict[tuple[str, int], tuple[Request, int]] = field(default_factory=dict)
+    coalesced: dict[Request, list[Request]] = field(default_factory=dict)
+    attempts: dict[Request, Attempt] = field(default_factory=dict)
+    pending_events: list[Event] = field(default_factory=list)  # of the next batch
     counts: Counts = field(default_factory=Counts)
-    in_round: bool = False
-    held_kb: float = 0.0  # of all that is in hand
-    timer_turn: int = 0
-    leaving: bool = False
+    in_batch: bool = False
+    memory_in_use_kb: float = 0.0  # of all requests in progress
+    timer_generation: int = 0
+    is_draining: bool = False
 
-    # Its life
+    # Start and stop
 
     def boot(self, cold: bool = False) -> None:
-        self.life += 1
-        self.up, self.silent, self.healthy, self.leaving = True, False, True, False
-        self.machine = self.machine_of(self)
+        self.incarnation += 1
+        self.is_up, self.is_silent, self.healthy, self.is_draining = True, False, True, False
+        self.machine = self.make_machine(self)
         settings = self.settings
         if cold:
             settings = replace(settings, started_cold=True)
-        self.decides = self.make(settings, self.events.now)
-        if isinstance(self.decides, Oracle):
-            self.decides.work_of = lambda ex: self.asks[ex].work if ex in self.asks else 0
-        self.waiting = [ServerStarted()]
-        self._round()
+        self.controller = self.make_controller(settings, self.events.now)
+        if isinstance(self.controller, Oracle):
+            self.controller.work_of = (
+                lambda request: self.attempts[request].work if request in self.attempts else 0
+            )
+        self.pending_events = [ServerStarted()]
+        self._process_batches()
 
     def kill(self) -> None:
-        """Process and machine at once: nobody gets an answer, and what ran is gone."""
-        self.up = False
-        self.life += 1
+        """Ends process and machine at once: open attempts are lost, and so are running requests."""
+        self.is_up = False
+        self.incarnation += 1
         if self.machine is not None:
-            self.machine.end()
-        lost, self.asks = list(self.asks.values()), {}
-        self.held_kb = 0.0
+            self.machine.clear()
+        unanswered, self.attempts = list(self.attempts.values()), {}
+        self.memory_in_use_kb = 0.0
         self.runs.clear()
-        self.kept.clear()
-        self.joined.clear()
-        self.waiting.clear()
-        for ask in lost:
-            if not ask.answers and not ask.gone:
-                self.events.after(0, ask.on_reply, ask, Reply(LOST))
-
-    def leave(self, grace: int) -> None:
-        self.leaving = True
-        self._tell(DrainStarted(self.events.now + grace))
-
-    # What callers send
-
-    def take(self, ask: Try) -> None:
-        """Nothing comes back from one that is down or silent: its caller's patience ends it."""
-        if not self.up:
-            self.events.after(0, ask.on_reply, ask, Reply(LOST))
+        self.keys.clear()
+        self.coalesced.clear()
+        self.pending_events.clear()
+        for attempt in unanswered:
+            if not attempt.answer_count and not attempt.client_gone:
+                self.events.after(0, attempt.on_reply, attempt, Reply(LOST))
+
+    def drain(self, grace: int) -> None:
+        self.is_draining = True
+        self._submit(DrainStarted(self.events.now + grace))
+
+    # Input from routers
+
+    def receive(self, attempt: Attempt) -> None:
+        """Accepts an attempt. A server that is down refuses it at once; a silent one does not answer, and the router times
+        out."""
+        if not self.is_up:
+            self.events.after(0, attempt.on_reply, attempt, Reply(LOST))
             return
-        ask.due = self.events.now + ask.patience
-        self.events.after(self.handling, self._read, ask, self.events.now, self.life)
+        attempt.deadline = self.events.now + attempt.timeout
+        self.events.after(self.read_delay, self._read, attempt, self.events.now, self.incarnation)
 
-    def _read(self, ask: Try, arrived: int, life: int) -> None:
-        if life != self.life or self.silent:
-            if life != self.life:
-                ask.on_reply(ask, Reply(LOST))
+    def _read(self, attempt: Attempt, arrived: int, incarnation: int) -> None:
+        if incarnation != self.incarnation or self.is_silent:
+            if incarnation != self.incarnation:
+                attempt.on_reply(attempt, Reply(LOST))
             return
         now = self.events.now
-        earlier = None
-        if ask.group.deduplication_window:
-            found = self.kept.get((ask.group.name, ask.key))
-            if found is not None and found[1] >= now:
-                earlier = found[0]
-        ex = Request(
-            ask.group,
+        original = None
+        if attempt.request_class.deduplication_window:
+            entry = self.keys.get((attempt.request_class.name, attempt.key))
+            if entry is not None and entry[1] >= now:
+                original = entry[0]
+        request = Request(
+            attempt.request_class,
             arrived,
             now,
-            ask.due,
-            ask.hold_kb,
-            is_retry=ask.retry,
-            client=ask.caller,
-            duplicate_of=earlier,
+            attempt.deadline,
+            attempt.memory_kb,
+            is_retry=attempt.is_retry,
+            client=attempt.client,
+            duplicate_of=original,
+        )
+        self.attempts[request] = attempt
+        self.memory_in_use_kb += attempt.memory_kb
+        self.events.put(
+            attempt.deadline + self.answer_grace,
+            self._check_answered,
+            attempt,
+            request,
+            self.incarnation,
         )
-        self.asks[ex] = ask
-        self.held_kb += ask.hold_kb
-        self.events.put(ask.due + self.slack, self._must_be_answered, ask, ex, self.life)
-        self._tell(RequestReceived(ex))
-
-    def gone(self, ask: Try) -> None:
-        for ex, each in list(self.asks.items()):
-            if each is ask:
-                ask.gone, ask.gone_at = True, self.events.now
-                self._tell(ClientGone(ex))
-
-    def _must_be_answered(self, ask: Try, ex: Request, life: int) -> None:
-        gone = (
-            ask.gone and ask.gone_at < ask.due
-        )  # who gives up at its due time was owed an answer before
-        stood = (
-            self.silent or self.heard_since > ex.read_at
-        )  # told by its silence, which is a fault of the play
-        if life == self.life and not stood and not ask.answers and not gone:
+        self._submit(RequestReceived(request))
+
+    def client_disconnected(self, attempt: Attempt) -> None:
+        for request, other in list(self.attempts.items()):
+            if other is attempt:
+                attempt.client_gone, attempt.gone_at = True, self.events.now
+                self._submit(ClientGone(request))
+
+    def _check_answered(self, attempt: Attempt, request: Request, incarnation: int) -> None:
+        # A client that gives up at the deadline should have had an answer before.
+        left_early = attempt.client_gone and attempt.gone_at < attempt.deadline
+        # An answer that is missing because of an injected silence is not a violation.
+        was_unresponsive = self.is_silent or self.responsive_since > request.read_at
+        if (
+            incarnation == self.incarnation
+            and not was_unresponsive
+            and not attempt.answer_count
+            and not left_early
+        ):
             self._breach(
-                "one final answer by the due time", f"key {ask.key}: none, in {ex.state.name}"
+                "one final answer by the due time",
+                f"key {attempt.key}: no answer, request is {request.state.name}",
             )
 
     def _breach(self, rule: str, detail: str) -> None:
         self.breaches.append(Breach(rule, self.events.now, self.name, detail))
 
-    # Rounds
+    # Batches of events
 
-    def _tell(self, event: Event) -> None:
-        self.waiting.append(event)
-        if not self.in_round:
-            self._round()
+    def _submit(self, event: Event) -> None:
+        self.pending_events.append(event)
+        if not self.in_batch:
+            self._process_batches()
 
-    def _round(self) -> None:
-        """All that came at one moment is one round; what a decision brings about at once is the next."""
-        while self.waiting and self.up:
-            events, self.waiting = self.waiting, []
-            self.in_round = True
+    def _process_batches(self) -> None:
+        """Processes pending events in batches; events that a decision causes immediately form the next batch."""
+        while self.pending_events and self.is_up:
+            events, self.pending_events = self.pending_events, []
+            self.in_batch = True
             try:
-                self.decides.process_batch(self.events.now, events, self)
+                self.controller.process_batch(self.events.now, events, self)
             finally:
-                self.in_round = False
-            self._check()
+                self.in_batch = False
+            self._check_memory()
 
-    def _check(self) -> None:
-        if self.held_kb > self.settings.memory_kb:
+    def _check_memory(self) -> None:
+        if self.memory_in_use_kb > self.settings.memory_kb:
             self._breach(
-                "no fall-over", f"{self.held_kb:.0f} kB in hand of {self.settings.memory_kb:.0f}"
+                "no fall-over",
+                f"{self.memory_in_use_kb:.0f} kB in use, limit is {self.settings.memory_kb:.0f} kB",
             )
 
-    # The writer: what was decided
+    # Decision sink
 
-    def _answer(self, ex: Request, reply: Reply) -> None:
-        ask = self.asks.get(ex)
-        if ask is None or ask.gone:
+    def _answer(self, request: Request, reply: Reply) -> None:
+        attempt = self.attempts.get(request)
+        if attempt is None or attempt.client_gone:
             return
-        ask.answers += 1
-        if ask.answers > 1:
-            self._breach("one final answer", f"key {ask.key}: {reply.word} is another")
+        attempt.answer_count += 1
+        if attempt.answer_count > 1:
+            self._breach("one final answer", f"key {attempt.key}: second answer: {reply.kind}")
             return
-        setattr(self.counts, reply.word, getattr(self.counts, reply.word) + 1)
-        if reply.word == COMPLETED:
-            took = self.events.now - ex.arrived_at
-            self.counts.t_sum += took / ask.group.latency_objective
-            if took <= ask.group.latency_objective:
-                self.counts.in_time += ask.group.weight
-        self.events.after(0, ask.on_reply, ask, reply)
-
-    def _forget(self, ex: Request) -> None:
-        ask = self.asks.pop(ex, None)
-        if ask is not None:
-            self.held_kb -= ask.hold_kb * (
-                self.settings.running_memory_factor if ex in self.runs else 1
+        setattr(self.counts, reply.kind, getattr(self.counts, reply.kind) + 1)
+        if reply.kind == COMPLETED:
+            took = self.events.now - request.arrived_at
+            self.counts.latency_ratio_sum += took / attempt.request_class.latency_objective
+            if took <= attempt.request_class.latency_objective:
+                self.counts.in_time += attempt.request_class.weight
+        self.events.after(0, attempt.on_reply, attempt, reply)
+
+    def _release(self, request: Request) -> None:
+        attempt = self.attempts.pop(request, None)
+        if attempt is not None:
+            self.memory_in_use_kb -= attempt.memory_kb * (
+                self.settings.running_memory_factor if request in self.runs else 1
             )
-        self.runs.pop(ex, None)
-
-    def dispatch(self, ex: Request) -> None:
-        ask = self.asks[ex]
-        self.held_kb += ask.hold_kb * (self.settings.running_memory_factor - 1)
-        run = self.runs[ex] = Run(ask, ex, half=ex.request_class.calls_dependency)
-        work = ask.work // 2 if run.half else ask.work
-        run.number = self.machine.start(work, self._ran, run)
-
-    def _ran(self, run: Run) -> None:
-        if run.half:
-            run.half, run.waits = False, True
-            self._tell(CallRequested(run.ex))
+        self.runs.pop(request, None)
+
+    def dispatch(self, request: Request) -> None:
+        attempt = self.attempts[request]
+        self.memory_in_use_kb += attempt.memory_kb * (self.settings.running_memory_factor - 1)
+        run = self.runs[request] = Run(
+            attempt, request, is_first_half=request.request_class.calls_dependency
+        )
+        work = attempt.work // 2 if run.is_first_half else attempt.work
+        run.number = self.machine.start(work, self._on_run_complete, run)
+
+    def _on_run_complete(self, run: Run) -> None:
+        if run.is_first_half:
+            run.is_first_half, run.is_waiting = False, True
+            self._submit(CallRequested(run.request))
             return
-        if run.ask.group.effect is not Effect.IDEMPOTENT:
-            self.effects[run.ask.key] = self.effects.get(run.ask.key, 0) + 1
-            if self.effects[run.ask.key] > 1:
-                self._breach("no effect twice", f"key {run.ask.key}")
-        if (
-            not run.ask.answers
-        ):  # else it was answered while it ran on: its effect is had all the same
-            self._answer(run.ex, Reply(COMPLETED))
-        self._ended(run.ex, Outcome.OK)
-
-    def _ended(self, ex: Request, ending: Outcome) -> None:
-        self._forget(ex)
-        self.waiting.append(ExecutionFinished(ex, ending))
-        for other in self.joined.pop(ex, []):
-            if (ask := self.asks.get(other)) is not None and not ask.answers:
-                self._answer(other, Reply(COMPLETED if ending is Outcome.OK else TERMINATED))
-            self._forget(other)
-            self.waiting.append(ExecutionFinished(other, ending))
-        if not self.in_round:
-            self._round()
-
-    def reject(self, ex: Request, come_back: int = 0, not_elsewhere: bool = False) -> None:
-        self._answer(ex, Reply(DENIED, come_back, not_elsewhere))
-        if not ex.was_dispatched:
-            self._forget(ex)
-
-    def fail(self, ex: Request) -> None:
-        self._answer(ex, Reply(TERMINATED))
-        if not ex.was_dispatched:
-            self._forget(ex)
-        elif (run := self.runs.get(ex)) is not None and run.waits:
-            # the machine ends a run at a call whose exchange is over
-            self.events.after(0, self._over_at_call, run, self.life)
-
-    def _over_at_call(self, run: Run, life: int) -> None:
-        if life == self.life and run.ex in self.runs and run.waits:
-            self._ended(run.ex, Outcome.CANCELLED)
-
-    def cancel(self, ex: Request) -> None:
-        run = self.runs.get(ex)
-        if run is not None and not run.waits:
+        if run.attempt.request_class.effect is not Effect.IDEMPOTENT:
+            self.effect_counts[run.attempt.key] = self.effect_counts.get(run.attempt.key, 0) + 1
+            if self.effect_counts[run.attempt.key] > 1:
+                self._breach("no effect twice", f"key {run.attempt.key}")
+        # A request that was answered while it ran still has its effect.
+        if not run.attempt.answer_count:
+            self._answer(run.request, Reply(COMPLETED))
+        self._finish(run.request, Outcome.OK)
+
+    def _finish(self, request: Request, outcome: Outcome) -> None:
+        self._release(request)
+        self.pending_events.append(ExecutionFinished(request, outcome))
+        for other in self.coalesced.pop(request, []):
+            if (attempt := self.attempts.get(other)) is not None and not attempt.answer_count:
+                self._answer(other, Reply(COMPLETED if outcome is Outcome.OK else TERMINATED))
+            self._release(other)
+            self.pending_events.append(ExecutionFinished(other, outcome))
+        if not self.in_batch:
+            self._process_batches()
+
+    def reject(
+        self, request: Request, retry_after: int = 0, no_retry_elsewhere: bool = False
+    ) -> None:
+        self._answer(request, Reply(DENIED, retry_after, no_retry_elsewhere))
+        if not request.was_dispatched:
+            self._release(request)
+
+    def fail(self, request: Request) -> None:
+        self._answer(request, Reply(TERMINATED))
+        if not request.was_dispatched:
+            self._release(request)
+        elif (run := self.runs.get(request)) is not None and run.is_waiting:
+            # A run that waits for a call ends when its request has been answered.
+            self.events.after(0, self._cancel_at_call, run, self.incarnation)
+
+    def _cancel_at_call(self, run: Run, incarnation: int) -> None:
+        if incarnation == self.incarnation and run.request in self.runs and run.is_waiting:
+            self._finish(run.request, Outcome.CANCELLED)
+
+    def cancel(self, request: Request) -> None:
+        run = self.runs.get(request)
+        if run is not None and not run.is_waiting:
             self.machine.stop(run.number)
-            self.events.after(0, self._stopped, run, self.life)
-
-    def _stopped(self, run: Run, life: int) -> None:
-        if life == self.life and run.ex in self.runs:
-            self._ended(run.ex, Outcome.CANCELLED)
-
-    def coalesce(self, ex: Request) -> None:
-        first = ex.duplicate_of
-        if first in self.runs:
-            self.joined.setdefault(first, []).append(ex)
-        else:  # it is over: its result is known, as long as its key is
-            done = self.effects.get(self.asks[ex].key, 0) > 0
-            self._answer(ex, Reply(COMPLETED if done else TERMINATED))
-            self._forget(ex)
-            self.waiting.append(ExecutionFinished(ex, Outcome.OK if done else Outcome.ERROR))
-
-    def register_key(self, ex: Request, time: int) -> None:
-        ask = self.asks.get(ex)
-        if ask is not None:
-            self.kept[ask.group.name, ask.key] = ex, self.events.now + time
-
-    def release_key(self, ex: Request) -> None:
-        for name, (kept, _) in list(self.kept.items()):
-            if kept is ex:
-                del self.kept[name]
-
-    def call_dependency(self, ex: Request, give_up_at: int) -> None:
-        run = self.runs[ex]
-        run.call += 1
-        run.called_at = self.events.now
-        number, life = run.call, self.life
+            self.events.after(0, self._on_stopped, run, self.incarnation)
+
+    def _on_stopped(self, run: Run, incarnation: int) -> None:
+        if incarnation == self.incarnation and run.request in self.runs:
+            self._finish(run.request, Outcome.CANCELLED)
+
+    def coalesce(self, request: Request) -> None:
+        original = request.duplicate_of
+        if original in self.runs:
+            self.coalesced.setdefault(original, []).append(request)
+        else:  # the original is finished; its result is known for as long as its key is stored
+            done = self.effect_counts.get(self.attempts[request].key, 0) > 0
+            self._answer(request, Reply(COMPLETED if done else TERMINATED))
+            self._release(request)
+            self.pending_events.append(
+                ExecutionFinished(request, Outcome.OK if done else Outcome.ERROR)
+            )
+
+    def register_key(self, request: Request, lifetime: int) -> None:
+        attempt = self.attempts.get(request)
+        if attempt is not None:
+            self.keys[attempt.request_class.name, attempt.key] = request, self.events.now + lifetime
+
+    def release_key(self, request: Request) -> None:
+        for name, (owner, _) in list(self.keys.items()):
+            if owner is request:
+                del self.keys[name]
+
+    def call_dependency(self, request: Request, timeout_at: int) -> None:
+        run = self.runs[request]
+        run.call_number += 1
+        run.call_started_at = self.events.now
+        number, incarnation = run.call_number, self.incarnation
         if self.dependency is None or not self.dependency.call(
-            lambda ending: self._called(run, number, ending, life)
+            lambda outcome: self._on_call_result(run, number, outcome, incarnation)
         ):
-            self.events.after(1, self._called, run, number, Outcome.UNREACHABLE, life)
+            self.events.after(
+                1, self._on_call_result, run, number, Outcome.UNREACHABLE, incarnation
+            )
             return
-        self.events.put(give_up_at, self._called, run, number, Outcome.TIMED_OUT, life)
+        self.events.put(
+            timeout_at, self._on_call_result, run, number, Outcome.TIMED_OUT, incarnation
+        )
 
-    def _called(self, run: Run, number: int, ending: Outcome, life: int) -> None:
-        if life != self.life or run.call != number or not run.waits or run.ex not in self.runs:
+    def _on_call_result(self, run: Run, number: int, outcome: Outcome, incarnation: int) -> None:
+        if (
+            incarnation != self.incarnation
+            or run.call_number != number
+            or not run.is_waiting
+            or run.request not in self.runs
+        ):
             return
-        run.call += 1
-        if ending is Outcome.OK:
-            run.waits = False
-            run.number = self.machine.start(run.ask.work - run.ask.work // 2, self._ran, run)
-        self._tell(CallFinished(run.ex, ending, self.events.now - run.called_at))
-
-    def skip_dependency_call(self, ex: Request) -> None:
-        run = self.runs[ex]
-        run.call += 1
-        run.waits = False
-        run.number = self.machine.start(run.ask.work - run.ask.work // 2, self._ran, run)
+        run.call_number += 1
+        if outcome is Outcome.OK:
+            run.is_waiting = False
+            run.number = self.machine.start(
+                run.attempt.work - run.attempt.work // 2, self._on_run_complete, run
+            )
+        self._submit(CallFinished(run.request, outcome, self.events.now - run.call_started_at))
+
+    def skip_dependency_call(self, request: Request) -> None:
+        run = self.runs[request]
+        run.call_number += 1
+        run.is_waiting = False
+        run.number = self.machine.start(
+            run.attempt.work - run.attempt.work // 2, self._on_run_complete, run
+        )
 
-    def report_health(self, good: bool) -> None:
-        self.healthy = good
+    def report_health(self, healthy: bool) -> None:
+        self.healthy = healthy
 
     def report_load(self, value: float) -> None:
-        self.value = value
+        self.load_report = value
 
     def close_idle_connections(self, after: int) -> None:
         pass
 
     def set_timer(self, after: int) -> None:
-        self.timer_turn += 1
-        self.events.after(after, self._timer, self.life, self.timer_turn)
+        self.timer_generation += 1
+        self.events.after(after, self._timer, self.incarnation, self.timer_generation)
 
-    def _timer(self, life: int, turn: int) -> None:
-        if life != self.life or turn != self.timer_turn:
+    def _timer(self, incarnation: int, generation: int) -> None:
+        if incarnation != self.incarnation or generation != self.timer_generation:
             return
-        if self.silent:
-            self.events.after(100, self._timer, life, turn)
+        if self.is_silent:
+            self.events.after(100, self._timer, incarnation, generation)
             return
-        self._tell(TimerExpired(self.machine.core_use, self.machine.run_queue))
+        self._submit(TimerExpired(self.machine.core_use, self.machine.run_queue))
 
     def log(self, text: str) -> None:
         pass
 
 
-def controller(settings: ServerSettings, now: int) -> Controller:
+def new_controller(settings: ServerSettings, now: int) -> Controller:
     return Controller(settings, now)
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -1,5 +1,7 @@
-"""A fleet played in simulated time: a scenario and a seed in, what its users got second by second out, with
-every breach of the four rules. The same on every machine: one seed, no clock, no order of a hash."""
+"""Simulates a fleet: takes a scenario and a seed, and returns the results of the clients' requests second by second,
+with every violation of the four rules.
+
+A seed gives the same result on every machine: nothing depends on a clock or on hash order."""
 
 from __future__ import annotations
 
@@ -7,94 +9,98 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lilacwalk.emulator.baselines import KINDS
+from lilacwalk.emulator.baselines import BASELINES_BY_NAME
 from lilacwalk.emulator.dependency import Dependency
 from lilacwalk.emulator.events import EventQueue
-from lilacwalk.emulator.faults import OF_SERVERS, Fault
+from lilacwalk.emulator.faults import SERVER_FAULT_KINDS, Fault
 from lilacwalk.emulator.processor_sharing import Machine
-from lilacwalk.emulator.proxies import Habits, Router, Second
-from lilacwalk.emulator.server import Breach, Server, controller
+from lilacwalk.emulator.proxies import Router, RoutingBehavior, SecondStats
+from lilacwalk.emulator.server import Breach, Server, new_controller
 from lilacwalk.overload.model import RequestClass, ServerSettings
 from lilacwalk.settings import EFFECTS_BY_NAME
 
 SECOND = 10_000
-SAMPLE = SECOND // 2  # between two looks at all servers: the controller's own tick
-FLAP = 2 * SECOND
+SAMPLE_INTERVAL = SECOND // 2  # between two samples of all servers
+FLAP_PERIOD = 2 * SECOND  # from one crash of a flapping server to the next
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSpec:
-    """Times in tenths of a ms; `share` of the wishes; `work` of a core, on the average."""
+    """A request class. Times are in tenths of a ms; `share`: relative share of the requests; `work`: mean time of a core."""
 
     name: str
     share: float
     work: int
-    slo_time: int
-    async_timeout: int
-    benefit: float = 1.0
+    latency_objective: int
+    timeout: int
+    weight: float = 1.0
     effect: str = "repeatable"
-    calls: bool = False
-    skip_benefit: float = 0.0
-    spread: float = 1.0  # of the work: 0 constant, 1 exponential
+    calls_dependency: bool = False
+    skipped_call_weight_share: float = 0.0
+    work_variability: float = 1.0  # 0: constant work, 1: exponentially distributed
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    groups: tuple[RequestClassSpec, ...]
+    request_classes: tuple[RequestClassSpec, ...]
     servers: int = 20
     routers: int = 10
     sites: tuple[str, ...] = ("recife",)
     cores: int = 4
     memory_kb: float = 1e6
-    load: float = 0.8  # of what all cores finish
+    load: float = 0.8  # offered work as a multiple of the capacity of all cores
     length: int = 60 * SECOND
-    cold: float = 0.5
+    cold_speed: float = 0.5
     warm_up: int = 5 * SECOND
-    crowd: float = 8.0
+    crowding_threshold: float = 8.0
     contention: float = 0.02
-    death: float = 60.0
-    tip_multiple: float = 4.0
-    slots: int = 0  # of a shared dependency; 0: there is none
+    collapse_threshold: float = 60.0
+    collapse_multiple: float = 4.0
+    slots: int = 0  # of the shared dependency; 0: no dependency
     call_time: int = 100
-    come_back_max: int = SECOND
+    max_retry_after: int = SECOND
     drain_grace: int = SECOND
-    habits: Habits = Habits()
+    behavior: RoutingBehavior = RoutingBehavior()
     faults: tuple[Fault, ...] = ()
-    decides: str = "design"
+    policy: str = "design"
 
     @property
     def mean_work(self) -> float:
-        return sum(each.share * each.work for each in self.groups) / sum(
-            each.share for each in self.groups
+        return sum(each.share * each.work for each in self.request_classes) / sum(
+            each.share for each in self.request_classes
         )
 
 
 @dataclass(slots=True)
 class Sample:
-    """Of all servers at one moment."""
+    """State of all servers at one time."""
 
     at: int
-    p_a: float  # mean of those that are up; 1 where what decides has none
-    in_hand: int
-    busy: float  # part of the cores that is in use
-    up: int
+    p_a: (
+        float  # mean admission probability of the running servers; 1 for baselines, which have none
+    )
+    in_flight: int  # open requests
+    busy: float  # fraction of the cores in use
+    running_count: int
 
 
 @dataclass(slots=True)
 class Result:
-    seconds: dict[int, Second]
+    seconds: dict[int, SecondStats]
     samples: list[Sample]
     breaches: list[Breach]
     events: int
     completed: int
     denied: int
     terminated: int
-    wasted: float  # part of all core time that went into what nobody got in time
+    wasted: float  # fraction of core time spent on requests that missed their latency objective
     calls: int
-    heat: list[list[float]] = field(default_factory=list)  # cores in use, by sample and server
+    # Fraction of cores in use, by sample and server; -1 for a server that is down.
+    core_use_by_server: list[list[float]] = field(default_factory=list)
 
     def share(self, first: int = 0, end: int | None = None) -> float:
-        """Benefit in time over benefit wanted, of wishes born in these seconds."""
+        """Weight of requests completed within their objective, as a share of the weight of all requests created in these
+        seconds."""
         rows = [
             row for at, row in self.seconds.items() if at >= first and (end is None or at < end)
         ]
@@ -102,44 +108,47 @@
         return sum(row.benefit for row in rows) / wanted if wanted else 1.0
 
     def worst(self, span: int = 10) -> float:
+        """Lowest share over `span` consecutive seconds."""
         last = max(self.seconds, default=0)
         return min((self.share(at, at + span) for at in range(max(1, last - span))), default=1.0)
 
 
-class World:
+class Simulation:
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
         self.events = EventQueue()
         self.rng = random.Random(f"world {seed}")
         self.breaches: list[Breach] = []
         self.effects: dict[int, int] = {}
-        self.seconds: dict[int, Second] = {}
+        self.seconds: dict[int, SecondStats] = {}
         self.samples: list[Sample] = []
-        self.heat: list[list[float]] = []
-        self.surge, self.outlets = 1.0, {}
-        self.cut: set[str] = set()
-        self.busy_before = 0.0  # core time of machines that are gone
+        self.core_use_by_server: list[list[float]] = []
+        self.rate_factor, self.router_rate_factors = 1.0, {}
+        self.unreachable_sites: set[str] = set()
+        self.replaced_core_time = 0.0  # core time used by machines that have been replaced
         self.dependency = (
             Dependency(
                 self.events,
                 scenario.slots,
                 scenario.call_time,
                 random.Random(f"index {seed}"),
-                death=20.0,
-                spread=0.5,
+                collapse_threshold=20.0,
+                variability=0.5,
             )
             if scenario.slots
             else None
         )
-        self.groups = [self._group(each) for each in scenario.groups]
-        make = controller if scenario.decides == "design" else KINDS[scenario.decides]
+        self.request_classes = [self._request_class(each) for each in scenario.request_classes]
+        make_controller = (
+            new_controller if scenario.policy == "design" else BASELINES_BY_NAME[scenario.policy]
+        )
         self.servers = [
             Server(
                 f"n{at}",
                 scenario.sites[at * len(scenario.sites) // scenario.servers],
                 self.events,
                 self._settings(at),
-                make,
+                make_controller,
                 self.dependency,
                 self._machine,
                 self.breaches,
@@ -147,21 +156,21 @@
             )
             for at in range(scenario.servers)
         ]
-        self.colds: set[str] = set()
-        # What is listed, by the time from which on: routers know it late.
-        self.listed: list[tuple[int, list[Server]]] = []
+        self.cold_servers: set[str] = set()
+        # (time from which on they are listed, listed servers); routers see listings with a delay.
+        self.listings: list[tuple[int, list[Server]]] = []
         self.routers = [self._router(at) for at in range(scenario.routers)]
 
-    def _group(self, each: RequestClassSpec) -> RequestClass:
+    def _request_class(self, each: RequestClassSpec) -> RequestClass:
         return RequestClass(
             each.name,
-            each.benefit,
-            each.slo_time,
-            each.async_timeout,
+            each.weight,
+            each.latency_objective,
+            each.timeout,
             EFFECTS_BY_NAME[each.effect],
-            deduplication_window=2 * each.async_timeout if each.effect == "deduplicated" else 0,
-            calls_dependency=each.calls and self.scenario.slots > 0,
-            skipped_call_weight_share=each.skip_benefit,
+            deduplication_window=2 * each.timeout if each.effect == "deduplicated" else 0,
+            calls_dependency=each.calls_dependency and self.scenario.slots > 0,
+            skipped_call_weight_share=each.skipped_call_weight_share,
         )
 
     def _settings(self, at: int) -> ServerSettings:
@@ -171,14 +180,14 @@
             cores=scenario.cores,
             memory_kb=scenario.memory_kb,
             running_memory_factor=2.0,
-            request_classes=self.groups,
+            request_classes=self.request_classes,
             fleet_size=scenario.servers,
             client_count=scenario.routers,
-            cold_capacity_share=scenario.cold,
+            cold_capacity_share=scenario.cold_speed,
             warm_up_time=scenario.warm_up,
-            collapse_multiple=scenario.tip_multiple,
+            collapse_multiple=scenario.collapse_multiple,
             drain_grace_period=scenario.drain_grace,
-            max_retry_after=scenario.come_back_max,
+            max_retry_after=scenario.max_retry_after,
             dependency_call_share=2.0 * scenario.slots / scenario.servers
             if scenario.slots
             else 0.0,
@@ -188,18 +197,18 @@
     def _machine(self, server: Server) -> Machine:
         scenario = self.scenario
         if server.machine is not None:
-            self.busy_before += server.machine.busy
-        cold = server.name in self.colds
+            self.replaced_core_time += server.machine.core_time_used
+        cold = server.name in self.cold_servers
         return Machine(
             self.events,
             scenario.cores,
             1.0,
-            scenario.crowd,
+            scenario.crowding_threshold,
             scenario.contention,
-            scenario.death,
-            scenario.cold if cold else 1.0,
+            scenario.collapse_threshold,
+            scenario.cold_speed if cold else 1.0,
             scenario.warm_up if cold else 0,
-            lambda: self._died(server),
+            lambda: self._on_collapse(server),
         )
 
     def _router(self, at: int) -> Router:
@@ -217,101 +226,132 @@
             at,
             self.events,
             rng,
-            scenario.habits,
-            lambda time: self._list(at, time),
+            scenario.behavior,
+            lambda time: self._listed_servers(at, time),
             self._draw,
-            lambda now: rate * self.surge * self.outlets.get(at, 1.0),
+            lambda now: rate * self.rate_factor * self.router_rate_factors.get(at, 1.0),
             self.seconds,
         )
 
     def _draw(self, rng: random.Random) -> tuple[RequestClass, int, int]:
-        at = rng.choices(range(len(self.groups)), [each.share for each in self.scenario.groups])[0]
-        each = self.scenario.groups[at]
-        work = each.work * (1 - each.spread + each.spread * rng.expovariate(1.0))
-        return self.groups[at], max(1, round(work)), each.async_timeout
+        at = rng.choices(
+            range(len(self.request_classes)), [each.share for each in self.scenario.request_classes]
+        )[0]
+        each = self.scenario.request_classes[at]
+        work = each.work * (
+            1 - each.work_variability + each.work_variability * rng.expovariate(1.0)
+        )
+        return self.request_classes[at], max(1, round(work)), each.timeout
 
-    # Lists
+    # Listings of servers
 
-    def _relist(self) -> None:
-        up = [each for each in self.servers if each.up and not each.leaving]
-        self.listed.append((self.events.now, up))
+    def _update_listing(self) -> None:
+        running = [each for each in self.servers if each.is_up and not each.is_draining]
+        self.listings.append((self.events.now, running))
 
-    def _list(self, router: int, time: int) -> list[Server]:
-        at = len(self.listed) - 1
-        while at > 0 and self.listed[at][0] > time:
+    def _listed_servers(self, router: int, time: int) -> list[Server]:
+        at = len(self.listings) - 1
+        while at > 0 and self.listings[at][0] > time:
             at -= 1
-        found = self.listed[at][1]
-        if self.cut and router % 2:  # what it cannot reach it finds out by asking
-            found = [each for each in found if each.site not in self.cut]
-        return found
+        servers = self.listings[at][1]
+        # A cut affects the routers with odd numbers, which detect unreachable servers by themselves.
+        if self.unreachable_sites and router % 2:
+            servers = [each for each in servers if each.site not in self.unreachable_sites]
+        return servers
 
     # Faults
 
-    def _begin(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         now, rng = self.events.now, self.rng
         after = self.events.after
-        if fault.kind in OF_SERVERS:
-            there = [each for each in self.servers if each.up and fault.site in ("", each.site)]
-            chosen = rng.sample(there, min(len(there), max(1, round(fault.share * len(there)))))
+        if fault.kind in SERVER_FAULT_KINDS:
+            candidates = [
+                each for each in self.servers if each.is_up and fault.site in ("", each.site)
+            ]
+            chosen = rng.sample(
+                candidates, min(len(candidates), max(1, round(fault.share * len(candidates))))
+            )
             for server in chosen:
-                self._afflict(fault, server)
+                self._inject_into_server(fault, server)
         elif fault.kind == "surge":
-            self.surge *= fault.factor
-            after(fault.time, self._surged, fault.factor)
+            self.rate_factor *= fault.factor
+            after(fault.duration, self._end_surge, fault.factor)
         elif fault.kind == "outlet" and self.routers:
             at = rng.randrange(len(self.routers))
-            self.outlets[at] = fault.factor
-            after(fault.time, self.outlets.pop, at, None)
+            self.router_rate_factors[at] = fault.factor
+            after(fault.duration, self.router_rate_factors.pop, at, None)
         elif fault.kind == "cut":
-            self.cut.add(fault.site or self.scenario.sites[0])
-            after(fault.time, self.cut.discard, fault.site or self.scenario.sites[0])
+            self.unreachable_sites.add(fault.site or self.scenario.sites[0])
+            after(
+                fault.duration, self.unreachable_sites.discard, fault.site or self.scenario.sites[0]
+            )
         elif fault.kind == "release":
             for at, server in enumerate(self.servers):
-                self.events.put(now + fault.time * at // len(self.servers), self._replace, server)
+                self.events.put(
+                    now + fault.duration * at // len(self.servers), self._replace, server
+                )
         elif self.dependency is not None and fault.kind == "index-slow":
             self.dependency.slowness = fault.factor
-            after(fault.time, setattr, self.dependency, "slowness", 1.0)
+            after(fault.duration, setattr, self.dependency, "slowness", 1.0)
         elif self.dependency is not None and fault.kind == "index-down":
-            self.dependency.end()
-            after(fault.time, self.dependency.back)
+            self.dependency.fail_all()
+            after(fault.duration, self.dependency.restore)
 
-    def _surged(self, factor: float) -> None:
-        self.surge /= factor
+    def _end_surge(self, factor: float) -> None:
+        self.rate_factor /= factor
 
-    def _afflict(self, fault: Fault, server: Server) -> None:
-        after, life = self.events.after, server.life
+    def _inject_into_server(self, fault: Fault, server: Server) -> None:
+        after, incarnation = self.events.after, server.incarnation
         if fault.kind == "crash":
             self._kill(server)
-            after(fault.time, self._boot, server)
+            after(fault.duration, self._boot, server)
         elif fault.kind == "flap":
-            for at in range(0, max(1, fault.time), FLAP):
+            for at in range(0, max(1, fault.duration), FLAP_PERIOD):
                 after(at, self._kill, server)
-                after(at + FLAP // 2, self._boot, server)
+                after(at + FLAP_PERIOD // 2, self._boot, server)
         elif fault.kind == "silence":
-            server.silent = True
-            after(fault.time, self._if_same, server, life, lambda: self._heard(server))
+            server.is_silent = True
+            after(
+                fault.duration,
+                self._if_same_incarnation,
+                server,
+                incarnation,
+                lambda: self._end_silence(server),
+            )
         elif fault.kind == "hang":
-            server.machine.stand_still(True)
+            server.machine.set_paused(True)
             after(
-                fault.time, self._if_same, server, life, lambda: server.machine.stand_still(False)
+                fault.duration,
+                self._if_same_incarnation,
+                server,
+                incarnation,
+                lambda: server.machine.set_paused(False),
             )
         else:
             server.machine.set_speed(fault.factor)
-            after(fault.time, self._if_same, server, life, lambda: server.machine.set_speed(1.0))
+            after(
+                fault.duration,
+                self._if_same_incarnation,
+                server,
+                incarnation,
+                lambda: server.machine.set_speed(1.0),
+            )
 
-    def _if_same(self, server: Server, life: int, action: Callable[[], None]) -> None:
-        if server.up and server.life == life:
+    def _if_same_incarnation(
+        self, server: Server, incarnation: int, action: Callable[[], None]
+    ) -> None:
+        if server.is_up and server.incarnation == incarnation:
             action()
 
-    def _heard(self, server: Server) -> None:
-        server.silent, server.heard_since = False, self.events.now
+    def _end_silence(self, server: Server) -> None:
+        server.is_silent, server.responsive_since = False, self.events.now
 
     def _kill(self, server: Server) -> None:
-        if server.up:
+        if server.is_up:
             server.kill()
-            self._relist()
+            self._update_listing()
 
-    def _died(self, server: Server) -> None:
+    def _on_collapse(self, server: Server) -> None:
         self.breaches.append(
             Breach(
                 "no fall-over",
@@ -324,78 +364,77 @@
         self.events.after(5 * SECOND, self._boot, server)
 
     def _boot(self, server: Server) -> None:
-        if not server.up:
-            self.colds.add(server.name)
+        if not server.is_up:
+            self.cold_servers.add(server.name)
             server.boot(cold=True)
-            self._relist()
+            self._update_listing()
 
     def _replace(self, server: Server) -> None:
-        if server.up:
+        if server.is_up:
             grace = 2 * self.scenario.drain_grace
-            server.leave(grace)
-            self._relist()
+            server.drain(grace)
+            self._update_listing()
             self.events.after(grace, self._kill, server)
             self.events.after(grace + SECOND // 2, self._boot, server)
 
-    # A play
+    # Simulation run
 
     def _sample(self) -> None:
-        self.events.after(SAMPLE, self._sample)
-        up = [each for each in self.servers if each.up]
-        known = [
-            each.decides.admission_probability
-            for each in up
-            if hasattr(each.decides, "admission_probability")
+        self.events.after(SAMPLE_INTERVAL, self._sample)
+        running = [each for each in self.servers if each.is_up]
+        probabilities = [
+            each.controller.admission_probability
+            for each in running
+            if hasattr(each.controller, "admission_probability")
         ]
-        use = [each.machine.core_use if each.up else -1.0 for each in self.servers]
+        core_use = [each.machine.core_use if each.is_up else -1.0 for each in self.servers]
         self.samples.append(
             Sample(
                 self.events.now,
-                sum(known) / len(known) if known else 1.0,
-                sum(len(each.asks) for each in up),
-                sum(max(0.0, each) for each in use) / len(use),
-                len(up),
+                sum(probabilities) / len(probabilities) if probabilities else 1.0,
+                sum(len(each.attempts) for each in running),
+                sum(max(0.0, each) for each in core_use) / len(core_use),
+                len(running),
             )
         )
-        self.heat.append(use)
+        self.core_use_by_server.append(core_use)
 
     def play(self) -> Result:
         scenario = self.scenario
         for server in self.servers:
             server.boot()
-        self._relist()
+        self._update_listing()
         for router in self.routers:
-            router.begin()
+            router.start()
         for fault in scenario.faults:
-            self.events.put(fault.at, self._begin, fault)
+            self.events.put(fault.at, self._inject, fault)
         self._sample()
         self.events.run(scenario.length)
-        for (
-            router
-        ) in self.routers:  # what was wished for is answered or given up; nothing new comes
+        # No new requests are created; open ones are answered or time out.
+        for router in self.routers:
             router.rate = lambda now: 0.0
-        longest = max(each.async_timeout for each in scenario.groups)
+        longest = max(each.timeout for each in scenario.request_classes)
         self.events.run(scenario.length + longest + SECOND)
         return self._result()
 
     def _result(self) -> Result:
         counts = [each.counts for each in self.servers]
-        busy = self.busy_before + sum(each.machine.busy for each in self.servers)
-        useful = sum(row.in_time for row in self.seconds.values()) * self.scenario.mean_work
+        busy = self.replaced_core_time + sum(each.machine.core_time_used for each in self.servers)
+        useful_work = sum(row.in_time for row in self.seconds.values()) * self.scenario.mean_work
         last = self.scenario.length // SECOND
         return Result(
             {at: row for at, row in sorted(self.seconds.items()) if at < last},
             self.samples,
             self.breaches,
-            self.events.happened,
+            self.events.processed_count,
             sum(each.completed for each in counts),
             sum(each.denied for each in counts),
             sum(each.terminated for each in counts),
-            max(0.0, 1 - useful / busy) if busy else 0.0,
-            self.dependency.made if self.dependency else 0,
-            self.heat,
+            max(0.0, 1 - useful_work / busy) if busy else 0.0,
+            self.dependency.call_count if self.dependency else 0,
+            self.core_use_by_server,
         )
 
 
 def play(scenario: Scenario, seed: int) -> Result:
-    return World(scenario, seed).play()
+    return Simulation(scenario, seed).play()
--- a/lilacwalk/experiments/__init__.py
+++ b/lilacwalk/experiments/__init__.py
@@ -1,1 +1,3 @@
-"""Reports of plans and measurements: tables as Parquet, charts in a page. Needs the extra `experiments`."""
+"""Experiments in simulated time and reports of plans: tables as Parquet, charts in HTML pages.
+
+Needs the extra `experiments`."""
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -1,4 +1,4 @@
-"""What an experiment is: frozen records, in the operator's own syntax, read by the operator's own reader.
+"""Records of an experiment file. The file has the syntax of the operator's file and is read by the same reader:
 
     question "does p_a hold a fleet beyond its cores?"
     scenario {
@@ -29,7 +29,7 @@
         when decides=design load=2
     }
 
-Times are tenths of a ms."""
+Times are in tenths of a ms."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 from msgspec import Meta, Struct
 
-from lilacwalk.emulator.baselines import KINDS as BASELINES
-from lilacwalk.emulator.faults import KINDS as FAULTS
-from lilacwalk.emulator.faults import Fault as Wrong
-from lilacwalk.emulator.proxies import CHOICES, Habits
+from lilacwalk.emulator.baselines import BASELINES_BY_NAME
+from lilacwalk.emulator.faults import FAULT_KINDS
+from lilacwalk.emulator.faults import Fault as SimulatedFault
+from lilacwalk.emulator.proxies import CHOICES, RoutingBehavior
 from lilacwalk.emulator.simulation import RequestClassSpec
-from lilacwalk.emulator.simulation import Scenario as Played
+from lilacwalk.emulator.simulation import Scenario as SimulatedScenario
 from lilacwalk.membership.config import NAME
 
 SECOND = 10_000
@@ -74,7 +74,7 @@
     "late",
     "faults",
 )
-DECIDES = ("design", *BASELINES)
+DECIDES = ("design", *BASELINES_BY_NAME)
 
 
 def unit(name: str, **limits) -> Meta:
@@ -86,7 +86,7 @@
 
 
 Time = Annotated[int, unit("duration", ge=0, le=24 * 3600 * SECOND)]
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
 Count = Annotated[int, Meta(ge=1, le=5_000)]
 
@@ -94,17 +94,17 @@
 class Group(Struct, frozen=True, kw_only=True):
     ARGUMENTS: ClassVar = ("name",)
     name: Annotated[str, Meta(pattern=NAME)]
-    share: Part
+    share: Fraction
     work: Annotated[int, unit("duration", ge=1, le=600 * SECOND)]
     slo: Annotated[int, unit("duration", ge=1, le=600 * SECOND)]
     timeout: Annotated[int, unit("duration", ge=1, le=600 * SECOND)]
     benefit: Positive = 1.0
     effect: Annotated[str, one_of(("repeatable", "deduplicated", "mutating"))] = "repeatable"
     calls: bool = False
-    skip_benefit: Part = 0.0
-    spread: Part = 1.0
+    skip_benefit: Fraction = 0.0
+    spread: Fraction = 1.0
 
-    def made(self) -> RequestClassSpec:
+    def build(self) -> RequestClassSpec:
         return RequestClassSpec(
             self.name,
             self.share,
@@ -121,15 +121,15 @@
 
 class Fault(Struct, frozen=True, kw_only=True):
     ARGUMENTS: ClassVar = ("kind",)
-    kind: Annotated[str, one_of(FAULTS)]
+    kind: Annotated[str, one_of(FAULT_KINDS)]
     at: Time
     time: Time
-    share: Part = 0.1
+    share: Fraction = 0.1
     factor: Positive = 2.0
     site: str = ""
 
-    def made(self) -> Wrong:
-        return Wrong(self.kind, self.at, self.time, self.share, self.factor, self.site)
+    def build(self) -> SimulatedFault:
+        return SimulatedFault(self.kind, self.at, self.time, self.share, self.factor, self.site)
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
@@ -157,50 +157,50 @@
 
     def faults(self) -> list[tuple[str, str]]:
         total = sum(each.share for each in self.group)
-        found = [] if total > 0 else [("group", "groups with a share over 0")]
-        found += [
-            ("fault", f"a time before the end, {self.length / SECOND:g} s")
+        problems = [] if total > 0 else [("group", "groups whose shares sum to more than 0")]
+        problems += [
+            ("fault", f"a time before the end of the scenario, {self.length / SECOND:g} s")
             for each in self.fault
             if each.at >= self.length
         ]
-        found += [
+        problems += [
             ("fault", f"one of the sites {', '.join(self.sites)}, not {each.site}")
             for each in self.fault
             if each.site and each.site not in self.sites
         ]
-        return found
+        return problems
 
-    def made(self) -> Played:
-        habits = Habits(
+    def build(self) -> SimulatedScenario:
+        behavior = RoutingBehavior(
             self.choice,
             self.tries,
             self.budget,
             self.marks,
             self.heeds,
             self.returns,
-            late=self.late,
+            list_delay=self.late,
         )
-        return Played(
-            tuple(each.made() for each in self.group),
+        return SimulatedScenario(
+            tuple(each.build() for each in self.group),
             self.servers,
             self.routers,
             self.sites,
             self.cores,
             load=self.load,
             length=self.length,
-            cold=self.cold,
+            cold_speed=self.cold,
             warm_up=self.warm_up,
             slots=self.slots,
             call_time=self.call_time,
-            come_back_max=self.come_back,
-            habits=habits,
-            faults=tuple(each.made() for each in self.fault),
-            decides=self.decides,
+            max_retry_after=self.come_back,
+            behavior=behavior,
+            faults=tuple(each.build() for each in self.fault),
+            policy=self.decides,
         )
 
 
 class Vary(Struct, frozen=True, kw_only=True):
-    """`faults` takes `yes` and `no`: with and without those of the scenario."""
+    """A setting to vary. `faults` takes the values `yes` and `no`: with and without the faults of the scenario."""
 
     ARGUMENTS: ClassVar = ("what",)
     what: Annotated[str, one_of(VARIES)]
@@ -208,7 +208,7 @@
 
 
 class Expect(Struct, frozen=True, kw_only=True):
-    """Of the mean over the seeds, in each cell that `when` names (all, without it)."""
+    """Bounds on the mean of a measure over the seeds, in each cell that `when` selects; without `when`, in all cells."""
 
     ARGUMENTS: ClassVar = ("measure",)
     measure: Annotated[str, one_of(MEASURES)]
@@ -226,17 +226,22 @@
 
     def faults(self) -> list[tuple[str, str]]:
         names = [each.what for each in self.vary]
-        found = [
+        problems = [
             ("vary", f"{name} once, not twice")
             for name in sorted(set(names))
             if names.count(name) > 1
         ]
-        known = {each.what: each.values for each in self.vary}
+        values_by_name = {each.what: each.values for each in self.vary}
         for each in self.expect:
             if each.least is None and each.most is None:
-                found.append(("expect", "least or most in this block"))
+                problems.append(("expect", "least or most in this block"))
             for word in each.when:
                 name, _, value = word.partition("=")
-                if value not in known.get(name, ()):
-                    found.append(("expect", f"when NAME=VALUE of what varies, not {word}"))
-        return found
+                if value not in values_by_name.get(name, ()):
+                    problems.append(
+                        (
+                            "expect",
+                            f"when NAME=VALUE with a varied setting and one of its values, not {word}",
+                        )
+                    )
+        return problems
--- a/lilacwalk/experiments/planner.py
+++ b/lilacwalk/experiments/planner.py
@@ -1,5 +1,7 @@
-"""Which plays an experiment is made of, whether two are of one, and what their figures say. Pure: the same
-cells in the same order, and the same intervals, wherever it runs."""
+"""Runs of an experiment, their measures, and statistics over seeds.
+
+The module has no side effects: an experiment gives the same cells in the same order, and the same intervals, wherever
+it runs."""
 
 from __future__ import annotations
 
@@ -16,17 +18,18 @@
 from lilacwalk.operator.field_schema import check_bounds, convert_word, field_schemas
 from lilacwalk.operator.units import parse_flag
 
-RESAMPLES = 2_000  # for an interval: its ends move by less than a hundredth of its width beyond
-FEW = 5  # seeds, below which an interval says little
+# Bootstrap samples per interval; with more, its ends move by less than a hundredth of its width.
+RESAMPLE_COUNT = 2_000
+MIN_SEED_COUNT = 5  # fewer seeds give no conclusion
 
 
 class BadValueError(Exception):
-    """A value that varies and cannot be used: what was expected, and which."""
+    """A value of a varied setting is invalid; the text names the setting, the value and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One setting of all that varies, as the file's words."""
+    """A combination of values of the varied settings, as written in the file."""
 
     values: tuple[tuple[str, str], ...]
 
@@ -39,21 +42,22 @@
     cell: Cell
     seed: int
     scenario: Scenario
-    digest: str  # of all that its result depends on, beside the program
+    digest: str  # of everything that the result depends on, except the program
 
 
-def varied(scenario: Scenario, cell: Cell) -> Scenario:
-    """Its words are read as the file's own statements are, with their bounds. Raises BadValueError."""
-    known, given = field_schemas(Scenario), {}
+def apply_cell(scenario: Scenario, cell: Cell) -> Scenario:
+    """Returns the scenario with the cell's values, which are parsed and checked like statements of the file. Raises
+    BadValueError."""
+    schemas, new_values = field_schemas(Scenario), {}
     for name, word in cell.values:
         try:
             if name != "faults":
-                given[name] = check_bounds(known[name], convert_word(known[name], word))
+                new_values[name] = check_bounds(schemas[name], convert_word(schemas[name], word))
             elif not parse_flag(word):
-                given["fault"] = ()
+                new_values["fault"] = ()
         except ValueError as error:
             raise BadValueError(f"{name}: {word}: expected {error}") from None
-    return msgspec.structs.replace(scenario, **given)
+    return msgspec.structs.replace(scenario, **new_values)
 
 
 def cells(experiment: Experiment) -> list[Cell]:
@@ -65,19 +69,21 @@
 
 
 def plays(experiment: Experiment) -> Iterator[Play]:
-    """All cells of a seed before the next seed, so that an early end leaves whole seeds. Raises
+    """Yields all cells of a seed before the next seed, so that an aborted experiment leaves complete seeds. Raises
     BadValueError."""
-    made = [(cell, varied(experiment.scenario, cell)) for cell in cells(experiment)]
+    scenarios = [(cell, apply_cell(experiment.scenario, cell)) for cell in cells(experiment)]
     for seed in range(1, experiment.seeds + 1):
-        for cell, scenario in made:
+        for cell, scenario in scenarios:
             text = msgspec.json.encode((scenario, seed))
             yield Play(cell, seed, scenario, blake2b(text, digest_size=10).hexdigest())
 
 
-def measured(scenario: Scenario, result: Result) -> dict[str, float]:
+def compute_measures(scenario: Scenario, result: Result) -> dict[str, float]:
+    """Returns the measures of a run. `share` leaves out the first 2 s; `after` starts 2 s after the end of the last
+    fault and is 1 without faults."""
     rows = result.seconds.values()
-    wished = max(1, sum(row.wished for row in rows))
-    answered = max(1, result.completed + result.denied + result.terminated)
+    request_count = max(1, sum(row.wished for row in rows))
+    answer_count = max(1, result.completed + result.denied + result.terminated)
     ends = [(each.at + each.time) // SECOND + 2 for each in scenario.fault]
     after = max(ends, default=0)
     samples = result.samples or [None]
@@ -86,8 +92,8 @@
         "worst": result.worst(),
         "after": result.share(after) if after else 1.0,
         "wasted": result.wasted,
-        "tries": sum(row.tries for row in rows) / wished,
-        "denied": result.denied / answered,
+        "tries": sum(row.tries for row in rows) / request_count,
+        "denied": result.denied / answer_count,
         "breaches": float(len(result.breaches)),
         "busy": sum(each.busy for each in samples if each) / len(samples),
         "p_a": sum(each.p_a for each in samples if each) / len(samples),
@@ -98,7 +104,8 @@
 @dataclass(frozen=True, slots=True)
 class Figure:
     mean: float
-    low: float  # of the interval that holds the mean of 95 in 100 such draws of seeds
+    # Ends of the interval that contains the mean of 95 in 100 such samples of seeds.
+    low: float
     high: float
     count: int
 
@@ -107,53 +114,55 @@
 
 
 def interval(values: Iterable[float], seed: int = 1) -> Figure:
-    """By bootstrap (Efron, 1979): the mean of as many draws with return, over and over."""
-    found = sorted(values)
-    if not found:
+    """Mean and 95% confidence interval by bootstrap (Efron, 1979): means of samples drawn with replacement."""
+    ordered = sorted(values)
+    if not ordered:
         return Figure(float("nan"), float("nan"), float("nan"), 0)
     rng = random.Random(seed)
-    means = sorted(sum(rng.choices(found, k=len(found))) / len(found) for _ in range(RESAMPLES))
+    means = sorted(
+        sum(rng.choices(ordered, k=len(ordered))) / len(ordered) for _ in range(RESAMPLE_COUNT)
+    )
     return Figure(
-        sum(found) / len(found),
-        means[int(0.025 * RESAMPLES)],
-        means[int(0.975 * RESAMPLES)],
-        len(found),
+        sum(ordered) / len(ordered),
+        means[int(0.025 * RESAMPLE_COUNT)],
+        means[int(0.975 * RESAMPLE_COUNT)],
+        len(ordered),
     )
 
 
-def compared(one: Mapping[int, float], other: Mapping[int, float]) -> tuple[Figure, str]:
-    """The second less the first, paired by seed; and a word on what that says."""
-    both = sorted(one.keys() & other.keys())
-    found = interval(other[seed] - one[seed] for seed in both)
-    if not both:
-        return found, "no seed in common"
-    if len(both) < FEW:
-        word = f"{len(both)} seeds are too few to say"
-    elif found.low > 0:
-        word = "more"
-    elif found.high < 0:
-        word = "less"
+def compared(baseline: Mapping[int, float], candidate: Mapping[int, float]) -> tuple[Figure, str]:
+    """Returns the difference `candidate` - `baseline`, paired by seed, and a conclusion."""
+    common_seeds = sorted(baseline.keys() & candidate.keys())
+    difference = interval(candidate[seed] - baseline[seed] for seed in common_seeds)
+    if not common_seeds:
+        return difference, "no seed in common"
+    if len(common_seeds) < MIN_SEED_COUNT:
+        verdict = f"{len(common_seeds)} seeds are too few to say"
+    elif difference.low > 0:
+        verdict = "more"
+    elif difference.high < 0:
+        verdict = "less"
     else:
-        word = "no difference that these seeds show"
-    return found, word
+        verdict = "no difference that these seeds show"
+    return difference, verdict
 
 
-def unmet(experiment: Experiment, found: Mapping[Cell, Mapping[str, Figure]]) -> list[str]:
-    """What was expected and is not so; a cell without a play is one of them."""
-    wrong = []
+def unmet(experiment: Experiment, results: Mapping[Cell, Mapping[str, Figure]]) -> list[str]:
+    """Returns a text for each unmet expectation; a cell without results is unmet."""
+    problems = []
     for each in experiment.expect:
         for cell in cells(experiment):
             if not set(each.when) <= {f"{name}={value}" for name, value in cell.values}:
                 continue
-            figure = found.get(cell, {}).get(each.measure)
+            figure = results.get(cell, {}).get(each.measure)
             if figure is None or not figure.count:
-                wrong.append(f"{each.measure} of {cell}: not played")
+                problems.append(f"{each.measure} of {cell}: not played")
             elif each.least is not None and figure.mean < each.least:
-                wrong.append(
+                problems.append(
                     f"{each.measure} of {cell}: {figure.mean:.3f}, at least {each.least:g} expected"
                 )
             elif each.most is not None and figure.mean > each.most:
-                wrong.append(
+                problems.append(
                     f"{each.measure} of {cell}: {figure.mean:.3f}, at most {each.most:g} expected"
                 )
-    return wrong
+    return problems
--- a/lilacwalk/experiments/runner.py
+++ b/lilacwalk/experiments/runner.py
@@ -1,8 +1,8 @@
-"""Plays in processes, each kept in a file of its own: nothing is written over, what is there is not played
-again, and two runs in one folder do not meet. Loads pyarrow: a tool's, never the app server's.
+"""Runs simulations in processes and stores each result in a file of its own.
 
-A file is named by the digest of its scenario and seed and by the program's revision, so that a changed
-program never takes an older one's figures for its own."""
+Files are not overwritten, stored runs are not repeated, and two runs in one folder do not interfere. A file is named by
+the digest of its scenario and seed and by the program's revision, so that a changed program never uses results of an
+older one. Imports pyarrow, so app servers must not import this module."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from pyarrow import parquet
 
 from lilacwalk.emulator.simulation import play
-from lilacwalk.experiments.planner import Cell, Figure, Play, interval, measured
+from lilacwalk.experiments.planner import Cell, Figure, Play, compute_measures, interval
 from lilacwalk.operator.block_reader import BlockReader
 from lilacwalk.operator.loader import UnusableFileError, read_text
 from lilacwalk.operator.syntax import parse_statements
@@ -29,50 +29,50 @@
 
 
 def read(path: str):
-    """An Experiment. Raises UnusableFileError with every fault of the file, one a line."""
+    """Reads an Experiment. Raises UnusableFileError with every problem of the file, one per line."""
     from lilacwalk.experiments.config import Experiment
 
     statements, faults = parse_statements(read_text(path))
-    reading = BlockReader()
-    made = reading.read_block(Experiment, statements, None)
-    if problems := [*faults, *reading.problems]:
+    reader = BlockReader()
+    experiment = reader.read_block(Experiment, statements, None)
+    if problems := [*faults, *reader.problems]:
         raise UnusableFileError.from_problems(path, problems)
-    return made
+    return experiment
 
 
 def revision() -> str:
-    """Of the program that plays: a digest of its own files, whatever is committed."""
-    made = blake2b(digest_size=6)
+    """Digest of the program's files, including uncommitted changes."""
+    digest = blake2b(digest_size=6)
     for part in ("decisions", "emulator"):
         for path in sorted((ROOT / "lilacwalk" / part).glob("*.py")):
-            made.update(path.name.encode() + path.read_bytes())
-    return made.hexdigest()
+            digest.update(path.name.encode() + path.read_bytes())
+    return digest.hexdigest()
 
 
 def commit() -> str:
-    """Where the files lie in a repository: its commit. Empty elsewhere."""
+    """Commit of the repository that holds the program, or "" outside of a repository."""
     try:
-        found = subprocess.run(
+        completed = subprocess.run(
             ["git", "-C", str(ROOT), "rev-parse", "--short", "HEAD"], capture_output=True, text=True
         )
     except OSError:
         return ""
-    return found.stdout.strip() if found.returncode == 0 else ""
+    return completed.stdout.strip() if completed.returncode == 0 else ""
 
 
-def one(task: tuple[Play, str, str]) -> tuple[str, dict[str, float]]:
-    """In a process of its own: plays it and puts it down, whole or not at all."""
-    each, folder, made_by = task
-    result = play(each.scenario.made(), each.seed)
-    figures = measured(each.scenario, result)
+def run_and_store(task: tuple[Play, str, str]) -> tuple[str, dict[str, float]]:
+    """Runs a simulation and stores its result atomically; called in a worker process."""
+    planned, folder, made_by = task
+    result = play(planned.scenario.build(), planned.seed)
+    figures = compute_measures(planned.scenario, result)
     rows = {name: [] for name in SERIES}
     for second, row in result.seconds.items():
         for name in SERIES:
             rows[name].append(second if name == "second" else getattr(row, name))
-    about = {
-        "cell": str(each.cell),
-        "seed": str(each.seed),
-        "digest": each.digest,
+    metadata = {
+        "cell": str(planned.cell),
+        "seed": str(planned.seed),
+        "digest": planned.digest,
         "revision": made_by,
         "python": platform.python_version(),
         "pyarrow": pyarrow.__version__,
@@ -80,29 +80,29 @@
         "breaches": repr(result.breaches[:20]),
         **{f"figure.{name}": repr(value) for name, value in figures.items()},
     }
-    table = pyarrow.table(rows).replace_schema_metadata(about)
-    path = Path(folder) / f"{each.digest}-{made_by}.parquet"
-    new = path.with_suffix(f".{os.getpid()}.new")
-    parquet.write_table(table, new)
+    table = pyarrow.table(rows).replace_schema_metadata(metadata)
+    path = Path(folder) / f"{planned.digest}-{made_by}.parquet"
+    new_path = path.with_suffix(f".{os.getpid()}.new")
+    parquet.write_table(table, new_path)
     try:
-        os.link(new, path)  # fails where it is there: another run was first, with the same result
+        os.link(new_path, path)  # fails if another run has stored the same result already
     except FileExistsError:
         pass
-    new.unlink()
-    return each.digest, figures
+    new_path.unlink()
+    return planned.digest, figures
 
 
 def kept(folder: Path, digest: str, made_by: str) -> dict[str, float] | None:
-    """The figures of a play that was put down; None: it was not, or cannot be read."""
+    """Returns the measures of a stored run, or None if it is not stored or cannot be read."""
     path = folder / f"{digest}-{made_by}.parquet"
     try:
-        about = parquet.read_schema(path).metadata
+        metadata = parquet.read_schema(path).metadata
     except (OSError, pyarrow.ArrowInvalid):
         return None
     start = b"figure."
     return {
         name.removeprefix(start).decode(): float(value)
-        for name, value in about.items()
+        for name, value in metadata.items()
         if name.startswith(start)
     }
 
@@ -112,44 +112,46 @@
 
 
 def run(
-    wanted: Iterable[Play],
+    plays: Iterable[Play],
     folder: Path,
     made_by: str,
     processes: int,
-    on_play: Callable[[Play, bool], None] = lambda each, new: None,
+    on_play: Callable[[Play, bool], None] = lambda planned, new: None,
 ) -> dict[str, dict[str, float]]:
-    """Figures by digest. `on_play`: told of each that is there, and whether it was played now."""
+    """Returns measures by digest. `on_play` is called with each available run and whether it was simulated now."""
     folder.mkdir(parents=True, exist_ok=True)
-    found: dict[str, dict[str, float]] = {}
+    results: dict[str, dict[str, float]] = {}
     missing = []
-    for each in wanted:
-        if (figures := kept(folder, each.digest, made_by)) is not None:
-            found[each.digest] = figures
-            on_play(each, False)
+    for planned in plays:
+        if (figures := kept(folder, planned.digest, made_by)) is not None:
+            results[planned.digest] = figures
+            on_play(planned, False)
         else:
-            missing.append(each)
+            missing.append(planned)
     if not missing:
-        return found
+        return results
     if processes == 1:
-        for each in missing:
-            found[each.digest] = one((each, str(folder), made_by))[1]
-            on_play(each, True)
-        return found
+        for planned in missing:
+            results[planned.digest] = run_and_store((planned, str(folder), made_by))[1]
+            on_play(planned, True)
+        return results
     with ProcessPoolExecutor(processes) as pool:
-        by_digest = {each.digest: each for each in missing}
-        for digest, figures in pool.map(one, [(each, str(folder), made_by) for each in missing]):
-            found[digest] = figures
+        by_digest = {planned.digest: planned for planned in missing}
+        for digest, figures in pool.map(
+            run_and_store, [(planned, str(folder), made_by) for planned in missing]
+        ):
+            results[digest] = figures
             on_play(by_digest[digest], True)
-    return found
+    return results
 
 
 def gathered(
-    wanted: Iterable[Play], found: dict[str, dict[str, float]]
+    plays: Iterable[Play], results: dict[str, dict[str, float]]
 ) -> dict[Cell, dict[str, Figure]]:
     values: dict[Cell, dict[str, list[float]]] = {}
-    for each in wanted:
-        for name, value in found.get(each.digest, {}).items():
-            values.setdefault(each.cell, {}).setdefault(name, []).append(value)
+    for planned in plays:
+        for name, value in results.get(planned.digest, {}).items():
+            values.setdefault(planned.cell, {}).setdefault(name, []).append(value)
     return {
         cell: {name: interval(row) for name, row in rows.items()} for cell, rows in values.items()
     }
--- a/lilacwalk/experiments/store_export.py
+++ b/lilacwalk/experiments/store_export.py
@@ -1,4 +1,4 @@
-"""The rows of a store as a Parquet file. Loads pyarrow: a tool's, never the app server's."""
+"""Exports the rows of a store as a Parquet file. Imports pyarrow, so app servers must not import this module."""
 
 from __future__ import annotations
 
--- a/tests/emulator/conftest.py
+++ b/tests/emulator/conftest.py
@@ -1,10 +1,10 @@
-"""A small fleet to play: two endpoint groups, one of which may have its effect only once."""
+"""Fixture for scenarios of a small fleet with two request classes, one of them deduplicated."""
 
 import pytest
 
 from lilacwalk.emulator.simulation import SECOND, RequestClassSpec, Scenario
 
-GROUPS = (
+REQUEST_CLASSES = (
     RequestClassSpec("look", 0.6, 200, 2_000, 20_000),
     RequestClassSpec("swap", 0.4, 400, 4_000, 40_000, 4.0, "deduplicated"),
 )
@@ -16,7 +16,7 @@
         return Scenario(
             **(
                 {
-                    "groups": GROUPS,
+                    "request_classes": REQUEST_CLASSES,
                     "servers": 4,
                     "routers": 3,
                     "cores": 2,
--- a/tests/emulator/test_play.py
+++ b/tests/emulator/test_play.py
@@ -1,4 +1,4 @@
-"""A fleet in simulated time: the rules, faults that overlap, and the same play on every machine."""
+"""Tests of the simulated fleet: rules, overlapping faults, and reproducibility."""
 
 import os
 import subprocess
@@ -6,18 +6,28 @@
 
 import pytest
 
-from lilacwalk.emulator.baselines import KINDS
-from lilacwalk.emulator.faults import Fault, drawn
+from lilacwalk.emulator.baselines import BASELINES_BY_NAME
+from lilacwalk.emulator.faults import Fault, generate_faults
 from lilacwalk.emulator.proxies import Router
 from lilacwalk.emulator.server import Server
 from lilacwalk.emulator.simulation import SECOND, play
 from tests.conftest import ROOT
 
-KINDS_OF_FAULT = ("crash", "silence", "hang", "slow", "cut", "surge", "outlet", "release", "flap")
-
-
-def told(result):
-    """All of it that users saw, as one text."""
+RECOVERABLE_FAULT_KINDS = (
+    "crash",
+    "silence",
+    "hang",
+    "slow",
+    "cut",
+    "surge",
+    "outlet",
+    "release",
+    "flap",
+)
+
+
+def observable_results(result):
+    """The results that clients observed, as text."""
     return repr(
         [
             (
@@ -35,100 +45,111 @@
     ) + repr([each.p_a for each in result.samples])
 
 
-def test_the_real_controller_serves_a_calm_fleet_and_keeps_the_rules(scenario):
-    found = play(scenario(), 1)
-    assert found.share(1) > 0.97 and not found.breaches and not found.terminated
+def test_controller_serves_a_fleet_below_capacity_without_violations(scenario):
+    result = play(scenario(), 1)
+    assert result.share(1) > 0.97 and not result.breaches and not result.terminated
 
 
-def test_beyond_its_cores_it_serves_the_most_worth_and_admitting_all_serves_nobody(scenario):
+def test_controller_keeps_serving_under_overload_where_admitting_all_collapses(scenario):
     design = play(scenario(load=2.0), 1)
-    all_in = play(scenario(load=2.0, decides="all-in"), 1)
+    all_in = play(scenario(load=2.0, policy="all-in"), 1)
     assert design.share(3) > 0.45 > 2 * all_in.share(3)
     assert not design.breaches and min(each.p_a for each in design.samples) < 0.9
 
 
-@pytest.mark.parametrize("kind", KINDS)
-def test_every_baseline_keeps_the_rules_that_are_not_its_to_trade(scenario, kind):
-    found = play(
-        scenario(decides=kind, load=1.6, faults=(Fault("crash", 2 * SECOND, SECOND, 0.5),)), 2
+@pytest.mark.parametrize("kind", BASELINES_BY_NAME)
+def test_every_baseline_keeps_the_common_rules_under_overload_and_a_crash(scenario, kind):
+    result = play(
+        scenario(policy=kind, load=1.6, faults=(Fault("crash", 2 * SECOND, SECOND, 0.5),)), 2
     )
-    assert not [each for each in found.breaches if each.rule != "no fall-over"]
-    assert found.completed
+    assert not [each for each in result.breaches if each.rule != "no fall-over"]
+    assert result.completed
 
 
-@pytest.mark.parametrize("kind", KINDS_OF_FAULT)
-def test_after_each_fault_service_is_back(scenario, kind):
+@pytest.mark.parametrize("kind", RECOVERABLE_FAULT_KINDS)
+def test_service_recovers_after_each_fault(scenario, kind):
     fault = Fault(kind, 3 * SECOND, 2 * SECOND, 0.5, 0.3 if kind == "slow" else 3.0, "recife")
-    found = play(scenario(length=14 * SECOND, faults=(fault,), load=0.5), 3)
-    assert found.share(10, 14) > 0.9 and not found.breaches
+    result = play(scenario(length=14 * SECOND, faults=(fault,), load=0.5), 3)
+    assert result.share(10, 14) > 0.9 and not result.breaches
 
 
-def test_a_dependency_that_is_slow_then_down_costs_only_what_calls(scenario):
+def test_service_recovers_after_the_dependency_was_slow_and_then_down(scenario):
     from dataclasses import replace
 
-    groups = [replace(each, calls=each.name == "swap") for each in scenario().groups]
+    request_classes = [
+        replace(each, calls_dependency=each.name == "swap") for each in scenario().request_classes
+    ]
     faults = (
         Fault("index-slow", 3 * SECOND, 2 * SECOND, factor=4.0),
         Fault("index-down", 4 * SECOND, SECOND),
     )
-    found = play(
-        scenario(groups=tuple(groups), slots=4, length=16 * SECOND, faults=faults, load=0.5), 4
+    result = play(
+        scenario(
+            request_classes=tuple(request_classes),
+            slots=4,
+            length=16 * SECOND,
+            faults=faults,
+            load=0.5,
+        ),
+        4,
     )
-    assert found.calls and found.share(12, 16) > 0.85 and not found.breaches
+    assert result.calls and result.share(12, 16) > 0.85 and not result.breaches
 
 
-def test_faults_that_overlap_in_one_tick_break_no_rule(scenario):
-    faults = tuple(Fault(kind, 3 * SECOND, SECOND, 0.5, 2.0, "recife") for kind in KINDS_OF_FAULT)
-    found = play(scenario(length=12 * SECOND, faults=faults, load=0.6), 5)
-    assert not found.breaches and found.share(9, 12) > 0.5
+def test_faults_that_start_at_the_same_time_cause_no_violation(scenario):
+    faults = tuple(
+        Fault(kind, 3 * SECOND, SECOND, 0.5, 2.0, "recife") for kind in RECOVERABLE_FAULT_KINDS
+    )
+    result = play(scenario(length=12 * SECOND, faults=faults, load=0.6), 5)
+    assert not result.breaches and result.share(9, 12) > 0.5
 
 
-def test_drawn_faults_are_the_same_for_a_seed_and_break_no_rule(scenario):
+def test_generated_faults_are_reproducible_and_cause_no_violation(scenario):
     for seed in range(6):
-        faults = drawn(seed, 10 * SECOND, 4, ("recife",))
-        assert faults == drawn(seed, 10 * SECOND, 4, ("recife",))
-        found = play(scenario(length=10 * SECOND, faults=tuple(faults)), seed)
-        assert not found.breaches, [str(each) for each in faults]
+        faults = generate_faults(seed, 10 * SECOND, 4, ("recife",))
+        assert faults == generate_faults(seed, 10 * SECOND, 4, ("recife",))
+        result = play(scenario(length=10 * SECOND, faults=tuple(faults)), seed)
+        assert not result.breaches, [str(each) for each in faults]
 
 
-def test_without_traffic_nothing_happens_and_it_ends(scenario):
-    found = play(scenario(load=0.0), 1)
-    assert not found.seconds and not found.breaches and found.share() == 1.0
+def test_simulation_without_traffic_ends_without_requests(scenario):
+    result = play(scenario(load=0.0), 1)
+    assert not result.seconds and not result.breaches and result.share() == 1.0
 
 
-def test_a_node_that_dies_in_its_first_tick_and_a_fleet_in_which_all_die(scenario):
-    one = play(scenario(faults=(Fault("crash", 1, SECOND, 0.01),), load=0.4), 6)
-    assert one.share(3) > 0.9 and not one.breaches
-    every = play(
+def test_service_recovers_after_a_crash_at_the_start_and_after_a_crash_of_all_servers(scenario):
+    first_crash = play(scenario(faults=(Fault("crash", 1, SECOND, 0.01),), load=0.4), 6)
+    assert first_crash.share(3) > 0.9 and not first_crash.breaches
+    all_crash = play(
         scenario(
             faults=(Fault("crash", 2 * SECOND, 3 * SECOND, 1.0),), length=14 * SECOND, load=0.4
         ),
         6,
     )
-    assert every.share(3, 4) < 0.1 < 0.9 < every.share(9, 14) and not every.breaches
+    assert all_crash.share(3, 4) < 0.1 < 0.9 < all_crash.share(9, 14) and not all_crash.breaches
 
 
-def test_a_rule_that_is_broken_is_told_with_its_time_and_who_and_again_with_the_seed(
-    scenario, monkeypatch
-):
-    monkeypatch.setattr(Server, "reject", lambda self, ex, come_back=0, not_elsewhere=False: None)
+def test_violation_is_recorded_with_rule_time_and_server_and_is_reproducible(scenario, monkeypatch):
+    monkeypatch.setattr(
+        Server, "reject", lambda self, request, retry_after=0, no_retry_elsewhere=False: None
+    )
 
-    def broken(seed):
+    def violations(seed):
         return [(each.rule, each.at, each.who) for each in play(scenario(load=1.5), seed).breaches]
 
-    found = broken(7)
-    assert found and found == broken(7) != broken(8)
-    assert {rule for rule, _, _ in found} == {"one final answer by the due time"}
+    recorded = violations(7)
+    assert recorded and recorded == violations(7) != violations(8)
+    assert {rule for rule, _, _ in recorded} == {"one final answer by the due time"}
 
 
-def test_an_effect_had_twice_is_told(scenario, monkeypatch):
-    """A server that forgets its keys, and callers that ask the same again though it was done."""
-    monkeypatch.setattr(Server, "register_key", lambda self, ex, time: None)
+def test_duplicate_effect_is_recorded_as_a_violation(scenario, monkeypatch):
+    """The server does not store idempotency keys, and clients repeat completed requests."""
+    monkeypatch.setattr(Server, "register_key", lambda self, request, lifetime: None)
     monkeypatch.setattr(
         Router,
-        "_replied",
-        lambda self, wish, ask, server, reply: self._walk(wish)
-        if wish.walks < 2 and self.events.now < wish.until
+        "_on_reply",
+        lambda self, request, attempt, server, reply: self._start_round(request)
+        if request.round_count < 2 and self.events.now < request.deadline
         else None,
     )
     assert "no effect twice" in {
@@ -136,15 +157,17 @@
     }
 
 
-def test_the_same_seed_gives_the_same_play_under_another_hash_seed(scenario):
+def test_a_seed_gives_the_same_results_under_every_hash_seed(scenario):
     text = (
-        "from tests.emulator.conftest import GROUPS\nfrom tests.emulator.test_play import told\n"
+        "from tests.emulator.conftest import REQUEST_CLASSES\n"
+        "from tests.emulator.test_play import observable_results\n"
         "from lilacwalk.emulator.simulation import play, Scenario, SECOND\n"
-        "from lilacwalk.emulator.faults import drawn\n"
-        "print(told(play(Scenario(groups=GROUPS, servers=4, routers=3, cores=2, load=1.2,"
-        " length=5 * SECOND, faults=tuple(drawn(1, 5 * SECOND, 3, ('recife',)))), 9)))"
+        "from lilacwalk.emulator.faults import generate_faults\n"
+        "print(observable_results(play(Scenario(request_classes=REQUEST_CLASSES,"
+        " servers=4, routers=3, cores=2, load=1.2,"
+        " length=5 * SECOND, faults=tuple(generate_faults(1, 5 * SECOND, 3, ('recife',)))), 9)))"
     )
-    found = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-B", "-c", text],
             cwd=ROOT,
@@ -155,12 +178,12 @@
         ).stdout
         for seed in ("1", "2", "77")
     }
-    assert len(found) == 1 and len(found.pop()) > 300
+    assert len(outputs) == 1 and len(outputs.pop()) > 300
 
 
-def test_who_knows_what_each_takes_serves_no_less_than_the_plain_forms(scenario):
-    found = {
-        kind: play(scenario(load=2.0, decides=kind), 1).share(3)
+def test_oracle_serves_more_than_the_other_baselines(scenario):
+    shares = {
+        kind: play(scenario(load=2.0, policy=kind), 1).share(3)
         for kind in ("oracle", "fixed", "all-in")
     }
-    assert found["oracle"] > found["fixed"] > found["all-in"]
+    assert shares["oracle"] > shares["fixed"] > shares["all-in"]
--- a/tests/experiments/conftest.py
+++ b/tests/experiments/conftest.py
@@ -1,4 +1,4 @@
-"""A file of a small experiment."""
+"""Fixture for files of a small experiment."""
 
 import pytest
 
