--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -45,9 +45,9 @@
 )
 
 SECOND = 10_000
-TICK_INTERVAL = 250
-MAX_MEMORY_FRACTION = 0.9
-# Time before a request's deadline at which it is answered: one tick and the time to send the answer.
+TICK_INTERVAL = 250  # tenths of a ms
+MAX_MEMORY_FRACTION = 0.9  # of the server's memory; above it, requests are rejected
+# Requests are answered this long before their deadline (tenths of a ms): one tick and the time to send the answer.
 DEADLINE_MARGIN = 300
 
 
--- a/lilacwalk/emulator/dependency.py
+++ b/lilacwalk/emulator/dependency.py
@@ -27,7 +27,8 @@
         collapse_threshold: float = 0.0,
         variability: float = 0.0,
     ) -> None:
-        """`mean_duration`: of a call, in tenths of a ms; `variability`: 0 for constant durations, 1 for exponential ones.
+        """`mean_duration`: mean duration of a call, in tenths of a ms; `variability`: 0 for constant durations, 1 for
+        exponential ones.
         If `collapse_threshold` is 0, the dependency does not fail under load."""
         self.events, self.slots, self.mean_duration, self.rng = events, slots, mean_duration, rng
         self.crowding_threshold, self.collapse_threshold, self.variability = (
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -18,7 +18,7 @@
 
 from lilacwalk.emulator.events import EventQueue
 
-MIN_SPEED_FACTOR = 0.05
+MIN_SPEED_FACTOR = 0.05  # lower bound of the slowdown by contention
 
 
 class Machine:
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -2,9 +2,9 @@
 
 Assumptions: a router selects app servers from a list that is `list_delay` old. It sends each request to one of them by
 its `choice`, and after a rejection or a loss to another one, as far as its retry budget and the request's deadline
-allow. A series of such attempts is a round. When a round fails, the client sends the request again after the retry-after
-time that it received, or else after its own default delay, until the request's deadline. Requests arrive by a Poisson
-process; a surge raises its rate, and one router (an outlet) may be many times as busy as the others.
+allow. A series of such attempts is a round. When a round fails, the client sends the request again after the
+retry-after time that it received, or else after its own default delay, until the request's deadline. Requests arrive by
+a Poisson process; a surge raises its rate, and one router (an outlet) may be many times as busy as the others.
 
 Choices: `random`; `two` (the one of two random servers with fewer outstanding attempts, Mitzenmacher, 2001); `least`
 (fewest outstanding attempts of this router); `subject` (by hash of the request's key and the server's name, so that a
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingBehavior:
-    """Times in tenths of a ms."""
+    """Behavior of a router and of its clients. Times are in tenths of a ms."""
 
     choice: str = "two"
     max_attempts: int = 3  # per request and round
@@ -43,6 +43,8 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
+    """A request of a client, which may take several attempts."""
+
     number: int
     request_class: RequestClass
     created_at: int
@@ -70,8 +72,9 @@
 
 @dataclass(eq=False, slots=True)
 class Router:
-    """`draw_request` returns (request class, work, timeout) of the next request; `rate` returns requests per second at a
-    time; `servers` returns the servers that were listed at a time."""
+    """Sends requests at `rate` (requests per second, by time) to the servers that `servers` lists at a time.
+
+    `draw_request` returns request class, work and timeout of the next request."""
 
     number: int
     events: EventQueue
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -90,8 +90,8 @@
 
 @dataclass(eq=False, slots=True)
 class Server:
-    """`make_controller` creates the controller from the settings and the time; `effect_counts` holds the number of effects
-    by key, for all servers."""
+    """A simulated app server. `make_controller` creates the controller from the settings and the time;
+    `effect_counts` holds the number of effects by key, for all servers."""
 
     name: str
     site: str
@@ -163,8 +163,8 @@
     # Input from routers
 
     def receive(self, attempt: Attempt) -> None:
-        """Accepts an attempt. A server that is down refuses it at once; a silent one does not answer, and the router times
-        out."""
+        """Accepts an attempt. A server that is down refuses it at once; a silent one does not answer, and the
+        router times out."""
         if not self.is_up:
             self.events.after(0, attempt.on_reply, attempt, Reply(LOST))
             return
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -20,13 +20,15 @@
 from lilacwalk.settings import EFFECTS_BY_NAME
 
 SECOND = 10_000
-SAMPLE_INTERVAL = SECOND // 2  # between two samples of all servers
+SAMPLE_INTERVAL = (
+    SECOND // 2
+)  # between two samples of all servers
 FLAP_PERIOD = 2 * SECOND  # from one crash of a flapping server to the next
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSpec:
-    """A request class. Times are in tenths of a ms; `share`: relative share of the requests; `work`: mean time of a core."""
+    """A request class. Times are in tenths of a ms; `share`: relative share of the requests; `work`: mean core time."""
 
     name: str
     share: float
@@ -50,19 +52,19 @@
     memory_kb: float = 1e6
     load: float = 0.8  # offered work as a multiple of the capacity of all cores
     length: int = 60 * SECOND
-    cold_speed: float = 0.5
+    cold_speed: float = 0.5  # speed of a cold machine as a fraction of its full speed
     warm_up: int = 5 * SECOND
     crowding_threshold: float = 8.0
     contention: float = 0.02
     collapse_threshold: float = 60.0
     collapse_multiple: float = 4.0
     slots: int = 0  # of the shared dependency; 0: no dependency
-    call_time: int = 100
+    call_time: int = 100  # mean duration of a call of the dependency
     max_retry_after: int = SECOND
     drain_grace: int = SECOND
     behavior: RoutingBehavior = RoutingBehavior()
     faults: tuple[Fault, ...] = ()
-    policy: str = "design"
+    policy: str = "design"  # "design" is the real controller; the others are in BASELINES_BY_NAME
 
     @property
     def mean_work(self) -> float:
@@ -99,8 +101,8 @@
     core_use_by_server: list[list[float]] = field(default_factory=list)
 
     def share(self, first: int = 0, end: int | None = None) -> float:
-        """Weight of requests completed within their objective, as a share of the weight of all requests created in these
-        seconds."""
+        """Weight of the requests completed within their objective over the weight of all requests created, for the
+        seconds from `first` until before `end`."""
         rows = [
             row for at, row in self.seconds.items() if at >= first and (end is None or at < end)
         ]
--- a/lilacwalk/experiments/charts.py
+++ b/lilacwalk/experiments/charts.py
@@ -94,7 +94,7 @@
 
 
 def chart_over_time(experiment: Experiment, plays: list[Play], folder: Path, made_by: str) -> str:
-    """Chart of service second by second for the first seed: a line for each of the first cells, with faults marked."""
+    """Chart of service in each second for the first seed: a line for each of the first cells, with faults marked."""
     first_plays = [each for each in plays if each.seed == 1][: len(MARKERS)]
 
     def draw(axes) -> None:
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -133,6 +133,8 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
+    """Block `scenario`. Field names are keywords of the file; `build` gives the attributes that they set."""
+
     group: tuple[Group, ...]
     fault: tuple[Fault, ...] = ()
     servers: Count = 20
@@ -208,7 +210,7 @@
 
 
 class Expect(Struct, frozen=True, kw_only=True):
-    """Bounds on the mean of a measure over the seeds, in each cell that `when` selects; without `when`, in all cells."""
+    """Bounds on the mean of a measure over the seeds, in the cells that `when` selects (all without `when`)."""
 
     ARGUMENTS: ClassVar = ("measure",)
     measure: Annotated[str, one_of(MEASURES)]
--- a/lilacwalk/experiments/planner.py
+++ b/lilacwalk/experiments/planner.py
@@ -39,6 +39,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Play:
+    """A simulation run of an experiment: a cell with a seed."""
+
     cell: Cell
     seed: int
     scenario: Scenario
@@ -103,6 +105,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
+    """Mean of a measure over seeds, with its confidence interval."""
+
     mean: float
     # Ends of the interval that contains the mean of 95 in 100 such samples of seeds.
     low: float
