--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -1,8 +1,9 @@
 """Simpler admission policies with the controller's interface, for comparison with the controller.
 
-All of them keep these rules: one final answer by the deadline, no effect twice (duplicates are coalesced with the
-original request), and the memory limit. They differ in the requests that they admit. Each runs at most
-`concurrency_limit()` requests at once; the others wait in one queue, first in, first out unless stated otherwise.
+All of them keep these rules: one final answer by the deadline, no effect twice (duplicates are coalesced with
+the original request), and the memory limit. They differ in the requests that they admit. Each runs at most
+`concurrency_limit()` requests at once; the others wait in one queue, first in, first out unless stated
+otherwise.
 
 AdmitAll       admits every request; the length of the queue is not limited
 FixedLimit     limits the number of requests in progress; rejects the others at once
@@ -46,8 +47,9 @@
 
 SECOND = 10_000
 TICK_INTERVAL = 250  # tenths of a ms
-MAX_MEMORY_FRACTION = 0.9  # of the server's memory; above it, requests are rejected
-# Requests are answered this long before their deadline (tenths of a ms): one tick and the time to send the answer.
+MAX_MEMORY_FRACTION = 0.9  # fraction of the server's memory above which requests are rejected
+# Time before its deadline at which a request is answered, in tenths of a ms: one tick and the time to send
+# the answer.
 DEADLINE_MARGIN = 300
 
 
@@ -244,14 +246,17 @@
 
 
 class FixedLimit(Baseline):
-    """Limits requests in progress to twice the cores: as many wait as run."""
+    """Limits requests in progress to twice the number of cores, so that up to one request per core is queued
+    when all cores are busy."""
 
     def should_admit(self, request: Request) -> bool:
         return len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.server.cores
 
 
 class GradientLimit(Baseline):
-    """Limits from 1 to 200; tolerance 1.5; smoothing 0.2; room for a queue of the square root of the limit."""
+    """Gradient concurrency limit: the limit is multiplied by 1.5 times the long-term over the short-term mean
+    duration, bounded to 0.5 to 1, plus the square root of the limit as room for a queue. Changes are smoothed
+    with weight 0.2; the limit stays between 1 and 200."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -1,11 +1,11 @@
 """Members of a fleet in simulated time: the real `Membership`, an event queue in tenths of a millisecond, and
-links that lose, delay, duplicate and cut datagrams.
+links that lose, delay and duplicate datagrams and can be cut.
 
 A seed gives the same events on every machine: nothing here depends on a clock or on hash order.
 
-Assumptions: a datagram takes `delay` plus up to `jitter` tenths of a ms, each is lost independently of the others,
-and a member handles a datagram in no time. The effects of a queue, a slow interpreter or a full buffer are measured
-with processes (`testing/fleet.py`), not here."""
+Assumptions: a datagram takes `delay` plus up to `jitter` tenths of a ms, each is lost independently of the
+others, and a member handles a datagram in zero simulated time. The effects of a queue, a slow interpreter or
+a full buffer are measured with processes (`testing/fleet.py`), not here."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     # Datagrams in the socket buffer of a paused process.
     buffered: list[Datagram] = field(default_factory=list)
     next_wake_at: int = 1 << 62
-    clock_ms: int = 0  # offset of the member's wall clock
+    clock_ms: int = 0  # offset of the member's wall clock from simulated time
     persisted_state: tuple[int, list[GossipUpdate]] | None = None
     sent: int = 0
     sent_bytes: int = 0
@@ -56,10 +56,10 @@
     ) -> None:
         """Times are in tenths of a ms.
 
-        `interval`: probe interval; `loss`, `double`: probabilities that a datagram is lost or duplicated; `most`: limit
-        on members in a view; `forget`: time after which an absent member is forgotten; `count_bytes`: whether sent
-        bytes are counted; `machine`: class of the members' state machine; `max_buffered`: datagrams that the socket
-        buffer of a paused member holds."""
+        `interval`: probe interval; `loss`, `double`: probabilities that a datagram is lost or duplicated;
+        `most`: limit on members in a view; `forget`: time after which an absent member is forgotten;
+        `count_bytes`: whether sent bytes are counted; `machine`: class of the members' state machine;
+        `max_buffered`: datagrams that the socket buffer of a paused member holds."""
         self.rng = random.Random(seed)
         self.interval, self.delay, self.jitter = interval, delay, jitter
         self.loss, self.double, self.most, self.forget, self.count_bytes = (
@@ -75,9 +75,8 @@
         self.nodes: dict[str, Node] = {}
         self.at_address: dict[tuple[str, int], Node] = {}
         self.cuts: set[tuple[str, str]] = set()  # (from, to): names of members
-        self.lossy: dict[
-            str, float
-        ] = {}  # loss probability by member, for datagrams from and to it
+        # Loss probability of datagrams from and to a member, by its name.
+        self.lossy: dict[str, float] = {}
 
     # Members
 
@@ -91,8 +90,8 @@
         keep: bool = False,
         state: NodeState = NodeState.READY,
     ) -> Node:
-        """Starts a member under this name, and replaces one that runs under it. With `keep`, the member starts with its
-        persisted state."""
+        """Starts a member under this name, and replaces one that runs under it. With `keep`, the member
+        starts with its persisted state."""
         node = self.nodes.get(name)
         if node is None:
             node = self.nodes[name] = Node(
@@ -256,7 +255,8 @@
         return {member.name for member in node.machine.view.present}
 
     def all_settled(self) -> bool:
-        """Whether all views have the same digest and contain exactly the running members, none of them suspected."""
+        """Whether all views have the same digest and contain exactly the running members, none of them
+        suspected."""
         up = self.up()
         running_names = {node.machine.name for node in up}
         first = up[0].machine.view.digest
--- a/lilacwalk/emulator/dependency.py
+++ b/lilacwalk/emulator/dependency.py
@@ -1,10 +1,10 @@
 """A dependency that all app servers share, such as a store or an index.
 
-Assumptions: `slots` calls are in progress at once, each for its own duration; the others wait in one queue, first in,
-first out. Beyond `crowding_threshold` calls in flight per slot, every call takes longer, in proportion. Beyond
-`collapse_threshold` calls in flight per slot, the dependency fails and refuses connections until `restore` is called. A
-call that has started continues after its caller has given up, as in a store that does not check whether the client is
-still connected."""
+Assumptions: `slots` calls are in progress at once, each for its own duration; the others wait in one queue,
+first in, first out. Beyond `crowding_threshold` calls in flight per slot, every call takes longer, in
+proportion. Beyond `collapse_threshold` calls in flight per slot, the dependency fails and refuses connections
+until `restore` is called. A call that has started continues after its caller has given up, as in a store that
+does not check whether the client is still connected."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
         collapse_threshold: float = 0.0,
         variability: float = 0.0,
     ) -> None:
-        """`mean_duration`: mean duration of a call, in tenths of a ms; `variability`: 0 for constant durations, 1 for
-        exponential ones.
-        If `collapse_threshold` is 0, the dependency does not fail under load."""
+        """`mean_duration`: mean duration of a call, in tenths of a ms; `variability`: 0 for constant
+        durations, 1 for exponential ones. If `collapse_threshold` is 0, the dependency does not fail under
+        load."""
         self.events, self.slots, self.mean_duration, self.rng = events, slots, mean_duration, rng
         self.crowding_threshold, self.collapse_threshold, self.variability = (
             crowding_threshold,
--- a/lilacwalk/emulator/events.py
+++ b/lilacwalk/emulator/events.py
@@ -1,10 +1,11 @@
-"""Event queue of the simulation: a calendar queue (Brown, 1988) of events in tenths of a ms, whose buckets are sorted
-when they are reached.
+"""Event queue of the simulation: a calendar queue (Brown, 1988) of events in tenths of a ms, whose buckets
+are sorted when they are reached.
 
-Suited to many events that lie far ahead (deadlines, timers, timeouts) and are mostly added roughly in order. Adding an
-event appends it to its bucket; a bucket is sorted once, by `list.sort`, when its time comes. Events added to the bucket
-that is being emptied are inserted by bisection, so the bucket width should be chosen to hold some tens of events.
-`python -m benchmarks.emulator queue` compares the queue with heapq at a million pending events.
+Suited to many events that lie far ahead (deadlines, timers, timeouts) and are mostly added roughly in order.
+Adding an event appends it to its bucket; a bucket is sorted once, by `list.sort`, when its time comes. Events
+added to the bucket that is being emptied are inserted by bisection, so the bucket width should be chosen to
+hold some tens of events. `python -m benchmarks.emulator queue` compares the queue with heapq at a million
+pending events.
 
 Events with the same time are processed in the order in which they were added, on every machine."""
 
--- a/lilacwalk/emulator/faults.py
+++ b/lilacwalk/emulator/faults.py
@@ -51,8 +51,8 @@
 
 
 def generate_faults(seed: int, length: int, count: int, sites: tuple[str, ...]) -> list[Fault]:
-    """Returns `count` random faults in the middle of a run of `length`: the time before them shows normal service,
-    the time after them whether service recovers."""
+    """Returns `count` random faults in the middle of a run of `length`: the time before them shows normal
+    service, the time after them whether service recovers."""
     rng = random.Random(f"faults {seed}")
     faults = []
     for _ in range(count):
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -1,14 +1,14 @@
 """A machine that runs requests on cores that all runs share.
 
-Assumptions: processor sharing. Each of n runs gets min(1, cores / n) of a core, at the machine's speed. Switching costs
-nothing up to `crowding_threshold` runs per core; beyond that, each further run takes the fraction `contention` off the
-speed of the whole machine, as contention for caches and locks does, down to a twentieth. A cold machine works at
-`cold_speed` of its speed for `warm_up`, whatever its load. More than `collapse_threshold` runs per core make it
-collapse, and memory and the run queue are lost.
+Assumptions: processor sharing. Each of n runs gets min(1, cores / n) of a core, at the machine's speed.
+Switching costs nothing up to `crowding_threshold` runs per core; beyond that, each further run takes the
+fraction `contention` off the speed of the whole machine, as contention for caches and locks does, down to a
+twentieth. A cold machine works at `cold_speed` of its speed for `warm_up`, whatever its load. More than
+`collapse_threshold` runs per core make it collapse, and memory and the run queue are lost.
 
-The tests check it against closed forms: the mean time of a run in an M/G/1 queue with processor sharing is s / (1 - ρ)
-for a mean service time s and a utilization ρ, whatever the distribution of work (Kleinrock, 1976); no run is faster
-than when it runs alone; work is conserved."""
+The tests check it against closed forms: the mean time of a run in an M/G/1 queue with processor sharing is
+s / (1 - ρ) for a mean service time s and a utilization ρ, whatever the distribution of work (Kleinrock, 1976);
+no run is faster than when it runs alone; work is conserved."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from lilacwalk.emulator.events import EventQueue
 
-MIN_SPEED_FACTOR = 0.05  # lower bound of the slowdown by contention
+MIN_SPEED_FACTOR = 0.05  # lower bound of the speed factor under contention
 
 
 class Machine:
@@ -45,15 +45,17 @@
         self.cold_speed, self.warm_at = cold_speed, events.now + warm_up
         if warm_up:
             events.after(warm_up, self._on_speed_change)
-        # Service attained by a run that has been running since the start of the machine. All runs progress at the same
-        # rate, so each run ends when this number reaches the level stored with it; `runs` is a heap by that level.
+        # Service attained by a run that has been running since the start of the machine. All runs progress at
+        # the same rate, so a run ends when this number reaches the level stored with the run; `runs` is a heap
+        # by that level.
         self.attained_service = 0.0
         self.updated_at = events.now
         self.runs: list[tuple[float, int, object, Callable]] = []
         self.cancelled_runs: set[int] = set()  # numbers of stopped runs that are still in `runs`
         self.run_numbers = count()
         self.running = 0
-        self.core_time_used = 0.0  # core time used by runs, in units of work
+        # Core time used by runs, in tenths of a ms of one core at full speed.
+        self.core_time_used = 0.0
         self.generation = 0  # completion events of earlier generations are ignored
         self.is_paused = False
 
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -1,14 +1,15 @@
 """Source of requests: routers (proxies) with their routing policy, and the clients behind them.
 
-Assumptions: a router selects app servers from a list that is `list_delay` old. It sends each request to one of them by
-its `choice`, and after a rejection or a loss to another one, as far as its retry budget and the request's deadline
-allow. A series of such attempts is a round. When a round fails, the client sends the request again after the
-retry-after time that it received, or else after its own default delay, until the request's deadline. Requests arrive by
-a Poisson process; a surge raises its rate, and one router (an outlet) may be many times as busy as the others.
+Assumptions: a router selects app servers from a list that is `list_delay` old. It sends each request to one
+of them by its `choice`, and after a rejection or a loss to another one, as far as its retry budget and the
+request's deadline allow. A series of such attempts is a round. When a round fails, the client sends the
+request again after the retry-after time that it received, or else after its own default delay, until the
+request's deadline. Requests arrive by a Poisson process; a surge raises its rate, and one router (an outlet)
+may be many times as busy as the others.
 
-Choices: `random`; `two` (the one of two random servers with fewer outstanding attempts, Mitzenmacher, 2001); `least`
-(fewest outstanding attempts of this router); `subject` (by hash of the request's key and the server's name, so that a
-request moves to another server only if its own is not listed)."""
+Choices: `random`; `two` (the one of two random servers with fewer outstanding attempts, Mitzenmacher, 2001);
+`least` (fewest outstanding attempts of this router); `subject` (by hash of the request's key and the server's
+name, so that a request moves to another server only if its own is not listed)."""
 
 from __future__ import annotations
 
@@ -30,15 +31,18 @@
     """Behavior of a router and of its clients. Times are in tenths of a ms."""
 
     choice: str = "two"
-    max_attempts: int = 3  # per request and round
-    budget: float = 0.2  # mean number of retries per request
+    # Limit on the attempts of a request: this number times the rounds started.
+    max_attempts: int = 3
+    # Retry tokens added per request, which bound the mean number of retries per request.
+    budget: float = 0.2
     marks_retries: bool = True  # whether retries are marked as such
     # Whether the router obeys `no_retry_elsewhere`, and its clients the retry-after time.
     honors_retry_after: bool = True
-    max_returns: int = 1  # times that a client repeats a request after a failed round
-    default_return_delay: int = SECOND // 2  # used without a retry-after time
+    max_returns: int = 1  # number of times that a client repeats a request after a failed round
+    # Delay before a client repeats a request if it received no retry-after time.
+    default_return_delay: int = SECOND // 2
     list_delay: int = SECOND  # age of the list of servers
-    link_delay: int = 5  # one-way delay to an app server
+    link_delay: int = 5  # one-way network delay between router and app server
 
 
 @dataclass(eq=False, slots=True)
@@ -53,7 +57,8 @@
     router: Router
     round_count: int = 0
     attempt_count: int = 0
-    attempted_servers: list[Server] = field(default_factory=list)  # in this round
+    # Servers attempted in the current round.
+    attempted_servers: list[Server] = field(default_factory=list)
 
 
 @dataclass(slots=True)
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -1,9 +1,11 @@
-"""An app server in simulated time: the real `Controller` (or a baseline with the same interface) with a `Server` as its
-decision sink, over a simulated machine and dependency. The cost of sockets, the interpreter and the connection to the
-executor is not modelled, except for `read_delay`, a fixed time from an attempt's arrival until it is read.
+"""An app server in simulated time: the real `Controller` (or a baseline with the same interface) with a
+`Server` as its decision sink, over a simulated machine and dependency. The cost of sockets, the interpreter
+and the connection to the executor is not modelled, except for `read_delay`, a fixed time from an attempt's
+arrival until it is read.
 
-Assumptions: a request runs once from start to end. A request class that calls the dependency does so when half of its
-work is done, occupies no core while it waits, and then continues. The effect of a request occurs when its run ends."""
+Assumptions: a request runs once from start to end. A request class that calls the dependency does so when
+half of its work is done, occupies no core while it waits, and then continues. The side effect of a request
+occurs when its run ends."""
 
 from __future__ import annotations
 
@@ -40,8 +42,8 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt of a request, as the router sends it. `work`: actual work in tenths of a ms of a core at full speed.
-    `key`: idempotency key, equal for all attempts of a request."""
+    """One attempt of a request, as the router sends it. `work`: actual work in tenths of a ms of a core at
+    full speed. `key`: idempotency key, equal for all attempts of a request."""
 
     request_class: RequestClass
     key: int
@@ -52,7 +54,7 @@
     is_retry: bool = False
     memory_kb: float = 8.0
     answer_count: int = 0
-    client_gone: bool = False  # no answer is required any more
+    client_gone: bool = False  # whether the client has disconnected; no answer is required then
     gone_at: int = 0
     settled: int = 0  # 1 once the router has a reply or has timed out
     deadline: int = 0
@@ -62,16 +64,19 @@
 class Run:
     attempt: Attempt
     request: Request
-    number: int = -1  # of the run on the machine
-    is_first_half: bool = False  # before the call of the dependency
-    is_waiting: bool = False  # for the result of the call
-    call_number: int = 0  # results of calls with another number are ignored
+    number: int = -1  # number that Machine.start returned; -1 before the first start
+    is_first_half: bool = False  # whether the run has not yet called the dependency
+    is_waiting: bool = False  # whether the run waits for the result of its call
+    call_number: int = 0  # number of the current call; results of other calls are ignored
     call_started_at: int = 0
 
 
 @dataclass(slots=True)
 class Breach:
-    """A violation of one of the four rules. Its `repr` is stored with the results."""
+    """A violation of a rule; its `repr` is stored with the results.
+
+    The rules: one final answer per attempt; the answer is sent by the deadline; the side effect of a request
+    is not executed twice; the server stays within its memory and does not collapse ("no fall-over")."""
 
     rule: str
     at: int
@@ -91,7 +96,8 @@
 @dataclass(eq=False, slots=True)
 class Server:
     """A simulated app server. `make_controller` creates the controller from the settings and the time;
-    `effect_counts` holds the number of effects by key, for all servers."""
+    `effect_counts` is shared by all servers and holds the number of times that the side effect of each
+    attempt key was executed."""
 
     name: str
     site: str
@@ -102,11 +108,13 @@
     make_machine: Callable[[Server], Machine]
     breaches: list[Breach]
     effect_counts: dict[int, int]
-    answer_grace: int = 500  # time after a deadline before a missing answer is a violation
-    read_delay: int = 2
+    # Tenths of a ms after the deadline; a request without an answer by then is recorded as a violation.
+    answer_grace: int = 500
+    read_delay: int = 2  # tenths of a ms from the arrival of an attempt until it is read
     is_up: bool = False
-    is_silent: bool = False  # accepts attempts and answers none; runs continue
-    responsive_since: int = 0  # end of the last silence
+    # Whether the server accepts attempts without answering them; runs continue.
+    is_silent: bool = False
+    responsive_since: int = 0  # time at which the last silence ended
     healthy: bool = True
     incarnation: int = 0
     load_report: float | None = None
@@ -116,10 +124,10 @@
     keys: dict[tuple[str, int], tuple[Request, int]] = field(default_factory=dict)
     coalesced: dict[Request, list[Request]] = field(default_factory=dict)
     attempts: dict[Request, Attempt] = field(default_factory=dict)
-    pending_events: list[Event] = field(default_factory=list)  # of the next batch
+    pending_events: list[Event] = field(default_factory=list)  # events of the next batch
     counts: Counts = field(default_factory=Counts)
     in_batch: bool = False
-    memory_in_use_kb: float = 0.0  # of all requests in progress
+    memory_in_use_kb: float = 0.0  # memory of all open requests
     timer_generation: int = 0
     is_draining: bool = False
 
@@ -210,15 +218,16 @@
                 self._submit(ClientGone(request))
 
     def _check_answered(self, attempt: Attempt, request: Request, incarnation: int) -> None:
-        # A client that gives up at the deadline should have had an answer before.
-        left_early = attempt.client_gone and attempt.gone_at < attempt.deadline
+        # No answer is required if the client disconnected before the deadline. A client that disconnects at
+        # the deadline should already have received an answer.
+        disconnected_before_deadline = attempt.client_gone and attempt.gone_at < attempt.deadline
         # An answer that is missing because of an injected silence is not a violation.
         was_unresponsive = self.is_silent or self.responsive_since > request.read_at
         if (
             incarnation == self.incarnation
             and not was_unresponsive
             and not attempt.answer_count
-            and not left_early
+            and not disconnected_before_deadline
         ):
             self._breach(
                 "one final answer by the due time",
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -1,5 +1,5 @@
-"""Simulates a fleet: takes a scenario and a seed, and returns the results of the clients' requests second by second,
-with every violation of the four rules.
+"""Simulates a fleet: takes a scenario and a seed, and returns the results of the clients' requests second by
+second, with every violation of the rules that `Server` checks (see `Breach`).
 
 A seed gives the same result on every machine: nothing depends on a clock or on hash order."""
 
@@ -20,15 +20,14 @@
 from lilacwalk.settings import EFFECTS_BY_NAME
 
 SECOND = 10_000
-SAMPLE_INTERVAL = (
-    SECOND // 2
-)  # between two samples of all servers
+SAMPLE_INTERVAL = SECOND // 2  # time between two samples of the servers' state
 FLAP_PERIOD = 2 * SECOND  # from one crash of a flapping server to the next
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSpec:
-    """A request class. Times are in tenths of a ms; `share`: relative share of the requests; `work`: mean core time."""
+    """A request class. Times are in tenths of a ms; `share`: relative share of the requests; `work`: mean
+    core time."""
 
     name: str
     share: float
@@ -39,7 +38,7 @@
     effect: str = "repeatable"
     calls_dependency: bool = False
     skipped_call_weight_share: float = 0.0
-    work_variability: float = 1.0  # 0: constant work, 1: exponentially distributed
+    work_variability: float = 1.0  # 0: constant work, 1: exponentially distributed work
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +57,7 @@
     contention: float = 0.02
     collapse_threshold: float = 60.0
     collapse_multiple: float = 4.0
-    slots: int = 0  # of the shared dependency; 0: no dependency
+    slots: int = 0  # calls that the shared dependency handles at once; 0: no dependency
     call_time: int = 100  # mean duration of a call of the dependency
     max_retry_after: int = SECOND
     drain_grace: int = SECOND
@@ -101,8 +100,8 @@
     core_use_by_server: list[list[float]] = field(default_factory=list)
 
     def share(self, first: int = 0, end: int | None = None) -> float:
-        """Weight of the requests completed within their objective over the weight of all requests created, for the
-        seconds from `first` until before `end`."""
+        """Weight of the requests completed within their objective over the weight of all requests created,
+        for the seconds from `first` until before `end`."""
         rows = [
             row for at, row in self.seconds.items() if at >= first and (end is None or at < end)
         ]
--- a/lilacwalk/experiments/charts.py
+++ b/lilacwalk/experiments/charts.py
@@ -1,6 +1,8 @@
-"""HTML page of an experiment: its table, a chart of each measure over the varied settings, and service over time.
+"""HTML page of an experiment: its table, a chart of each measure over the varied settings, and service over
+time.
 
-The page needs no network. Lines differ by markers and line styles, so that charts are readable in black and white."""
+The page needs no network. Lines differ by markers and line styles, so that charts are readable in black and
+white."""
 
 from __future__ import annotations
 
@@ -9,7 +11,7 @@
 from pathlib import Path
 
 from lilacwalk.experiments.config import Experiment
-from lilacwalk.experiments.planner import Cell, Figure, Play
+from lilacwalk.experiments.planner import Cell, Figure, PlannedRun
 from lilacwalk.experiments.runner import interpreter, series
 
 STYLE = (
@@ -93,8 +95,11 @@
     return render_svg(draw)
 
 
-def chart_over_time(experiment: Experiment, plays: list[Play], folder: Path, made_by: str) -> str:
-    """Chart of service in each second for the first seed: a line for each of the first cells, with faults marked."""
+def chart_over_time(
+    experiment: Experiment, plays: list[PlannedRun], folder: Path, made_by: str
+) -> str:
+    """Chart of service in each second for the first seed: a line for each of the first cells, with faults
+    marked."""
     first_plays = [each for each in plays if each.seed == 1][: len(MARKERS)]
 
     def draw(axes) -> None:
@@ -129,7 +134,7 @@
 def page(
     title: str,
     experiment: Experiment,
-    plays: list[Play],
+    plays: list[PlannedRun],
     results: dict[Cell, dict[str, Figure]],
     unmet: list[str],
     folder: Path,
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -133,7 +133,8 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
-    """Block `scenario`. Field names are keywords of the file; `build` gives the attributes that they set."""
+    """Block `scenario`. Field names are the keywords of the experiment file; `build` converts them to the
+    attributes of the simulation's `Scenario`."""
 
     group: tuple[Group, ...]
     fault: tuple[Fault, ...] = ()
@@ -202,7 +203,8 @@
 
 
 class Vary(Struct, frozen=True, kw_only=True):
-    """A setting to vary. `faults` takes the values `yes` and `no`: with and without the faults of the scenario."""
+    """A setting to vary. `faults` takes the values `yes` and `no`: with and without the faults of the
+    scenario."""
 
     ARGUMENTS: ClassVar = ("what",)
     what: Annotated[str, one_of(VARIES)]
--- a/lilacwalk/experiments/planner.py
+++ b/lilacwalk/experiments/planner.py
@@ -1,7 +1,7 @@
 """Runs of an experiment, their measures, and statistics over seeds.
 
-The module has no side effects: an experiment gives the same cells in the same order, and the same intervals, wherever
-it runs."""
+The module has no side effects: an experiment gives the same cells in the same order, and the same intervals,
+wherever it runs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 # Bootstrap samples per interval; with more, its ends move by less than a hundredth of its width.
 RESAMPLE_COUNT = 2_000
-MIN_SEED_COUNT = 5  # fewer seeds give no conclusion
+MIN_SEED_COUNT = 5  # with fewer seeds in common, no conclusion is drawn from a comparison
 
 
 class BadValueError(Exception):
@@ -38,18 +38,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class PlannedRun:
     """A simulation run of an experiment: a cell with a seed."""
 
     cell: Cell
     seed: int
     scenario: Scenario
-    digest: str  # of everything that the result depends on, except the program
+    digest: str  # digest of everything that the result depends on, except the program
 
 
 def apply_cell(scenario: Scenario, cell: Cell) -> Scenario:
-    """Returns the scenario with the cell's values, which are parsed and checked like statements of the file. Raises
-    BadValueError."""
+    """Returns the scenario with the cell's values, which are parsed and checked like statements of the file.
+    Raises BadValueError if a value is invalid."""
     schemas, new_values = field_schemas(Scenario), {}
     for name, word in cell.values:
         try:
@@ -70,19 +70,20 @@
     ]
 
 
-def plays(experiment: Experiment) -> Iterator[Play]:
-    """Yields all cells of a seed before the next seed, so that an aborted experiment leaves complete seeds. Raises
-    BadValueError."""
+def plays(experiment: Experiment) -> Iterator[PlannedRun]:
+    """Yields the runs of all cells for one seed before those of the next seed, so that an aborted experiment
+    leaves complete seeds. Raises BadValueError if a cell has an invalid value."""
     scenarios = [(cell, apply_cell(experiment.scenario, cell)) for cell in cells(experiment)]
     for seed in range(1, experiment.seeds + 1):
         for cell, scenario in scenarios:
             text = msgspec.json.encode((scenario, seed))
-            yield Play(cell, seed, scenario, blake2b(text, digest_size=10).hexdigest())
+            yield PlannedRun(cell, seed, scenario, blake2b(text, digest_size=10).hexdigest())
 
 
 def compute_measures(scenario: Scenario, result: Result) -> dict[str, float]:
-    """Returns the measures of a run. `share` leaves out the first 2 s; `after` starts 2 s after the end of the last
-    fault and is 1 without faults."""
+    """Returns the measures of a run. `share` is the weight of the requests completed within their objective
+    over the weight of all requests created, without the first 2 s. `after` is the same from 2 s after the end
+    of the last fault; 1 if there are no faults."""
     rows = result.seconds.values()
     request_count = max(1, sum(row.wished for row in rows))
     answer_count = max(1, result.completed + result.denied + result.terminated)
@@ -135,7 +136,8 @@
 
 
 def compared(baseline: Mapping[int, float], candidate: Mapping[int, float]) -> tuple[Figure, str]:
-    """Returns the difference `candidate` - `baseline`, paired by seed, and a conclusion."""
+    """Returns the interval of the difference `candidate` - `baseline`, paired by seed, and a conclusion as
+    text."""
     common_seeds = sorted(baseline.keys() & candidate.keys())
     difference = interval(candidate[seed] - baseline[seed] for seed in common_seeds)
     if not common_seeds:
@@ -152,7 +154,8 @@
 
 
 def unmet(experiment: Experiment, results: Mapping[Cell, Mapping[str, Figure]]) -> list[str]:
-    """Returns a text for each unmet expectation; a cell without results is unmet."""
+    """Returns a message for each cell in which an expectation is not met. An expectation is not met in a cell
+    without results."""
     problems = []
     for each in experiment.expect:
         for cell in cells(experiment):
@@ -160,7 +163,7 @@
                 continue
             figure = results.get(cell, {}).get(each.measure)
             if figure is None or not figure.count:
-                problems.append(f"{each.measure} of {cell}: not played")
+                problems.append(f"{each.measure} of {cell}: no results")
             elif each.least is not None and figure.mean < each.least:
                 problems.append(
                     f"{each.measure} of {cell}: {figure.mean:.3f}, at least {each.least:g} expected"
--- a/lilacwalk/experiments/runner.py
+++ b/lilacwalk/experiments/runner.py
@@ -1,8 +1,8 @@
 """Runs simulations in processes and stores each result in a file of its own.
 
-Files are not overwritten, stored runs are not repeated, and two runs in one folder do not interfere. A file is named by
-the digest of its scenario and seed and by the program's revision, so that a changed program never uses results of an
-older one. Imports pyarrow, so app servers must not import this module."""
+Files are not overwritten, stored runs are not repeated, and two runs in one folder do not interfere. A file
+is named by the digest of its scenario and seed and by the program's revision, so that a changed program never
+uses results of an older one. Imports pyarrow, so app servers must not import this module."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from pyarrow import parquet
 
 from lilacwalk.emulator.simulation import play
-from lilacwalk.experiments.planner import Cell, Figure, Play, compute_measures, interval
+from lilacwalk.experiments.planner import Cell, Figure, PlannedRun, compute_measures, interval
 from lilacwalk.operator.block_reader import BlockReader
 from lilacwalk.operator.loader import UnusableFileError, read_text
 from lilacwalk.operator.syntax import parse_statements
@@ -60,7 +60,7 @@
     return completed.stdout.strip() if completed.returncode == 0 else ""
 
 
-def run_and_store(task: tuple[Play, str, str]) -> tuple[str, dict[str, float]]:
+def run_and_store(task: tuple[PlannedRun, str, str]) -> tuple[str, dict[str, float]]:
     """Runs a simulation and stores its result atomically; called in a worker process."""
     planned, folder, made_by = task
     result = play(planned.scenario.build(), planned.seed)
@@ -112,13 +112,14 @@
 
 
 def run(
-    plays: Iterable[Play],
+    plays: Iterable[PlannedRun],
     folder: Path,
     made_by: str,
     processes: int,
-    on_play: Callable[[Play, bool], None] = lambda planned, new: None,
+    on_play: Callable[[PlannedRun, bool], None] = lambda planned, new: None,
 ) -> dict[str, dict[str, float]]:
-    """Returns measures by digest. `on_play` is called with each available run and whether it was simulated now."""
+    """Returns the measures of each run by digest; simulates only runs without a stored result. `on_play` is
+    called for each run, with True if it was simulated and False if its result was read from storage."""
     folder.mkdir(parents=True, exist_ok=True)
     results: dict[str, dict[str, float]] = {}
     missing = []
@@ -146,7 +147,7 @@
 
 
 def gathered(
-    plays: Iterable[Play], results: dict[str, dict[str, float]]
+    plays: Iterable[PlannedRun], results: dict[str, dict[str, float]]
 ) -> dict[Cell, dict[str, Figure]]:
     values: dict[Cell, dict[str, list[float]]] = {}
     for planned in plays:
--- a/lilacwalk/experiments/site_report.py
+++ b/lilacwalk/experiments/site_report.py
@@ -104,8 +104,8 @@
 
 
 def write(folder: str, plans: list[dict]) -> str:
-    """Writes table and page to a folder and returns the path of the page. Raises ImportError if the extra `experiments`
-    is not installed."""
+    """Writes table and page to a folder and returns the path of the page. Raises ImportError if the extra
+    `experiments` is not installed."""
     import pyarrow
     from pyarrow import parquet
 
--- a/tests/emulator/test_models.py
+++ b/tests/emulator/test_models.py
@@ -11,10 +11,13 @@
 
 
 @pytest.mark.parametrize("spread", (0.0, 1.0))
-def test_mean_time_under_processor_sharing_does_not_depend_on_the_distribution_of_work(
+def test_mean_sojourn_time_under_processor_sharing_does_not_depend_on_the_distribution_of_work(
     spread,
 ):
-    """The mean time in an M/G/1 queue with processor sharing is s / (1 - ρ), here with ρ = 0.7."""
+    """The mean sojourn time in an M/G/1 queue with processor sharing is s / (1 - ρ).
+
+    s is the mean service time and ρ the utilization, here 0.7.
+    """
     events, rng, slowdowns = EventQueue(), random.Random(3), []
     machine = Machine(events, 1, crowding_threshold=1e9)
 
--- a/tests/emulator/test_play.py
+++ b/tests/emulator/test_play.py
@@ -129,7 +129,8 @@
     assert all_crash.share(3, 4) < 0.1 < 0.9 < all_crash.share(9, 14) and not all_crash.breaches
 
 
-def test_violation_is_recorded_with_rule_time_and_server_and_is_reproducible(scenario, monkeypatch):
+def test_missing_rejections_are_recorded_as_violations_and_are_reproducible(scenario, monkeypatch):
+    """The server drops the controller's rejections, so that requests are not answered."""
     monkeypatch.setattr(
         Server, "reject", lambda self, request, retry_after=0, no_retry_elsewhere=False: None
     )
