--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -326,4 +326,4 @@
         if candidate is not None and (":" in candidate) == (family == 6):
             return candidate
     # The configuration check excludes this for the node's own services.
-    raise ValueError(f"no next-candidate of the address family of {service.prefix}")
+    raise ValueError(f"no next-hop of the address family of {service.prefix}")
