--- a/lilacwalk/storage/__init__.py
+++ b/lilacwalk/storage/__init__.py
@@ -1,11 +1,17 @@
 """Storage that survives a crash: an append-only log with snapshots on a durable disk.
 
-`journal` decides when to write, sync, rotate and snapshot, and what a failing disk means; beside it
-`acknowledgements` holds the records whose writers wait, `snapshot_writer` copies the rows of a
-snapshot, and `store_files` knows which files are obsolete. `recovery` decides which bytes of the
-files are valid, `state` holds the rows that the records add up to, `effect_log` decides which
-requests with an effect may run, and `ownership` whose a directory is. None of these does I/O.
+These modules do no I/O:
 
-`operations` holds the records between the journal and its host, `records` is the codec, `disk` the
-interface to files, `store` the host, and `compaction` what an operator does to a closed store.
+- `journal` decides when to write, sync, rotate and snapshot, and how to react to disk errors. It
+  uses `acknowledgements` (records that are not acknowledged yet), `snapshot_writer` (the rows of a
+  snapshot) and `store_files` (names and sizes of files, and which of them are obsolete).
+- `recovery` decides which bytes of the files are valid after a crash.
+- `state` holds the rows that result from replaying the records.
+- `effect_log` decides which requests with an effect may run.
+- `ownership` decides whether a node may use a directory.
+- `operations` defines the types that the journal exchanges with the store and its users.
+- `records` is the codec.
+
+`disk` is the interface to files, `store` the thread that runs the journal on a disk, and
+`compaction` compacts a closed store for the operator.
 """
--- a/lilacwalk/storage/acknowledgements.py
+++ b/lilacwalk/storage/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Records whose writers wait until they are as durable as asked. No I/O."""
+"""Records that are not yet as durable as requested, and their acknowledgements. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PendingRecord(msgspec.Struct, frozen=True):
-    """A record whose writer waits for the acknowledgement."""
+    """A record that is not acknowledged yet."""
 
     sequence: int
     appended_at: int
@@ -18,13 +18,13 @@
 
 
 class AcknowledgementQueue:
-    """Pending records in the order of their numbers, and acknowledgements to be reported.
+    """Pending records by sequence number, and acknowledgements that are not reported yet.
 
     Owned by the journal.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty queue."""
         self._pending: deque[PendingRecord] = deque()
         self._acknowledgements: list[Acknowledgement] = []
 
@@ -34,24 +34,24 @@
 
     @property
     def oldest_at(self) -> int | None:
-        """When the oldest pending record was appended; None: there is none."""
+        """Time at which the oldest pending record was appended; None if no record is pending."""
         return self._pending[0].appended_at if self._pending else None
 
-    def expect(self, sequence: int, token: object, now: int) -> None:
-        """Has the record acknowledged once it is durable."""
+    def add(self, sequence: int, token: object, now: int) -> None:
+        """Adds a record to be acknowledged once it is as durable as requested."""
         self._pending.append(PendingRecord(sequence, now, token))
 
     def report(self, token: object, *, is_persisted: bool) -> None:
-        """Acknowledges a record at once."""
+        """Adds the acknowledgement of a record, to be returned by the next `take`."""
         self._acknowledgements.append(Acknowledgement(token, is_persisted))
 
     def acknowledge(self, up_to: int) -> None:
-        """Records up to this number are as durable as asked."""
+        """Acknowledges the pending records up to this sequence number as persisted."""
         while self._pending and self._pending[0].sequence <= up_to:
             self.report(self._pending.popleft().token, is_persisted=True)
 
     def fail_pending(self) -> None:
-        """Tells all waiting writers that their records are not persisted."""
+        """Acknowledges all pending records as not persisted."""
         for record in self._pending:
             self.report(record.token, is_persisted=False)
         self._pending.clear()
--- a/lilacwalk/storage/compaction.py
+++ b/lilacwalk/storage/compaction.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactionResult:
-    """What a compaction has done; sizes of logs and snapshots in bytes."""
+    """Total size of logs and snapshots before and after a compaction, and the rows that remain."""
 
     bytes_before: int
     bytes_after: int
@@ -21,16 +21,16 @@
 
 
 def compact(disk: Disk, wall: int) -> CompactionResult:
-    """Writes a snapshot of the rows that are still valid and removes what it replaces.
+    """Writes a snapshot of the rows that have not expired and removes the files that it replaces.
 
-    For a store that no process has open; `wall` is Unix time in tenths of a ms.
+    No process may have the store open. `wall` is Unix time in tenths of a ms.
 
     Raises:
         OSError: the disk cannot be read or written.
     """
     bytes_before = _used_bytes(disk)
     row_count = 0
-    # Two snapshots are kept: the second one makes obsolete what only the first still needed.
+    # The store keeps two snapshots. Only once both are new are the older logs obsolete.
     for _ in range(2):
         journal = open_journal(
             disk, Durability.SYNCED, JournalLimits(batch_delay=0, snapshot_after_bytes=0), 0
@@ -43,7 +43,7 @@
 
 
 def _write_snapshot(disk: Disk, journal: Journal) -> None:
-    """Carries out the journal's operations until one snapshot is published and all is clean."""
+    """Performs the journal's operations until a snapshot is published and no work remains."""
     is_published = False
     while (
         not is_published or journal.snapshot is not None or journal.files.obsolete or journal.batch
@@ -55,7 +55,7 @@
         journal.operation_done(0)
         if operation.kind is OperationKind.PUBLISH:
             is_published = True
-            journal.limits = JournalLimits(batch_delay=0)  # no further snapshot
+            journal.limits = JournalLimits(batch_delay=0)  # prevents a second snapshot
 
 
 def _used_bytes(disk: Disk) -> int:
--- a/lilacwalk/storage/config.py
+++ b/lilacwalk/storage/config.py
@@ -1,7 +1,7 @@
 """The operator's settings of the store, checked by `operator/` when they are read.
 
-Times are in tenths of a millisecond, sizes in bytes. The operator's file has words of its own,
-which `keyword` gives where they differ from the field's name.
+Times are in tenths of a millisecond, sizes in bytes. Where the keyword in the operator's file
+differs from the name of the field, the field's `keyword` gives it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def unit(name: str, keyword: str, *, ge: int, le: int) -> Meta:
-    """Returns the constraints of a field with a unit, and its word in the operator's file."""
+    """Returns the constraints of a field with a unit, and its keyword in the operator's file."""
     return Meta(extra={"unit": name, "keyword": keyword}, ge=ge, le=le)
 
 
@@ -23,16 +23,16 @@
     """The block `store`.
 
     Attributes:
-        directory: where the files are.
+        directory: path of the directory that holds the store's files.
         durability: when a record counts as persisted, see `operations.Durability`.
-        max_bytes: limit of the files' size.
-        unpersisted_effects: what becomes of effects while nothing can be persisted: `refused`, or
-            `marked`: run, though a kill may forget them.
-        effect_retention: for how long a non-idempotent request is known to have begun; one with an
-            idempotency key has the deduplication window of its request class.
-        learned_half_life: age at which learned values count half.
+        max_bytes: maximum total size of the files.
+        unpersisted_effects: how requests with an effect are handled while they cannot be persisted:
+            `refused`, or `marked`, which runs them although a crash may lose the record of them.
+        effect_retention: how long the record of a non-idempotent request is valid; with an
+            idempotency key, the deduplication window of the request class applies instead.
+        learned_half_life: age at which the weight of a learned value is halved.
         damping_retention: for how long flap penalties and recovery stages of sites are valid.
-        socket: where `lilacwalk storage show` asks.
+        socket: path of the admin socket that `lilacwalk storage show` queries.
     """
 
     directory: str
--- a/lilacwalk/storage/disk.py
+++ b/lilacwalk/storage/disk.py
@@ -1,6 +1,6 @@
-"""The interface between the store and its files, and the real directory.
+"""The interface to the store's files, and its implementation on a directory of the file system.
 
-`testing/disk.py` has another implementation, which tears and corrupts files and fails on demand.
+`testing/disk.py` has a test implementation, which tears and corrupts files and fails on demand.
 """
 
 from __future__ import annotations
@@ -18,47 +18,47 @@
     refusal_reason,
 )
 
-PARTIAL_SUFFIX = ".new"  # behind the name of a snapshot that is not complete yet
+PARTIAL_SUFFIX = ".new"  # of a file that is not complete yet, until `publish`
 QUARANTINE_PREFIX = "aside-"
 
 
 class Disk(Protocol):
-    """What the store does to its files; all of it may raise OSError."""
+    """Operations on the store's files. Every method may raise OSError."""
 
     def list_files(self) -> list[str]:
         """Returns the names of all files, sorted."""
         ...
 
     def read(self, name: str) -> bytes:
-        """Returns a whole file."""
+        """Returns the content of a file."""
         ...
 
     def create(self, name: str, data: bytes) -> None:
-        """Creates a file with these first bytes; an old one of that name is gone."""
+        """Creates a file that holds `data`, replacing any file of that name."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file."""
+        """Appends `data` to a file."""
         ...
 
     def sync(self, name: str) -> None:
-        """Returns once the disk has the file's content."""
+        """Flushes a file to the disk and returns when its content is durable."""
         ...
 
     def publish(self, name: str) -> None:
-        """Syncs the partial file of this name and gives it the name itself."""
+        """Syncs the file `name` + PARTIAL_SUFFIX, then renames it to `name`."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file off after `size` bytes."""
+        """Truncates a file to `size` bytes, durably."""
         ...
 
     def quarantine(self, name: str) -> None:
-        """Renames a file, to be kept for the operator and never read again."""
+        """Renames a file, so that the store ignores it and the operator can inspect it."""
         ...
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
         ...
 
 
@@ -70,7 +70,7 @@
     """
 
     def __init__(self, path: str) -> None:
-        """Creates the directory where it does not exist. Raises OSError."""
+        """Creates the directory if it does not exist. Raises OSError."""
         self.path = Path(path)
         self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._open_files: dict[str, int] = {}
@@ -81,17 +81,18 @@
         return sorted(entry.name for entry in self.path.iterdir() if entry.is_file())
 
     def read(self, name: str) -> bytes:
-        """Returns a whole file."""
+        """Returns the content of a file."""
         return (self.path / name).read_bytes()
 
     def claim(self, node: str) -> None:
-        """Reserves the directory for this process for as long as it lives.
+        """Locks the directory for this process until `close`, and records `node` as its owner.
 
-        A directory that is not claimed can still be read.
+        Reading does not need a claim.
 
         Raises:
-            OwnershipError: it belongs to another node, another process or a later version.
-            OSError: it cannot be read or written.
+            OwnershipError: another node or process or a later version owns the directory, or it
+                holds files of other programs.
+            OSError: the directory cannot be read or written.
         """
         lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -110,7 +111,7 @@
             self.publish(OWNER_FILE)
 
     def create(self, name: str, data: bytes) -> None:
-        """Creates a file and closes the other one of its kind."""
+        """Creates a file and closes the open log file or partial snapshot that it succeeds."""
         is_partial = name.endswith(PARTIAL_SUFFIX)
         for other in list(self._open_files):
             if other.endswith(PARTIAL_SUFFIX) == is_partial:
@@ -119,38 +120,38 @@
         self._sync_directory()
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file, opening it where necessary."""
+        """Appends to a file, opening it if necessary."""
         self._write(self._file(name), data)
 
     def sync(self, name: str) -> None:
-        """Returns once the disk has the file's content."""
+        """Flushes a file to the disk and returns when its content is durable."""
         os.fsync(self._file(name))
 
     def publish(self, name: str) -> None:
-        """Syncs the partial file of this name and gives it the name itself."""
+        """Syncs the file `name` + PARTIAL_SUFFIX, then renames it to `name`."""
         self.sync(name + PARTIAL_SUFFIX)
         self._close_file(name + PARTIAL_SUFFIX)
         os.replace(self.path / (name + PARTIAL_SUFFIX), self.path / name)
         self._sync_directory()
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file off after `size` bytes and syncs it."""
+        """Truncates a file to `size` bytes and syncs it."""
         with open(self.path / name, "r+b") as file:
             file.truncate(size)
             os.fsync(file.fileno())
 
     def quarantine(self, name: str) -> None:
-        """Renames a file, to be kept for the operator and never read again."""
+        """Renames a file, so that the store ignores it and the operator can inspect it."""
         os.replace(self.path / name, self.path / f"{QUARANTINE_PREFIX}{name}")
         self._sync_directory()
 
     def remove(self, name: str) -> None:
-        """Closes and removes a file, if it is there."""
+        """Closes and removes a file if it exists."""
         self._close_file(name)
         (self.path / name).unlink(missing_ok=True)
 
     def close(self) -> None:
-        """Closes all files and gives up the claim."""
+        """Closes all files and releases the lock on the directory."""
         for name in list(self._open_files):
             self._close_file(name)
         if self._lock is not None:
@@ -158,7 +159,7 @@
             self._lock = None
 
     def _file(self, name: str, flags: int = 0) -> int:
-        """Returns the descriptor of a file, opening it where necessary."""
+        """Returns the descriptor of a file, opening it if necessary."""
         descriptor = self._open_files.get(name)
         if descriptor is None or flags & os.O_TRUNC:
             self._close_file(name)
--- a/lilacwalk/storage/effect_log.py
+++ b/lilacwalk/storage/effect_log.py
@@ -1,10 +1,10 @@
-"""Decides which requests with an effect may run, so that none runs twice over restarts. No I/O.
+"""Decides which requests with an effect may run, so that none runs twice across restarts. No I/O.
 
-A request that may not run twice is persisted before it runs. A duplicate of a persisted request is
-answered from its result, or fails, and never runs.
+A request that must not run twice is persisted before it runs. A duplicate of a persisted request
+never runs: it is answered from the persisted result, or fails if there is none.
 
-While the log is in any other state than PERSISTING, effects go by the operator's rule: they are
-refused, or run with the risk that a kill forgets them.
+While requests cannot be persisted, the setting `unpersisted_effects` decides: they are refused, or
+run with the risk that a crash loses the record of them and a duplicate runs again.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 from lilacwalk.storage.records import Record
 from lilacwalk.storage.state import Table, clock_set_back
 
-# Request class, tenant, kind of the identifier, identifier. Persisted as an array.
+# (request class, tenant, kind of the identifier, identifier). Persisted as an array.
 CacheKey = tuple[str, ...]
 
 ROW_KEY_BYTES = 16
-CLOCK_SET_BACK = "clock-set-back"  # reported like a state
+CLOCK_SET_BACK = "clock-set-back"  # reported in place of a state in an `EffectLogChange`
 
 
 class EffectLogState(StrEnum):
-    """Whether effects are persisted, with the words that operators see."""
+    """Whether effects are persisted. The values appear in logs and reports."""
 
-    OPENING = "opening"  # rows of earlier processes are not read yet: no effect may run
-    PERSISTING = "kept"  # effects are as durable as the operator asked
-    SLOW = "slow"  # they are not, in this state and the following ones
+    OPENING = "opening"  # rows of earlier processes are not read yet; effects are not persisted
+    PERSISTING = "kept"  # effects are as durable as configured
+    SLOW = "slow"  # in SLOW and the states below, effects count as not persisted
     FULL = "full"
     READ_ONLY = "read-only"
     FAILED = "failed"
-    REFUSED = "refused"  # the directory may not be used; not tried again by this process
+    REFUSED = "refused"  # this node may not use the directory; this process does not retry
 
 
 class EffectDecision(Enum):
-    """What becomes of a request with an effect."""
+    """How to proceed with a request that has an effect."""
 
     RUN = auto()
-    WAIT = auto()  # until it is persisted
-    REFUSE = auto()  # it has not run, and will not
+    WAIT = auto()  # until the request is persisted
+    REFUSE = auto()  # the request has not run and must not run
 
 
 @dataclass(frozen=True, slots=True)
 class RowUpdate:
-    """A row to be set or removed (`value` None); `expires_at` is Unix time in tenths of a ms."""
+    """A row to set, or to remove if `value` is None; `expires_at`: Unix time in tenths of a ms."""
 
     table: Table
     key: bytes
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginResult:
-    """Whether a request may run, and the row to be persisted before."""
+    """Whether a request may run, and the row to persist before it runs."""
 
     decision: EffectDecision
     update: RowUpdate | None = None
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredEffect:
-    """A request that an earlier process began; `result` None: how it ended is not known."""
+    """A request that an earlier process began; `result` is None if its outcome is unknown."""
 
     cache_key: CacheKey
     result: bytes | None
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectLogChange:
-    """A new state, or that the clock was set back; for the operator's log."""
+    """A change of state, or a clock that was set back (CLOCK_SET_BACK), to be logged."""
 
     state: str
     reason: str
@@ -87,19 +87,19 @@
 
 
 class EffectLog:
-    """State of the log and the requests that wait for the disk. Owned by the event loop.
+    """State of the effect log and the requests being persisted. Owned by the event loop.
 
     Attributes:
         allows_unpersisted: whether effects run while they cannot be persisted.
         state: whether effects are persisted.
-        reason: why it is in this state.
+        reason: why the log is in this state.
         changes: changes that the owner has not reported yet.
-        pending: requests on their way to the disk, bounded by those in flight.
-        unpersisted_count: effects begun without being persisted.
+        pending: requests being persisted, at most as many as are in flight.
+        unpersisted_count: number of effects that ran without being persisted.
     """
 
     def __init__(self, allows_unpersisted: bool) -> None:
-        """`allows_unpersisted`: see the attribute."""
+        """Creates a log in the state OPENING."""
         self.allows_unpersisted = allows_unpersisted
         self.state = EffectLogState.OPENING
         self.reason = ""
@@ -112,33 +112,36 @@
         """Whether a request with an effect may be accepted at all."""
         return self.allows_unpersisted or self.state is EffectLogState.PERSISTING
 
-    # The store
+    # Calls from the store
 
     def recover(self, rows: list[Record], wall: int) -> list[RecoveredEffect]:
-        """Returns the requests of earlier processes that are still valid at Unix time `wall`.
+        """Returns the requests of earlier processes that have not expired at Unix time `wall`.
 
-        A clock that was set back must not make an effect unknown that may have happened: its
-        retention goes on from the newest row.
+        Rows written after `wall` are accepted, because a clock that was set back must not hide an
+        effect that may have happened. The expiry of all rows is then moved back by the same time,
+        so that the retention continues from the newest row.
         """
         set_back = clock_set_back(rows, wall)
         if set_back:
-            reason = f"by {set_back // SECOND} s at least"
+            reason = f"by at least {set_back // SECOND} s"
             self.changes.append(EffectLogChange(CLOCK_SET_BACK, reason))
         found: dict[CacheKey, RecoveredEffect] = {}
-        for row in sorted(rows, key=lambda row: row.table):  # a result replaces the beginning
+        for row in sorted(rows, key=lambda row: row.table):  # RESULTS rows replace BEGAN rows
             effect = _decode_effect(row, row.expires_at - set_back)
             if effect is not None and effect.expires_at > wall:
                 found[effect.cache_key] = effect
-        self._change_state(EffectLogState.PERSISTING, f"{len(found)} effects of earlier lives")
+        self._change_state(
+            EffectLogState.PERSISTING, f"recovered {len(found)} effects of earlier processes"
+        )
         return list(found.values())
 
     def open_failed(self, reason: str, is_permanent: bool) -> None:
-        """The store could not be opened; `is_permanent`: it is not tried again."""
+        """Handles a store that could not be opened; if `is_permanent`, opening is not retried."""
         state = EffectLogState.REFUSED if is_permanent else EffectLogState.FAILED
         self._change_state(state, reason)
 
     def journal_mode_changed(self, mode: JournalMode, reason: str) -> None:
-        """The journal writes as asked again, or it does not."""
+        """Follows a change of the journal's mode."""
         is_normal = mode is JournalMode.NORMAL
         state = EffectLogState.PERSISTING if is_normal else EffectLogState(mode.value)
         self._change_state(state, reason)
@@ -149,10 +152,10 @@
             self.reason = reason
             self.changes.append(EffectLogChange(state, reason))
 
-    # A request
+    # Calls for a request
 
     def begin(self, cache_key: CacheKey, expires_at: int) -> BeginResult:
-        """Decides about a request that is about to run."""
+        """Decides whether a request may run now, must be persisted first, or is refused."""
         if self.state not in (EffectLogState.PERSISTING, EffectLogState.SLOW):
             return BeginResult(self._decide_unpersisted())
         self.pending[cache_key] = None
@@ -161,7 +164,7 @@
         return BeginResult(EffectDecision.WAIT, update)
 
     def persisted(self, cache_key: CacheKey, is_persisted: bool) -> EffectDecision:
-        """Decides about a request whose row was acknowledged, or was not persisted."""
+        """Decides whether a request may run, once the store has reported on its row."""
         self.pending.pop(cache_key, None)
         return EffectDecision.RUN if is_persisted else self._decide_unpersisted()
 
@@ -172,9 +175,9 @@
         return EffectDecision.RUN
 
     def finish(self, cache_key: CacheKey, result: bytes | None, expires_at: int) -> list[RowUpdate]:
-        """Returns the rows of a request that has ended.
+        """Returns the rows to write for a request that has ended.
 
-        Without a result the row of its beginning stays: it may have had its effect.
+        Without a result the BEGAN row stays, because the request may have had its effect.
         """
         if result is None:
             return []
@@ -186,13 +189,13 @@
         ]
 
     def cancel(self, cache_key: CacheKey) -> list[RowUpdate]:
-        """Returns the rows of a request that was persisted and never ran."""
+        """Returns the rows to write for a request that was persisted and never ran."""
         self.pending.pop(cache_key, None)
         return [RowUpdate(Table.BEGAN, row_key(cache_key), None)]
 
 
 def _decode_effect(row: Record, expires_at: int) -> RecoveredEffect | None:
-    """Returns None where the row is of another table, or was written by something else."""
+    """Returns None if the row is of another table or cannot be decoded."""
     value = row.value or b""
     try:
         match row.table:
--- a/lilacwalk/storage/journal.py
+++ b/lilacwalk/storage/journal.py
@@ -1,12 +1,14 @@
 """Decides when records are written, synced and acknowledged, and when files change. No I/O.
 
-The journal returns the next disk operation and is told how it ended. One operation is in progress
-at a time. Records that come meanwhile form the next batch, so that batches grow with the disk's
-latency (group commit); a batch waits no longer than `batch_delay` for more records.
-
-In the modes full, read-only and failed nothing is written and writers are told at once; the disk is
-tried again after a while. A failed write leaves a hole in the log, behind which recovery would not
-look: only a snapshot of all rows makes the files complete again, so it is written first.
+The journal returns the next disk operation, and the caller reports whether it succeeded. One
+operation is in progress at a time. Records that arrive meanwhile form the next batch, so that
+batches grow with the disk's latency (group commit). A batch waits at most `batch_delay` for more
+records.
+
+In the modes FULL, READ_ONLY and FAILED nothing is written and records are refused; after
+DISK_RETRY_DELAY the disk is tried again. A failed write leaves a gap in the log, and recovery does
+not read beyond a gap. Only a snapshot of all rows makes the files complete again, so the journal
+writes one before any further batch.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 from lilacwalk.storage.state import State
 from lilacwalk.storage.store_files import StoreFiles, number_in
 
-DISK_RETRY_DELAY = 5 * SECOND  # a full disk is seldom emptied sooner
+DISK_RETRY_DELAY = 5 * SECOND  # a full disk rarely gets free space sooner
 MODES_BY_ERRNO = {
     errno.ENOSPC: JournalMode.FULL,
     errno.EDQUOT: JournalMode.FULL,
@@ -43,10 +45,10 @@
 
 
 class Journal:
-    """The log's state: the batch, what is written and what is synced.
+    """State of the log: the batch, and the last records that are written and synced.
 
-    Owns the names of its files, and the rows (`state`) once the store has started. All times are
-    elapsed time in tenths of a ms, unless a name says otherwise.
+    Owns the list of files and, once the store has started, the rows (`state`). All times are
+    elapsed time in tenths of a ms, except those in rows, which are Unix time.
     """
 
     def __init__(
@@ -68,27 +70,27 @@
         self.mode_changes: list[ModeChange] = []
         self._mode_since = now
         self.files = StoreFiles(file_names, log_bytes)
-        # The batch and the records on their way
+        # The batch, and the records that are not persisted yet
         self.batch: list[bytes] = []
         self.batch_bytes = 0
         self.pending = AcknowledgementQueue()
-        self.written_sequence = next_sequence - 1  # the last record that the system has
-        self._synced_sequence = next_sequence - 1  # the last record that the disk has
+        self.written_sequence = next_sequence - 1  # last record passed to the operating system
+        self._synced_sequence = next_sequence - 1  # last record synced to the disk
         self._batch_deadline: int | None = None
         # The operation in progress
         self._operation: DiskOperation | None = None
         self._operation_since = now
-        self._appended_sequence = 0  # the last record in the append in progress
+        self._appended_sequence = 0  # last record of the append operation in progress
         self._has_unsynced = False
         self.snapshot: SnapshotWriter | None = None
-        self._has_hole = False  # in the log, after a failed write
+        self._has_log_gap = False  # a failed write left a gap in the log
 
     # Writers
 
     def append(self, write: WriteRequest, now: int) -> bool:
-        """Takes a record; its token is acknowledged once it is as durable as asked.
+        """Adds a record to the batch; its token is acknowledged once it is as durable as requested.
 
-        Returns False where it is not taken: then nothing of it is persisted, now or later.
+        Returns False if the record is refused: it is then never persisted.
         """
         if not self._accepts_records():
             return False
@@ -120,10 +122,10 @@
     def _expect_acknowledgement(self, sequence: int, token: object, now: int) -> None:
         if self.durability is Durability.NONE:
             self.pending.report(token, is_persisted=True)
-        elif self.mode is JournalMode.SLOW:  # it may still be written: not to be counted on
+        elif self.mode is JournalMode.SLOW:  # the disk may never write the record
             self.pending.report(token, is_persisted=False)
         else:
-            self.pending.expect(sequence, token, now)
+            self.pending.add(sequence, token, now)
 
     def take_acknowledgements(self) -> list[Acknowledgement]:
         """Returns the acknowledgements since the last call."""
@@ -137,14 +139,14 @@
     # The next operation
 
     def next_operation(self, now: int) -> DiskOperation | None:
-        """Returns the next operation, if none is in progress and there is one to do."""
+        """Returns the next operation, or None if one is in progress or nothing is due."""
         if self._operation is not None:
             return None
         if self.mode not in WRITABLE_MODES:
             if now - self._mode_since < DISK_RETRY_DELAY:
                 return None
-            self._change_mode(JournalMode.NORMAL, "tried again", now)
-            self.files.segment = ""  # nothing is appended to a file that may be half written
+            self._change_mode(JournalMode.NORMAL, "retrying the disk", now)
+            self.files.segment = ""  # the current file may end with a torn record
             self.snapshot = None
         self._operation = self._choose_operation(now)
         self._operation_since = now
@@ -153,7 +155,7 @@
     def _choose_operation(self, now: int) -> DiskOperation | None:
         if names := self.files.take_obsolete():
             return DiskOperation(OperationKind.DROP, names[0], names=names)
-        if self._has_hole:  # recovery would not look at what is written behind it
+        if self._has_log_gap:  # recovery would not read records beyond the gap
             return self._continue_snapshot()
         if self._is_batch_ready(now):
             return self._write_batch()
@@ -178,7 +180,7 @@
     def _write_batch(self) -> DiskOperation:
         files = self.files
         if not files.segment or files.segment_bytes >= self.limits.segment_bytes:
-            if self._has_unsynced and files.segment:  # no hole may stand before a new file
+            if self._has_unsynced and files.segment:  # a crash must leave no gap before a new file
                 return DiskOperation(OperationKind.SYNC, files.segment)
             first = self.next_sequence - len(self.batch)
             name = files.begin_segment(first)
@@ -193,15 +195,15 @@
         self.batch_bytes = 0
         self._batch_deadline = None
 
-    # Time
+    # Deadlines
 
     def next_deadline(self, now: int) -> int | None:
-        """Returns when the journal wants to be called next if no record comes; None: never."""
+        """Returns the time of the next call that is needed without a new record; None if never."""
         deadlines = []
         if self.mode not in WRITABLE_MODES:
             deadlines.append(self._mode_since + DISK_RETRY_DELAY)
         elif self._operation is None:
-            if self._has_work_at_once():
+            if self._has_immediate_work():
                 return now
             if self._batch_deadline is not None:
                 is_full = self.batch_bytes >= self.limits.batch_bytes
@@ -210,28 +212,28 @@
             deadlines.append(oldest_at + self.limits.slow_sync_time)
         return min(deadlines, default=None)
 
-    def _has_work_at_once(self) -> bool:
+    def _has_immediate_work(self) -> bool:
         return (
             self.snapshot is not None
             or bool(self.files.obsolete)
-            or self._has_hole
+            or self._has_log_gap
             or self._needs_sync()
             or self._is_snapshot_due()
         )
 
     def check_slow_operation(self, now: int) -> None:
-        """Fails all pending records once one of them waits too long for the disk."""
+        """Reports all pending records as not persisted once the oldest is older than the limit."""
         oldest_at = self.pending.oldest_at
         if oldest_at is None or now - oldest_at < self.limits.slow_sync_time:
             return
         operation = self._operation.kind.name.lower() if self._operation else "a batch"
-        self._change_mode(JournalMode.SLOW, f"{operation} has taken too long", now)
+        self._change_mode(JournalMode.SLOW, f"{operation} took too long", now)
         self.pending.fail_pending()
 
-    # The end of an operation
+    # Results of operations
 
     def operation_done(self, now: int) -> None:
-        """The operation in progress has succeeded."""
+        """Handles the success of the operation in progress."""
         operation, self._operation = self._operation, None
         assert operation is not None
         is_log = operation.name.startswith(LOG_PREFIX)
@@ -258,31 +260,31 @@
         self._has_unsynced = False
         is_fast = now - self._operation_since < self.limits.slow_sync_time // 2
         if self.mode is JournalMode.SLOW and is_fast:
-            self._change_mode(JournalMode.NORMAL, "a sync was in time again", now)
+            self._change_mode(JournalMode.NORMAL, "sync is fast again", now)
 
     def operation_failed(self, error_number: int, now: int) -> None:
-        """The operation in progress has failed with this errno.
+        """Handles the failure of the operation in progress with this errno.
 
-        Waiting writers are told. The batch is not persisted, also if part of it reached the disk:
-        its numbers are not used again, and the next file begins behind them.
+        Pending records are reported as not persisted, even if a part of the batch reached the disk.
+        Their sequence numbers are not reused; the next file begins after them.
         """
         operation, self._operation = self._operation, None
         assert operation is not None
         if operation.name.startswith(SNAPSHOT_PREFIX) and error_number not in MODES_BY_ERRNO:
-            # The log goes on without the snapshot, which is due again after as much log.
+            # The log continues. The next snapshot is due after `snapshot_after_bytes` more of log.
             self.snapshot = None
             self.mode_changes.append(
                 ModeChange(JournalMode.NORMAL, f"a snapshot failed: errno {error_number}")
             )
             return
         mode = MODES_BY_ERRNO.get(error_number, JournalMode.FAILED)
-        what = f"{operation.kind.name.lower()} of {operation.name}"
-        self._change_mode(mode, f"{what}: errno {error_number}", now)
+        operation_text = f"{operation.kind.name.lower()} of {operation.name}"
+        self._change_mode(mode, f"{operation_text}: errno {error_number}", now)
         self.pending.fail_pending()
         self._clear_batch()
         self.snapshot = None
         self._has_unsynced = False
-        self._has_hole = True
+        self._has_log_gap = True
 
     def _change_mode(self, mode: JournalMode, reason: str, now: int) -> None:
         if mode is not self.mode:
@@ -303,15 +305,15 @@
         return operation
 
     def _begin_snapshot(self) -> DiskOperation:
-        if self._has_hole:  # the state holds records up to the hole, the next file begins behind it
+        if self._has_log_gap:  # the rows include the lost records; the next file begins after them
             self.written_sequence = self.next_sequence - 1 - len(self.batch)
         self.snapshot = SnapshotWriter(self.state, self.written_sequence)
         self.files.begin_snapshot()
         return self.snapshot.first_operation()
 
     def _published(self, name: str) -> None:
-        if self._has_hole:
-            self._has_hole = False
+        if self._has_log_gap:
+            self._has_log_gap = False
             self._synced_sequence = number_in(name)
             self.files.segment = ""
         self.files.snapshot_published(name)
--- a/lilacwalk/storage/operations.py
+++ b/lilacwalk/storage/operations.py
@@ -1,6 +1,6 @@
-"""Records that pass between the journal, its host and the users of the store.
+"""Types that the journal, the store and the users of the store exchange.
 
-Those that are made for each row are structs, which cost less to make than dataclasses.
+Types created for each row are msgspec structs, which are cheaper to create than dataclasses.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 class Durability(Enum):
     """When a record counts as persisted."""
 
-    NONE = "none"  # when the journal has taken it
-    FLUSHED = "flushed"  # when the operating system has it: survives this process
-    SYNCED = "synced"  # when the disk has it: survives the machine
+    NONE = "none"  # once it is in the batch in memory
+    FLUSHED = "flushed"  # once the operating system has it; survives a crash of the process
+    SYNCED = "synced"  # once it is synced to the disk; survives a crash of the machine
 
 
 class JournalMode(StrEnum):
-    """Health of the journal, with the words that operators see."""
+    """Whether the journal can persist records. The values appear in logs and reports."""
 
-    NORMAL = "usual"  # records are acknowledged once they are as durable as asked
-    SLOW = "slow"  # a sync takes too long: writers are told so at once, writing goes on
-    FULL = "full"  # nothing is written in this mode and the following ones
+    NORMAL = "usual"  # records are acknowledged once they are as durable as requested
+    SLOW = "slow"  # records are written, but acknowledged at once as not persisted
+    FULL = "full"  # nothing is written in the modes FULL, READ_ONLY and FAILED
     READ_ONLY = "read-only"
     FAILED = "failed"
 
 
 class OperationKind(Enum):
-    """What is done to a file; operators see the names in lower case."""
+    """Kind of an operation on a file. Logs show the names in lower case."""
 
-    BEGIN = auto()  # create a file with these first bytes
+    BEGIN = auto()  # create a file that holds `data`
     APPEND = auto()
     SYNC = auto()
-    PUBLISH = auto()  # sync a snapshot and give it its name
-    DROP = auto()  # remove these files
+    PUBLISH = auto()  # sync a snapshot and rename it to its final name
+    DROP = auto()  # remove the files in `names`
 
 
 @dataclass(frozen=True, slots=True)
 class DiskOperation:
-    """One operation that the journal asks of the disk; `names` only where files are removed."""
+    """An operation that the journal requests; `names` is used by DROP only."""
 
     kind: OperationKind
     name: str
@@ -55,19 +55,19 @@
 class JournalLimits:
     """Limits of a journal; times in tenths of a ms, sizes in bytes."""
 
-    batch_delay: int = 20  # for which a batch waits for more records
+    batch_delay: int = 20  # how long a batch waits for more records
     batch_bytes: int = 262_144
     segment_bytes: int = 16_000_000
-    snapshot_after_bytes: int = 64_000_000  # of log since the last snapshot
+    snapshot_after_bytes: int = 64_000_000  # size of log written since the last snapshot
     max_disk_bytes: int = 512_000_000
     slow_sync_time: int = 2 * SECOND
-    max_pending: int = 100_000  # records not acknowledged yet
+    max_pending: int = 100_000  # records that are not acknowledged yet
 
 
 class WriteRequest(msgspec.Struct, frozen=True):
-    """A row to be set or removed; see `records.Record`.
+    """A row to set or remove; see `records.Record`.
 
-    `token` comes back in the acknowledgement; without one there is none.
+    The acknowledgement returns `token`. A record whose `token` is None is not acknowledged.
     """
 
     table: int
@@ -79,7 +79,7 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True):
-    """Whether the record written with this token is as durable as asked."""
+    """Whether the record written with this token is as durable as requested."""
 
     token: object
     is_persisted: bool
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModeChange:
-    """The journal changed its mode."""
+    """A change of the journal's mode, or a failed snapshot, with the reason."""
 
     mode: JournalMode
     reason: str
--- a/lilacwalk/storage/ownership.py
+++ b/lilacwalk/storage/ownership.py
@@ -1,4 +1,4 @@
-"""Decides whose directory a store is, by the bytes of its owner file and the names beside it."""
+"""Decides whether a node may use a store directory, from its owner file and file names. No I/O."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class OwnershipError(LilacwalkError):
-    """This process may not use the directory; it is no failure of the disk.
+    """This process may not use the directory. It is not a disk error.
 
     Attributes:
         path: the directory.
-        reason: why it may not be used.
+        reason: why this process may not use it.
     """
 
     def __init__(self, path: object, reason: str) -> None:
-        """The message is both, one behind the other."""
+        """The message is the path followed by the reason."""
         super().__init__(f"{path} {reason}")
         self.path = path
         self.reason = reason
@@ -35,27 +35,27 @@
 
 
 def encode_owner(node: str) -> bytes:
-    """Returns the owner file of this node."""
+    """Returns the content of the owner file for this node."""
     return msgspec.json.encode(Owner(node, FORMAT_VERSION))
 
 
 def refusal_reason(owner_bytes: bytes | None, node: str, other_names: list[str]) -> str:
-    """Returns why the directory may not be used; empty where it may.
+    """Returns why the node may not use the directory; empty if it may.
 
     Args:
-        owner_bytes: content of the owner file; None: there is none.
-        node: name of the node that wants to use it.
-        other_names: what else stands in the directory.
+        owner_bytes: content of the owner file; None if the file does not exist.
+        node: name of the node that opens the directory.
+        other_names: names of the other files in the directory.
     """
     if owner_bytes is None:
         foreign = [name for name in other_names if not name.startswith(STORE_FILE_PREFIXES)]
-        return f"holds {foreign[0]}, which is none of ours" if foreign else ""
+        return f"holds {foreign[0]}, which is not a store file" if foreign else ""
     try:
         owner = msgspec.json.decode(owner_bytes, type=Owner)
     except msgspec.MsgspecError:
-        return "its owner file cannot be read"
+        return "has an owner file that cannot be decoded"
     if owner.node != node:
-        return f"is of node {owner.node}, this is {node}"
+        return f"belongs to node {owner.node}, this is node {node}"
     if owner.format > FORMAT_VERSION:
-        return f"has format {owner.format}, this program knows up to {FORMAT_VERSION}"
+        return f"has format {owner.format}, this program supports up to {FORMAT_VERSION}"
     return ""
--- a/lilacwalk/storage/records.py
+++ b/lilacwalk/storage/records.py
@@ -1,8 +1,8 @@
 """Codec of records and of the files that hold them.
 
-Each record carries its length, its checksum and its sequence number, so that one that is torn,
-corrupted, duplicated, missing or out of order is told from one that was never written. Decoding is
-total over any bytes.
+Each record has a length, a checksum and a sequence number, so that a torn, corrupted, duplicated,
+missing or reordered record is distinguished from one that was never written. Decoding accepts any
+bytes: invalid bytes are reported as a fault.
 """
 
 from __future__ import annotations
@@ -15,73 +15,81 @@
 
 from lilacwalk.errors import LilacwalkError
 
-FORMAT_VERSION = 2  # version 1 had no expiry in a record, see `_migrate_version_1`
+FORMAT_VERSION = 2  # records of version 1 have no expiry, see `_migrate_version_1`
 MAGIC = b"lwlog1"
 HEADER = struct.Struct("!6sHQI")  # magic, version, sequence number of the first record, checksum
-CHECKSUM_BYTES = 4  # of the header, at its end
-FRAME = struct.Struct("!II")  # length of the payload behind the frame, its checksum
+CHECKSUM_BYTES = 4  # the header ends with its checksum
+FRAME = struct.Struct("!II")  # length of the payload that follows, checksum of the payload
 SEQUENCE = struct.Struct("!Q")
-MAX_RECORD_BYTES = 1_048_576  # two hundred times the longest result
-VERSION_1_RETENTION = 24 * 3600 * 10_000  # tenths of a ms: the longest window in use then
+MAX_RECORD_BYTES = 1_048_576  # 200 times the longest result
+# In tenths of a ms: the longest deduplication window that version 1 had.
+VERSION_1_RETENTION = 24 * 3600 * 10_000
+
+# Texts of `RecordError.fault`
+TORN = "torn record"
+CHECKSUM_MISMATCH = "checksum mismatch"
+UNDECODABLE = "payload is not a record"
+DUPLICATED = "duplicated record"
+MISSING = "missing record"
 
 
 class FileFormatError(LilacwalkError):
-    """A file whose header this program cannot use."""
+    """A file has a header that this program cannot use."""
 
 
 class IncompleteHeaderError(FileFormatError):
     """The file ends before its header does."""
 
     def __init__(self) -> None:
-        """The message says what is missing."""
-        super().__init__("no whole header")
+        """The message names the problem."""
+        super().__init__("file ends before its header is complete")
 
 
 class InvalidHeaderError(FileFormatError):
-    """The file was written by something else, or its header is corrupted."""
+    """The file was written by another program, or its header is corrupted."""
 
     def __init__(self) -> None:
-        """The message says what was expected."""
-        super().__init__("no header of ours")
+        """The message names the problem."""
+        super().__init__("magic bytes or checksum of the header are wrong")
 
 
 class UnsupportedVersionError(FileFormatError):
-    """The file is of a later version than this program.
+    """The file has a later format version than this program supports.
 
     Attributes:
-        version: the file's version.
+        version: format version of the file.
     """
 
     def __init__(self, version: int) -> None:
-        """`version`: the file's version."""
-        super().__init__(f"format {version}, this program knows up to {FORMAT_VERSION}")
+        """`version`: format version of the file."""
+        super().__init__(f"format {version}, this program supports up to {FORMAT_VERSION}")
         self.version = version
 
 
 class RecordError(LilacwalkError):
-    """A record that cannot be read or is not the one expected.
+    """A record that cannot be decoded or has an unexpected sequence number.
 
     Attributes:
-        fault: what is wrong with it.
+        fault: description of the problem.
     """
 
     def __init__(self, fault: str) -> None:
-        """`fault`: what is wrong with the record."""
+        """`fault`: description of the problem."""
         super().__init__(fault)
         self.fault = fault
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Sets a key of a table, or removes it (`value` None); applying it twice changes nothing more.
+    """Sets a row of a table, or removes it if `value` is None. Applying it is idempotent.
 
     Attributes:
-        sequence: the record's number in the log.
+        sequence: sequence number of the record in the log.
         table: number of the table, see `state.Table`.
         key: key of the row.
         value: value of the row, None to remove it.
-        expires_at: Unix time in tenths of a ms from which the row is not valid; 0: never.
-        written_at: Unix time in tenths of a ms.
+        expires_at: Unix time in tenths of a ms at which the row expires; 0 if it never does.
+        written_at: Unix time of the write in tenths of a ms.
     """
 
     sequence: int
@@ -102,12 +110,12 @@
 
 @dataclass(slots=True)
 class ReadResult:
-    """What was read from a file.
+    """Result of reading a file.
 
     Attributes:
-        records: the valid records, in their order.
-        valid_bytes: length of the file's valid beginning.
-        fault: what stopped the reading; empty at the end of the file.
+        records: the valid records, in file order.
+        valid_bytes: length of the valid part at the start of the file.
+        fault: why reading stopped; empty if it reached the end of the file.
     """
 
     records: list[Record] = field(default_factory=list)
@@ -146,14 +154,14 @@
 
 
 def read_records(data: bytes, expected: int | None) -> ReadResult:
-    """Reads all records behind a header, up to the first invalid one.
+    """Reads all records after the header, up to the first invalid one.
 
-    What stands behind an invalid record may depend on it and is not read.
+    Records after an invalid one are not read, because they may depend on it.
 
     Args:
         data: the whole file.
-        expected: sequence number of the first record, from which they go on without a gap;
-            None for any numbers, as in a snapshot.
+        expected: sequence number of the first record, from which the numbers must be consecutive;
+            None accepts any numbers, as in a snapshot.
     """
     result = ReadResult()
     try:
@@ -193,33 +201,33 @@
         RecordError: the frame or its payload is incomplete or corrupted.
     """
     if len(data) - offset < FRAME.size:
-        raise RecordError("torn")
+        raise RecordError(TORN)
     size, checksum = FRAME.unpack_from(data, offset)
     if not SEQUENCE.size < size <= MAX_RECORD_BYTES:
-        fault = f"a length of {size}"
+        fault = f"invalid record length {size}"
         raise RecordError(fault)
     payload = data[offset + FRAME.size : offset + FRAME.size + size]
     if len(payload) < size:
-        raise RecordError("torn")
+        raise RecordError(TORN)
     if zlib.crc32(payload) != checksum:
-        raise RecordError("checksum")
+        raise RecordError(CHECKSUM_MISMATCH)
     return payload
 
 
 def _decode_record(payload: bytes, version: int) -> Record:
-    """Returns the record in a payload whose checksum holds.
+    """Returns the record in a payload whose checksum was verified.
 
     Raises:
-        RecordError: the payload is no record; it was written by something else.
+        RecordError: the payload is not a record, so another program wrote it.
     """
     try:
         row = msgspec.msgpack.decode(payload[SEQUENCE.size :])
     except msgspec.DecodeError as error:
-        raise RecordError("unreadable") from error
+        raise RecordError(UNDECODABLE) from error
     if version == 1:
         row = _migrate_version_1(row)
     if type(row) is not list or len(row) != 5:
-        raise RecordError("unreadable")
+        raise RecordError(UNDECODABLE)
     table, key, value, expires_at, written_at = row
     if not (
         type(table) is int
@@ -228,16 +236,16 @@
         and type(expires_at) is int
         and type(written_at) is int
     ):
-        raise RecordError("unreadable")
+        raise RecordError(UNDECODABLE)
     (sequence,) = SEQUENCE.unpack(payload[: SEQUENCE.size])
     return Record(sequence, table, key, value, expires_at, written_at)
 
 
 def _check_sequence(record: Record, expected: int) -> None:
     if record.sequence < expected:
-        raise RecordError("doubled")
+        raise RecordError(DUPLICATED)
     if record.sequence > expected:
-        raise RecordError("missing")
+        raise RecordError(MISSING)
 
 
 def _migrate_version_1(row: object) -> object:
--- a/lilacwalk/storage/recovery.py
+++ b/lilacwalk/storage/recovery.py
@@ -1,11 +1,11 @@
 """Decides which bytes of a store's files are valid after a crash. No I/O.
 
-The newest complete snapshot is loaded, then the log behind it replayed without a gap, up to the
-first record that is torn, corrupted, duplicated or missing. What stands behind that is cut off and
-reported, never guessed.
+Recovery loads the newest complete snapshot, then replays the log from there up to the first record
+that is torn, corrupted, duplicated or missing. The rest is truncated or quarantined, and reported.
 
-Recovery always ends: it reads each file once and writes nothing. The truncations are for the host
-to make; making them twice does no harm, so that a crash during recovery only starts it anew.
+Recovery terminates on any input: it reads each file once and writes nothing. The caller truncates
+and quarantines files. Doing so twice has no further effect, so recovery can be repeated after a
+crash.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 LOG_PREFIX = "log-"
 SNAPSHOT_PREFIX = "snap-"
 SEQUENCE_DIGITS = 20
-SNAPSHOT_END_TABLE = 0  # the last record of a snapshot: its value is the count of the others
+SNAPSHOT_END_TABLE = 0  # table of the last record of a snapshot, whose value is the number of rows
 
 
 class FileReader(Protocol):
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncation:
-    """A file that ends after so many bytes from now on."""
+    """A file that the caller must truncate to `size` bytes."""
 
     name: str
     size: int
@@ -40,17 +40,17 @@
 
 @dataclass(slots=True)
 class RecoveryResult:
-    """What recovery found.
+    """Result of a recovery.
 
     Attributes:
         state: the rows.
-        snapshot: name of the snapshot that was loaded; empty: none.
+        snapshot: name of the snapshot that was loaded; empty if none was.
         next_sequence: sequence number of the next record.
-        log_bytes: valid bytes of the log files.
-        is_complete: whether nothing that was written is cut off or missing.
-        warnings: what was cut off, missing or passed over, for the operator.
-        truncations: files with an invalid end.
-        quarantined: files that nothing leads to any more.
+        log_bytes: total size of the valid parts of the log files that were replayed.
+        is_complete: whether no written data was truncated, skipped or missing.
+        warnings: data that was truncated, missing or skipped, for the operator.
+        truncations: files to truncate, because they end with invalid records.
+        quarantined: log files to quarantine, because records before them are missing.
     """
 
     state: State = field(default_factory=State)
@@ -69,7 +69,7 @@
 
 
 def sequence_of(name: str) -> int | None:
-    """Returns the sequence number in a file's name; None where it is no log file or snapshot."""
+    """Returns the sequence number in a file's name; None for other files."""
     for prefix in (LOG_PREFIX, SNAPSHOT_PREFIX):
         digits = name.removeprefix(prefix)
         if digits != name:
@@ -80,7 +80,7 @@
 def recover(names: list[str], read_file: FileReader) -> RecoveryResult:
     """Recovers the rows from these files.
 
-    `read_file` may raise OSError: that file then counts as missing, and is reported.
+    If `read_file` raises OSError, the file is treated as missing and a warning reports it.
     """
     result = RecoveryResult()
     known = [name for name in names if sequence_of(name) is not None]
@@ -101,15 +101,18 @@
         data = read_file(name)
         sequence = decode_header(data).first_sequence
     except (OSError, FileFormatError) as error:
-        result.warnings.append(f"{name}: {error}: passed over")
+        result.warnings.append(f"{name}: {error}: skipped")
         return False
     content = read_records(data, None)
     if content.fault or not _has_end(content):
-        result.warnings.append(f"{name}: {content.fault or 'without its end'}: passed over")
+        result.warnings.append(
+            f"{name}: {content.fault or 'end record is missing or wrong'}: skipped"
+        )
         return False
     for record in content.records[:-1]:
-        # A row that changed while the snapshot was written has a later number than the snapshot:
-        # the log that is replayed over it may end before that, and the number be used again.
+        # A row that changed while the snapshot was written has a later number than the snapshot.
+        # If the log ends before that number, the number is reused, and the record with it would
+        # not replace the row. So the row gets the number of the snapshot.
         row = record if record.sequence <= sequence else replace(record, sequence=sequence)
         result.state.rows[record.table, record.key] = row
     result.state.last_sequence = sequence
@@ -118,7 +121,7 @@
 
 
 def _has_end(content: ReadResult) -> bool:
-    """Whether the last record of a snapshot is its end and counts the others."""
+    """Whether a snapshot ends with an end record that holds the right number of rows."""
     if not content.records:
         return False
     end = content.records[-1]
@@ -126,28 +129,28 @@
 
 
 def _replay_logs(result: RecoveryResult, logs: list[str], read_file: FileReader) -> None:
-    """Replays the log files behind the snapshot, up to the first gap; quarantines the rest."""
+    """Replays the log files after the snapshot up to the first gap; quarantines the rest."""
     expected = result.next_sequence
     has_replayed = False
     for index, name in enumerate(logs):
         first = sequence_of(name) or 0
         following = sequence_of(logs[index + 1]) if index + 1 < len(logs) else None
         if following is not None and following <= expected:
-            continue  # all of it is in the snapshot
+            continue  # the snapshot holds all records of this file
         if not has_replayed and first > expected:
             result.warnings.append(
-                f"{name}: records {expected} to {first - 1} are missing before it"
+                f"{name}: records {expected} to {first - 1} are missing before this file"
             )
             _quarantine(result, logs[index:])
             return
-        is_whole = _replay_log(result, name, first, read_file)
+        has_reached_end = _replay_log(result, name, first, read_file)
         has_replayed = True
-        if following == result.next_sequence or (is_whole and following is None):
-            continue  # nothing is missing between this file and the next
-        if is_whole:
+        if following == result.next_sequence or (has_reached_end and following is None):
+            continue  # no record is missing before the next file
+        if has_reached_end:
             result.warnings.append(
                 f"{name}: ends with record {result.next_sequence - 1}, "
-                f"the next begins with {following}"
+                f"the next file begins with {following}"
             )
         _quarantine(result, logs[index + 1 :])
         return
@@ -159,7 +162,7 @@
 
 
 def _replay_log(result: RecoveryResult, name: str, first: int, read_file: FileReader) -> bool:
-    """Returns False where the log ends in this file, before the file's end."""
+    """Replays a log file; returns False if it could not be read to its end."""
     try:
         data = read_file(name)
     except OSError as error:
@@ -173,9 +176,10 @@
     result.log_bytes += content.valid_bytes
     if not content.fault:
         return True
-    lost = len(data) - content.valid_bytes
+    truncated_bytes = len(data) - content.valid_bytes
     result.warnings.append(
-        f"{name}: {content.fault} behind record {result.next_sequence - 1}, {lost} bytes cut off"
+        f"{name}: {content.fault} after record {result.next_sequence - 1}, "
+        f"{truncated_bytes} bytes truncated"
     )
     result.truncations.append(Truncation(name, content.valid_bytes))
     return False
--- a/lilacwalk/storage/snapshot_writer.py
+++ b/lilacwalk/storage/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes one snapshot, a slice of rows at a time. No I/O: it returns disk operations."""
+"""Produces the disk operations that write one snapshot, a slice of rows at a time. No I/O."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from lilacwalk.storage.recovery import SNAPSHOT_END_TABLE, SNAPSHOT_PREFIX, file_name
 from lilacwalk.storage.state import State
 
-ROWS_PER_OPERATION = 2_000  # some milliseconds of work between two looks at the batch
+ROWS_PER_OPERATION = 2_000  # a few milliseconds of work, during which no batch is written
 
 
 class SnapshotWriter:
-    """A snapshot under way. Owned by the journal.
+    """A snapshot being written. Owned by the journal.
 
-    Rows that change meanwhile are copied as they are when their slice is written; the log is
-    replayed over them.
+    A row that changes during the snapshot is copied as it is when its slice is written. Recovery
+    replays the log over the snapshot, so that it ends with the newest value.
     """
 
     def __init__(self, state: State, sequence: int) -> None:
-        """`sequence`: number of the last record that the snapshot is sure to hold."""
+        """`sequence`: number of the last record that the snapshot is guaranteed to include."""
         self.file_name = file_name(SNAPSHOT_PREFIX, sequence)
         self._state = state
         self._sequence = sequence
--- a/lilacwalk/storage/state.py
+++ b/lilacwalk/storage/state.py
@@ -1,7 +1,7 @@
-"""The rows that the records add up to: the last value of each key, and how long it is valid.
+"""The rows that result from the records: the last value of each key, and its expiry.
 
-Records set or remove a row and change nothing more when applied twice. A snapshot may therefore be
-written while new records come, and the log be replayed over it.
+Applying a record is idempotent. A snapshot may therefore be written while new records arrive, and
+the log replayed over it.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from lilacwalk.storage.records import Record
 
-MAX_CLOCK_SKEW = 600_000  # tenths of a ms: a minute between clocks synchronised over the network
+MAX_CLOCK_SKEW = 600_000  # tenths of a ms; one minute between clocks synchronised over the network
 
 
 class Table(IntEnum):
-    """Numbers of the tables on disk; operators see the names in lower case."""
+    """Numbers of the tables in stored records. Reports show the names in lower case."""
 
     KEYS = 1  # idempotency keys
-    BEGAN = 2  # requests with an effect that are about to run, or did
+    BEGAN = 2  # requests with an effect that may have run
     RESULTS = 3  # results of such requests
     SESSIONS = 4  # device sessions with their unacknowledged answers
     LEARNED = 5  # execution times, call times, admission probability and its integral
     LINKS = 6  # link estimates of devices
     DAMPING = 7  # flap damping of this node's announcements
-    FLEET = 8  # this node's incarnation and the members known last
+    FLEET = 8  # this node's incarnation and the last known members
     SITES = 9  # how often each site failed, and how long its recovery is still delayed
 
 
@@ -32,18 +32,19 @@
     """All rows in memory. Owned by the journal's thread once the store has started."""
 
     def __init__(self) -> None:
-        """Starts without a row."""
+        """Creates an empty state."""
         self.rows: dict[tuple[int, bytes], Record] = {}
-        self.last_sequence = 0  # of the last record applied
+        self.last_sequence = 0  # sequence number of the last record applied
 
     def __len__(self) -> int:
         """Returns the number of rows, expired ones included."""
         return len(self.rows)
 
     def apply(self, record: Record) -> None:
-        """Applies a record, unless the row is newer.
+        """Applies a record, unless the row is from a newer one.
 
-        A snapshot that was made while the log went on may hold a later record than the log.
+        A snapshot may hold a later record than the log position that is being replayed, because
+        records were written during the snapshot.
         """
         name = record.table, record.key
         current = self.rows.get(name)
@@ -72,7 +73,7 @@
                 yield row
 
     def expired_keys(self, now: int, limit: int) -> list[tuple[int, bytes]]:
-        """Returns up to `limit` expired (table, key), to be removed by records of their own."""
+        """Returns the (table, key) of up to `limit` expired rows, which the caller must remove."""
         expired = []
         for name, row in self.rows.items():
             if _is_expired(row, now):
@@ -87,15 +88,15 @@
 
 
 def age_weight(record: Record, now: int, half_life: int) -> float:
-    """Returns how much of a learned value still counts: 1 at once, 0.5 after its half-life."""
+    """Returns the weight of a learned value: 1 when written, 0.5 after one half-life."""
     return 2.0 ** (-max(0, now - record.written_at) / half_life)
 
 
 def clock_set_back(rows: Iterable[Record], now: int) -> int:
-    """Returns by how much the clock stands before the newest row, in tenths of a ms.
+    """Returns by how much the clock is behind the newest row, in tenths of a ms.
 
-    0 within the clock skew. The time between the two processes is not known, so that the clock may
-    have been set back by more.
+    Returns 0 if the difference is within the clock skew. The time between the two processes is not
+    known, so the clock may have been set back further.
     """
     newest = max((row.written_at for row in rows), default=0)
     return newest - now if newest > now + MAX_CLOCK_SKEW else 0
--- a/lilacwalk/storage/store.py
+++ b/lilacwalk/storage/store.py
@@ -1,7 +1,7 @@
-"""The store's host: one thread that carries out the journal's operations on the disk.
+"""The store: one thread that performs the journal's operations on the disk.
 
-Writers put requests onto its queue and never wait; whether a record is persisted is reported by a
-callback in the store's thread.
+Writers put write requests into the thread's queue and never wait. A callback in the store's thread
+reports whether a record is persisted.
 """
 
 from __future__ import annotations
@@ -28,39 +28,40 @@
 from lilacwalk.storage.recovery import SNAPSHOT_PREFIX, RecoveryResult, recover
 
 log = logging.getLogger(__name__)
-EXPIRY_INTERVAL = 10 * SECOND  # between two scans of all rows: ten thousand take a millisecond
-EXPIRED_ROWS_AT_ONCE = 500  # other work comes between
+# Between two scans of all rows. A scan of 10,000 rows takes a millisecond.
+EXPIRY_INTERVAL = 10 * SECOND
+EXPIRED_ROWS_AT_ONCE = 500  # the limit lets other work run between two removals
 CLOSE_TIMEOUT = 2.0  # seconds
 NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
 
 class PersistedCallback(Protocol):
-    """Told whether the record with this token is as durable as asked."""
+    """Receives whether the record with this token is as durable as requested."""
 
     def __call__(self, token: object, is_persisted: bool, /) -> None:
-        """Runs in the store's thread."""
+        """Handles the report. Called in the store's thread."""
         ...
 
 
 class ModeCallback(Protocol):
-    """Told that the journal has changed its mode, and why."""
+    """Receives changes of the journal's mode, with the reason."""
 
     def __call__(self, mode: JournalMode, reason: str, /) -> None:
-        """Runs in the store's thread."""
+        """Handles the report. Called in the store's thread."""
         ...
 
 
 def ignore_persisted(_token: object, _is_persisted: bool, /) -> None:
-    """The callback of who does not ask what becomes of its records."""
+    """Ignores whether records are persisted."""
 
 
 def ignore_mode(_mode: JournalMode, _reason: str, /) -> None:
-    """The callback of who does not ask for the journal's mode."""
+    """Ignores changes of the journal's mode."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenedJournal:
-    """A journal, and what recovery found."""
+    """A journal and the result of its recovery."""
 
     journal: Journal
     recovered: RecoveryResult
@@ -69,7 +70,7 @@
 def open_journal(
     disk: Disk, durability: Durability, limits: JournalLimits, now: int
 ) -> OpenedJournal:
-    """Recovers the rows, repairs the files as recovery asks, and continues the log.
+    """Recovers the rows, truncates and quarantines damaged files, and continues the log.
 
     Raises:
         OSError: the disk cannot be read or written.
@@ -81,7 +82,7 @@
         disk.truncate(truncation.name, truncation.size)
     for name in disk.list_files():
         if name.endswith(PARTIAL_SUFFIX):
-            disk.remove(name)  # a snapshot that was never completed
+            disk.remove(name)  # a file that was never completed
     journal = Journal(
         recovered.state,
         recovered.next_sequence,
@@ -95,7 +96,7 @@
 
 
 def perform(disk: Disk, operation: DiskOperation) -> None:
-    """Carries out an operation of the journal. Raises OSError."""
+    """Performs an operation of the journal. Raises OSError."""
     is_snapshot = operation.name.startswith(SNAPSHOT_PREFIX)
     name = operation.name + PARTIAL_SUFFIX if is_snapshot else operation.name
     match operation.kind:
@@ -113,7 +114,7 @@
 
 
 class Store:
-    """Rows that survive this process, and the thread that writes them.
+    """Rows that survive a crash of the process, and the thread that writes them.
 
     The thread `storage` owns the journal and the disk from `start` on; `close` joins it.
     """
@@ -145,7 +146,7 @@
             log.warning({"event": "storage_recovered", "detail": warning})
         self.thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self.has_failed = False
-        self._write_queue: SimpleQueue[WriteRequest | None] = SimpleQueue()  # None: close
+        self._write_queue: SimpleQueue[WriteRequest | None] = SimpleQueue()  # None closes the store
         self._is_closing = False
         self._next_expiry = self.now() + EXPIRY_INTERVAL
 
@@ -166,22 +167,22 @@
         written_at: int = 0,
         token: object = None,
     ) -> None:
-        """Sets a row, or removes it (`value` None); any thread may call this.
+        """Sets a row, or removes it if `value` is None. Any thread may call this.
 
-        `expires_at`, `written_at`: Unix time in tenths of a ms. A token that is not None comes back
-        by `on_persisted`.
+        `expires_at`, `written_at`: Unix time in tenths of a ms. If `token` is not None,
+        `on_persisted` is called with it.
         """
         self._write_queue.put(WriteRequest(table, key, value, expires_at, written_at, token))
 
     def close(self, timeout: float = CLOSE_TIMEOUT) -> None:
-        """Writes what was put before and joins the thread.
+        """Writes all queued records and joins the thread.
 
-        A disk that hangs is not waited for longer than `timeout` seconds.
+        Returns after `timeout` seconds even if the disk hangs.
         """
         self._write_queue.put(None)
         self.thread.join(timeout)
 
-    # The store's thread
+    # Methods of the store's thread
 
     def _run(self) -> None:
         try:
@@ -192,13 +193,13 @@
             log.exception("event=storage_failed")
 
     def _run_once(self) -> bool:
-        """Takes new records, does one operation and reports; False: closed and all is written."""
+        """Takes records, performs one operation and reports; returns False when closed and done."""
         journal = self.journal
-        self._take_writes(0.0 if self._is_closing else self._time_to_wait())
+        self._take_writes(0.0 if self._is_closing else self._wait_timeout())
         journal.check_slow_operation(self.now())
-        # Once closing, a batch waits for no more records.
-        patience = journal.limits.batch_delay if self._is_closing else 0
-        operation = journal.next_operation(self.now() + patience)
+        # Once the store is closing, a batch is written without waiting for more records.
+        batch_wait_skipped = journal.limits.batch_delay if self._is_closing else 0
+        operation = journal.next_operation(self.now() + batch_wait_skipped)
         if operation is not None:
             self._perform(operation)
         for acknowledgement in journal.take_acknowledgements():
@@ -209,20 +210,20 @@
         self._remove_expired_rows()
         return not self._is_closing or operation is not None
 
-    def _time_to_wait(self) -> float | None:
-        """Returns seconds until the journal wants to be called; None: until a record comes."""
+    def _wait_timeout(self) -> float | None:
+        """Returns the seconds until the journal's next deadline; None if it has no deadline."""
         deadline = self.journal.next_deadline(self.now())
         return None if deadline is None else max(0, deadline - self.now()) / SECOND
 
     def _take_writes(self, wait: float | None) -> None:
-        """Hands queued records to the journal, up to a full batch."""
+        """Passes queued records to the journal, up to a full batch."""
         journal = self.journal
         should_block = wait is None or wait > 0
         try:
             write = self._write_queue.get(block=should_block, timeout=wait)
             while write is not None:
-                is_taken = journal.append(write, self.now())
-                if not is_taken and write.token is not None:
+                is_accepted = journal.append(write, self.now())
+                if not is_accepted and write.token is not None:
                     self.on_persisted(write.token, False)
                 if journal.batch_bytes >= journal.limits.batch_bytes:
                     return
@@ -240,12 +241,12 @@
             self.journal.operation_done(self.now())
 
     def _remove_expired_rows(self) -> None:
-        """Removes expired rows by records of their own, some at a time."""
+        """Removes expired rows, at most EXPIRED_ROWS_AT_ONCE per call, by writing records."""
         if self.now() < self._next_expiry:
             return
         wall = self.wall_clock() // NANOSECONDS_PER_TICK
         expired = self.journal.state.expired_keys(wall, EXPIRED_ROWS_AT_ONCE)
-        is_last = len(expired) < EXPIRED_ROWS_AT_ONCE
-        self._next_expiry = self.now() + (EXPIRY_INTERVAL if is_last else 0)
+        is_scan_complete = len(expired) < EXPIRED_ROWS_AT_ONCE
+        self._next_expiry = self.now() + (EXPIRY_INTERVAL if is_scan_complete else 0)
         for table, key in expired:
             self.journal.append(WriteRequest(table, key, None, 0, wall), self.now())
--- a/lilacwalk/storage/store_files.py
+++ b/lilacwalk/storage/store_files.py
@@ -4,25 +4,25 @@
 
 from lilacwalk.storage.recovery import LOG_PREFIX, SNAPSHOT_PREFIX, file_name
 
-SNAPSHOTS_KEPT = 2  # the newest, and the one before should the newest turn out damaged
+SNAPSHOTS_KEPT = 2  # the newest, and the previous one in case the newest is damaged
 
 
 class StoreFiles:
     """The log files and snapshots of a store. Owned by the journal; sizes in bytes.
 
     Attributes:
-        logs: names of the log files, in their order.
+        logs: names of the log files, by sequence number.
         snapshots: names of the published snapshots.
-        obsolete: files to be removed.
-        segment: the log file that is appended to; empty: the next batch creates one.
-        segment_bytes: its size.
-        log_bytes: size of all log files.
-        snapshot_bytes: size of the newest snapshot, also while it is being written.
-        bytes_since_snapshot: of log, since the newest snapshot was begun.
+        obsolete: names of files to remove.
+        segment: name of the log file being appended to; if empty, the next batch creates one.
+        segment_bytes: size of that log file.
+        log_bytes: total size of all log files.
+        snapshot_bytes: size of the newest snapshot, or of what is written so far of it.
+        bytes_since_snapshot: size of log written since the newest snapshot was begun.
     """
 
     def __init__(self, names: list[str], log_bytes: int) -> None:
-        """Continues with the files that recovery found."""
+        """`names` and `log_bytes`: files in the directory, and size of the logs after recovery."""
         self.logs = [name for name in names if name.startswith(LOG_PREFIX)]
         self.snapshots = [name for name in names if name.startswith(SNAPSHOT_PREFIX)]
         self.obsolete: tuple[str, ...] = ()
@@ -31,45 +31,45 @@
         self.log_bytes = log_bytes
         self.snapshot_bytes = 0
         self.bytes_since_snapshot = log_bytes
-        self._log_sizes: dict[str, int] = {}  # of files begun by this process
+        self._log_sizes: dict[str, int] = {}  # of files created by this process
 
     @property
     def reserved_bytes(self) -> int:
-        """Size of all files, with room for the next snapshot."""
+        """Size of the logs and a snapshot, plus space for the next snapshot."""
         return self.log_bytes + 2 * self.snapshot_bytes
 
     def begin_segment(self, first_sequence: int) -> str:
-        """Returns the name of a new log file, which is appended to from now on."""
+        """Makes a new log file the current segment and returns its name."""
         self.segment = file_name(LOG_PREFIX, first_sequence)
         self.segment_bytes = 0
         return self.segment
 
     def log_created(self, name: str, size: int) -> None:
-        """A log file stands with its header."""
-        if name not in self.logs:  # else one without a record, created anew
+        """Records that a log file was created with a header of `size` bytes."""
+        if name not in self.logs:  # a file without records may be created again under the same name
             self.logs.append(name)
         self.segment_bytes = 0
         self.log_grew(name, size)
 
     def log_grew(self, name: str, size: int) -> None:
-        """So much was appended to the log file."""
+        """Records that `size` bytes were appended to the log file."""
         self.segment_bytes += size
         self._log_sizes[name] = self.segment_bytes
         self.log_bytes += size
         self.bytes_since_snapshot += size
 
     def begin_snapshot(self) -> None:
-        """A snapshot is begun: its size and that of the log behind it count from now on."""
+        """Resets the size of the snapshot and of the log since then, when a snapshot begins."""
         self.snapshot_bytes = 0
         self.bytes_since_snapshot = 0
 
     def snapshot_published(self, name: str) -> None:
-        """Marks as obsolete what only snapshots older than the kept ones need."""
+        """Marks older snapshots, and logs that no remaining snapshot needs, as obsolete."""
         if name not in self.snapshots:
             self.snapshots.append(name)
         snapshots = sorted(self.snapshots)
-        is_alone = len(snapshots) < SNAPSHOTS_KEPT
-        oldest_kept = name if is_alone else snapshots[-SNAPSHOTS_KEPT]
+        is_below_kept_count = len(snapshots) < SNAPSHOTS_KEPT
+        oldest_kept = name if is_below_kept_count else snapshots[-SNAPSHOTS_KEPT]
         obsolete_logs = self._logs_before(number_in(oldest_kept) + 1)
         self.log_bytes = sum(
             self._log_sizes.get(log, 0) for log in self.logs if log not in obsolete_logs
@@ -77,7 +77,7 @@
         self.obsolete = tuple(snapshots[:-SNAPSHOTS_KEPT]) + obsolete_logs
 
     def _logs_before(self, sequence: int) -> tuple[str, ...]:
-        """Returns the log files of which all records have smaller numbers."""
+        """Returns the log files that hold only records with smaller numbers."""
         return tuple(
             name
             for name, following in zip(self.logs, self.logs[1:], strict=False)
@@ -85,12 +85,12 @@
         )
 
     def take_obsolete(self) -> tuple[str, ...]:
-        """Returns the files to be removed, once."""
+        """Returns the obsolete files and clears the list."""
         names, self.obsolete = self.obsolete, ()
         return names
 
     def removed(self, names: tuple[str, ...]) -> None:
-        """These files are gone."""
+        """Records that these files were removed."""
         self.logs = [name for name in self.logs if name not in names]
         self.snapshots = [name for name in self.snapshots if name not in names]
 
--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -1,4 +1,4 @@
-"""Parts for the tests of the store: a process over a disk that may crash, real app servers."""
+"""Helpers for storage tests: a simulated process on a disk that may crash, and app servers."""
 
 import random
 import socket
@@ -19,7 +19,7 @@
 from lilacwalk.testing.restart_soak import Lives
 from tests.conftest import ROOT
 
-SOON = 15.0  # seconds: a failure, never a wait
+SOON = 15.0  # seconds after which a wait fails the test
 SMALL_LIMITS = JournalLimits(
     batch_delay=10,
     batch_bytes=120,
@@ -31,10 +31,10 @@
 
 
 class Process:
-    """One process over a disk: which of its records were acknowledged, and all that it ever wrote.
+    """A process on a disk, with all values that it wrote and those that were acknowledged.
 
-    `history` holds by key all values asked for, `acknowledged` how many of them are known to be
-    persisted.
+    `history` holds all values written for each key, `acknowledged` the number of them that are
+    acknowledged as persisted.
     """
 
     def __init__(self, disk, durability=Durability.SYNCED, limits=SMALL_LIMITS, history=None):
@@ -84,7 +84,7 @@
 
 
 def check_recovered(process, before):
-    """Nothing acknowledged is lost, and there is no row that was never written."""
+    """Checks that no acknowledged value is lost and that no row exists that was never written."""
     for key, values in before.history.items():
         count = before.acknowledged.get(key, 0)
         assert process.value(key) in values[count:], (key, count)
@@ -121,7 +121,7 @@
 
 
 def persisted_row(server, table):
-    """The one row of a table, as a start would find it."""
+    """Returns the decoded row of a table as a restarted server would recover it."""
     disk = Directory(str(server.directory))
     rows = [
         row
@@ -132,7 +132,7 @@
 
 
 def listen_for_devices(server):
-    """Gives the server a listener for devices at a fixed address; returns a maker of devices."""
+    """Adds a device listener at a fixed address; returns a function that connects a device."""
     secret = bytes(range(32))
     path = server.server.place / "secrets"
     path.write_text(secret.hex() + "\n")
--- a/tests/storage/test_commands.py
+++ b/tests/storage/test_commands.py
@@ -1,4 +1,4 @@
-"""The command `lilacwalk storage` beside a real app server."""
+"""The command `lilacwalk storage` on the store of a real app server."""
 
 import json
 
--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -1,4 +1,4 @@
-"""Effects over kills of a real app server, counted at the executor."""
+"""Requests with an effect when a real app server is killed; the executor counts the effects."""
 
 from lilacwalk.protocols.admin_socket import query
 from tests.storage.conftest import SOON
@@ -18,12 +18,13 @@
 
 
 def test_request_killed_during_execution_fails_when_retried(make_soak):
+    """The server has no result, but the request may have had its effect: it must not run again."""
     soak = make_soak(work=0.5)
     soak.start()
     soak.put("swap", "a")
     soak.rig.wait(lambda: soak.effects[b"a"], SOON, "it runs")
     soak.kill()
-    soak.server.kernel.notices.clear()  # a kernel that was started anew knows nothing
+    soak.server.kernel.notices.clear()  # a restarted executor has no state
     soak.start()
     word, _ = soak.ask("swap", "a")
     assert word not in ("done", "later")
@@ -43,7 +44,7 @@
     assert soak.ask("move", "other")[0] == "done"
 
 
-def test_kills_at_random_times_repeat_no_effect_and_every_key_gets_an_outcome(make_soak):
+def test_no_effect_runs_twice_over_random_kills_and_every_key_gets_an_outcome(make_soak):
     soak = make_soak(seed=3, durability="flushed")
     left, settled = [], {}
     for life in range(8):
@@ -65,7 +66,7 @@
     assert all(soak.effects[key.encode()] == 1 for key, word in settled.items() if word == "done")
 
 
-def test_full_disk_rejects_requests_with_an_effect_alone_until_there_is_room_again(
+def test_full_disk_rejects_only_requests_with_an_effect_until_space_is_free(
     make_soak,
 ):
     soak = make_soak()
@@ -92,7 +93,8 @@
     assert query(str(soak.socket), "show")["unkept"] >= 4
 
 
-def test_clock_set_back_between_processes_is_logged_and_forgets_no_effect(make_soak):
+def test_clock_set_back_between_processes_is_logged_and_no_effect_runs_twice(make_soak):
+    """Rows from the future count as invalid, so the server might take the duplicate for new."""
     soak = make_soak()
     soak.start()
     assert soak.ask("swap", "a")[0] == "done"
--- a/tests/storage/test_journal.py
+++ b/tests/storage/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: a failing, full or slow disk, durability and batches."""
+"""The journal on a failing, full or slow disk; durability and batches."""
 
 import errno
 import random
@@ -11,20 +11,22 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "number", "mode"),
+    ("operation", "error_number", "mode"),
     [
         ("append", errno.ENOSPC, "full"),
         ("create", errno.EROFS, "read-only"),
         ("sync", errno.EIO, "failed"),
     ],
 )
-def test_failing_disk_has_a_mode_in_which_no_writer_waits_and_recovers_from_it(what, number, mode):
+def test_disk_error_sets_a_mode_that_refuses_records_until_the_disk_works(
+    operation, error_number, mode
+):
     disk = BadDisk()
     process = Process(disk)
     process.put(b"a", b"1")
     process.work()
-    disk.fails = {what: number}
-    process.journal.files.segment_bytes = 10**9  # the next batch begins a file
+    disk.fails = {operation: error_number}
+    process.journal.files.segment_bytes = 10**9  # the next batch creates a file
     process.put(b"b", b"2")
     process.work()
     assert process.journal.mode == mode
@@ -44,13 +46,17 @@
     }
 
 
-def test_crash_at_any_operation_after_a_failed_write_loses_nothing_acknowledged():
+def test_crash_at_any_operation_after_a_failed_write_loses_no_acknowledged_record():
+    """A failed write leaves a gap in the log, and recovery stops there.
+
+    Records after the gap would be lost if they were acknowledged before a snapshot closes it.
+    """
     for crash_at in range(1, 12):
         disk = BadDisk(5)
         process = Process(disk)
         run_history(process, random.Random(5), 20)
         disk.fails = {"append": errno.ENOSPC}
-        process.put(b"k1", b"in the hole")
+        process.put(b"k1", b"lost record")
         process.work()
         disk.fails, disk.crash_at = {}, disk.steps + crash_at
         try:
@@ -61,7 +67,7 @@
         check_recovered(Process(disk.crash()), process)
 
 
-def test_size_limit_refuses_records_until_a_snapshot_has_made_room():
+def test_size_limit_refuses_records_until_a_snapshot_frees_space():
     disk = BadDisk()
     process = Process(
         disk,
@@ -80,7 +86,8 @@
     assert process.value(b"k2") == b"x" * 50
 
 
-def test_slow_sync_keeps_no_writer_waiting_and_changes_the_mode():
+def test_slow_sync_acknowledges_records_as_not_persisted_and_sets_the_slow_mode():
+    """Writers wait for acknowledgements, so a sync that hangs must not delay them."""
     process = Process(BadDisk())
     process.put(b"a", b"1")
     process.now += 20
@@ -107,7 +114,7 @@
         (Durability.SYNCED, OperationKind.SYNC),
     ],
 )
-def test_record_is_acknowledged_only_when_it_is_as_durable_as_asked(durability, after):
+def test_record_is_acknowledged_only_when_it_is_as_durable_as_requested(durability, after):
     process = Process(BadDisk(), durability)
     process.put(b"a", b"1")
     seen = None
@@ -120,7 +127,7 @@
     assert seen is after
 
 
-def test_records_that_come_while_the_disk_is_busy_form_one_batch():
+def test_records_that_arrive_before_the_next_operation_form_one_batch():
     process = Process(BadDisk(), limits=JournalLimits())
     for each in range(100):
         process.put(b"%d" % each, b"x")
--- a/tests/storage/test_ownership.py
+++ b/tests/storage/test_ownership.py
@@ -3,12 +3,12 @@
 from tests.storage.conftest import run_storage_command
 
 
-def test_directory_of_another_node_is_refused_and_reads_go_on(make_soak):
+def test_directory_of_another_node_is_refused_and_read_requests_still_succeed(make_soak):
     soak = make_soak()
     soak.directory.mkdir()
     (soak.directory / "owner").write_text('{"node": "n9", "format": 2}')
     soak.start("state=refused")
-    assert "is of node n9, this is n0" in soak.rig.log("n0")
+    assert "belongs to node n9, this is node n0" in soak.rig.log("n0")
     assert soak.ask("swap", "a")[0] == "later"
     assert soak.ask("look", "b")[0] == "done"
 
--- a/tests/storage/test_persistence.py
+++ b/tests/storage/test_persistence.py
@@ -1,4 +1,4 @@
-"""Learned state, flap damping and device sessions over kills of a real app server."""
+"""Learned state, flap damping and device sessions after a real app server is killed."""
 
 import time
 
@@ -14,7 +14,7 @@
     for at in range(30):
         soak.ask("look", f"a{at}")
     soak.rig.wait(
-        lambda: query(str(soak.socket), "show")["rows"] >= 1, SOON, "what was learned is put down"
+        lambda: query(str(soak.socket), "show")["rows"] >= 1, SOON, "learned state is persisted"
     )
     soak.kill()
     soak.start()
@@ -33,14 +33,14 @@
         soak.rig.wait(
             lambda: soak.server.router.held or persisted_row(soak, Table.DAMPING)[1],
             SOON,
-            "either",
+            "the prefix is announced or damped",
         )
         if persisted_row(soak, Table.DAMPING)[1]:
             break
         soak.rig.wait(
             lambda: persisted_row(soak, Table.DAMPING)[2],
             SOON,
-            "that it is announced is put down",
+            "the announcement is persisted",
         )
         soak.kill()
     assert 3 <= soak.server.starts - 1 <= 4
@@ -57,7 +57,7 @@
     assert "damped" not in soak.rig.log("n0")
 
 
-def test_device_session_and_its_answers_survive_a_kill_and_nothing_runs_twice(make_soak):
+def test_device_session_and_its_answers_survive_a_kill_and_no_request_runs_twice(make_soak):
     soak = make_soak(work=0.2)
     connect_device = listen_for_devices(soak)
     soak.start()
@@ -80,7 +80,7 @@
         device.end()
 
 
-def test_devices_get_one_answer_each_over_many_kills_and_no_effect_twice(make_soak):
+def test_each_device_request_gets_one_answer_over_many_kills_and_no_effect_runs_twice(make_soak):
     soak = make_soak(work=0.01, seed=5)
     connect_device = listen_for_devices(soak)
     soak.start()
@@ -94,7 +94,9 @@
             }
             time_of_kill = time.monotonic() + soak.rng.uniform(0.0, 0.05)
             soak.rig.wait(
-                lambda until=time_of_kill: time.monotonic() >= until, SOON, "the drawn instant"
+                lambda until=time_of_kill: time.monotonic() >= until,
+                SOON,
+                "the random time of the kill",
             )
             soak.kill()
             soak.start()
--- a/tests/storage/test_records.py
+++ b/tests/storage/test_records.py
@@ -1,4 +1,4 @@
-"""The codec: files cut anywhere, corrupted, of other versions."""
+"""The codec on files that are truncated, corrupted or of other versions."""
 
 import pytest
 from hypothesis import given
@@ -19,16 +19,16 @@
 DATA = encode_header(1) + b"".join(map(encode_record, ROWS))
 
 
-def test_file_is_read_to_its_end_and_preallocated_space_is_no_fault():
+def test_file_is_read_to_its_end_and_preallocated_space_is_not_a_fault():
     assert read_records(DATA, 1).records == ROWS
     assert read_records(DATA + bytes(500), 1).fault == ""
 
 
 def test_flipped_bit_is_detected_and_the_records_before_it_are_valid():
     for at in range(HEADER.size, len(DATA)):
-        spoilt = bytearray(DATA)
-        spoilt[at] ^= 0x10
-        found = read_records(bytes(spoilt), 1)
+        corrupted = bytearray(DATA)
+        corrupted[at] ^= 0x10
+        found = read_records(bytes(corrupted), 1)
         assert found.fault
         assert found.records == ROWS[: len(found.records)]
         assert found.valid_bytes <= at
@@ -42,7 +42,8 @@
 
 
 @pytest.mark.parametrize(
-    ("order", "fault"), [([1, 2, 2], "doubled"), ([1, 3], "missing"), ([2, 1], "missing")]
+    ("order", "fault"),
+    [([1, 2, 2], "duplicated record"), ([1, 3], "missing record"), ([2, 1], "missing record")],
 )
 def test_duplicated_missing_or_reordered_records_are_faults(order, fault):
     data = encode_header(1) + b"".join(encode_record(ROWS[number - 1]) for number in order)
@@ -50,7 +51,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_behind_a_header_are_records_or_a_fault(raw):
+def test_any_bytes_after_a_header_are_records_or_a_fault(raw):
     found = read_records(encode_header(1) + raw, 1)
     assert found.fault or found.valid_bytes <= HEADER.size + len(raw)
 
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: histories crashed at every write, damaged and missing files."""
+"""Recovery after crashes at every disk operation, and from damaged and missing files."""
 
 import contextlib
 import random
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_crash_at_any_operation_loses_nothing_acknowledged_and_invents_no_row(seed):
+def test_crash_at_any_operation_loses_no_acknowledged_record_and_adds_no_row(seed):
     for crash_at in range(1, count_operations(seed) + 1):
         disk = BadDisk(seed, crash_at)
         first = None
@@ -26,14 +26,15 @@
         after = disk.crash()
         second = Process(after)
         check_recovered(second, first)
-        run_history(second, random.Random(seed + 1), 15)  # it goes on from there
+        run_history(second, random.Random(seed + 1), 15)  # the recovered store accepts records
         third = Process(after)
         assert {key: third.value(key) for key in second.history} == {
             key: second.value(key) for key in second.history
         }
 
 
-def test_repeated_crashes_during_recovery_lose_nothing_acknowledged():
+def test_repeated_crashes_during_recovery_lose_no_acknowledged_record():
+    """Recovery truncates and renames files, and may itself be interrupted by a crash."""
     for seed in range(30):
         disk, rng = BadDisk(seed, 30 + seed), random.Random(seed)
         process = Process(disk)
@@ -65,12 +66,13 @@
             continue
         after = Process(disk)
         check_recovered(after, process)
-        # Whatever the value is now, it stays.
+        # From here on, the recovered value is the one that must survive.
         history = {key: [after.value(key)] for key in process.history}
         acknowledged = {}
 
 
-def test_damaged_snapshot_is_passed_over_for_the_previous_one():
+def test_damaged_snapshot_is_skipped_and_the_previous_one_loaded():
+    """Removing logs as soon as the newest snapshot holds their records would lose rows here."""
     disk = BadDisk()
     process = Process(disk)
     run_history(process, random.Random(3), 200)
@@ -82,11 +84,11 @@
     again = Process(disk)
     assert again.recovered.snapshot == before
     assert not again.recovered.is_complete
-    # The log behind the previous snapshot is still there.
+    # The log after the previous snapshot still exists.
     assert {key: again.value(key) for key in process.history} == values
 
 
-def test_missing_log_file_ends_the_log_there_and_quarantines_the_rest():
+def test_missing_log_file_ends_recovery_and_quarantines_later_log_files():
     disk = BadDisk()
     process = Process(
         disk,
--- a/tests/storage/test_state.py
+++ b/tests/storage/test_state.py
@@ -1,18 +1,17 @@
-"""The rows: which are valid, and how much a learned value counts."""
+"""Which rows are valid, and the weight of a learned value."""
 
 from lilacwalk.storage.records import Record
 from lilacwalk.storage.state import MAX_CLOCK_SKEW, State, Table, age_weight
 
 
-def test_row_is_not_valid_once_expired_nor_when_written_in_the_future():
+def test_row_is_invalid_if_it_has_expired_or_was_written_in_the_future():
     state = State()
     state.apply(Record(1, Table.KEYS, b"a", b"1", expires_at=1_000, written_at=0))
     state.apply(Record(2, Table.KEYS, b"b", b"2", written_at=10_000_000))
     assert state.get(Table.KEYS, b"a", 999)
     assert state.get(Table.KEYS, b"a", 1_000) is None
-    assert (
-        state.get(Table.KEYS, b"b", 10_000_000 - MAX_CLOCK_SKEW - 1) is None
-    )  # a clock set back between two lives
+    # The clock was set back between two processes.
+    assert state.get(Table.KEYS, b"b", 10_000_000 - MAX_CLOCK_SKEW - 1) is None
     assert [row.key for row in state.rows_of_table(Table.KEYS, 10_000_000)] == [b"b"]
     assert state.expired_keys(2_000, 5) == [(Table.KEYS, b"a")]
 
@@ -24,7 +23,7 @@
     assert state.rows[1, b"a"].value == b"new"
 
 
-def test_weight_of_a_learned_value_falls_with_its_age():
+def test_weight_of_a_learned_value_decreases_with_its_age():
     row = Record(1, Table.LEARNED, b"look", b"", written_at=1_000)
     assert age_weight(row, 1_000, 500) == 1.0
     assert age_weight(row, 1_500, 500) == 0.5
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -1,4 +1,4 @@
-"""The store's host on a real directory."""
+"""The store on a real directory."""
 
 import threading
 from queue import SimpleQueue
@@ -7,10 +7,10 @@
 from lilacwalk.storage.operations import Durability, JournalLimits
 from lilacwalk.storage.store import Store
 
-PATIENCE = 10.0  # seconds
+WAIT_TIMEOUT = 10.0  # seconds
 
 
-def test_store_persists_over_processes_and_removes_obsolete_files(tmp_path):
+def test_rows_survive_a_reopened_store_and_obsolete_files_are_removed(tmp_path):
     acknowledged, done = SimpleQueue(), threading.Event()
 
     def on_persisted(token, is_persisted):
@@ -23,30 +23,31 @@
     store.start()
     for each in range(2_000):
         store.put(1, b"k%d" % (each % 50), b"%d" % each, token=each)
-    assert done.wait(PATIENCE)
+    assert done.wait(WAIT_TIMEOUT)
     store.close()
     assert not store.thread.is_alive()
     assert not store.has_failed
-    assert [acknowledged.get(timeout=PATIENCE) for _ in range(2_000)] == [
+    assert [acknowledged.get(timeout=WAIT_TIMEOUT) for _ in range(2_000)] == [
         (each, True) for each in range(2_000)
     ]
-    again = Store(Directory(str(tmp_path)), Durability.SYNCED)
-    assert again.recovered.is_complete
-    assert len(again.journal.state) == 50
-    assert again.journal.state.get(1, b"k49", 0).value == b"1999"
+    reopened = Store(Directory(str(tmp_path)), Durability.SYNCED)
+    assert reopened.recovered.is_complete
+    assert len(reopened.journal.state) == 50
+    assert reopened.journal.state.get(1, b"k49", 0).value == b"1999"
     assert sum(each.stat().st_size for each in tmp_path.iterdir()) < 200_000
 
 
-def test_torn_end_on_a_real_directory_is_cut_off_and_reported(tmp_path):
+def test_torn_record_on_a_real_directory_is_truncated_and_reported(tmp_path):
+    """A crash during an append leaves a part of a record at the end of the log file."""
     store = Store(Directory(str(tmp_path)), Durability.FLUSHED)
     store.start()
     for each in range(10):
         store.put(1, b"%d" % each, b"x")
     store.close()
     [name] = [each for each in tmp_path.iterdir()]
-    whole = name.read_bytes()
-    name.write_bytes(whole[:-3])
-    again = Store(Directory(str(tmp_path)), Durability.FLUSHED)
-    assert "torn behind record 9" in again.recovered.warnings[0]
-    assert len(again.journal.state) == 9
-    assert name.stat().st_size < len(whole) - 3
+    complete = name.read_bytes()
+    name.write_bytes(complete[:-3])
+    reopened = Store(Directory(str(tmp_path)), Durability.FLUSHED)
+    assert "torn record after record 9" in reopened.recovered.warnings[0]
+    assert len(reopened.journal.state) == 9
+    assert name.stat().st_size < len(complete) - 3
