--- a/lilacwalk/storage/config.py
+++ b/lilacwalk/storage/config.py
@@ -15,7 +15,7 @@
 
 
 def unit(name: str, keyword: str, *, ge: int, le: int) -> Meta:
-    """Returns the constraints of a field with a unit, and its keyword in the operator's file."""
+    """Returns a field's metadata: its unit, its keyword in the operator's file, and its limits."""
     return Meta(extra={"unit": name, "keyword": keyword}, ge=ge, le=le)
 
 
--- a/lilacwalk/storage/disk.py
+++ b/lilacwalk/storage/disk.py
@@ -18,7 +18,7 @@
     refusal_reason,
 )
 
-PARTIAL_SUFFIX = ".new"  # of a file that is not complete yet, until `publish`
+PARTIAL_SUFFIX = ".new"  # suffix of an incomplete file; `publish` renames the file without it
 QUARANTINE_PREFIX = "aside-"
 
 
--- a/lilacwalk/storage/effect_log.py
+++ b/lilacwalk/storage/effect_log.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectLogChange:
-    """A change of state, or a clock that was set back (CLOCK_SET_BACK), to be logged."""
+    """An event to log: a new state, or CLOCK_SET_BACK in `state` if the clock was set back."""
 
     state: str
     reason: str
--- a/lilacwalk/storage/journal.py
+++ b/lilacwalk/storage/journal.py
@@ -266,7 +266,7 @@
         """Handles the failure of the operation in progress with this errno.
 
         Pending records are reported as not persisted, even if a part of the batch reached the disk.
-        Their sequence numbers are not reused; the next file begins after them.
+        Their sequence numbers are not reused; the next file begins with a higher number.
         """
         operation, self._operation = self._operation, None
         assert operation is not None
@@ -274,7 +274,9 @@
             # The log continues. The next snapshot is due after `snapshot_after_bytes` more of log.
             self.snapshot = None
             self.mode_changes.append(
-                ModeChange(JournalMode.NORMAL, f"a snapshot failed: errno {error_number}")
+                ModeChange(
+                    JournalMode.NORMAL, f"snapshot {operation.name} failed: errno {error_number}"
+                )
             )
             return
         mode = MODES_BY_ERRNO.get(error_number, JournalMode.FAILED)
@@ -305,7 +307,7 @@
         return operation
 
     def _begin_snapshot(self) -> DiskOperation:
-        if self._has_log_gap:  # the rows include the lost records; the next file begins after them
+        if self._has_log_gap:  # the rows include the lost records; the next file follows them
             self.written_sequence = self.next_sequence - 1 - len(self.batch)
         self.snapshot = SnapshotWriter(self.state, self.written_sequence)
         self.files.begin_snapshot()
--- a/lilacwalk/storage/recovery.py
+++ b/lilacwalk/storage/recovery.py
@@ -49,7 +49,7 @@
         log_bytes: total size of the valid parts of the log files that were replayed.
         is_complete: whether no written data was truncated, skipped or missing.
         warnings: data that was truncated, missing or skipped, for the operator.
-        truncations: files to truncate, because they end with invalid records.
+        truncations: files to truncate, because their last bytes are not valid records.
         quarantined: log files to quarantine, because records before them are missing.
     """
 
@@ -146,7 +146,7 @@
         has_reached_end = _replay_log(result, name, first, read_file)
         has_replayed = True
         if following == result.next_sequence or (has_reached_end and following is None):
-            continue  # no record is missing before the next file
+            continue  # the next file continues without a gap, or the last file was read to its end
         if has_reached_end:
             result.warnings.append(
                 f"{name}: ends with record {result.next_sequence - 1}, "
--- a/lilacwalk/storage/snapshot_writer.py
+++ b/lilacwalk/storage/snapshot_writer.py
@@ -14,7 +14,7 @@
     """A snapshot being written. Owned by the journal.
 
     A row that changes during the snapshot is copied as it is when its slice is written. Recovery
-    replays the log over the snapshot, so that it ends with the newest value.
+    replays the log over the snapshot, so that each row ends with its newest value.
     """
 
     def __init__(self, state: State, sequence: int) -> None:
--- a/lilacwalk/storage/state.py
+++ b/lilacwalk/storage/state.py
@@ -11,7 +11,8 @@
 
 from lilacwalk.storage.records import Record
 
-MAX_CLOCK_SKEW = 600_000  # tenths of a ms; one minute between clocks synchronised over the network
+# 1 minute in tenths of a ms; nodes synchronise their clocks over the network.
+MAX_CLOCK_SKEW = 600_000
 
 
 class Table(IntEnum):
@@ -41,10 +42,10 @@
         return len(self.rows)
 
     def apply(self, record: Record) -> None:
-        """Applies a record, unless the row is from a newer one.
+        """Applies a record, unless the row already has an equal or higher sequence number.
 
-        A snapshot may hold a later record than the log position that is being replayed, because
-        records were written during the snapshot.
+        A row of a snapshot may come from a record that is later in the log than the one being
+        replayed, because records were written during the snapshot.
         """
         name = record.table, record.key
         current = self.rows.get(name)
--- a/lilacwalk/storage/store.py
+++ b/lilacwalk/storage/store.py
@@ -36,18 +36,21 @@
 
 
 class PersistedCallback(Protocol):
-    """Receives whether the record with this token is as durable as requested."""
+    """Callback for the result of a write that was put with a token."""
 
     def __call__(self, token: object, is_persisted: bool, /) -> None:
-        """Handles the report. Called in the store's thread."""
+        """Handles the result for the record with this token. Called in the store's thread.
+
+        `is_persisted`: whether the record is as durable as requested.
+        """
         ...
 
 
 class ModeCallback(Protocol):
-    """Receives changes of the journal's mode, with the reason."""
+    """Callback for a change of the journal's mode."""
 
     def __call__(self, mode: JournalMode, reason: str, /) -> None:
-        """Handles the report. Called in the store's thread."""
+        """Handles the new mode and the reason for it. Called in the store's thread."""
         ...
 
 
--- a/lilacwalk/storage/store_files.py
+++ b/lilacwalk/storage/store_files.py
@@ -59,12 +59,15 @@
         self.bytes_since_snapshot += size
 
     def begin_snapshot(self) -> None:
-        """Resets the size of the snapshot and of the log since then, when a snapshot begins."""
+        """Resets the size of the newest snapshot and the size of the log since it was begun."""
         self.snapshot_bytes = 0
         self.bytes_since_snapshot = 0
 
     def snapshot_published(self, name: str) -> None:
-        """Marks older snapshots, and logs that no remaining snapshot needs, as obsolete."""
+        """Marks all but the newest SNAPSHOTS_KEPT snapshots as obsolete.
+
+        Also marks the log files that none of the kept snapshots needs.
+        """
         if name not in self.snapshots:
             self.snapshots.append(name)
         snapshots = sorted(self.snapshots)
@@ -77,7 +80,7 @@
         self.obsolete = tuple(snapshots[:-SNAPSHOTS_KEPT]) + obsolete_logs
 
     def _logs_before(self, sequence: int) -> tuple[str, ...]:
-        """Returns the log files that hold only records with smaller numbers."""
+        """Returns the log files whose records all have numbers below `sequence`."""
         return tuple(
             name
             for name, following in zip(self.logs, self.logs[1:], strict=False)
@@ -85,7 +88,7 @@
         )
 
     def take_obsolete(self) -> tuple[str, ...]:
-        """Returns the obsolete files and clears the list."""
+        """Returns the names of the obsolete files and clears `obsolete`."""
         names, self.obsolete = self.obsolete, ()
         return names
 
--- a/tests/storage/test_journal.py
+++ b/tests/storage/test_journal.py
@@ -79,8 +79,8 @@
             max_disk_bytes=5_000,
         ),
     )
-    for turn in range(300):
-        process.put(b"k%d" % (turn % 3), b"x" * 50)
+    for index in range(300):
+        process.put(b"k%d" % (index % 3), b"x" * 50)
         process.work()
     assert sum(map(len, disk.files.values())) < 12_000
     assert process.value(b"k2") == b"x" * 50
@@ -129,8 +129,8 @@
 
 def test_records_that_arrive_before_the_next_operation_form_one_batch():
     process = Process(BadDisk(), limits=JournalLimits())
-    for each in range(100):
-        process.put(b"%d" % each, b"x")
+    for number in range(100):
+        process.put(b"%d" % number, b"x")
     process.work()
     assert process.disk.steps == 3
     assert len(process.acknowledged) == 100
--- a/tests/storage/test_records.py
+++ b/tests/storage/test_records.py
@@ -25,20 +25,20 @@
 
 
 def test_flipped_bit_is_detected_and_the_records_before_it_are_valid():
-    for at in range(HEADER.size, len(DATA)):
+    for offset in range(HEADER.size, len(DATA)):
         corrupted = bytearray(DATA)
-        corrupted[at] ^= 0x10
-        found = read_records(bytes(corrupted), 1)
-        assert found.fault
-        assert found.records == ROWS[: len(found.records)]
-        assert found.valid_bytes <= at
+        corrupted[offset] ^= 0x10
+        result = read_records(bytes(corrupted), 1)
+        assert result.fault
+        assert result.records == ROWS[: len(result.records)]
+        assert result.valid_bytes <= offset
 
 
 def test_truncated_file_keeps_its_complete_records():
-    for at in range(len(DATA)):
-        found = read_records(DATA[:at], 1)
-        assert found.records == ROWS[: len(found.records)]
-        assert found.valid_bytes <= at
+    for offset in range(len(DATA)):
+        result = read_records(DATA[:offset], 1)
+        assert result.records == ROWS[: len(result.records)]
+        assert result.valid_bytes <= offset
 
 
 @pytest.mark.parametrize(
@@ -51,9 +51,9 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_after_a_header_are_records_or_a_fault(raw):
-    found = read_records(encode_header(1) + raw, 1)
-    assert found.fault or found.valid_bytes <= HEADER.size + len(raw)
+def test_arbitrary_bytes_after_a_header_yield_a_fault_or_valid_bytes_within_the_file(raw):
+    result = read_records(encode_header(1) + raw, 1)
+    assert result.fault or result.valid_bytes <= HEADER.size + len(raw)
 
 
 def test_record_of_version_1_is_migrated_and_a_later_version_refused():
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -44,10 +44,10 @@
             disk = disk.crash()
             disk.crash_at = rng.randrange(1, 4) if turn % 2 else 0
             try:
-                again = Process(disk)
+                reopened = Process(disk)
             except CrashError:
                 continue
-            check_recovered(again, process)
+            check_recovered(reopened, process)
 
 
 def test_rows_survive_many_processes_with_a_crash_in_each():
@@ -81,11 +81,11 @@
     )[:2]
     values = {key: process.value(key) for key in process.history}
     disk.files[newest][-3] ^= 1
-    again = Process(disk)
-    assert again.recovered.snapshot == before
-    assert not again.recovered.is_complete
+    reopened = Process(disk)
+    assert reopened.recovered.snapshot == before
+    assert not reopened.recovered.is_complete
     # The log after the previous snapshot still exists.
-    assert {key: again.value(key) for key in process.history} == values
+    assert {key: reopened.value(key) for key in process.history} == values
 
 
 def test_missing_log_file_ends_recovery_and_quarantines_later_log_files():
@@ -99,12 +99,12 @@
     run_history(process, random.Random(4), 80)
     logs = [name for name in disk.list_files() if name.startswith("log-")]
     disk.remove(logs[2])
-    found = recover(disk.list_files(), disk.read)
-    assert found.quarantined == logs[3:]
-    assert found.next_sequence == int(logs[2][4:])
-    assert not found.is_complete
-    again = Process(disk)
-    again.put(b"new", b"x")
-    again.work()
+    result = recover(disk.list_files(), disk.read)
+    assert result.quarantined == logs[3:]
+    assert result.next_sequence == int(logs[2][4:])
+    assert not result.is_complete
+    reopened = Process(disk)
+    reopened.put(b"new", b"x")
+    reopened.work()
     assert Process(disk).value(b"new") == b"x"
     assert [name for name in disk.list_files() if name.startswith("aside-")]
