--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: histories crashed at every write, damaged and missing files."""
+"""Recovery after crashes at every disk operation, and from damaged and missing files."""
 
 import contextlib
 import random
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_crash_at_any_operation_loses_nothing_acknowledged_and_invents_no_row(seed):
+def test_crash_at_any_operation_loses_no_acknowledged_record_and_adds_no_row(seed):
     for crash_at in range(1, count_operations(seed) + 1):
         disk = FaultyDisk(seed, crash_at)
         first = None
@@ -26,14 +26,15 @@
         after = disk.crash()
         second = Process(after)
         check_recovered(second, first)
-        run_history(second, random.Random(seed + 1), 15)  # it goes on from there
+        run_history(second, random.Random(seed + 1), 15)  # the recovered store accepts records
         third = Process(after)
         assert {key: third.value(key) for key in second.history} == {
             key: second.value(key) for key in second.history
         }
 
 
-def test_repeated_crashes_during_recovery_lose_nothing_acknowledged():
+def test_repeated_crashes_during_recovery_lose_no_acknowledged_record():
+    """Recovery truncates and renames files, and may itself be interrupted by a crash."""
     for seed in range(30):
         disk, rng = FaultyDisk(seed, 30 + seed), random.Random(seed)
         process = Process(disk)
@@ -43,10 +44,10 @@
             disk = disk.crash()
             disk.crash_at = rng.randrange(1, 4) if turn % 2 else 0
             try:
-                again = Process(disk)
+                reopened = Process(disk)
             except CrashError:
                 continue
-            check_recovered(again, process)
+            check_recovered(reopened, process)
 
 
 def test_rows_survive_many_processes_with_a_crash_in_each():
@@ -65,12 +66,13 @@
             continue
         after = Process(disk)
         check_recovered(after, process)
-        # Whatever the value is now, it stays.
+        # From here on, the recovered value is the one that must survive.
         history = {key: [after.value(key)] for key in process.history}
         acknowledged = {}
 
 
-def test_damaged_snapshot_is_passed_over_for_the_previous_one():
+def test_damaged_snapshot_is_skipped_and_the_previous_one_loaded():
+    """Removing logs as soon as the newest snapshot holds their records would lose rows here."""
     disk = FaultyDisk()
     process = Process(disk)
     run_history(process, random.Random(3), 200)
@@ -79,14 +81,14 @@
     )[:2]
     values = {key: process.value(key) for key in process.history}
     disk.files[newest][-3] ^= 1
-    again = Process(disk)
-    assert again.recovered.snapshot == before
-    assert not again.recovered.is_complete
-    # The log behind the previous snapshot is still there.
-    assert {key: again.value(key) for key in process.history} == values
+    reopened = Process(disk)
+    assert reopened.recovered.snapshot == before
+    assert not reopened.recovered.is_complete
+    # The log after the previous snapshot still exists.
+    assert {key: reopened.value(key) for key in process.history} == values
 
 
-def test_missing_log_file_ends_the_log_there_and_quarantines_the_rest():
+def test_missing_log_file_ends_recovery_and_quarantines_later_log_files():
     disk = FaultyDisk()
     process = Process(
         disk,
@@ -97,12 +99,12 @@
     run_history(process, random.Random(4), 80)
     logs = [name for name in disk.list_files() if name.startswith("log-")]
     disk.remove(logs[2])
-    found = recover(disk.list_files(), disk.read)
-    assert found.quarantined == logs[3:]
-    assert found.next_sequence == int(logs[2][4:])
-    assert not found.is_complete
-    again = Process(disk)
-    again.put(b"new", b"x")
-    again.work()
+    result = recover(disk.list_files(), disk.read)
+    assert result.quarantined == logs[3:]
+    assert result.next_sequence == int(logs[2][4:])
+    assert not result.is_complete
+    reopened = Process(disk)
+    reopened.put(b"new", b"x")
+    reopened.work()
     assert Process(disk).value(b"new") == b"x"
     assert [name for name in disk.list_files() if name.startswith("aside-")]
