--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -49,12 +49,12 @@
     left, settled = [], {}
     for life in range(8):
         soak.start()
-        found = soak.one_life([f"{life}-{at}" for at in range(60)], left)
+        found = soak.run_until_kill([f"{life}-{at}" for at in range(60)], left)
         left = found.get("", []) + [key for key in found.get("later", [])]
         settled |= {
             key: word
             for word, keys in found.items()
-            if word not in ("", "later", "unasked")
+            if word not in ("", "later", "unsent")
             for key in keys
         }
     soak.start()
