--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -178,8 +178,8 @@
     ) -> None:
         """Restores the flap penalty of an earlier process.
 
-        If that process ended while it was announced, its peers saw a flap that it could not count
-        itself; it is added here.
+        If the earlier process ended while its routes were announced, its peers saw a flap that the
+        process could not count. The penalty of that flap is added here.
         """
         self.penalty.restore(penalty, suppressed, age, now)
         if announced:
@@ -277,7 +277,7 @@
 
     A lowered level is expressed by a higher MED, AS path prepending and the graceful shutdown
     community (RFC 8326). The MED is compared within one neighbouring AS, the AS path also beyond
-    it, and the community makes every router that supports it assign its lowest local preference.
+    that AS, and the community makes every router that supports it assign its lowest local preference.
     """
     internal = config.as_ == peer.as_
     attributes = Attributes(
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -399,7 +399,8 @@
 def parse_mp_reach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 5 or len(value) < 5 + value[3]:
         raise MalformedAttributeError(
-            f"{len(value)} bytes, expected at least 5 and the next hop", Severity.RESET
+            f"MP_REACH_NLRI of {len(value)} bytes, expected at least 5 and the next hop",
+            Severity.RESET,
         )
     afi, safi, size = struct.unpack("!HBB", value[:4])
     next_hop, prefixes = value[4 : 4 + size], value[5 + size :]
@@ -416,7 +417,9 @@
 
 def parse_mp_unreach(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if len(value) < 3:
-        raise MalformedAttributeError(f"{len(value)} bytes, expected at least 3", Severity.RESET)
+        raise MalformedAttributeError(
+            f"MP_UNREACH_NLRI of {len(value)} bytes, expected at least 3", Severity.RESET
+        )
     parsed.unreach = *struct.unpack("!HB", value[:3]), value[3:]
 
 
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -127,7 +127,7 @@
     asn: int
     router_id: str
     peer_as: int
-    hold: int  # this and the next three are in tenths of a millisecond
+    hold: int  # `hold` to `delay_open` are in tenths of a millisecond
     connect_retry: int
     idle_hold: int
     delay_open: int
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -121,7 +121,10 @@
             delay = min(MAX_RECONNECT_DELAY, 2 * delay)
 
     def _read(self, sock: socket.socket) -> bool:
-        """Reads until the connection ends, and returns whether it was welcomed."""
+        """Reads until the connection ends.
+
+        Returns whether the server accepted the session with a `Welcome` frame.
+        """
         stream = Stream(MAX_FRAME_BYTES)
         with self.changed:
             self.sock = sock
--- a/lilacwalk/edge/frames.py
+++ b/lilacwalk/edge/frames.py
@@ -42,7 +42,7 @@
     number: int
     group: str
     body: bytes
-    wait: int  # timeout in ms from the sending; 0 for the timeout of the request class
+    wait: int  # timeout in ms from when the frame is sent; 0 for the timeout of the request class
     got: int
     customer: str = ""
     subject: str = ""
--- a/lilacwalk/edge/tokens.py
+++ b/lilacwalk/edge/tokens.py
@@ -18,8 +18,8 @@
 class TokenError(Exception):
     """The token is invalid; the message is the reason.
 
-    It is `unreadable`, `unknown` (signed with another secret, by another node, or guessed) or
-    `expired`.
+    The reason is `unreadable`, `unknown` (signed with another secret, by another node, or guessed)
+    or `expired`.
     """
 
 
--- a/lilacwalk/failover/local_priority.py
+++ b/lilacwalk/failover/local_priority.py
@@ -129,14 +129,15 @@
     next_step_at: int
     traffic_plan: TrafficPlan = field(default_factory=TrafficPlan)
     flows: dict[tuple[str, str], TrafficFlow] = field(default_factory=dict)  # by class and site
-    capacity_share: float = math.inf  # load up to this share of the cores is passed on
+    # maximum load passed on to the controller, as a share of the cores; inf: unlimited
+    capacity_share: float = math.inf
     idle_steps: int = IDLE_STEPS_BEFORE_STOP
     busy_cores: float = 0.0  # mean number of busy cores
     completion_rate: float = 0.0  # mean completions per second
     active: bool = False
     calls_are_scarce: bool = False
     offered_load: float = 0.0  # cores that all arriving requests need
-    admitted_load: float = 0.0  # cores whose load may be passed on
+    admitted_load: float = 0.0  # in cores; load that may be passed on to the controller
 
     def reject_if_overloaded(
         self, class_name: str, source: str, is_busy: bool
--- a/lilacwalk/failover/shedding.py
+++ b/lilacwalk/failover/shedding.py
@@ -38,7 +38,7 @@
 
     @property
     def is_failover_traffic(self) -> bool:
-        """Whether it comes from clients of another site."""
+        """Whether the traffic comes from clients of another site."""
         return self.site != self.source
 
 
--- a/lilacwalk/frontends/devices.py
+++ b/lilacwalk/frontends/devices.py
@@ -171,10 +171,11 @@
         )
 
     def _request_id(self, session: Session, number: int) -> str:
-        """Returns the request's id, which is the same after a restart of the server.
+        """Returns the request's id.
 
-        With it, the record of the execution is found again. A request over CoAP has no session,
-        and gets an id that differs after a restart.
+        The id of a request from a session is the same after a restart of the server, so that the
+        record of its execution can be found. A request over CoAP has no session and gets an id that
+        differs after a restart.
         """
         if isinstance(session, Session):
             identity = session.ident + number.to_bytes(8, "big")
--- a/lilacwalk/frontends/proxy_housekeeping.py
+++ b/lilacwalk/frontends/proxy_housekeeping.py
@@ -27,7 +27,7 @@
     def __init__(
         self, connections: dict[Connection, None], limits: Limits, request_close: CloseRequester
     ) -> None:
-        """Uses the front end's own table of connections."""
+        """Shares the front end's table of connections; does not copy it."""
         self.connections = connections
         self.limits = limits
         self.request_close = request_close
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: failed probes start suspicions; those not refuted end in a death.
+"""Failure detection: failed probes start suspicions; unrefuted suspects are declared dead.
 
 It differs from SWIM and Lifeguard, as docs/design/membership.md explains: a failed probe starts no
 suspicion if a datagram of its target arrived after the probe began; a node that receives no
--- a/lilacwalk/overload/deduplication.py
+++ b/lilacwalk/overload/deduplication.py
@@ -11,7 +11,7 @@
     """Owns the links between duplicates and the memory that registered keys use."""
 
     def __init__(self, context: BatchContext, server: ServerSettings, load: ServerLoad) -> None:
-        """Stores the parts of the controller that this one uses."""
+        """Creates deduplication on the controller's batch context, settings and load."""
         self._context = context
         self._server = server
         self._load = load
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -42,7 +42,7 @@
         termination: Termination,
         deadline_margin: int,
     ) -> None:
-        """Stores the parts of the controller that this one uses."""
+        """Creates the scheduler on the parts of the controller that it uses."""
         self._context = context
         self._server = server
         self._load = load
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -50,7 +50,7 @@
         latency: LatencyEstimator,
         admission: AdmissionControl,
     ) -> None:
-        """Stores the parts of the controller that this one uses; nothing has been reported."""
+        """Creates a reporter without earlier reports, on the parts of the controller it uses."""
         self._context = context
         self._server = server
         self._load = load
--- a/lilacwalk/protocols/proxy_connection.py
+++ b/lilacwalk/protocols/proxy_connection.py
@@ -127,7 +127,7 @@
 
         The stages between the operating system's buffer and the event loop are checked in the
         order in which data passes them: data that leaves a stage between two checks is found in
-        the next one.
+        the next stage.
         """
         unread = select.poll()
         unread.register(self.sock, select.POLLIN)
--- a/lilacwalk/protocols/proxy_listener.py
+++ b/lilacwalk/protocols/proxy_listener.py
@@ -96,8 +96,8 @@
     def drain_backlog(self) -> bool:
         """Accepts the connections that are left in the backlog, then closes the socket.
 
-        They may already contain requests, and would be reset if the socket was closed first. The
-        event loop calls this until it returns True, when the backlog is empty.
+        The connections may already contain requests, and would be reset if the socket was closed
+        first. The event loop calls this method until it returns True, when the backlog is empty.
         """
         if not self.is_draining:
             self.is_draining = True
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -127,8 +127,8 @@
     def spread_retry_after(self, client: Hashable, retry_after: int, now: int) -> int:
         """Returns the time that a rejection carries in place of `retry_after`, in tenths of a ms.
 
-        It is `retry_after` itself in the normal stage, if `retry_after` is 0, or if the operator
-        has disabled spreading.
+        The time is `retry_after` itself in the normal stage, if `retry_after` is 0, or if the
+        operator has disabled spreading.
         """
         self._detect_stall(now)
         is_normal = self.stage_machine.is_normal
--- a/lilacwalk/server/clock.py
+++ b/lilacwalk/server/clock.py
@@ -42,6 +42,6 @@
     def offset(self) -> int:
         """Time by which this clock is ahead of the system clock, in tenths of a millisecond.
 
-        It has to be added to times that other processes read from the system clock.
+        The offset has to be added to times that other processes read from the system clock.
         """
         return self._offset // NANOSECONDS_PER_TICK
--- a/lilacwalk/server/effect_gate.py
+++ b/lilacwalk/server/effect_gate.py
@@ -35,7 +35,8 @@
     def can_record(self) -> bool:
         """Whether requests with an effect may be admitted.
 
-        They may if their records can be written, or if the operator allows them to run unrecorded.
+        They may be admitted if their records can be written, or if the operator allows them to run
+        unrecorded.
         """
         persistence = self._subsystems.persistence
         return persistence is None or persistence.effect_log.accepts_effects
--- a/lilacwalk/server/integrations/persistence.py
+++ b/lilacwalk/server/integrations/persistence.py
@@ -261,11 +261,11 @@
     def update_damping_and_sites(
         self, bgp: BgpIntegration | None, sites: SiteFailoverIntegration | None, now: int
     ) -> None:
-        """Restores the recovered state of both subsystems once, and persists their current state.
+        """Restores the recovered flap penalty and site state once, and persists the current ones.
 
-        Damping is also persisted at each change of the announcement, otherwise both are persisted
-        as often as learned state. Must be called before `persist_learned_state`, which sets the
-        next time.
+        Both are persisted as often as learned state; the flap penalty is also persisted whenever
+        the announcement changes. This method must be called before `persist_learned_state`, which
+        advances `_next_persist`.
         """
         if self.store is None:
             return
--- a/lilacwalk/server/operator_config.py
+++ b/lilacwalk/server/operator_config.py
@@ -1,4 +1,4 @@
-"""The interface through which the app server gets the parsed operator's file."""
+"""The interface through which the app server gets the operator's parsed file."""
 
 from __future__ import annotations
 
--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -160,9 +160,9 @@
     def _may_duplicate_evicted_request(self, submission: Submission) -> bool:
         """Whether the request may duplicate one whose key is no longer found.
 
-        That is so if it was read so late that keys valid at its arrival have been evicted, or if it
-        arrived just after the deduplication window, which a client may measure from a later moment
-        than this server does.
+        The request may be such a duplicate if it was read so late that keys valid at its arrival
+        have been evicted, or if it arrived just after the deduplication window, which a client may
+        measure from a later moment than this server does.
         """
         if submission.request_class.effect is not Effect.DEDUPLICATED:
             return False
