--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -19,7 +19,7 @@
 from lilacwalk.testing.restart_soak import RestartSoak
 from tests.conftest import ROOT
 
-SOON = 15.0  # seconds after which a wait fails the test
+WAIT_TIMEOUT_SECONDS = 15.0
 SMALL_LIMITS = JournalLimits(
     batch_delay=10,
     batch_bytes=120,
@@ -99,21 +99,21 @@
 
 @pytest.fixture
 def make_soak():
-    """Makes app servers with a store that can be killed and started again."""
-    made = []
+    """Makes app servers with a store; tests can kill and restart these app servers."""
+    soaks = []
 
-    def make(**words):
-        made.append(RestartSoak(**words))
-        return made[-1]
+    def make(**options):
+        soaks.append(RestartSoak(**options))
+        return soaks[-1]
 
     yield make
-    for server in made:
-        server.end()
+    for soak in soaks:
+        soak.end()
 
 
-def run_storage_command(*words):
+def run_storage_command(*arguments):
     return subprocess.run(
-        [sys.executable, "-B", "-m", "lilacwalk", "storage", *words],
+        [sys.executable, "-B", "-m", "lilacwalk", "storage", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -1,7 +1,7 @@
 """Requests with an effect when a real app server is killed; the executor counts the effects."""
 
 from lilacwalk.protocols.admin_socket import query
-from tests.storage.conftest import SOON
+from tests.storage.conftest import WAIT_TIMEOUT_SECONDS
 
 
 def test_request_killed_after_its_answer_is_answered_from_the_persisted_result(make_soak):
@@ -9,7 +9,9 @@
     soak.start()
     assert soak.ask("swap", "a") == ("done", b"did a")
     soak.rig.wait(
-        lambda: query(str(soak.socket), "show")["written"] >= 4, SOON, "the result is put down"
+        lambda: query(str(soak.socket), "show")["written"] >= 4,
+        WAIT_TIMEOUT_SECONDS,
+        "the result is persisted",
     )
     soak.kill()
     soak.start()
@@ -22,12 +24,12 @@
     soak = make_soak(work=0.5)
     soak.start()
     soak.put("swap", "a")
-    soak.rig.wait(lambda: soak.effects[b"a"], SOON, "it runs")
+    soak.rig.wait(lambda: soak.effects[b"a"], WAIT_TIMEOUT_SECONDS, "the request is executed")
     soak.kill()
     soak.server.executor.notices.clear()  # a restarted executor has no state
     soak.start()
-    word, _ = soak.ask("swap", "a")
-    assert word not in ("done", "later")
+    outcome, _ = soak.ask("swap", "a")
+    assert outcome not in ("done", "later")
     assert soak.effects[b"a"] == 1
 
 
@@ -35,7 +37,7 @@
     soak = make_soak(work=0.3)
     soak.start()
     soak.put("move", "m", i="00000000000000aa")
-    soak.rig.wait(lambda: soak.effects[b"m"], SOON, "it runs")
+    soak.rig.wait(lambda: soak.effects[b"m"], WAIT_TIMEOUT_SECONDS, "the request is executed")
     soak.kill()
     soak.server.executor.notices.clear()
     soak.start()
@@ -46,24 +48,26 @@
 
 def test_no_effect_runs_twice_over_random_kills_and_every_key_gets_an_outcome(make_soak):
     soak = make_soak(seed=3, durability="flushed")
-    left, settled = [], {}
-    for life in range(8):
+    pending, outcomes = [], {}
+    for start_number in range(8):
         soak.start()
-        found = soak.run_until_kill([f"{life}-{at}" for at in range(60)], left)
-        left = found.get("", []) + [key for key in found.get("later", [])]
-        settled |= {
-            key: word
-            for word, keys in found.items()
-            if word not in ("", "later", "unsent")
+        keys_by_outcome = soak.run_until_kill([f"{start_number}-{at}" for at in range(60)], pending)
+        pending = keys_by_outcome.get("", []) + [key for key in keys_by_outcome.get("later", [])]
+        outcomes |= {
+            key: outcome
+            for outcome, keys in keys_by_outcome.items()
+            if outcome not in ("", "later", "unsent")
             for key in keys
         }
     soak.start()
-    for key in left:
-        settled[key] = soak.ask("swap", key)[0]
-    assert len(settled) > 100
-    assert all(settled.values())
+    for key in pending:
+        outcomes[key] = soak.ask("swap", key)[0]
+    assert len(outcomes) > 100
+    assert all(outcomes.values())
     assert max(soak.effects.values()) == 1
-    assert all(soak.effects[key.encode()] == 1 for key, word in settled.items() if word == "done")
+    assert all(
+        soak.effects[key.encode()] == 1 for key, outcome in outcomes.items() if outcome == "done"
+    )
 
 
 def test_full_disk_rejects_only_requests_with_an_effect_until_space_is_free(
@@ -73,12 +77,20 @@
     soak.start()
     soak.rig.fill("n0")
     soak.ask("swap", "a")
-    soak.rig.wait(lambda: query(str(soak.socket), "show")["state"] == "full", SOON, "told")
+    soak.rig.wait(
+        lambda: query(str(soak.socket), "show")["state"] == "full",
+        WAIT_TIMEOUT_SECONDS,
+        "the store reports a full disk",
+    )
     assert soak.ask("swap", "b")[0] == "later"
     assert soak.ask("look", "c")[0] == "done"
     assert not soak.effects[b"b"]
     soak.rig.fill("n0", False)
-    soak.rig.wait(lambda: query(str(soak.socket), "show")["state"] == "kept", SOON, "room again")
+    soak.rig.wait(
+        lambda: query(str(soak.socket), "show")["state"] == "kept",
+        WAIT_TIMEOUT_SECONDS,
+        "the store persists writes again",
+    )
     assert soak.ask("swap", "b") == ("done", b"did b")
     assert soak.rig.log("n0").count("state=full") == 1
 
@@ -87,8 +99,8 @@
     soak = make_soak(unkept="marked")
     soak.start()
     soak.rig.fill("n0")
-    words = [soak.ask("swap", f"a{at}")[0] for at in range(5)]
-    assert words == ["done"] * 5
+    outcomes = [soak.ask("swap", f"a{at}")[0] for at in range(5)]
+    assert outcomes == ["done"] * 5
     assert "event=effects_unpersisted" in soak.rig.log("n0")
     assert query(str(soak.socket), "show")["unkept"] >= 4
 
--- a/tests/storage/test_persistence.py
+++ b/tests/storage/test_persistence.py
@@ -5,7 +5,7 @@
 from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED
 from lilacwalk.protocols.admin_socket import query
 from lilacwalk.storage.state import Table
-from tests.storage.conftest import SOON, listen_for_devices, persisted_row
+from tests.storage.conftest import WAIT_TIMEOUT_SECONDS, listen_for_devices, persisted_row
 
 
 def test_learned_state_is_restored_after_a_kill(make_soak):
@@ -14,7 +14,9 @@
     for at in range(30):
         soak.ask("look", f"a{at}")
     soak.rig.wait(
-        lambda: query(str(soak.socket), "show")["rows"] >= 1, SOON, "learned state is persisted"
+        lambda: query(str(soak.socket), "show")["rows"] >= 1,
+        WAIT_TIMEOUT_SECONDS,
+        "learned state is persisted",
     )
     soak.kill()
     soak.start()
@@ -32,14 +34,14 @@
         soak.start()
         soak.rig.wait(
             lambda: soak.server.router.held or persisted_row(soak, Table.DAMPING)[1],
-            SOON,
+            WAIT_TIMEOUT_SECONDS,
             "the prefix is announced or damped",
         )
         if persisted_row(soak, Table.DAMPING)[1]:
             break
         soak.rig.wait(
             lambda: persisted_row(soak, Table.DAMPING)[2],
-            SOON,
+            WAIT_TIMEOUT_SECONDS,
             "the announcement is persisted",
         )
         soak.kill()
@@ -52,7 +54,9 @@
     soak.server.extra += soak.rig.add_router("n0", "192.0.2.1/32")
     for _ in range(5):
         soak.start()
-        soak.rig.wait(lambda: soak.server.router.held, SOON, "announced")
+        soak.rig.wait(
+            lambda: soak.server.router.held, WAIT_TIMEOUT_SECONDS, "the prefix is announced"
+        )
         assert soak.rig.leave("n0") == [0]
     assert "damped" not in soak.rig.log("n0")
 
@@ -64,17 +68,17 @@
     device = connect_device()
     try:
         first = device.ask("swap", b"one", 4_000, key="k1")
-        assert device.outcome(first, SOON).word == COMPLETED
+        assert device.outcome(first, WAIT_TIMEOUT_SECONDS).word == COMPLETED
         second = device.ask("move", b"two", 4_000)
-        soak.rig.wait(lambda: soak.effects[b"two"], SOON, "it runs")
+        soak.rig.wait(lambda: soak.effects[b"two"], WAIT_TIMEOUT_SECONDS, "the request is executed")
         soak.kill()
         soak.server.executor.notices.clear()
         soak.start()
-        assert device.outcome(second, SOON).word == TERMINATED
+        assert device.outcome(second, WAIT_TIMEOUT_SECONDS).word == TERMINATED
         assert soak.effects[b"two"] == 1
         assert device.session.welcome.resumed
         third = device.ask("move", b"three", 4_000)
-        assert device.outcome(third, SOON).word == COMPLETED
+        assert device.outcome(third, WAIT_TIMEOUT_SECONDS).word == COMPLETED
         assert device.session.duplicate_answers == 0
     finally:
         device.end()
@@ -87,24 +91,28 @@
     devices = [connect_device()]
     try:
         outcomes = {}
-        for life in range(5):
+        for kill in range(5):
             numbers = {
-                devices[0].ask("move", b"m%d-%d" % (life, at), 4_000): b"m%d-%d" % (life, at)
+                devices[0].ask("move", b"m%d-%d" % (kill, at), 4_000): b"m%d-%d" % (kill, at)
                 for at in range(6)
             }
             time_of_kill = time.monotonic() + soak.rng.uniform(0.0, 0.05)
             soak.rig.wait(
                 lambda until=time_of_kill: time.monotonic() >= until,
-                SOON,
+                WAIT_TIMEOUT_SECONDS,
                 "the random time of the kill",
             )
             soak.kill()
             soak.start()
             for number, body in numbers.items():
-                outcomes[body] = devices[0].outcome(number, SOON).word
+                outcomes[body] = devices[0].outcome(number, WAIT_TIMEOUT_SECONDS).word
         assert len(outcomes) == 30
         assert max(soak.effects.values()) == 1
-        assert all(soak.effects[body] == 1 for body, word in outcomes.items() if word == COMPLETED)
-        assert not any(soak.effects[body] for body, word in outcomes.items() if word == DENIED)
+        assert all(
+            soak.effects[body] == 1 for body, outcome in outcomes.items() if outcome == COMPLETED
+        )
+        assert not any(
+            soak.effects[body] for body, outcome in outcomes.items() if outcome == DENIED
+        )
     finally:
         devices[0].end()
