--- a/lilacwalk/operator/__init__.py
+++ b/lilacwalk/operator/__init__.py
@@ -1,6 +1,7 @@
-"""The operator's file: from text to a checked configuration.
+"""Parser of the operator's file: turns its text into a validated configuration.
 
-`syntax` splits text into statements, `units` converts single words, `field_schema` reads the known
-keywords from the configuration records, `block_reader` checks statements against them, `schema`
-names the top-level blocks, `loader` reads the file, and `check` prints what a file means.
+`syntax` splits the text into statements, `units` converts single words, `field_schema` derives the
+known keywords from the configuration records, `block_reader` validates statements against them,
+`schema` defines the top-level blocks, `loader` reads the file, and `check` prints the configuration
+that a file gives.
 """
--- a/lilacwalk/operator/block_reader.py
+++ b/lilacwalk/operator/block_reader.py
@@ -1,10 +1,15 @@
-"""Checks statements against configuration records and builds the records.
-
-A record states more than its fields: `ARGUMENTS` are the words behind a block's keyword, in their
-order; `INLINE` are pairs of a word and a number behind those; `ORDERED` maps keywords, whose
-statements are kept in their order in the field `lines`, to the first item of each pair there.
-`faults()` of a record lists what is wrong between its fields, as pairs of a keyword and what was
-expected.
+"""Validates statements against configuration records and builds the records.
+
+Besides its fields, a record type may define:
+
+- `ARGUMENTS`: the fields that the words after the block's keyword set, in order;
+- `INLINE`: the fields that may follow the arguments on the same line, as pairs of field name and
+  value;
+- `ORDERED`: keywords whose statements are stored in the field `lines` in the order of the file.
+  Each item of `lines` is a pair: the value that `ORDERED` gives for the keyword, and the record of
+  the statement;
+- `faults()`: a method that returns the errors that involve several fields, as pairs of keyword and
+  expected value.
 """
 
 from __future__ import annotations
@@ -28,7 +33,7 @@
 
 @dataclass(slots=True)
 class _BlockState:
-    """What is known of a block while its statements are read."""
+    """The fields, values and statements of a block while it is being read."""
 
     record: type[Struct]
     opener: Statement | None  # None for the file itself
@@ -51,14 +56,16 @@
 
     @property
     def line(self) -> int:
+        """The line at which a problem of the whole block is reported."""
         return self.opener.line if self.opener is not None else 1
 
     @property
     def word(self) -> str:
+        """The word that a problem of the whole block names."""
         return self.opener.keyword if self.opener is not None else "file"
 
     def statement_schema(self, keyword: str) -> FieldSchema | None:
-        """The field that a statement with this keyword sets, if there is one."""
+        """Returns the field that a statement with this keyword sets; None if there is none."""
         schema = self.schemas.get(keyword)
         if schema is None or schema.name in (*self.arguments, ORDERED_FIELD):
             return None
@@ -68,28 +75,35 @@
         return [*self.ordered, *(word for word in self.schemas if self.statement_schema(word))]
 
     def ordered_record(self) -> type[Struct]:
-        """The record of one ordered statement: the second item of the pairs in `lines`."""
+        """Returns the record type of an ordered statement: the second type of a pair in `lines`."""
         hints = typing.get_type_hints(self.record)
         pair = typing.get_args(hints[ORDERED_FIELD])[0]
         return typing.get_args(pair)[1]
 
 
 class BlockReader:
-    """Reads the blocks of one file; owns the problems found, so that all are reported at once."""
+    """Reads the blocks of one file and collects all problems, so that they are reported together.
+
+    Attributes:
+        problems: the problems of all blocks read so far.
+    """
 
     def __init__(self) -> None:
-        """Starts without problems."""
+        """Creates a reader without problems."""
         self.problems: list[Problem] = []
 
     def read_block(
         self, record: type[Struct], statements: list[Statement], opener: Statement | None
     ) -> Struct | None:
-        """Builds a record from a block; None where something in the block is wrong.
+        """Builds a record from a block.
+
+        Returns None if a statement of the block is invalid or a required one is missing. A record
+        whose `faults()` finds errors is returned; these errors are added to `problems`.
 
         Args:
             record: the record's type.
             statements: the statements within the block.
-            opener: the statement that opened it; None for the file itself.
+            opener: the statement that opened the block; None for the file itself.
         """
         problem_count = len(self.problems)
         block = _BlockState(record, opener, field_schemas(record))
@@ -102,20 +116,20 @@
         self._check_required(block)
         if len(self.problems) > problem_count:
             return None
-        built = record(**block.values)
-        self._check_record(block, built)
-        return built
+        instance = record(**block.values)
+        self._check_record(block, instance)
+        return instance
 
     def _report(self, line: int, word: str, expected: str) -> None:
         self.problems.append(Problem(line, word, expected))
 
     def _read_arguments(self, block: _BlockState, opener: Statement) -> None:
-        """Reads the words behind a block's keyword, then the inline pairs."""
+        """Reads the arguments after a block's keyword, then the inline pairs."""
         schemas_by_name = {schema.name: schema for schema in block.schemas.values()}
         words = list(opener.words)
         for name in block.arguments:
             if not words:
-                expected = f"a {name.replace('_', '-')} behind it"
+                expected = f"an argument ({name.replace('_', '-')})"
                 self._report(opener.line, opener.keyword, expected)
                 return
             self._set_value(block, schemas_by_name[name], opener.line, words.pop(0))
@@ -123,15 +137,15 @@
             name = words.pop(0)
             self._set_value(block, schemas_by_name[name], opener.line, words.pop(0))
         if words:
-            self._report(opener.line, words[0], self._expected_behind_arguments(block, opener))
+            self._report(opener.line, words[0], self._expected_after_arguments(block, opener))
 
     @staticmethod
-    def _expected_behind_arguments(block: _BlockState, opener: Statement) -> str:
+    def _expected_after_arguments(block: _BlockState, opener: Statement) -> str:
         if block.inline:
-            return f"{' or '.join(block.inline)} with a number"
+            return f"{' or '.join(block.inline)}, followed by a number"
         if opener.block is None:
             return "the end of the line"
-        return "{ at the end of the line"
+        return "no further word before {"
 
     def _read_statement(self, block: _BlockState, statement: Statement) -> None:
         keyword = statement.keyword
@@ -145,7 +159,9 @@
             return
         earlier = block.statements_by_keyword.get(keyword)
         if earlier is not None and not (schema.repeated and schema.block):
-            self._report(statement.line, keyword, f"once, not twice (line {earlier.line})")
+            self._report(
+                statement.line, keyword, f"once, but line {earlier.line} has this keyword too"
+            )
             return
         block.statements_by_keyword[keyword] = statement
         if schema.block is not None:
@@ -160,30 +176,32 @@
         self, block: _BlockState, schema: FieldSchema, record: type[Struct], statement: Statement
     ) -> None:
         if statement.block is None and not getattr(record, "ARGUMENTS", ()):
-            self._report(statement.line, statement.keyword, "{ and a block")
+            self._report(
+                statement.line, statement.keyword, "a block after the keyword, opened by {"
+            )
             return
-        built = self._read_nested(record, statement)
+        instance = self._read_nested(record, statement)
         if schema.repeated:
             earlier = block.values.get(schema.name, ())
-            block.values[schema.name] = (*earlier, built) if built is not None else earlier
-        elif built is not None:
-            block.values[schema.name] = built
+            block.values[schema.name] = (*earlier, instance) if instance is not None else earlier
+        elif instance is not None:
+            block.values[schema.name] = instance
 
     def _read_value_statement(
         self, block: _BlockState, schema: FieldSchema, statement: Statement
     ) -> None:
         if statement.block is not None:
-            self._report(statement.line, statement.keyword, "no block")
+            self._report(statement.line, statement.keyword, "a value without a block")
         elif not statement.words:
-            self._report(statement.line, statement.keyword, "a word behind it")
+            self._report(statement.line, statement.keyword, "a value after the keyword")
         elif schema.repeated:
-            block.values[schema.name] = tuple(self._converted_words(schema, statement))
+            block.values[schema.name] = tuple(self._convert_words(schema, statement))
         elif len(statement.words) > 1:
             self._report(statement.line, statement.words[1], "the end of the line")
         else:
             self._set_value(block, schema, statement.line, statement.words[0])
 
-    def _converted_words(self, schema: FieldSchema, statement: Statement) -> list[object]:
+    def _convert_words(self, schema: FieldSchema, statement: Statement) -> list[object]:
         values = []
         for word in statement.words:
             try:
@@ -200,16 +218,16 @@
 
     def _check_required(self, block: _BlockState) -> None:
         for keyword, schema in block.schemas.items():
-            is_stated = (
+            is_present = (
                 schema.name in block.values
                 or schema.name in block.arguments
                 or keyword in block.statements_by_keyword
             )
-            if schema.required and not is_stated:
+            if schema.required and not is_present:
                 self._report(block.line, block.word, f"{keyword} in this block")
 
-    def _check_record(self, block: _BlockState, built: Struct) -> None:
-        """Reports what the record itself finds wrong between its fields."""
-        for keyword, expected in getattr(built, "faults", list)():
+    def _check_record(self, block: _BlockState, instance: Struct) -> None:
+        """Reports the errors that the record's `faults()` finds."""
+        for keyword, expected in getattr(instance, "faults", list)():
             statement = block.statements_by_keyword.get(keyword)
             self._report(statement.line if statement else block.line, keyword, expected)
--- a/lilacwalk/operator/check.py
+++ b/lilacwalk/operator/check.py
@@ -1,7 +1,7 @@
-"""Prints what an operator's file means, or all that is wrong with it.
+"""Prints the configuration that an operator's file gives, or every problem of the file.
 
-The files that its blocks name (keys, secrets, certificates) are read too, so that one that cannot
-be used is found here and not at a start.
+The files that its blocks refer to (keys, secrets, certificates) are read as well, so that an
+unusable one is found by `check` and not only at the start of an app server.
 """
 
 from __future__ import annotations
@@ -34,18 +34,27 @@
 
 
 class CertificateValidityError(LilacwalkError):
-    """A certificate has expired or is not valid yet."""
+    """A certificate has expired or is not valid yet.
 
-    def __init__(self, path: str, begins: datetime, ends: datetime) -> None:
-        """Keeps the certificate's file and the times between which it is valid."""
-        super().__init__(f"certificate {path}: good from {begins:%Y-%m-%d} to {ends:%Y-%m-%d}")
+    Attributes:
+        path: the certificate's file.
+        not_before: start of the certificate's validity.
+        not_after: end of the certificate's validity.
+    """
+
+    def __init__(self, path: str, not_before: datetime, not_after: datetime) -> None:
+        """Formats the period of validity."""
+        super().__init__(
+            f"certificate {path} is not valid now: "
+            f"valid from {not_before:%Y-%m-%d} to {not_after:%Y-%m-%d}"
+        )
         self.path = path
-        self.begins = begins
-        self.ends = ends
+        self.not_before = not_before
+        self.not_after = not_after
 
 
 def check_operator_file(path: str) -> int:
-    """Prints the meaning of a file, block by block, and returns the exit code of the command."""
+    """Prints the configuration of a file, block by block, and returns the command's exit code."""
     try:
         config = load_operator_file(path)
     except UnusableFileError as error:
@@ -95,10 +104,12 @@
 
 
 def certificate_expiry(path: str) -> str:
-    """When a certificate ends; empty where the optional library `cryptography` is not installed.
+    """Returns the time at which a certificate expires.
+
+    The result is empty if the optional library `cryptography` is not installed.
 
     Raises:
-        CertificateValidityError: it has expired or is not valid yet.
+        CertificateValidityError: the certificate has expired or is not valid yet.
     """
     try:
         from cryptography import x509
@@ -106,11 +117,11 @@
         return ""
     with open(path, "rb") as file:
         certificate = x509.load_pem_x509_certificate(file.read())
-    begins = certificate.not_valid_before_utc
-    ends = certificate.not_valid_after_utc
-    if not begins <= datetime.now(UTC) < ends:
-        raise CertificateValidityError(path, begins, ends)
-    return f"{ends:%Y-%m-%dT%H:%M:%SZ}"
+    not_before = certificate.not_valid_before_utc
+    not_after = certificate.not_valid_after_utc
+    if not not_before <= datetime.now(UTC) < not_after:
+        raise CertificateValidityError(path, not_before, not_after)
+    return f"{not_after:%Y-%m-%dT%H:%M:%SZ}"
 
 
 def _print_fleet(config: FleetConfig | None) -> int:
@@ -156,7 +167,7 @@
 
 
 def _print_sites(config: FailoverConfig | None, path: str) -> None:
-    """Prints a warning for each failure that the file requires to be survivable and that is not."""
+    """Prints the sites block, with a warning for each required failure that is not survivable."""
     if config is None:
         print("sites=off")
         return
@@ -174,15 +185,19 @@
         if plan.is_sufficient:
             continue
         cores = additional_cores_needed(config, capacities, plan.failed)
-        remedy = "no number of cores helps" if cores is None else f"{cores} more cores would do"
+        remedy = (
+            "no number of additional cores suffices"
+            if cores is None
+            else f"additional cores needed: {cores}"
+        )
         print(
-            f"{path}:{line}: warning: the loss of {' and '.join(names)} is not borne: "
-            f"{plan.binding_constraint} binds, {remedy}"
+            f"{path}:{line}: warning: the loss of {' and '.join(names)} is not survivable: "
+            f"binding constraint {plan.binding_constraint}, {remedy}"
         )
 
 
 def _line_in_sites_block(path: str, keyword: str) -> int:
-    """The line of a statement in the sites block, or of the block itself without the statement."""
+    """Returns the line of a statement in the sites block, or of the block if it has none."""
     statements, _ = parse_statements(read_text(path))
     for statement in statements:
         if statement.keyword == "sites":
--- a/lilacwalk/operator/errors.py
+++ b/lilacwalk/operator/errors.py
@@ -1,4 +1,4 @@
-"""The errors of reading the operator's file."""
+"""Errors in the operator's file."""
 
 from __future__ import annotations
 
@@ -13,29 +13,33 @@
 
 
 class InvalidWordError(LilacwalkError, ValueError):
-    """A word of the file does not have the form that its statement asks for.
+    """A word of the file has an invalid form, or its value is out of bounds.
 
     Attributes:
-        expected: what should have stood there, as the operator reads it.
+        expected: the expected form or bounds, worded for the operator.
     """
 
     def __init__(self, expected: str) -> None:
-        """Keeps what was expected, which is also the message."""
+        """Uses `expected` as the message."""
         super().__init__(expected)
         self.expected = expected
 
 
 class UnusableFileError(LilacwalkError):
-    """A file that an operator wrote cannot be used; the message has a line for each problem."""
+    """A file written by an operator cannot be used; the message has one line per problem."""
 
     @classmethod
     def unreadable(cls, path: str, reason: str | None) -> UnusableFileError:
-        """The file cannot be read as text."""
+        """Returns the error for a file that cannot be read as text."""
         return cls(f"{path}: {reason}")
 
     @classmethod
     def from_problems(cls, path: str, problems: Iterable[Problem]) -> UnusableFileError:
-        """The file's statements are wrong: FILE:LINE: word: expected what, sorted by line."""
+        """Returns the error for a file with invalid statements.
+
+        Each line of the message has the form `FILE:LINE: WORD: expected ...`; the lines are sorted
+        by line number.
+        """
         return cls(
             "\n".join(
                 f"{path}:{problem.line}: {problem.word}: expected {problem.expected}"
--- a/lilacwalk/operator/field_schema.py
+++ b/lilacwalk/operator/field_schema.py
@@ -1,7 +1,8 @@
-"""Reads the keywords of a block from its configuration record.
+"""Derives the keywords of a block from its configuration record.
 
-A record is a frozen `msgspec.Struct`. A field is a keyword; a field of a record type is a block; a
-tuple of records is a block that may stand several times. Annotations state units and bounds.
+A record is a frozen `msgspec.Struct`, and each of its fields corresponds to a keyword. A field of a
+record type is a block; a tuple of records is a block that may occur several times. The annotations
+of a field specify its unit and its bounds.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 
 @dataclass(slots=True)
 class FieldSchema:
-    """One field of a record as the operator's file sees it."""
+    """How one field of a record is written in the operator's file."""
 
     name: str
     keyword: str
     type: object
     required: bool
-    units: list[str] = field(default_factory=list)
-    block: type[Struct] | None = None
-    repeated: bool = False
+    units: list[str] = field(default_factory=list)  # from the outermost annotation to the innermost
+    block: type[Struct] | None = None  # the record's type, if the field is a block
+    repeated: bool = False  # whether the field holds a tuple of any number of values
 
 
 def field_schemas(record: type[Struct]) -> dict[str, FieldSchema]:
-    """The fields of a record by their keywords."""
+    """Returns the schemas of a record's fields by keyword."""
     schemas = {}
     for struct_field in msgspec.structs.fields(record):
         keyword = struct_field.name.rstrip("_").replace("_", "-")
@@ -52,7 +53,7 @@
 
 
 def _read_annotation(annotation: object, schema: FieldSchema) -> None:
-    """Adds units, keyword and block to the schema, wherever in the annotation they stand."""
+    """Adds units, keyword and block to the schema from all levels of the annotation."""
     origin = typing.get_origin(annotation)
     arguments = typing.get_args(annotation)
     if origin is typing.Annotated:
@@ -80,38 +81,38 @@
 
 
 def convert_word(schema: FieldSchema, word: str) -> object:
-    """Converts a word by the field's unit, without looking at its bounds.
+    """Converts a word by the field's unit, without checking the bounds.
 
     Raises:
-        InvalidWordError: the word does not have the unit's form.
+        InvalidWordError: the word does not have the form that the unit requires.
     """
     unit = next((unit for unit in schema.units if unit in CONVERTERS_BY_UNIT), None)
     if unit is not None:
         return CONVERTERS_BY_UNIT[unit](word)
-    innermost = schema.units[0] if schema.units else ""
-    return CONVERTERS_BY_PLAIN_UNIT.get(innermost, str)(word)
+    plain_unit = schema.units[0] if schema.units else ""
+    return CONVERTERS_BY_PLAIN_UNIT.get(plain_unit, str)(word)
 
 
 def check_bounds(schema: FieldSchema, value: object) -> object:
-    """The value as the field's type has it.
+    """Returns the value, converted to the field's type.
 
     Raises:
-        InvalidWordError: the value is outside of the bounds that the field states.
+        InvalidWordError: the value is outside the bounds of the field.
     """
     try:
         return msgspec.convert(value, schema.type)
     except msgspec.ValidationError as error:
-        raise InvalidWordError(expected=_expected_by(schema, str(error))) from error
+        raise InvalidWordError(expected=_expected_from_error(schema, str(error))) from error
     except TypeError:
-        return value  # a type that msgspec does not know; its unit has checked it
+        return value  # msgspec does not support the type; the unit's converter checked the value
 
 
-def _expected_by(schema: FieldSchema, message: str) -> str:
-    """The operator's form of a message of msgspec."""
+def _expected_from_error(schema: FieldSchema, message: str) -> str:
+    """Returns what a validation message of msgspec expects, worded for the operator."""
     if "matching regex" in message:
         alternatives = message.split("(")[1].split(")")[0]
         return "one of " + alternatives.replace("|", ", ")
     expected = message.removeprefix("Expected ").split(" - ")[0].replace("`", "")
     if "duration" in schema.units:
-        expected += " (tenths of a ms)"
+        expected += " (in tenths of a millisecond)"
     return expected
--- a/lilacwalk/operator/loader.py
+++ b/lilacwalk/operator/loader.py
@@ -1,7 +1,7 @@
-"""Reads the operator's file: a path to its configuration, or to all that is wrong with it.
+"""Reads the operator's file: returns its configuration, or raises an error with every problem.
 
-The schema and the libraries that it needs are imported only for a file that states something, so
-that an app server with an empty file does not pay for them.
+The schema and the libraries that it needs are imported only for a file with statements, which saves
+an app server with an empty file their memory and import time.
 """
 
 from __future__ import annotations
@@ -20,19 +20,21 @@
 
 
 def load_operator_file(path: str) -> OperatorConfig | None:
-    """Reads and parses a file; None where it states nothing.
+    """Reads and parses a file; returns None if it has no statements.
 
     Raises:
-        UnusableFileError: the file cannot be read, or something in it is wrong.
+        UnusableFileError: the file cannot be read or is invalid.
     """
     return parse_operator_file(read_text(path), path)
 
 
 def parse_operator_file(text: str, path: str) -> OperatorConfig | None:
-    """Parses the text of a file; None where it states nothing. `path` is for messages.
+    """Parses the text of a file; returns None if it has no statements.
+
+    `path` is only used in error messages.
 
     Raises:
-        UnusableFileError: with every problem of the text.
+        UnusableFileError: the text is invalid; the message lists every problem.
     """
     statements, problems = parse_statements(text)
     config = None
@@ -47,10 +49,10 @@
 
 
 def read_text(path: str) -> str:
-    """The text of a file.
+    """Returns the text of a file.
 
     Raises:
-        UnusableFileError: it cannot be read, is not UTF-8 or is too long.
+        UnusableFileError: the file cannot be read, is not UTF-8 or is too long.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -58,7 +60,11 @@
     except OSError as error:
         raise UnusableFileError.unreadable(path, error.strerror) from error
     except UnicodeDecodeError as error:
-        raise UnusableFileError.unreadable(path, f"not UTF-8 text: {error.reason}") from error
+        raise UnusableFileError.unreadable(
+            path, f"expected UTF-8 text: {error.reason} at offset {error.start}"
+        ) from error
     if len(text) > MAX_FILE_CHARACTERS:
-        raise UnusableFileError.unreadable(path, f"longer than {MAX_FILE_CHARACTERS} characters")
+        raise UnusableFileError.unreadable(
+            path, f"expected at most {MAX_FILE_CHARACTERS} characters, got more"
+        )
     return text
--- a/lilacwalk/operator/schema.py
+++ b/lilacwalk/operator/schema.py
@@ -15,7 +15,7 @@
 
 
 class OperatorConfig(Struct, frozen=True, kw_only=True):
-    """The parsed operator's file; a subsystem without a block is off."""
+    """The parsed operator's file; a subsystem whose block is missing is off."""
 
     announce: BgpConfig | None = None
     edge: EdgeConfig | None = None
@@ -25,19 +25,22 @@
     storms: RetryStormConfig | None = None
 
     def faults(self) -> list[tuple[str, str]]:
-        """What is wrong between blocks: pairs of a keyword and what was expected."""
+        """Returns errors that involve several blocks, as pairs of keyword and expected value."""
         if self.sites is None or self.fleet is None:
             return []
         known_sites = {site.name for site in self.sites.site}
         if self.fleet.site in known_sites:
             return []
-        return [("sites", f"a site {self.fleet.site}, which the fleet block names")]
+        return [("sites", f"a site {self.fleet.site}, as named in the fleet block")]
 
 
 def build_config(
     statements: list[Statement],
 ) -> tuple[OperatorConfig | None, list[Problem]]:
-    """The configuration that the statements of a file state, and all problems found."""
+    """Returns the configuration that the statements of a file give, and all problems found.
+
+    The configuration is only valid if there are no problems.
+    """
     reader = BlockReader()
     config = reader.read_block(OperatorConfig, statements, None)
     return config, reader.problems  # type: ignore[return-value]
--- a/lilacwalk/operator/syntax.py
+++ b/lilacwalk/operator/syntax.py
@@ -1,9 +1,10 @@
-r"""The syntax of the operator's file: lines to statements, without knowledge of any keyword.
+r"""Splits the operator's file into statements; independent of the keywords.
 
-A statement is a line: a keyword and words. `{` at the end of a line opens a block and `}` alone
-closes it. `#` begins a comment. Quotes are those of a shell: '...' takes all characters as they
-stand, "..." knows the escapes \" and \\, and a backslash outside of both takes the next
-character as it stands. Any text is accepted: the result is its statements and all its problems.
+A statement is one line: a keyword followed by words. `{` at the end of a line opens a block, and
+`}` on a line of its own closes it. `#` at the start of a word begins a comment. Quoting follows the
+shell: characters in '...' are literal, "..." supports the escapes \" and \\, and a backslash
+outside of quotes makes the next character literal. The parser accepts any text: it returns the
+statements together with all syntax errors.
 """
 
 from __future__ import annotations
@@ -12,27 +13,27 @@
 
 from lilacwalk.operator.errors import InvalidWordError
 
-MAX_BLOCK_DEPTH = 8  # blocks within blocks; bounds the recursion of whoever reads the statements
+MAX_BLOCK_DEPTH = 8  # limit on nested blocks; bounds the recursion of code that reads statements
 
 
 @dataclass(slots=True)
 class Statement:
-    """One statement, with the statements of its block if it opens one."""
+    """One statement, with the statements of its block if it opens one; lines count from 1."""
 
     line: int
     keyword: str
     words: list[str]
     block: list[Statement] | None = None
-    last_line: int = 0  # the line that closes the block
+    last_line: int = 0  # line of the closing brace; 0 if there is none
 
     def __str__(self) -> str:
-        """The statement as one line without quotes."""
+        """Returns the keyword and the words on one line, without quotes."""
         return " ".join([self.keyword, *self.words])
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Problem:
-    """One reason why a file cannot be used; problems sort by their line."""
+    """One error in a file: the offending word and what was expected. Problems sort by line."""
 
     line: int
     word: str
@@ -41,13 +42,14 @@
 
 @dataclass(slots=True)
 class SplitLine:
-    """The words of one line."""
+    """The words of one line, without their quotes."""
 
     words: list[str] = field(default_factory=list)
-    unquoted: list[bool] = field(default_factory=list)  # for each word; only such a brace counts
+    # for each word, whether it is free of quotes and backslashes; only then can it be a brace
+    unquoted: list[bool] = field(default_factory=list)
 
     def is_brace(self, index: int, brace: str) -> bool:
-        """Whether the word at `index` is this brace, written without quotes."""
+        """Whether the word at `index` is this brace and is not quoted."""
         return self.words[index] == brace and self.unquoted[index]
 
 
@@ -55,13 +57,13 @@
     """Splits one line into its words.
 
     Raises:
-        InvalidWordError: a quote is not closed, or the line ends in a backslash.
+        InvalidWordError: a quote is not closed, or the line ends with a backslash.
     """
     return _LineSplitter(line).split()
 
 
 class _LineSplitter:
-    """Owns the position in one line and the word that is being read."""
+    """State of splitting one line: the position in it and the word being read."""
 
     def __init__(self, line: str) -> None:
         self._line = line
@@ -98,7 +100,7 @@
         self._start_word()
 
     def _next_character(self) -> str:
-        """The next character; empty at the end of the line."""
+        """Advances by one character and returns it; empty at the end of the line."""
         character = self._line[self._position : self._position + 1]
         self._position += 1
         return character
@@ -109,24 +111,24 @@
         while (character := self._next_character()) != quote:
             if not character:
                 raise InvalidWordError(expected=f"a closing {quote}")
-            if character == "\\" and quote == '"' and self._at_escapable():
+            if character == "\\" and quote == '"' and self._at_escapable_character():
                 character = self._next_character()
             self._text += character
 
-    def _at_escapable(self) -> bool:
+    def _at_escapable_character(self) -> bool:
         return self._line[self._position : self._position + 1] in ('"', "\\")
 
     def _read_escaped(self) -> None:
         character = self._next_character()
         if not character:
-            raise InvalidWordError(expected="a character behind \\")
+            raise InvalidWordError(expected="a character after \\")
         self._text += character
         self._in_word = True
         self._quoted = True
 
 
 def parse_statements(text: str) -> tuple[list[Statement], list[Problem]]:
-    """The top-level statements of a text, and all that is wrong with its syntax."""
+    """Returns the top-level statements of a text and all syntax errors."""
     parser = _StatementParser()
     for number, line in enumerate(text.splitlines(), 1):
         parser.add_line(number, line)
@@ -135,13 +137,14 @@
 
 
 class _StatementParser:
-    """Owns the statements read so far and the blocks that are still open."""
+    """State of parsing a text: the statements read so far and the blocks that are still open."""
 
     def __init__(self) -> None:
         self.statements: list[Statement] = []
         self.problems: list[Problem] = []
         self._open_blocks: list[Statement] = []
-        self._skipped_depth = 0  # open blocks within a block that is too deep
+        # number of open blocks beyond MAX_BLOCK_DEPTH, whose statements are skipped
+        self._skipped_depth = 0
 
     def add_line(self, number: int, line: str) -> None:
         try:
@@ -158,18 +161,18 @@
 
     def finish(self) -> None:
         for statement in self._open_blocks:
-            self._report(statement.line, statement.keyword, "a } that closes this block")
+            self._report(statement.line, statement.keyword, "a closing } for this block")
 
     def _report(self, line: int, word: str, expected: str) -> None:
         self.problems.append(Problem(line, word, expected))
 
     def _close_block(self, number: int, words: list[str]) -> None:
         if len(words) > 1:
-            self._report(number, words[1], "} alone on its line")
+            self._report(number, words[1], "} on a line of its own")
         if self._skipped_depth:
             self._skipped_depth -= 1
         elif not self._open_blocks:
-            self._report(number, "}", "no } here: no block is open")
+            self._report(number, "}", "no } here, because no block is open")
         else:
             self._open_blocks.pop().last_line = number
 
@@ -190,15 +193,17 @@
             self._open_block(statement)
 
     def _check_braces(self, number: int, words: list[str], unquoted: list[bool]) -> None:
-        """Reports the first brace that stands where none may."""
+        """Reports the first brace in a place where braces are not allowed."""
         for word, is_unquoted in zip(words, unquoted, strict=False):
             if not is_unquoted:
                 continue
             if word in ("{", "}"):
-                self._report(number, word, "{ only at the end of a line, } alone on one")
+                self._report(
+                    number, word, "{ only at the end of a line, } only on a line of its own"
+                )
                 return
             if word.endswith("{") or word.startswith("}"):
-                self._report(number, word, "a space before {, and } alone on its line")
+                self._report(number, word, "a space before {, and } on a line of its own")
                 return
 
     def _open_block(self, statement: Statement) -> None:
@@ -206,6 +211,6 @@
         if len(self._open_blocks) < MAX_BLOCK_DEPTH:
             self._open_blocks.append(statement)
             return
-        expected = f"at most {MAX_BLOCK_DEPTH} blocks within each other"
+        expected = f"at most {MAX_BLOCK_DEPTH} levels of nested blocks"
         self._report(statement.line, statement.keyword, expected)
         self._skipped_depth = 1
--- a/lilacwalk/operator/units.py
+++ b/lilacwalk/operator/units.py
@@ -1,6 +1,7 @@
-"""Converts single words of the operator's file, by the unit that a field of a record states.
+"""Converts single words of the operator's file to values, by the unit of a record's field.
 
-Each converter raises `InvalidWordError` with what was expected.
+Each converter raises `InvalidWordError`, which gives the expected form, if the word has another
+form.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 BYTES_BY_UNIT = {"B": 1, "KB": 1_000, "MB": 1_000_000, "GB": 1_000_000_000}
 NUMBER_AND_UNIT = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([A-Za-z]*)", re.ASCII)
 MAX_16_BIT = 65_535
-# RFC 8326, 1997, 7999
+# RFC 8326 (graceful-shutdown), RFC 1997 (no-export, no-advertise, no-export-subconfed) and
+# RFC 7999 (blackhole)
 WELL_KNOWN_COMMUNITIES = {
     "graceful-shutdown": 0xFFFF0000,
     "no-export": 0xFFFFFF01,
@@ -30,81 +32,81 @@
     match = NUMBER_AND_UNIT.fullmatch(word)
     if match is None or match[2] not in units:
         names = ", ".join(units)
-        raise InvalidWordError(expected=f"a number with its unit ({names}), as {example}")
+        raise InvalidWordError(expected=f"a number with a unit ({names}), such as {example}")
     value = float(match[1]) * units[match[2]]
     if value != int(value):
         is_time = units is TENTHS_OF_MS_BY_UNIT
         raise InvalidWordError(
-            expected="no finer than a tenth of a millisecond" if is_time else "whole bytes"
+            expected="a multiple of 0.1 ms" if is_time else "a whole number of bytes"
         )
     return int(value)
 
 
 def parse_duration(word: str) -> int:
-    """A time as 200ms, in tenths of a millisecond."""
+    """Returns a time such as 200ms in tenths of a millisecond."""
     return _parse_scaled(word, TENTHS_OF_MS_BY_UNIT, "200ms")
 
 
 def parse_size(word: str) -> int:
-    """A size as 64KB, in bytes."""
+    """Returns a size such as 64KB in bytes."""
     return _parse_scaled(word, BYTES_BY_UNIT, "64KB")
 
 
 def parse_flag(word: str) -> bool:
-    """A yes or a no."""
+    """Returns True for yes and False for no."""
     if word not in ("yes", "no"):
         raise InvalidWordError(expected="yes or no")
     return word == "yes"
 
 
 def parse_integer(word: str) -> int:
-    """A whole number of at most 18 digits."""
+    """Returns a nonnegative integer of at most 18 digits."""
     if not (word.isascii() and word.isdigit()) or len(word) > 18:
-        raise InvalidWordError(expected="a whole number")
+        raise InvalidWordError(expected="a whole number of at most 18 digits")
     return int(word)
 
 
 def parse_number(word: str) -> float:
-    """A decimal number without a unit."""
+    """Returns a nonnegative decimal number without a unit."""
     match = NUMBER_AND_UNIT.fullmatch(word)
     if match is None or match[2]:
-        raise InvalidWordError(expected="a number, as 0.25")
+        raise InvalidWordError(expected="a number, such as 0.25")
     return float(match[1])
 
 
 def parse_address(word: str) -> str:
-    """An IPv4 or IPv6 address in its canonical form."""
+    """Returns an IPv4 or IPv6 address in canonical form."""
     try:
         return str(ipaddress.ip_address(word))
     except ValueError:
-        raise InvalidWordError(expected="an address, as 192.0.2.1 or 2001:db8::1") from None
+        raise InvalidWordError(expected="an IP address, such as 192.0.2.1 or 2001:db8::1") from None
 
 
 def parse_ipv4(word: str) -> str:
-    """An IPv4 address other than 0.0.0.0 in its canonical form."""
+    """Returns an IPv4 address other than 0.0.0.0 in canonical form."""
     try:
         parsed = ipaddress.IPv4Address(word)
     except ValueError:
-        raise InvalidWordError(expected="four numbers, as 192.0.2.1") from None
+        raise InvalidWordError(expected="an IPv4 address, such as 192.0.2.1") from None
     if not int(parsed):
-        raise InvalidWordError(expected="another than 0.0.0.0")
+        raise InvalidWordError(expected="an IPv4 address other than 0.0.0.0")
     return str(parsed)
 
 
 def parse_prefix(word: str) -> Prefix:
-    """An IPv4 or IPv6 prefix without host bits."""
+    """Returns an IPv4 or IPv6 prefix; no host bits may be set."""
     try:
         return Prefix.of(word)
     except ValueError as error:
         if "host bits" in str(error):
-            expected = "no bits set behind the prefix's length"
+            expected = "no host bits set after the prefix length"
         else:
-            expected = "a prefix, as 192.0.2.10/32 or 2001:db8::10/128"
+            expected = "a prefix, such as 192.0.2.10/32 or 2001:db8::10/128"
         raise InvalidWordError(expected) from error
 
 
 def parse_endpoint(word: str) -> tuple[str, int]:
-    """An address and a port as host:port; host names are not resolved."""
+    """Returns the address and the port of host:port; host names are not resolved."""
     host, separator, port = word.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
@@ -115,16 +117,17 @@
         port_number = None
     if not separator or port_number is None or port_number > MAX_16_BIT:
         raise InvalidWordError(
-            expected="an address and a port, as 192.0.2.1:179 or [2001:db8::1]:179"
+            expected="an address and a port, such as 192.0.2.1:179 or [2001:db8::1]:179"
         )
     return address, port_number
 
 
 def parse_community(word: str) -> int:
-    """A BGP community as one number.
+    """Returns a BGP community as one number.
 
-    A community of RFC 1997 is written as 65010:1 or by its well-known name. A large one of RFC 8092
-    is written as 65010:1:2; bit 96 is set in its number, to tell it from one of RFC 1997.
+    A community of RFC 1997 is written as 65010:1 or as a well-known name. A large community of
+    RFC 8092 is written as 65010:1:2; its number has bit 96 set, which distinguishes it from a
+    community of RFC 1997.
     """
     if word in WELL_KNOWN_COMMUNITIES:
         return WELL_KNOWN_COMMUNITIES[word]
@@ -135,7 +138,7 @@
     if len(numbers) == len(parts) == 3 and max(numbers) < 1 << 32:
         return 1 << 96 | numbers[0] << 64 | numbers[1] << 32 | numbers[2]
     raise InvalidWordError(
-        expected=f"a community, as 65010:1, 65010:1:2 or {', '.join(WELL_KNOWN_COMMUNITIES)}"
+        expected=f"a community, such as 65010:1, 65010:1:2 or {', '.join(WELL_KNOWN_COMMUNITIES)}"
     )
 
 
--- a/tests/operator/conftest.py
+++ b/tests/operator/conftest.py
@@ -1,4 +1,4 @@
-"""An operator's file with an announce block, and the problems that a text has."""
+"""Fixtures: an operator's file with an announce block, and the problems reported for a text."""
 
 import pytest
 
--- a/tests/operator/test_block_reader.py
+++ b/tests/operator/test_block_reader.py
@@ -1,11 +1,11 @@
-"""Statements become configuration records, or problems."""
+"""The block reader turns statements into configuration records or reports problems."""
 
 import pytest
 
 from lilacwalk.operator.loader import parse_operator_file
 
 
-def test_parses_units_quotes_nested_blocks_and_repeated_statements(operator_file):
+def test_units_quotes_nested_blocks_and_repeated_statements_are_parsed(operator_file):
     config = parse_operator_file(operator_file, "f").announce
     assert (config.as_, config.ready_for, config.hold_time, config.damping.longest) == (
         65010,
@@ -36,34 +36,34 @@
         (
             "ready-for 200ms",
             "ready-for 200",
-            "@ 200: expected a number with its unit (ms, s, m, h), as 200ms",
+            "@ 200: expected a number with a unit (ms, s, m, h), such as 200ms",
         ),
-        ("ready-for 200ms", "ready-for 200KB", "@ 200KB: expected a number with its unit"),
+        ("ready-for 200ms", "ready-for 200KB", "@ 200KB: expected a number with a unit"),
         (
             "ready-for 200ms",
             "ready-for 0.01ms",
-            "@ 0.01ms: expected no finer than a tenth of a millisecond",
+            "@ 0.01ms: expected a multiple of 0.1 ms",
         ),
         ("ready-for 200ms", "ready-fro 200ms", "@ ready-fro: expected one of as, router-id"),
-        ("ready-for 200ms", "ready-for", "@ ready-for: expected a word behind it"),
+        ("ready-for 200ms", "ready-for", "@ ready-for: expected a value after the keyword"),
         ("ready-for 200ms", "ready-for 1s 2s", "@ 2s: expected the end of the line"),
         ("ready-for 200ms", "ready-for 25h", "@ 25h: expected "),
         (
             "hold-time 9s",
             "hold-time 9s\n    hold-time 9s",
-            "hold-time: expected once, not twice (line 13)",
+            "hold-time: expected once, but line 13 has this keyword too",
         ),
         ("hold-time 9s", "hold-time 2s", "@ hold-time: expected 0s, or whole seconds from 3s on"),
         ("as 65010 ", "as 0 ", "@ 0: expected "),
-        ("as 65010 ", "as x1 ", "@ x1: expected a whole number"),
+        ("as 65010 ", "as x1 ", "@ x1: expected a whole number of at most 18 digits"),
         ("    as 65010            # ours\n", "", "f:2: announce: expected as in this block"),
         (
             "192.0.2.10/32",
             "192.0.2.10/24",
-            "@ 192.0.2.10/24: expected no bits set behind the prefix's length",
+            "@ 192.0.2.10/24: expected no host bits set after the prefix length",
         ),
         ("192.0.2.10/32", "example", "@ example: expected a prefix"),
-        ("service 192.0.2.10/32", "service", "@ service: expected a prefix behind it"),
+        ("service 192.0.2.10/32", "service", "@ service: expected an argument (prefix)"),
         (
             "service 192.0.2.10/32",
             "service 2001:db8::10/128",
@@ -71,7 +71,7 @@
         ),
         ("        next-hop ::1\n", "", "expected a next-hop of 2001:db8::10/128's own family"),
         ("suppress 3000", "suppress 700", "reuse: expected less than suppress, which is 700"),
-        ("damping {", "damping 5 {", "@ 5: expected { at the end of the line"),
+        ("damping {", "damping 5 {", "@ 5: expected no further word before {"),
         ("ge 16", "ge 4", "ge: expected 8 to 32"),
         ("import in", "import out", "expected a policy out, which is not in the file"),
         ("term accept", "term maybe", "@ maybe: expected one of accept, reject"),
@@ -87,11 +87,11 @@
             "    peer 127.0.0.1:1790 {\n  as 65020\n }\n    peer [::1]",
             "127.0.0.1 once, not",
         ),
-        ("half-life 5s", "half-life 5s {", "@ half-life: expected no block"),
+        ("half-life 5s", "half-life 5s {", "@ half-life: expected a value without a block"),
         ('noon\\""', 'noon\\"', '@ shutdown-text: expected a closing "'),
     ],
 )
-def test_each_problem_names_line_word_and_what_was_expected(
+def test_a_problem_states_the_line_the_word_and_what_was_expected(
     old, new, message, operator_file, problems_of
 ):
     assert operator_file.count(old) == 1
@@ -102,7 +102,7 @@
     assert any(expected in problem for problem in problems), (expected, problems)
 
 
-def test_all_problems_are_reported_at_once_sorted_by_line(operator_file, problems_of):
+def test_several_problems_are_reported_together_in_line_order(operator_file, problems_of):
     text = (
         operator_file.replace("200ms", "soon")
         .replace("as 65020", "as none")
--- a/tests/operator/test_loader.py
+++ b/tests/operator/test_loader.py
@@ -1,4 +1,4 @@
-"""The operator's file is parsed, or all its problems are reported."""
+"""The loader returns the configuration of an operator's file or reports all its problems."""
 
 import pytest
 from hypothesis import given, strategies
@@ -7,7 +7,7 @@
 from lilacwalk.operator.syntax import parse_statements
 
 
-def test_empty_file_has_no_config_and_unreadable_file_is_an_error(tmp_path):
+def test_empty_file_gives_no_config_and_unreadable_file_is_rejected(tmp_path):
     (tmp_path / "empty").write_text("# nothing\n\n")
     assert load_operator_file(str(tmp_path / "empty")) is None
     (tmp_path / "raw").write_bytes(b"\xff\xfe")
@@ -25,7 +25,10 @@
         max_size=40,
     ).map("".join)
 )
-def test_any_text_is_parsed_or_reported_as_unusable(text):
+def test_any_text_is_parsed_or_rejected_with_its_problems(text):
+    """A reload handles only the rejection of a file; any other exception of the parser would
+    propagate into the event loop.
+    """
     parse_statements(text)
     try:
         parse_operator_file(text, "f")
