--- a/tests/compatibility/test_gossiped_plan.py
+++ b/tests/compatibility/test_gossiped_plan.py
@@ -1,10 +1,14 @@
-"""The fingerprint of a sites block is the same in all versions: members of a fleet compare it."""
+"""The fingerprint of a sites block is equal in all versions.
+
+Members of different versions compare their fingerprints; a fingerprint that changes with the
+version would mark equal blocks as different.
+"""
 
 from lilacwalk.failover.config import Class, FailoverConfig, Shared, Site, StandIn
 from lilacwalk.failover.plan_agreement import plan_fingerprint
 
 
-def test_fingerprint_of_a_sites_block_is_what_earlier_versions_gossip():
+def test_fingerprint_of_a_sites_block_equals_that_of_earlier_versions():
     config = FailoverConfig(
         site=(
             Site(
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,8 +1,9 @@
-"""Stores written by an earlier version (revision ef429c2) are read exactly as they were written.
+"""Stores written by an earlier version (revision ef429c2) are read without loss.
 
-`data/app-server-store` holds the owner file, a snapshot, a log from before the snapshot and one
-from behind it; `data/membership-store` holds the log of the membership subsystem. The bytes were
-made once with the earlier version; the expected values stand in this file.
+A changed table number, field order or key would lose the effects, sessions and learned state at an
+upgrade. `data/app-server-store` contains the owner file, a snapshot, a log written before the
+snapshot and one written after it; `data/membership-store` contains the log of the membership
+subsystem. The files were generated with the earlier version; the expected values are in this file.
 """
 
 import shutil
@@ -21,10 +22,10 @@
 from lilacwalk.storage.recovery import recover
 
 DATA = Path(__file__).parent / "data"
-WRITTEN_AT = 17_000_000_000_000  # Unix time in tenths of a millisecond, as all times of the store
+WRITTEN_AT = 17_000_000_000_000  # Unix time in tenths of a millisecond, like all times of a store
 EXPIRES_AT = 41_000_000_000_000
 
-# (number, table, key, value, expiry, written at), values decoded from MessagePack.
+# (sequence number, table, key, value decoded from MessagePack, expiry, time written)
 APP_SERVER_ROWS = [
     (
         2,
@@ -108,20 +109,20 @@
 
 
 @pytest.fixture
-def copied(tmp_path):
+def copy_store(tmp_path):
     def copy(name):
         return Path(shutil.copytree(DATA / name, tmp_path / name))
 
     return copy
 
 
-def recovered(path):
+def recover_store(path):
     disk = Directory(str(path))
     return recover(disk.list_files(), disk.read)
 
 
-def test_rows_of_an_app_server_store_are_those_written(copied):
-    found = recovered(copied("app-server-store"))
+def test_rows_of_an_app_server_store_equal_those_written(copy_store):
+    recovery = recover_store(copy_store("app-server-store"))
     rows = [
         (
             row.sequence,
@@ -131,21 +132,21 @@
             row.expires_at,
             row.written_at,
         )
-        for row in found.state.rows.values()
+        for row in recovery.state.rows.values()
     ]
     assert sorted(rows, key=lambda row: row[0]) == APP_SERVER_ROWS
-    assert found.snapshot == "snap-00000000000000000008"
-    assert found.next_sequence == 15
-    assert found.is_complete
-    assert found.warnings == []
+    assert recovery.snapshot == "snap-00000000000000000008"
+    assert recovery.next_sequence == 15
+    assert recovery.is_complete
+    assert recovery.warnings == []
 
 
-def test_an_app_server_takes_over_what_the_earlier_version_stored(copied):
+def test_app_server_restores_the_state_that_the_earlier_version_stored(copy_store):
     queue = EventQueue()
     effects = []
     classes = {"swap": object(), "look": object()}
     persistence = PersistenceIntegration(
-        StorageConfig(directory=str(copied("app-server-store"))),
+        StorageConfig(directory=str(copy_store("app-server-store"))),
         "n7",
         queue,
         classes,
@@ -180,30 +181,29 @@
     assert list(persistence.recovered_sessions) == [b"ident-0123456789"]
 
 
-def test_a_device_session_is_restored_with_its_requests_and_unacknowledged_answers(copied):
-    rows = recovered(copied("app-server-store")).state.rows
+def test_device_session_is_restored_with_requests_and_unacknowledged_answers(copy_store):
+    rows = recover_store(copy_store("app-server-store")).state.rows
     value = rows[4, b"ident-0123456789"].value
     session = session_codec.decode_session(b"ident-0123456789", value, Link(), 0)
-    written_again = msgspec.msgpack.decode(session_codec.encode_session(session))
+    reencoded = msgspec.msgpack.decode(session_codec.encode_session(session))
     expected = list(APP_SERVER_ROWS[6][3])
-    expected[4] += (
-        session_codec.ORDER_INCREMENT
-    )  # numbers of answers lost between two rows are not used again
-    assert written_again == expected
+    # The numbers of answers that were lost between two rows must not be reused.
+    expected[4] += session_codec.ORDER_INCREMENT
+    assert reencoded == expected
 
 
-def test_rows_of_a_membership_store_are_those_written(copied):
-    found = recovered(copied("membership-store"))
+def test_rows_of_a_membership_store_equal_those_written(copy_store):
+    recovery = recover_store(copy_store("membership-store"))
     rows = [
         (row.sequence, int(row.table), row.key, row.expires_at, row.written_at)
-        for row in found.state.rows.values()
+        for row in recovery.state.rows.values()
     ]
     assert rows == [
         (1, 8, b"life", 0, WRITTEN_AT + 6),
         (2, 8, b"members", 0, WRITTEN_AT + 6),
     ]
-    assert found.is_complete
-    incarnation, members = [row.value for row in found.state.rows.values()]
+    assert recovery.is_complete
+    incarnation, members = [row.value for row in recovery.state.rows.values()]
     assert decode_incarnation(incarnation) == 42
     assert msgspec.msgpack.decode(members) == MEMBERS
     assert msgspec.msgpack.encode(decode_members(members)) == members
--- a/tests/compatibility/test_wire_words.py
+++ b/tests/compatibility/test_wire_words.py
@@ -1,6 +1,7 @@
-"""The words on the wire, in the settings and in the deploy file are what they were.
+"""Wire encodings and names in the settings and the deploy file equal those of an earlier version.
 
-The expected bytes and values were computed by the version before the names in the code changed.
+Other systems depend on them, so a rename in the code must not change them. The expected bytes and
+values were generated with the version before the names in the code changed.
 """
 
 import tomllib
@@ -25,7 +26,7 @@
 GAUGES = ["core_use", "on_cores"]
 
 
-def test_commands_to_the_executor():
+def test_executor_commands_keep_their_encoding():
     assert executor_codec.encode_open(7) == b"OPEN 7\r\n"
     assert executor_codec.encode_dispatch("a1", "read", b"xy") == b"SCHED a1 read 2\r\nxy\r\n"
     assert executor_codec.encode_cancel("a1") == b"PREEMPT a1\r\n"
@@ -34,7 +35,7 @@
     assert executor_codec.encode_gauge_request("g1") == b"SYSINFO g1\r\n"
 
 
-def test_events_of_the_executor():
+def test_executor_events_keep_their_encoding():
     def decode(line, body=None):
         return executor_codec.decode_event(line.split(), body, GAUGES)
 
@@ -55,7 +56,7 @@
     assert decode("DMESG 9") == executor_codec.ExecutorLogMessage(9)
 
 
-def test_calls_to_the_dependency_and_its_replies():
+def test_dependency_calls_and_outcomes_keep_their_encoding():
     assert dependency_codec.encode_call("a1", 30, b"q") == b"GET a1 30 1\r\nq\r\n"
     assert dependency_codec.OUTCOMES_BY_WORD == {
         "HIT": Outcome.OK,
@@ -66,7 +67,7 @@
     }
 
 
-def test_messages_of_proxies_and_responses_to_them():
+def test_proxy_requests_and_responses_keep_their_encoding():
     fields = b"i=00000000000000ab,t=acme,f=5,s=1000,d=250,h=1.5,m=8.0,p=0.5,r=1,o=sub,k=key"
     body = memoryview(b"body")
     parts = [memoryview(each) for each in (b"SUBMIT", b"1", b"read", fields)]
@@ -96,7 +97,7 @@
     }
 
 
-def test_decisions_told_to_the_simulator():
+def test_decisions_sent_to_the_simulator_keep_their_encoding():
     request_class = RequestClass("a", 1.0, 10_000, 30_000)
     instance = ServerInstance("s1", ServerSettings(1, 2, 1e6, 4.0, [request_class]), 0)
     request = Request(request_class, 0, 0, 30_000, 1.0)
@@ -137,7 +138,7 @@
     ]
 
 
-def test_settings_are_read_under_their_names():
+def test_settings_keep_their_names():
     settings = {
         "classes": [
             {
@@ -225,7 +226,7 @@
     }
 
 
-def test_effects_are_shown_under_their_names():
+def test_displayed_effects_keep_their_names():
     assert EFFECT_NAMES == {
         Effect.IDEMPOTENT: "repeatable",
         Effect.DEDUPLICATED: "deduplicated",
@@ -233,7 +234,7 @@
     }
 
 
-def test_keys_of_the_deploy_file():
+def test_deploy_file_keeps_its_keys_and_names_existing_paths():
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert list(deploy) == ["build", "run", "sim", "policy", "node", "packages"]
     assert all((ROOT / path).exists() for path in [*deploy["policy"], *deploy["node"]])
