--- a/lilacwalk/operator/block_reader.py
+++ b/lilacwalk/operator/block_reader.py
@@ -40,7 +40,7 @@
     schemas: dict[str, FieldSchema]
     values: dict[str, object] = field(default_factory=dict)
     statements_by_keyword: dict[str, Statement] = field(default_factory=dict)
-    ordered_rows: list[tuple[object, Struct | None]] = field(default_factory=list)
+    ordered_items: list[tuple[object, Struct | None]] = field(default_factory=list)
 
     @property
     def arguments(self) -> tuple[str, ...]:
@@ -60,8 +60,8 @@
         return self.opener.line if self.opener is not None else 1
 
     @property
-    def word(self) -> str:
-        """The word that a problem of the whole block names."""
+    def keyword(self) -> str:
+        """The block's keyword; `file` for the file itself."""
         return self.opener.keyword if self.opener is not None else "file"
 
     def statement_schema(self, keyword: str) -> FieldSchema | None:
@@ -112,7 +112,7 @@
         for statement in statements:
             self._read_statement(block, statement)
         if block.ordered:
-            block.values[ORDERED_FIELD] = tuple(block.ordered_rows)
+            block.values[ORDERED_FIELD] = tuple(block.ordered_items)
         self._check_required(block)
         if len(self.problems) > problem_count:
             return None
@@ -150,8 +150,8 @@
     def _read_statement(self, block: _BlockState, statement: Statement) -> None:
         keyword = statement.keyword
         if keyword in block.ordered:
-            row = self._read_nested(block.ordered_record(), statement)
-            block.ordered_rows.append((block.ordered[keyword], row))
+            item = self._read_nested_block(block.ordered_record(), statement)
+            block.ordered_items.append((block.ordered[keyword], item))
             return
         schema = block.statement_schema(keyword)
         if schema is None:
@@ -169,7 +169,7 @@
         else:
             self._read_value_statement(block, schema, statement)
 
-    def _read_nested(self, record: type[Struct], statement: Statement) -> Struct | None:
+    def _read_nested_block(self, record: type[Struct], statement: Statement) -> Struct | None:
         return self.read_block(record, statement.block or [], statement)
 
     def _read_block_statement(
@@ -180,7 +180,7 @@
                 statement.line, statement.keyword, "a block after the keyword, opened by {"
             )
             return
-        instance = self._read_nested(record, statement)
+        instance = self._read_nested_block(record, statement)
         if schema.repeated:
             earlier = block.values.get(schema.name, ())
             block.values[schema.name] = (*earlier, instance) if instance is not None else earlier
@@ -224,7 +224,7 @@
                 or keyword in block.statements_by_keyword
             )
             if schema.required and not is_present:
-                self._report(block.line, block.word, f"{keyword} in this block")
+                self._report(block.line, block.keyword, f"{keyword} in this block")
 
     def _check_record(self, block: _BlockState, instance: Struct) -> None:
         """Reports the errors that the record's `faults()` finds."""
--- a/lilacwalk/operator/units.py
+++ b/lilacwalk/operator/units.py
@@ -28,7 +28,7 @@
 }
 
 
-def _parse_scaled(word: str, units: dict[str, int], example: str) -> int:
+def _parse_quantity(word: str, units: dict[str, int], example: str) -> int:
     match = NUMBER_AND_UNIT.fullmatch(word)
     if match is None or match[2] not in units:
         names = ", ".join(units)
@@ -44,12 +44,12 @@
 
 def parse_duration(word: str) -> int:
     """Returns a time such as 200ms in tenths of a millisecond."""
-    return _parse_scaled(word, TENTHS_OF_MS_BY_UNIT, "200ms")
+    return _parse_quantity(word, TENTHS_OF_MS_BY_UNIT, "200ms")
 
 
 def parse_size(word: str) -> int:
     """Returns a size such as 64KB in bytes."""
-    return _parse_scaled(word, BYTES_BY_UNIT, "64KB")
+    return _parse_quantity(word, BYTES_BY_UNIT, "64KB")
 
 
 def parse_flag(word: str) -> bool:
