--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,3 @@
-"""Measurements: each a command that prints a table and writes it to a file in `benchmarks/results/`."""
+"""Measurements, each a command that prints a table and writes it to a file in
+`benchmarks/results/`.
+"""
--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -1,4 +1,8 @@
-"""What the speaker can do and what it costs: `python -m benchmarks.bgp`, about two minutes."""
+"""Throughput and cost of the BGP speaker: `python -m benchmarks.bgp`, about two minutes.
+
+It measures the decoding of UPDATEs, data structures for prefixes, sessions with many peers, and the
+effect of the speaker on the app server in the same process. `--quick` uses small sizes and writes
+no file."""
 
 from __future__ import annotations
 
@@ -29,8 +33,9 @@
 from lilacwalk.testing.site_settings import make_process_config
 
 
-def prefixes(count: int, seed: int = 1) -> list[tuple[int, int]]:
-    """Lengths as a full table has them: mostly 24, then 22, 20, 16."""
+def generate_prefixes(count: int, seed: int = 1) -> list[tuple[int, int]]:
+    """Distinct prefixes, as (bits, length), with lengths as in a full table: mostly 24, then 22,
+    20, 16."""
     rng, found = random.Random(seed), {}
     while len(found) < count:
         length = rng.choices((24, 23, 22, 21, 20, 19, 16), (60, 8, 11, 5, 5, 4, 7))[0]
@@ -38,84 +43,90 @@
     return list(found)
 
 
-def updates(count: int) -> list[bytes]:
-    """A table with about six prefixes to each set of attributes, as routers pack them."""
-    rng, rows, found = random.Random(2), prefixes(count), []
-    for at in range(0, count, 6):
+def generate_updates(count: int) -> list[bytes]:
+    """Encoded UPDATEs of a table with about six prefixes per set of attributes, as routers pack
+    them."""
+    rng, prefixes, encoded = random.Random(2), generate_prefixes(count), []
+    for first in range(0, count, 6):
         path = tuple(rng.randrange(1, 400_000) for _ in range(rng.randrange(2, 6)))
         attributes = Attributes(
             as_path=((SEQUENCE, path),),
             next_hop=bytes((127, 0, 0, 20)),
-            med=at % 50,
+            med=first % 50,
             communities=(rng.getrandbits(32), rng.getrandbits(32)),
         )
-        found += messages.announcements(
-            [Prefix(Afi.IPV4, *row) for row in rows[at : at + 6]], attributes, True, False
+        encoded += messages.announcements(
+            [Prefix(Afi.IPV4, *row) for row in prefixes[first : first + 6]], attributes, True, False
         )
-    return found
+    return encoded
 
 
-def timed(work) -> float:
-    began = time.perf_counter()
-    work()
-    return time.perf_counter() - began
+def measure_seconds(action) -> float:
+    started_at = time.perf_counter()
+    action()
+    return time.perf_counter() - started_at
 
 
-def decoding(table: Table, count: int) -> None:
-    pieces = updates(count)
-    data, agreed = b"".join(pieces), NegotiatedCapabilities(as4=True)
-    held = AdjRibIn(count)
-    framed = timed(lambda: sum(1 for _ in messages.Stream().feed(data)))
+def measure_decoding(table: Table, count: int) -> None:
+    updates = generate_updates(count)
+    data, capabilities = b"".join(updates), NegotiatedCapabilities(as4=True)
+    adj_rib_in = AdjRibIn(count)
+    framing_time = measure_seconds(lambda: sum(1 for _ in messages.Stream().feed(data)))
     bodies = [body for _, body in messages.Stream().feed(data)]
-    decoded = timed(lambda: [messages.decode(2, body, agreed) for body in bodies])
-    records = [messages.decode(2, body, agreed) for body in bodies]
-    stored = timed(lambda: [held.announce(*each.reachable[0]) for each in records])
+    decoding_time = measure_seconds(
+        lambda: [messages.decode(2, body, capabilities) for body in bodies]
+    )
+    records = [messages.decode(2, body, capabilities) for body in bodies]
+    storing_time = measure_seconds(
+        lambda: [adj_rib_in.announce(*update.reachable[0]) for update in records]
+    )
     total = len(bodies)
     table.rows(
         f"{count:,} prefixes in {total:,} UPDATEs",
         ("step", "UPDATEs/s", "prefixes/s"),
         [
-            (name, int(total / took), int(count / took))
-            for name, took in (
-                ("framing", framed),
-                ("decoding", decoded),
-                ("into the Adj-RIB-In", stored),
-                ("all three", framed + decoded + stored),
+            (name, int(total / seconds), int(count / seconds))
+            for name, seconds in (
+                ("framing", framing_time),
+                ("decoding", decoding_time),
+                ("storing in the Adj-RIB-In", storing_time),
+                ("total", framing_time + decoding_time + storing_time),
             )
         ],
     )
 
 
-class Sorted:
-    """Two sorted lists: the plain way to walk and to look under a prefix."""
+class SortedList:
+    """Two parallel sorted lists: the simple structure for finding all prefixes within another."""
 
     def __init__(self) -> None:
         self.keys, self.values = [], []
 
     def set(self, bits: int, length: int, value: object) -> None:
-        at = bisect.bisect_left(self.keys, (bits, length))
-        if at < len(self.keys) and self.keys[at] == (bits, length):
-            self.values[at] = value
+        index = bisect.bisect_left(self.keys, (bits, length))
+        if index < len(self.keys) and self.keys[index] == (bits, length):
+            self.values[index] = value
         else:
-            self.keys.insert(at, (bits, length))
-            self.values.insert(at, value)
+            self.keys.insert(index, (bits, length))
+            self.values.insert(index, value)
 
     def longest(self, bits: int) -> object:
         for length in range(32, -1, -1):
             key = (bits >> (32 - length) << (32 - length), length)
-            at = bisect.bisect_left(self.keys, key)
-            if at < len(self.keys) and self.keys[at] == key:
-                return self.values[at]
+            index = bisect.bisect_left(self.keys, key)
+            if index < len(self.keys) and self.keys[index] == key:
+                return self.values[index]
         return None
 
     def covered(self, bits: int, length: int) -> list:
         end = bits + (1 << (32 - length))
-        low, high = (bisect.bisect_left(self.keys, (each, 0)) for each in (bits, end))
+        low, high = (bisect.bisect_left(self.keys, (address, 0)) for address in (bits, end))
         return self.values[low:high]
 
 
-class Plain:
-    """A dict, asked once a length for the longest match, and whole for what lies under a prefix."""
+class PrefixDict:
+    """A dict. The longest match takes one lookup per prefix length; the prefixes within another one
+    are found by a scan of all entries."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[int, int], object] = {}
@@ -135,204 +146,227 @@
         shift = 32 - length
         return [
             value
-            for (key, own), value in self.rows.items()
-            if own >= length and key >> shift == bits >> shift
+            for (key, key_length), value in self.rows.items()
+            if key_length >= length and key >> shift == bits >> shift
         ]
 
 
-def structures(table: Table, count: int) -> None:
-    """The sorted list is filled in order, and its insertions measured on the last thousand: each moves
-    half."""
-    rng, rows, lines = random.Random(3), prefixes(count), []
-    asked = [rng.choice(rows)[0] | rng.getrandbits(8) for _ in range(20_000)]
-    under = [rng.getrandbits(32) >> 20 << 20 for _ in range(200)]
-    for name, make in (("trie", lambda: Trie(Afi.IPV4)), ("dict", Plain), ("sorted list", Sorted)):
+def measure_structures(table: Table, count: int) -> None:
+    """Compares the trie with a dict and a sorted list.
+
+    The sorted list is filled in order except for the last thousand prefixes, and only their
+    insertions are timed, as each moves half of the list."""
+    rng, prefixes, rows = random.Random(3), generate_prefixes(count), []
+    addresses = [rng.choice(prefixes)[0] | rng.getrandbits(8) for _ in range(20_000)]
+    blocks = [rng.getrandbits(32) >> 20 << 20 for _ in range(200)]
+    for name, create in (
+        ("trie", lambda: Trie(Afi.IPV4)),
+        ("dict", PrefixDict),
+        ("sorted list", SortedList),
+    ):
         gc.collect()
-        before, made = resident(), make()
-        last = rows
+        memory_before, structure = resident_mb(), create()
+        inserted = prefixes
         if name == "sorted list":
-            last = rows[-1_000:]
-            made.keys = sorted(rows[:-1_000])
-            made.values = [1] * len(made.keys)
-        filled = timed(
-            lambda made=made, last=last: [made.set(bits, length, 1) for bits, length in last]
+            inserted = prefixes[-1_000:]
+            structure.keys = sorted(prefixes[:-1_000])
+            structure.values = [1] * len(structure.keys)
+        insert_time = measure_seconds(
+            lambda structure=structure, inserted=inserted: [
+                structure.set(bits, length, 1) for bits, length in inserted
+            ]
+        )
+        bytes_per_prefix = (resident_mb() - memory_before) * 1_000_000 / count
+        lookup_time = measure_seconds(
+            lambda structure=structure: [structure.longest(address) for address in addresses]
         )
-        size = (resident() - before) * 1_000_000 / count
-        looked = timed(lambda made=made: [made.longest(each) for each in asked])
-        few = under if name != "dict" or count < 100_000 else under[:10]
-        walked = timed(lambda made=made, few=few: [list(made.covered(each, 12)) for each in few])
-        lines.append(
+        walked_blocks = blocks if name != "dict" or count < 100_000 else blocks[:10]
+        walk_time = measure_seconds(
+            lambda structure=structure, walked_blocks=walked_blocks: [
+                list(structure.covered(address, 12)) for address in walked_blocks
+            ]
+        )
+        rows.append(
             (
                 name,
-                filled / len(last) * 1e6,
-                looked / len(asked) * 1e6,
-                walked / len(few) * 1e6,
-                size,
+                insert_time / len(inserted) * 1e6,
+                lookup_time / len(addresses) * 1e6,
+                walk_time / len(walked_blocks) * 1e6,
+                bytes_per_prefix,
             )
         )
-        del made
+        del structure
     table.rows(
-        f"structures at {count:,} prefixes",
-        ("structure", "insert us", "longest us", "all under a /12 us", "bytes a prefix"),
-        lines,
+        f"structures with {count:,} prefixes",
+        ("structure", "insert us", "longest match us", "all within a /12 us", "bytes per prefix"),
+        rows,
     )
 
 
-def resident() -> float:
-    """MB."""
+def resident_mb() -> float:
+    """Resident memory of this process in MB."""
     with open("/proc/self/status") as file:
         return next(int(line.split()[1]) for line in file if line.startswith("VmRSS")) / 1000
 
 
-ORDERS = (
+CONFIG_TEMPLATE = (
     "announce {{\n as 65010\n router-id 127.0.0.1\n next-hop 127.0.0.1\n service 192.0.2.10/32\n"
     " ready-for 10ms\n{peers}}}\n"
 )
 
 
-def orders(routers: list[BgpRouter], more: str = ""):
+def make_bgp_config(routers: list[BgpRouter], peer_options: str = ""):
     peers = "".join(
-        f" peer 127.0.0.1:{each.address[1]} {{\n  as {each.behaviour.asn}\n  connect-retry 100ms\n"
-        f"{more} }}\n"
-        for each in routers
+        f" peer 127.0.0.1:{router.address[1]} {{\n  as {router.behaviour.asn}\n"
+        f"  connect-retry 100ms\n{peer_options} }}\n"
+        for router in routers
     )
-    return parse_operator_file(ORDERS.format(peers=peers), "benchmark").announce
+    return parse_operator_file(CONFIG_TEMPLATE.format(peers=peers), "benchmark").announce
 
 
-def sessions(table: Table, count: int) -> None:
+def measure_sessions(table: Table, count: int) -> None:
     routers = [BgpRouter(RouterBehaviour(asn=65_100 + each)) for each in range(count)]
-    before, threads = resident(), threading.active_count()
-    speaker = Speaker(orders(routers), 1)
-    began = time.perf_counter()
+    memory_before, threads_before = resident_mb(), threading.active_count()
+    speaker = Speaker(make_bgp_config(routers), 1)
+    started_at = time.perf_counter()
     speaker.start()
     for each in routers:
         each.wait_count("up")
-    up = time.perf_counter() - began
-    took = []
-    for turn in range(20):
-        began = time.monotonic()
-        speaker.set_node_status(NodeStatus.READY if turn % 2 == 0 else NodeStatus.COLD)
-        speaker.state.announcement_policy.penalty.value = (
-            0.0  # damping is not what is measured here
-        )
+    connect_time = time.perf_counter() - started_at
+    delays = []
+    for change in range(20):
+        started_at = time.monotonic()
+        speaker.set_node_status(NodeStatus.READY if change % 2 == 0 else NodeStatus.COLD)
+        # Damping would delay the announcements.
+        speaker.state.announcement_policy.penalty.value = 0.0
         speaker.state.announcement_policy.penalty.suppressed = False
-        wanted = turn // 2 + 1
+        expected_count = change // 2 + 1
         for each in routers:
-            took.append(
-                each.wait_count("announced" if turn % 2 == 0 else "withdrawn", wanted).at - began
+            delays.append(
+                each.wait_count("announced" if change % 2 == 0 else "withdrawn", expected_count).at
+                - started_at
             )
-    withdrawn = [each for at, each in enumerate(took) if at // count % 2]
-    announced = [each for at, each in enumerate(took) if at // count % 2 == 0]
+    withdrawn = [each for at, each in enumerate(delays) if at // count % 2]
+    announced = [each for at, each in enumerate(delays) if at // count % 2 == 0]
     table.rows(
-        f"{count} peers at one speaker, the routers in the same process",
-        ("what", "median ms", "99th ms"),
+        f"one speaker with {count} peers, the routers in the same process",
+        ("event", "median ms", "99th percentile ms"),
         [
-            ("all sessions up", up * 1000, up * 1000),
+            ("all sessions up", connect_time * 1000, connect_time * 1000),
             (
-                "state to withdrawal at a router",
+                "status change to withdrawal at a router",
                 quantile(withdrawn, 0.5) * 1000,
                 quantile(withdrawn, 0.99) * 1000,
             ),
             (
-                "state to announcement, 10 ms of them ready-for",
+                "status change to announcement at a router, of which 10 ms are ready-for",
                 quantile(announced, 0.5) * 1000,
                 quantile(announced, 0.99) * 1000,
             ),
         ],
     )
     table.say(
-        f"{threading.active_count() - threads} threads and {resident() - before:.1f} MB more, "
-        "of both sides\n"
+        f"{threading.active_count() - threads_before} more threads and "
+        f"{resident_mb() - memory_before:.1f} MB more, of the speaker and the routers together\n"
     )
     speaker.end()
     for each in routers:
         each.end()
 
 
-def beside(table: Table, seconds: float) -> None:
-    """The app server under steady load, with and without a speaker that a peer keeps busy."""
-    lines = []
-    for name in ("off", "on, one quiet peer", "on, a peer that tells 100,000 prefixes"):
-        out = subprocess.run(
+def measure_under_load(table: Table, seconds: float) -> None:
+    """The event loop of an app server under constant load: without a speaker, with an idle peer,
+    and with a peer that sends 100,000 prefixes."""
+    rows = []
+    for name in ("off", "on, one idle peer", "on, a peer that sends 100,000 prefixes"):
+        figures = subprocess.run(
             [sys.executable, "-m", "benchmarks.bgp", "--beside", name, str(seconds)],
             capture_output=True,
             text=True,
             check=True,
         ).stdout.split()
-        lines.append((name, *map(float, out)))
+        rows.append((name, *map(float, figures)))
     table.rows(
-        "the app server's passes, 300 exchanges a second",
-        ("speaker", "median us", "99th us", "resident MB", "completed"),
-        lines,
+        "event loop iterations of the app server at 300 requests per second",
+        ("speaker", "median us", "99th percentile us", "resident MB", "completed"),
+        rows,
     )
 
 
-def one_beside(name: str, seconds: float) -> None:
+def run_under_load(name: str, seconds: float) -> None:
+    """Runs one case of `measure_under_load` in this process and prints its figures."""
     sys.setswitchinterval(SWITCH_INTERVAL)
-    kernel = StandInExecutor(cores=4, work=lambda group, body: 0.002)
+    executor = StandInExecutor(cores=4, work=lambda class_name, body: 0.002)
     router = BgpRouter(RouterBehaviour(sends=[]))
-    event_loop, parts = build(make_process_config(kernel.address), EventQueue())
-    took: list[float] = []
-    drained = event_loop.take_items
+    event_loop, components = build(make_process_config(executor.address), EventQueue())
+    iteration_starts: list[float] = []
+    take_items = event_loop.take_items
 
-    def drain():
-        items = drained()
-        took.append(time.perf_counter())
+    def timed_take_items():
+        items = take_items()
+        iteration_starts.append(time.perf_counter())
         return items
 
-    event_loop.take_items = drain
-    passes: list[float] = []
+    event_loop.take_items = timed_take_items
+    iteration_times: list[float] = []
 
     def run():
         event_loop.schedule(event_loop.now, event_loop.run_housekeeping, event_loop.now)
         while not event_loop.has_ended:
             event_loop.run_iteration()
-            passes.append(time.perf_counter() - took[-1])
+            iteration_times.append(time.perf_counter() - iteration_starts[-1])
 
     if name != "off":
-        event_loop.subsystems.apply_bgp(orders([router], "  max-prefixes 1000000\n"))
+        event_loop.subsystems.apply_bgp(make_bgp_config([router], "  max-prefixes 1000000\n"))
     threading.Thread(target=run, daemon=True).start()
-    for part in parts:
-        part.start()
+    for component in components:
+        component.start()
     if name != "off":
         router.wait_held("192.0.2.10/32")
-    feed = updates(100_000) if "100,000" in name else []
+    updates = generate_updates(100_000) if "100,000" in name else []
     proxy_clients = [ProxyClient(event_loop.listener.address) for _ in range(8)]
-    before, until, sent, told = len(passes), time.monotonic() + seconds, 0, 0
-    began = time.monotonic()
+    first_iteration, until, requests_sent, updates_sent = (
+        len(iteration_times),
+        time.monotonic() + seconds,
+        0,
+        0,
+    )
+    started_at = time.monotonic()
     while (now := time.monotonic()) < until:
-        while sent < (now - began) * 300:
-            proxy_clients[sent % 8].ask("look")
-            sent += 1
-        told_by_now = int(min(1.0, (now - began) / seconds) * len(feed))
-        if told_by_now > told:
-            router.send(b"".join(feed[told:told_by_now]))
-            told = told_by_now
+        while requests_sent < (now - started_at) * 300:
+            proxy_clients[requests_sent % 8].ask("look")
+            requests_sent += 1
+        updates_due = int(min(1.0, (now - started_at) / seconds) * len(updates))
+        if updates_due > updates_sent:
+            router.send(b"".join(updates[updates_sent:updates_due]))
+            updates_sent = updates_due
         time.sleep(0.003)
-    words = [
-        word
+    statuses = [
+        status
         for proxy_client in proxy_clients
-        for rows in list(proxy_client.answers.values())
-        for _, word, _ in rows
+        for answers in list(proxy_client.answers.values())
+        for _, status, _ in answers
     ]
-    done = words.count("done")
-    rows = passes[before:]
-    print(quantile(rows, 0.5) * 1e6, quantile(rows, 0.99) * 1e6, resident(), done)
+    completed = statuses.count("done")
+    measured = iteration_times[first_iteration:]
+    print(quantile(measured, 0.5) * 1e6, quantile(measured, 0.99) * 1e6, resident_mb(), completed)
 
 
 def main() -> None:
     if sys.argv[1:2] == ["--beside"]:
-        one_beside(sys.argv[2], float(sys.argv[3]))
+        run_under_load(sys.argv[2], float(sys.argv[3]))
         return
     quick = "--quick" in sys.argv
     table = Table("bgp")
     table.say(f"# The BGP speaker, Python {sys.version.split()[0]}\n")
-    decoding(table, 20_000 if quick else 500_000)
+    measure_decoding(table, 20_000 if quick else 500_000)
     for count in (10_000,) if quick else (10_000, 1_000_000):
-        structures(table, count)
-    sessions(table, 10 if quick else 100)
-    beside(table, 2.0 if quick else 8.0)
-    table.say(f"peak resident {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000:.0f} MB")
+        measure_structures(table, count)
+    measure_sessions(table, 10 if quick else 100)
+    measure_under_load(table, 2.0 if quick else 8.0)
+    table.say(
+        f"peak resident memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000:.0f} MB"
+    )
     if not quick:
         table.write()
 
--- a/benchmarks/bgp_restarts.py
+++ b/benchmarks/bgp_restarts.py
@@ -1,10 +1,15 @@
-"""No announcement outside `ready`: scripted, seeded restarts on loopback. `python -m benchmarks.bgp_restarts
-[RESTARTS] [SEED]`, with 500 restarts and 2,000 changes of state in about a minute and a half.
+"""Checks that a node is announced only while it is `ready`, over random restarts of the speaker.
 
-How it is known that an announcement came out of turn: once a state other than ready has been told, the
-speaker is asked a question (it answers after it has followed the state), and the router has seen its
-withdrawal, whatever announcement comes before ready is told again is a breach. What comes in between is the
-latency in the table."""
+    python -m benchmarks.bgp_restarts [RESTARTS] [SEED]
+
+The speaker and the router communicate over loopback. 500 restarts (the default) with 2,000 status
+changes take about a minute and a half. The same seed gives the same sequence of restarts and
+faults. The exit code is 1 if a violation was found or a listener closed before the withdrawal.
+
+A violation is an announcement that arrives after a status other than ready has taken effect and
+before ready is reported again. The status has taken effect once the speaker has answered a query,
+which it handles after the status, and the router has received the withdrawal. The time until then
+is the delay in the table."""
 
 from __future__ import annotations
 
@@ -18,7 +23,7 @@
 from lilacwalk.operator.loader import parse_operator_file
 from lilacwalk.testing.bgp_router import BgpRouter
 
-ORDERS = """announce {
+CONFIG_TEMPLATE = """announce {
     as 65010
     router-id 127.0.0.1
     next-hop 127.0.0.1
@@ -46,87 +51,100 @@
 NOT_READY = (NodeStatus.COLD, NodeStatus.WARMING, NodeStatus.SICK, NodeStatus.STANDING_STILL)
 
 
-class Run:
+class RestartRun:
+    """Restarts a speaker, counts violations and records the delays of announcements and
+    withdrawals."""
+
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.state = "cold"
         self.router = BgpRouter(state=lambda: self.state)
-        self.orders = parse_operator_file(ORDERS % self.router.address[1], "benchmark").announce
-        self.restarts = self.changes = self.breaches = self.drains = self.crashes = 0
-        self.late_listeners = 0
-        self.announced: list[float] = []
-        self.withdrawn: list[float] = []
-        self.drained: list[float] = []
-        self.listener: list[float] = []
-
-    def told(self, speaker: Speaker, node: NodeStatus) -> float:
-        self.changes += 1
-        self.state = node.value
-        began = time.monotonic()
-        speaker.set_node_status(node)
-        return began
-
-    def quiet(self, speaker: Speaker, count: int) -> None:
-        """Between a state that is not ready and the next ready, nothing may be announced."""
-        speaker.query(lambda each: None)
-        self.breaches += self.router.count("announced") != count or bool(self.router.held)
-
-    def life(self) -> None:
+        self.config = parse_operator_file(
+            CONFIG_TEMPLATE % self.router.address[1], "benchmark"
+        ).announce
+        self.restarts = self.status_changes = self.violations = self.drains = self.crashes = 0
+        self.early_closes = 0
+        self.announce_delays: list[float] = []
+        self.withdraw_delays: list[float] = []
+        self.drain_delays: list[float] = []
+        self.listener_close_times: list[float] = []
+
+    def set_status(self, speaker: Speaker, status: NodeStatus) -> float:
+        """Reports a status to the speaker, and returns the time before the report."""
+        self.status_changes += 1
+        self.state = status.value
+        started_at = time.monotonic()
+        speaker.set_node_status(status)
+        return started_at
+
+    def check_not_announced(self, speaker: Speaker, announcements: int) -> None:
+        """Counts a violation if the router has received an announcement since there were
+        `announcements`, or holds a route."""
+        speaker.query(lambda state: None)
+        self.violations += self.router.count("announced") != announcements or bool(self.router.held)
+
+    def run_process(self) -> None:
+        """Starts a speaker, reports random statuses to it, and ends it."""
         router, rng = self.router, self.rng
-        sessions, count = router.count("up"), router.count("announced")
+        sessions_before, announcements = router.count("up"), router.count("announced")
         speaker = Speaker(
-            self.orders,
+            self.config,
             rng.getrandbits(32),
-            lambda wait: self.listener.append(time.monotonic() + wait / 10_000),
+            lambda wait: self.listener_close_times.append(time.monotonic() + wait / 10_000),
         )
         speaker.start()
         self.restarts += 1
-        for node in rng.sample(NOT_READY, rng.randrange(1, 3)):
-            self.told(speaker, node)
-        router.wait(lambda: router.count("up") > sessions, "a session")
-        self.quiet(speaker, count)
+        for status in rng.sample(NOT_READY, rng.randrange(1, 3)):
+            self.set_status(speaker, status)
+        router.wait(lambda: router.count("up") > sessions_before, "a session")
+        self.check_not_announced(speaker, announcements)
         for _ in range(rng.randrange(0, 3)):
-            began = self.told(speaker, NodeStatus.READY)
+            started_at = self.set_status(speaker, NodeStatus.READY)
             router.wait(lambda: router.held, "an announcement")
-            self.announced.append(time.monotonic() - began)
+            self.announce_delays.append(time.monotonic() - started_at)
             if rng.random() < 0.2:
-                router.drop()  # a session that breaks: what it held goes with it
-                router.wait(lambda seen=router.count("up"): router.count("up") > seen, "a session")
+                router.drop()  # a lost session: the router removes its routes
+                router.wait(
+                    lambda sessions=router.count("up"): router.count("up") > sessions, "a session"
+                )
                 router.wait(lambda: router.held, "an announcement")
-            began = self.told(speaker, rng.choice(NOT_READY))
+            started_at = self.set_status(speaker, rng.choice(NOT_READY))
             router.wait(lambda: not router.held, "a withdrawal")
-            self.withdrawn.append(time.monotonic() - began)
-            self.quiet(speaker, router.count("announced"))
+            self.withdraw_delays.append(time.monotonic() - started_at)
+            self.check_not_announced(speaker, router.count("announced"))
         self.end(speaker)
 
     def end(self, speaker: Speaker) -> None:
+        """Ends the speaker by a crash, with a drain or without one."""
         router, rng = self.router, self.rng
         if rng.random() < 0.5:
-            self.told(speaker, NodeStatus.READY)
+            self.set_status(speaker, NodeStatus.READY)
             router.wait(lambda: router.held, "an announcement")
-        how = rng.random()
-        if how < 0.25:  # a crash: the router learns of it by the connection's end alone
+        draw = rng.random()
+        if draw < 0.25:  # a crash: the router detects it only by the end of the connection
             self.crashes += 1
             speaker.inbox.put((self._crash,))
             speaker.ended.wait(10.0)
-        elif how < 0.6:
+        elif draw < 0.6:
             self.drains += 1
-            held, before = bool(router.held), len(self.listener)
-            began, self.state = time.monotonic(), "leaving"
-            self.changes += 1
+            was_announced, closes_before = bool(router.held), len(self.listener_close_times)
+            started_at, self.state = time.monotonic(), "leaving"
+            self.status_changes += 1
             speaker.leave(3_000)
             router.wait(lambda: not router.held, "a withdrawal")
-            gone = time.monotonic()
-            if held:
-                self.drained.append(gone - began)
-            while len(self.listener) == before:
-                speaker.query(lambda each: None)
-            self.late_listeners += gone > self.listener[-1]
+            withdrawn_at = time.monotonic()
+            if was_announced:
+                self.drain_delays.append(withdrawn_at - started_at)
+            while len(self.listener_close_times) == closes_before:
+                speaker.query(lambda state: None)
+            self.early_closes += withdrawn_at > self.listener_close_times[-1]
             if rng.random() < 0.3:
                 router.drop()
-                router.wait(lambda seen=router.count("up"): router.count("up") > seen, "a session")
-            count = router.count("announced")
-            self.quiet(speaker, count)
+                router.wait(
+                    lambda sessions=router.count("up"): router.count("up") > sessions, "a session"
+                )
+            announcements = router.count("announced")
+            self.check_not_announced(speaker, announcements)
             speaker.end()
         else:
             speaker.end()
@@ -135,7 +153,7 @@
 
     @staticmethod
     def _crash() -> None:
-        raise RuntimeError("a crash of the benchmark's making")
+        raise RuntimeError("crash caused by the benchmark")
 
 
 def main() -> int:
@@ -144,44 +162,44 @@
     import logging
 
     logging.disable(logging.CRITICAL)
-    run, began = Run(seed), time.monotonic()
+    run, started_at = RestartRun(seed), time.monotonic()
     for _ in range(restarts):
-        run.life()
+        run.run_process()
     table = Table("bgp_restarts")
-    table.say(f"# Restarts and changes of state, seed {seed}\n")
+    table.say(f"# Restarts and status changes of the BGP speaker, seed {seed}\n")
     table.rows(
-        "what was done",
-        ("what", "count"),
+        "counts",
+        ("event", "count"),
         [
             ("restarts", run.restarts),
-            ("changes of state", run.changes),
+            ("status changes", run.status_changes),
             ("drains", run.drains),
             ("crashes", run.crashes),
-            ("announcements outside ready", run.breaches),
-            ("listeners that closed before the withdrawal", run.late_listeners),
+            ("announcements of a node that was not ready", run.violations),
+            ("listeners closed before the withdrawal", run.early_closes),
         ],
     )
     table.rows(
-        "from the state's change to the message at the router",
-        ("what", "count", "median ms", "99th ms", "most ms"),
+        "time from the status change to the message at the router",
+        ("change", "count", "median ms", "99th percentile ms", "max ms"),
         [
             (
                 name,
-                len(rows),
-                quantile(rows, 0.5) * 1000,
-                quantile(rows, 0.99) * 1000,
-                max(rows) * 1000,
+                len(delays),
+                quantile(delays, 0.5) * 1000,
+                quantile(delays, 0.99) * 1000,
+                max(delays) * 1000,
             )
-            for name, rows in (
-                ("ready to announced (2 ms of it ready-for)", run.announced),
-                ("not ready to withdrawn", run.withdrawn),
-                ("leaving to withdrawn (5 ms of it less wanted)", run.drained),
+            for name, delays in (
+                ("ready to announced (of which 2 ms are ready-for)", run.announce_delays),
+                ("not ready to withdrawn", run.withdraw_delays),
+                ("leaving to withdrawn (of which 5 ms are graceful shutdown)", run.drain_delays),
             )
         ],
     )
-    table.say(f"took {time.monotonic() - began:.0f} s")
+    table.say(f"total time {time.monotonic() - started_at:.0f} s")
     table.write()
-    return 1 if run.breaches or run.late_listeners else 0
+    return 1 if run.violations or run.early_closes else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/cold_budget.py
+++ b/benchmarks/cold_budget.py
@@ -1,10 +1,10 @@
-"""What cold app servers send together to a dependency that all of them share, with real processes.
+"""Load that cold app servers together place on a shared dependency, measured with real processes.
 
     python -m benchmarks.cold_budget [seeds [share …]]
 
-All of 20, then of 30, start cold in one moment and are asked for more calls than their shares allow. The
-budget N is the sum of their shares, told as a mean in hand over a second; 2 x root of N + 2 over it is put
-down to chance."""
+20 and then 30 app servers start cold at the same time and receive requests that need more calls
+than their shares allow. The budget N is the sum of the shares, and limits the mean number of calls
+in flight over one second. An excess of up to 2 * sqrt(N) + 2 is attributed to chance."""
 
 from __future__ import annotations
 
@@ -20,63 +20,69 @@
 from lilacwalk.testing.fleet import ProcessFleet
 from lilacwalk.testing.proxy_client import ProxyClient
 
-WORK, SPAN, LOAD_S = 0.02, 1.0, 6.0  # seconds a call; of the window, as the rig tells it; of asking
+# Seconds. WINDOW is that of the mean number of calls in flight.
+CALL_TIME, WINDOW, LOAD_TIME = 0.02, 1.0, 6.0
 
 
-def played(size: int, share: float, seed: int) -> tuple[float, float, int, int]:
-    """N, the most in the mean of a window, the most at one moment, calls made."""
-    index, rig = SharedDependency(size, WORK), ProcessFleet(seed, 1_000, "serve")
+def run_fleet(size: int, share: float, seed: int) -> tuple[float, float, int, int]:
+    """N, the largest mean number of calls in flight in a window, the maximum in flight, and the
+    number of calls."""
+    dependency, fleet = SharedDependency(size, CALL_TIME), ProcessFleet(seed, 1_000, "serve")
     try:
-        for at in range(size):
-            each = rig.add(f"n{at}")
-            each.dependency, each.call_share = index, share
+        for number in range(size):
+            each = fleet.add(f"n{number}")
+            each.dependency, each.call_share = dependency, share
             each.executor = StandInExecutor(
-                2, lambda group, body: 0.004, calls=("look",), cold=True
+                2, lambda class_name, body: 0.004, calls=("look",), cold=True
             )
-        rig.write = lambda each: each.file.write_text("")  # type: ignore[method-assign]
-        rig.start(*rig.processes, wait=False)
-        rig.wait(
-            lambda: all("event=executor_up" in rig.log(name) for name in rig.processes),
+        fleet.write = lambda each: each.file.write_text("")  # type: ignore[method-assign]
+        fleet.start(*fleet.processes, wait=False)
+        fleet.wait(
+            lambda: all("event=executor_up" in fleet.log(name) for name in fleet.processes),
             60,
-            "all are up",
+            "all executors are connected",
         )
-        rate = 1.6 * share / WORK
-        asking = [
-            threading.Thread(target=ask, args=(where(rig.log(name)), rate, chance(seed, name)))
-            for name in rig.processes
+        rate = 1.6 * share / CALL_TIME
+        threads = [
+            threading.Thread(
+                target=send_requests,
+                args=(listen_address(fleet.log(name)), rate, make_rng(seed, name)),
+            )
+            for name in fleet.processes
         ]
-        for each in asking:
+        for each in threads:
             each.start()
-        for each in asking:
+        for each in threads:
             each.join()
         return (
             share * size,
-            max(index.mean_concurrency(SPAN, 0.05)),
-            index.max_in_flight,
-            index.calls_made,
+            max(dependency.mean_concurrency(WINDOW, 0.05)),
+            dependency.max_in_flight,
+            dependency.calls_made,
         )
     finally:
-        rig.end()
-        index.end()
+        fleet.end()
+        dependency.end()
 
 
-def chance(seed: int, name: str) -> random.Random:
+def make_rng(seed: int, name: str) -> random.Random:
     return random.Random(f"{seed} {name}")
 
 
-def where(log: str) -> tuple[str, int]:
+def listen_address(log: str) -> tuple[str, int]:
+    """The address at which an app server listens, from its log."""
     host, port = log.split("event=started")[1].split("listen=")[1].split()[0].split(":")
     return host, int(port)
 
 
-def ask(address: tuple[str, int], rate: float, chance: random.Random) -> None:
-    proxy_client = ProxyClient(
-        address
-    )  # here: who connects and says nothing for a second is closed
-    due = time.monotonic()
-    until = due + LOAD_S
-    while (due := due + chance.expovariate(rate)) < until:
-        time.sleep(max(0.0, due - time.monotonic()))
+def send_requests(address: tuple[str, int], rate: float, rng: random.Random) -> None:
+    """Sends requests at random times, at this mean rate per second, for LOAD_TIME."""
+    # Connects only now: the server closes a new connection that sends nothing for a second.
+    proxy_client = ProxyClient(address)
+    due_at = time.monotonic()
+    end_at = due_at + LOAD_TIME
+    while (due_at := due_at + rng.expovariate(rate)) < end_at:
+        time.sleep(max(0.0, due_at - time.monotonic()))
         proxy_client.ask("look", wait_ms=1500)
     proxy_client.end()
 
@@ -88,7 +94,7 @@
     for size in (20, 30):
         for share in shares:
             for seed in range(1, seeds + 1):
-                budget, mean, most, made = played(size, share, seed)
+                budget, mean, max_in_flight, calls = run_fleet(size, share, seed)
                 allowed = budget + 2 * sqrt(budget) + 2
                 rows.append(
                     (
@@ -98,15 +104,25 @@
                         budget,
                         allowed,
                         mean,
-                        most,
-                        made,
-                        "kept" if mean <= allowed else "broken",
+                        max_in_flight,
+                        calls,
+                        "within" if mean <= allowed else "exceeded",
                     )
                 )
                 print(rows[-1], flush=True)
     table.rows(
-        "calls of cold processes together: mean in hand of the worst second, one play each",
-        ("processes", "share", "seed", "N", "allowed", "worst mean", "most at once", "calls", ""),
+        "calls of all cold processes: mean number in flight in the worst second, one run per row",
+        (
+            "processes",
+            "share",
+            "seed",
+            "N",
+            "allowed",
+            "max mean in flight",
+            "max in flight",
+            "calls",
+            "limit",
+        ),
         rows,
     )
     table.write()
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -1,4 +1,4 @@
-"""What the emulator costs: its queue beside heapq, and fleets of growing size.
+"""Cost of the emulator: its event queue compared with heapq, and fleets of increasing size.
 
 python -m benchmarks.emulator [queue|scale]"""
 
@@ -16,99 +16,107 @@
 from lilacwalk.emulator.events import EventQueue
 from lilacwalk.emulator.simulation import SECOND, RequestClassSpec, Scenario, play
 
-GROUPS = (
+REQUEST_CLASSES = (
     RequestClassSpec("look", 0.6, 2_000, 20_000, 100_000),
     RequestClassSpec("swap", 0.4, 4_000, 40_000, 100_000, 4.0, "deduplicated"),
 )
-PENDING, TURNS = 1_000_000, 500_000
+MAX_PENDING, PROCESSED_EVENTS = 1_000_000, 500_000
 
 
-class Heap:
-    """The plain form, of the same face."""
+class HeapQueue:
+    """A queue with the interface of `EventQueue`, based on heapq."""
 
     def __init__(self) -> None:
-        self.now, self.rows, self.numbers = 0, [], count()
+        self.now, self.heap, self.sequence_numbers = 0, [], count()
 
-    def put(self, at: int, action, *arguments) -> None:
-        heapq.heappush(self.rows, (at, next(self.numbers), action, arguments))
+    def put(self, due: int, action, *arguments) -> None:
+        heapq.heappush(self.heap, (due, next(self.sequence_numbers), action, arguments))
 
     def run(self, until: int) -> None:
-        while self.rows and self.rows[0][0] <= until:
-            self.now, _, action, arguments = heapq.heappop(self.rows)
+        while self.heap and self.heap[0][0] <= until:
+            self.now, _, action, arguments = heapq.heappop(self.heap)
             action(*arguments)
 
 
-def queue(table: Table) -> None:
-    """A million pending events spread over ten minutes; each that happens puts in another."""
+def measure_queue(table: Table) -> None:
+    """Up to a million events are pending over ten minutes. Each processed event adds another."""
     rows = []
-    for pending in (1_000, 100_000, PENDING):
-        for form in (Heap, EventQueue):
-            rng, made = random.Random(1), form()
+    for pending in (1_000, 100_000, MAX_PENDING):
+        for queue_type in (HeapQueue, EventQueue):
+            rng, queue = random.Random(1), queue_type()
             span = 6_000_000
             times = [rng.randrange(span) for _ in range(pending)]
-            began = time.perf_counter()
-            happened = [0]
-
-            def happens(made=made, rng=rng, happened=happened, span=span) -> None:
-                happened[0] += 1
-                made.put(made.now + rng.randrange(span), happens)
-
-            for at in times:
-                made.put(at, happens)
-            filled = time.perf_counter() - began
-            step = span * TURNS // max(pending, TURNS) // 20 or 1
-            began, until = time.perf_counter(), 0
-            while happened[0] < TURNS:
+            started_at = time.perf_counter()
+            processed = [0]
+
+            def replace_event(queue=queue, rng=rng, processed=processed, span=span) -> None:
+                processed[0] += 1
+                queue.put(queue.now + rng.randrange(span), replace_event)
+
+            for due in times:
+                queue.put(due, replace_event)
+            fill_time = time.perf_counter() - started_at
+            step = span * PROCESSED_EVENTS // max(pending, PROCESSED_EVENTS) // 20 or 1
+            started_at, until = time.perf_counter(), 0
+            while processed[0] < PROCESSED_EVENTS:
                 until += step
-                made.run(until)
-            spent = time.perf_counter() - began
-            rows.append((pending, form.__name__, filled / pending * 1e6, spent / happened[0] * 1e6))
+                queue.run(until)
+            run_time = time.perf_counter() - started_at
+            rows.append(
+                (
+                    pending,
+                    queue_type.__name__,
+                    fill_time / pending * 1e6,
+                    run_time / processed[0] * 1e6,
+                )
+            )
     table.rows(
-        "put in, then one out and one in: microseconds an event",
-        ("pending", "form", "put in", "out and in"),
+        "adding all events, then processing one and adding one: microseconds per event",
+        ("pending", "queue", "add", "process and add"),
         rows,
     )
 
 
-def one(task: tuple[int, int]) -> tuple:
+def run_fleet(task: tuple[int, int]) -> tuple:
+    """Simulates one fleet. It runs in a process of its own, so that the peak memory is its own."""
     servers, routers = task
     seconds = 20
     scenario = Scenario(
-        GROUPS, servers=servers, routers=routers, load=0.85, length=seconds * SECOND
+        REQUEST_CLASSES, servers=servers, routers=routers, load=0.85, length=seconds * SECOND
     )
-    began = time.process_time()
-    found = play(scenario, 1)
-    spent = time.process_time() - began
+    started_at = time.process_time()
+    result = play(scenario, 1)
+    cpu_seconds = time.process_time() - started_at
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    wished = sum(row.wished for row in found.seconds.values())
+    requests = sum(row.wished for row in result.seconds.values())
     return (
         servers,
         routers,
-        wished,
-        found.events,
-        found.events / spent,
-        spent / seconds,
+        requests,
+        result.events,
+        result.events / cpu_seconds,
+        cpu_seconds / seconds,
         memory,
-        len(found.breaches),
+        len(result.breaches),
     )
 
 
-def scale(table: Table) -> None:
+def measure_scale(table: Table) -> None:
     with Pool(1, maxtasksperchild=1) as pool:
         rows = pool.map(
-            one, [(20, 10), (100, 60), (300, 200), (1_000, 300), (2_000, 300)], chunksize=1
+            run_fleet, [(20, 10), (100, 60), (300, 200), (1_000, 300), (2_000, 300)], chunksize=1
         )
     table.rows(
-        "20 simulated seconds at 0.85, runs of 0.2 and 0.4 s on four cores, one process",
+        "20 simulated seconds at load 0.85, requests of 0.2 and 0.4 s on four cores, one process",
         (
             "servers",
             "routers",
-            "wishes",
+            "requests",
             "events",
-            "events a second",
-            "CPU s a simulated s",
+            "events per second",
+            "CPU s per simulated s",
             "MB",
-            "rules broken",
+            "invariant violations",
         ),
         rows,
     )
@@ -117,7 +125,7 @@
 def main() -> None:
     table = Table("emulator")
     for word in sys.argv[1:] or ["queue", "scale"]:
-        {"queue": queue, "scale": scale}[word](table)
+        {"queue": measure_queue, "scale": measure_scale}[word](table)
     table.write()
 
 
--- a/benchmarks/fleet_server.py
+++ b/benchmarks/fleet_server.py
@@ -1,9 +1,12 @@
-"""What the view costs an app server, and what the floor holds, with real processes.
+"""Cost of fleet membership for an app server, and effect of the limit on withdrawals, with real
+processes.
 
     python -m benchmarks.fleet_server [cost|floor]
 
-cost: an app server alone, and one of four with a view, under the same load: memory, CPU, response time.
-floor: twelve app servers that announce; eight lose their kernels in one instant: how many are withdrawn."""
+cost: memory, CPU and response time of an app server without fleet membership, and as one of 4 and
+of 24 members, under the same load.
+floor: the executors of eight of twelve announcing app servers end at the same time. How many of the
+twelve are withdrawn at once, with and without `withdraw-share`."""
 
 from __future__ import annotations
 
@@ -17,111 +20,123 @@
 from lilacwalk.testing.proxy_client import ProxyClient
 from lilacwalk.testing.site_outage import Outage
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
-def usage(pid: int) -> tuple[float, float]:
-    """Resident MB, CPU seconds."""
-    words = Path(f"/proc/{pid}/stat").read_text().rsplit(")")[1].split()
+def process_usage(pid: int) -> tuple[float, float]:
+    """Resident memory in MB and CPU time in seconds."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")")[1].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-    return pages * os.sysconf("SC_PAGE_SIZE") / 1e6, (int(words[11]) + int(words[12])) / TICKS
+    return pages * os.sysconf("SC_PAGE_SIZE") / 1e6, (
+        int(fields[11]) + int(fields[12])
+    ) / TICKS_PER_SECOND
 
 
-def loaded(
-    rig: ProcessFleet, name: str, seconds: float, rate: float
+def measure_load(
+    fleet: ProcessFleet, name: str, seconds: float, rate: float
 ) -> tuple[float, float, float, float]:
-    """MB, CPU ms an exchange, and response time in ms: median and 99th."""
-    line = next(line for line in rig.log(name).splitlines() if "event=started" in line)
+    """Memory in MB, CPU ms per request, and the median and 99th percentile of the response time in
+    ms."""
+    line = next(line for line in fleet.log(name).splitlines() if "event=started" in line)
     host, port = line.split("listen=")[1].split()[0].split(":")
     proxy_client = ProxyClient((host, int(port)))
-    pid = rig.processes[name].popen.pid
-    _, before = usage(pid)
-    times, count, due = [], int(seconds * rate), time.monotonic()
-    asked = []
+    pid = fleet.processes[name].popen.pid
+    _, cpu_before = process_usage(pid)
+    response_times, count, due_at = [], int(seconds * rate), time.monotonic()
+    tags = []
     for _ in range(count):
-        due += 1 / rate
-        time.sleep(max(0.0, due - time.monotonic()))
-        asked.append(proxy_client.ask("look"))
-    for tag in asked:
-        at, _, _ = proxy_client.answer(tag)
-        times.append((at - proxy_client.asked[tag]) * 1000)
-    megabytes, after = usage(pid)
+        due_at += 1 / rate
+        time.sleep(max(0.0, due_at - time.monotonic()))
+        tags.append(proxy_client.ask("look"))
+    for tag in tags:
+        answered_at, _, _ = proxy_client.answer(tag)
+        response_times.append((answered_at - proxy_client.asked[tag]) * 1000)
+    megabytes, cpu_after = process_usage(pid)
     proxy_client.end()
-    return megabytes, (after - before) * 1000 / count, quantile(times, 0.5), quantile(times, 0.99)
+    return (
+        megabytes,
+        (cpu_after - cpu_before) * 1000 / count,
+        quantile(response_times, 0.5),
+        quantile(response_times, 0.99),
+    )
 
 
-def cost(table: Table) -> None:
+def measure_cost(table: Table) -> None:
     rows = []
-    for what, members in (("no view", 1), ("view of 4", 4), ("view of 24", 24)):
-        found = []
-        for turn in range(3):
-            rig = ProcessFleet(turn, 1_000, "serve")
+    for label, members in (("no fleet", 1), ("fleet of 4", 4), ("fleet of 24", 24)):
+        runs = []
+        for seed in range(3):
+            fleet = ProcessFleet(seed, 1_000, "serve")
             try:
-                for at in range(members):
-                    rig.add(f"n{at}", seeds=["n0"])
+                for number in range(members):
+                    fleet.add(f"n{number}", seeds=["n0"])
                 if members == 1:
-                    rig.write = lambda each: each.file.write_text("")  # type: ignore[method-assign]
-                    rig.start("n0", wait=False)
-                    log = rig.processes["n0"].directory / "log"
-                    rig.wait(
-                        lambda rig=rig, log=log: log.exists()
-                        and "event=executor_up" in rig.log("n0"),
+                    fleet.write = (  # type: ignore[method-assign]
+                        lambda each: each.file.write_text("")
+                    )
+                    fleet.start("n0", wait=False)
+                    log = fleet.processes["n0"].directory / "log"
+                    fleet.wait(
+                        lambda fleet=fleet, log=log: log.exists()
+                        and "event=executor_up" in fleet.log("n0"),
                         15,
-                        "up",
+                        "the executor is connected",
                     )
                 else:
-                    rig.start(*rig.processes)
-                    rig.wait(rig.settled, 40, "settled")
-                found.append(loaded(rig, "n0", 6.0, 150.0))
+                    fleet.start(*fleet.processes)
+                    fleet.wait(fleet.settled, 40, "the views are settled")
+                runs.append(measure_load(fleet, "n0", 6.0, 150.0))
             finally:
-                rig.end()
-        rows.append((what, *(sorted(each)[1] for each in zip(*found, strict=True))))
+                fleet.end()
+        rows.append((label, *(sorted(values)[1] for values in zip(*runs, strict=True))))
     table.rows(
-        "one app server at 150 exchanges a second, probe interval 1 s: median of three",
-        ("with", "MB", "CPU ms an exchange", "response ms", "99th ms"),
+        "one app server at 150 requests per second, probe interval 1 s: median of three runs",
+        ("case", "MB", "CPU ms per request", "median ms", "99th percentile ms"),
         rows,
     )
 
 
-def floor(table: Table) -> None:
+def measure_floor(table: Table) -> None:
     rows = []
-    for what, share, split in (
-        ("no floor", "1.0", False),
-        ("floor of 0.34", "0.34", False),
-        ("floor of 0.34, fleet cut in two", "0.34", True),
+    for label, withdraw_share, partitioned in (
+        ("no limit", "1.0", False),
+        ("withdraw-share 0.34", "0.34", False),
+        ("withdraw-share 0.34, fleet partitioned", "0.34", True),
     ):
         for seed in (1, 2, 3):
-            made = Outage(plan=False, seed=seed, load=0.05)
-            write = made.rig.write
-
-            def shared(each, write=write, share=share) -> None:
-                write(each)
-                text = each.file.read_text()
-                each.file.write_text(
-                    text.replace("fleet {", f"fleet {{\n    withdraw-share {share}", 1)
+            outage = Outage(plan=False, seed=seed, load=0.05)
+            write = outage.rig.write
+
+            def write_with_share(process, write=write, withdraw_share=withdraw_share) -> None:
+                write(process)
+                text = process.file.read_text()
+                process.file.write_text(
+                    text.replace("fleet {", f"fleet {{\n    withdraw-share {withdraw_share}", 1)
                 )
 
-            made.rig.write = shared  # type: ignore[method-assign]
+            outage.rig.write = write_with_share  # type: ignore[method-assign]
             try:
-                made.start()
-                names = list(made.rig.processes)
-                if split:
-                    made.rig.cut(names[:6], names[6:])
+                outage.start()
+                names = list(outage.rig.processes)
+                if partitioned:
+                    outage.rig.cut(names[:6], names[6:])
                     time.sleep(5.0)
-                sick = names[:4] + names[6:10]
-                for name in sick:
-                    made.rig.processes[name].executor.end()
-                worst, until = 0, time.monotonic() + 8.0
-                while time.monotonic() < until:
-                    worst = max(worst, sum(not router.held for router in made.routers.values()))
+                failed = names[:4] + names[6:10]
+                for name in failed:
+                    outage.rig.processes[name].executor.end()
+                max_withdrawn, end_at = 0, time.monotonic() + 8.0
+                while time.monotonic() < end_at:
+                    max_withdrawn = max(
+                        max_withdrawn, sum(not router.held for router in outage.routers.values())
+                    )
                     time.sleep(0.02)
-                rows.append((what, seed, len(sick), worst))
+                rows.append((label, seed, len(failed), max_withdrawn))
                 print(rows[-1], flush=True)
             finally:
-                made.end()
+                outage.end()
     table.rows(
-        "twelve that announce, eight lose their kernels at once: most withdrawn at one moment",
-        ("with", "seed", "sick", "withdrawn"),
+        "twelve announcing app servers, the executors of eight end at once: max withdrawn",
+        ("case", "seed", "failed executors", "withdrawn"),
         rows,
     )
 
@@ -130,7 +145,7 @@
     words = sys.argv[1:] or ["cost", "floor"]
     for word in words:
         table = Table(f"fleet-server-{word}")
-        {"cost": cost, "floor": floor}[word](table)
+        {"cost": measure_cost, "floor": measure_floor}[word](table)
         table.write()
 
 
