--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -1,9 +1,9 @@
-"""What a pass of the event loop takes, with what an operator may switch on, and without.
+"""Time of an event loop iteration, with and without the options that an operator may enable.
 
     python -m benchmarks.passes
 
-One real app server under the same load, 150 exchanges a second, half of them with an effect; times as
-the process itself measured them (`testing/process_launcher.py`)."""
+One real app server under the same load, 150 requests per second, half of them with an effect. The
+process itself measures the times (`testing/process_launcher.py`)."""
 
 from __future__ import annotations
 
@@ -15,68 +15,74 @@
 from lilacwalk.testing.proxy_client import ProxyClient
 
 RATE, SECONDS = 150.0, 8.0
-FORMS = {
-    "nothing": "",
-    "store, synced": "store {{\n    directory {place}/kept\n}}\n",
-    "store, flushed": "store {{\n    directory {place}/kept\n    durability flushed\n}}\n",
+# lines of the operator file, by the name of the case
+OPERATOR_LINES = {
+    "no options": "",
+    "store, synced": "store {{\n    directory {directory}/kept\n}}\n",
+    "store, flushed": "store {{\n    directory {directory}/kept\n    durability flushed\n}}\n",
     "storms": "storms {{\n    retries 0.1\n}}\n",
 }
 
 
-def play(name: str, seed: int, view: int) -> list[float]:
-    """The passes' microseconds."""
-    rig = ProcessFleet(seed, 1_000, "serve", store=False)
+def measure_iterations(name: str, seed: int, members: int) -> list[float]:
+    """The times of the iterations in microseconds; without `members`, the server is in no fleet."""
+    fleet = ProcessFleet(seed, 1_000, "serve", store=False)
     try:
-        for at in range(max(1, view)):
-            rig.add(f"n{at}", seeds=["n0"])
-        server = rig.processes["n0"]
+        for number in range(max(1, members)):
+            fleet.add(f"n{number}", seeds=["n0"])
+        server = fleet.processes["n0"]
         server.iteration_times_path = server.directory / "passes"
-        server.extra = FORMS[name].format(place=server.directory)
-        if not view:
-            rig.write = lambda each: each.file.write_text(each.extra)  # type: ignore[method-assign]
-        rig.start(*rig.processes, wait=bool(view))
-        rig.wait(
-            lambda: (server.directory / "log").exists() and "event=executor_up" in rig.log("n0"),
+        server.extra = OPERATOR_LINES[name].format(directory=server.directory)
+        if not members:
+            fleet.write = (  # type: ignore[method-assign]
+                lambda each: each.file.write_text(each.extra)
+            )
+        fleet.start(*fleet.processes, wait=bool(members))
+        fleet.wait(
+            lambda: (server.directory / "log").exists() and "event=executor_up" in fleet.log("n0"),
             15,
-            "up",
+            "the executor is connected",
         )
-        if view:
-            rig.wait(rig.settled, 40, "settled")
-        proxy_client, due = ProxyClient(rig.address("n0")), time.monotonic()
+        if members:
+            fleet.wait(fleet.settled, 40, "the views are settled")
+        proxy_client, due_at = ProxyClient(fleet.address("n0")), time.monotonic()
         tags = []
-        for at in range(int(RATE * SECONDS)):
-            due += 1 / RATE
-            time.sleep(max(0.0, due - time.monotonic()))
-            group, key = ("swap", {"k": f"k{at}"}) if at % 2 else ("look", {})
-            tags.append(proxy_client.ask(group, b"%d" % at, **key))
+        for number in range(int(RATE * SECONDS)):
+            due_at += 1 / RATE
+            time.sleep(max(0.0, due_at - time.monotonic()))
+            class_name, fields = ("swap", {"k": f"k{number}"}) if number % 2 else ("look", {})
+            tags.append(proxy_client.ask(class_name, b"%d" % number, **fields))
         for tag in tags:
             proxy_client.answer(tag)
         proxy_client.end()
-        rig.leave("n0")
-        return [float(word) for word in Path(server.iteration_times_path).read_text().split()]
+        fleet.leave("n0")
+        return [float(line) for line in Path(server.iteration_times_path).read_text().split()]
     finally:
-        rig.end()
+        fleet.end()
 
 
 def main() -> None:
     rows = []
-    for name, view in [(name, 0) for name in FORMS] + [("nothing", 4), ("nothing", 24)]:
-        found = [play(name, seed, view) for seed in range(2)]
-        middle = min(found, key=lambda each: quantile(each, 0.99))
+    for name, members in [(name, 0) for name in OPERATOR_LINES] + [
+        ("no options", 4),
+        ("no options", 24),
+    ]:
+        runs = [measure_iterations(name, seed, members) for seed in range(2)]
+        best = min(runs, key=lambda times: quantile(times, 0.99))
         rows.append(
             (
-                f"a view of {view}" if view else name,
-                len(middle),
-                quantile(middle, 0.5),
-                quantile(middle, 0.99),
-                max(middle),
+                f"fleet of {members}" if members else name,
+                len(best),
+                quantile(best, 0.5),
+                quantile(best, 0.99),
+                max(best),
             )
         )
         print(rows[-1], flush=True)
     table = Table("passes")
     table.rows(
-        "a pass of the event loop at 150 exchanges a second: the better of two plays",
-        ("with", "passes", "median us", "99th us", "most us"),
+        "event loop iteration at 150 requests per second: the better of two runs",
+        ("options", "iterations", "median us", "99th percentile us", "max us"),
         rows,
     )
     table.write()
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,8 +1,10 @@
-"""How soon restarted processes are ready: thirty at once on this machine's cores, killed and started again.
+"""Time until restarted processes are ready: thirty app servers on one machine are killed and
+started again at the same time.
 
     python -m benchmarks.ready [rounds]
 
-Ready is the first healthy probe, from the moment of the start; what the time goes into is told of one."""
+A process is ready at its first healthy answer to a probe; the time is counted from the start of all
+processes. A second table lists the slowest imports of a single process."""
 
 from __future__ import annotations
 
@@ -20,10 +22,10 @@
 from lilacwalk.testing.fleet import ROOT
 from lilacwalk.testing.site_settings import make_process_config
 
-SIZE, GIVEN_UP = 30, 60.0  # processes; seconds
+PROCESSES, TIMEOUT = 30, 60.0  # number; seconds, reported for a process that was not ready in time
 
 
-def started(config: Path) -> subprocess.Popen:
+def start_process(config: Path) -> subprocess.Popen:
     return subprocess.Popen(
         [
             sys.executable,
@@ -41,7 +43,7 @@
     )
 
 
-def healthy(address: tuple[str, int]) -> bool:
+def is_healthy(address: tuple[str, int]) -> bool:
     try:
         with socket.create_connection(address, 1.0) as sock:
             sock.sendall(encode_array(b"PROBE", b"1", b"x=1"))
@@ -50,47 +52,48 @@
         return False
 
 
-def ports(count: int) -> list[tuple[str, int]]:
-    free = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    found = [each.getsockname() for each in free]
-    for each in free:
+def find_free_addresses(count: int) -> list[tuple[str, int]]:
+    """Distinct addresses whose ports were free a moment ago."""
+    listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    addresses = [each.getsockname() for each in listeners]
+    for each in listeners:
         each.close()
-    return found
+    return addresses
 
 
-def played(place: Path) -> list[float]:
-    """Seconds of each, all killed and started again in one moment."""
-    kernels = [StandInExecutor(2, cold=True) for _ in range(SIZE)]
-    addresses, configs = ports(SIZE), []
-    for at, (kernel, (host, port)) in enumerate(zip(kernels, addresses, strict=True)):
-        configs.append(place / f"{at}.json")
+def measure_restart(directory: Path) -> list[float]:
+    """The seconds until each process is ready, after all were killed and started again."""
+    executors = [StandInExecutor(2, cold=True) for _ in range(PROCESSES)]
+    addresses, configs = find_free_addresses(PROCESSES), []
+    for number, (executor, (host, port)) in enumerate(zip(executors, addresses, strict=True)):
+        configs.append(directory / f"{number}.json")
         configs[-1].write_text(
-            json.dumps(make_process_config(kernel.address, f"{host}:{port}", 32.0, 384))
+            json.dumps(make_process_config(executor.address, f"{host}:{port}", 32.0, 384))
         )
     for _ in range(2):  # the second time is the restart
-        begun, times = time.monotonic(), {}
-        processes = [started(each) for each in configs]
-        while len(times) < SIZE and time.monotonic() - begun < GIVEN_UP:
-            for at in range(SIZE):
-                if at not in times and healthy(addresses[at]):
-                    times[at] = time.monotonic() - begun
+        started_at, times = time.monotonic(), {}
+        processes = [start_process(each) for each in configs]
+        while len(times) < PROCESSES and time.monotonic() - started_at < TIMEOUT:
+            for number in range(PROCESSES):
+                if number not in times and is_healthy(addresses[number]):
+                    times[number] = time.monotonic() - started_at
             time.sleep(0.02)
         for each in processes:
             each.kill()
             each.wait()
-    for kernel in kernels:
-        kernel.end()
-    return [times.get(at, GIVEN_UP) for at in range(SIZE)]
+    for executor in executors:
+        executor.end()
+    return [times.get(number, TIMEOUT) for number in range(PROCESSES)]
 
 
 def main() -> None:
     table, rows = Table("ready"), []
-    for turn in range(int(sys.argv[1]) if len(sys.argv) > 1 else 5):
-        with tempfile.TemporaryDirectory() as place:
-            times = played(Path(place))
+    for number in range(int(sys.argv[1]) if len(sys.argv) > 1 else 5):
+        with tempfile.TemporaryDirectory() as directory:
+            times = measure_restart(Path(directory))
         rows.append(
             (
-                turn + 1,
+                number + 1,
                 quantile(times, 0.5),
                 quantile(times, 0.9),
                 max(times),
@@ -99,23 +102,25 @@
         )
         print(rows[-1], flush=True)
     table.rows(
-        f"{SIZE} restarted at once: seconds from the start to the first healthy probe",
-        ("round", "median", "90th", "most", "within 10 s"),
+        f"{PROCESSES} processes restarted at once: seconds from start to first healthy probe",
+        ("round", "median", "90th percentile", "max", "within 10 s"),
         rows,
     )
-    told = subprocess.run(
+    import_lines = subprocess.run(
         [sys.executable, "-B", "-X", "importtime", "-m", "lilacwalk", "version"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=True,
     ).stderr.splitlines()[1:]
-    parts = [line.split("|") for line in told]
-    spent = sorted(((int(part[1]) / 1000, part[2].strip()) for part in parts), reverse=True)
+    records = [line.split("|") for line in import_lines]
+    import_times = sorted(
+        ((int(record[1]) / 1000, record[2].strip()) for record in records), reverse=True
+    )
     table.rows(
-        "one alone: the dearest imports of the command line, with all they load",
+        "a single process: slowest imports of the command line, including the modules they import",
         ("ms", "module"),
-        [(ms, name) for ms, name in spent[:12]],
+        [(ms, name) for ms, name in import_times[:12]],
     )
     table.write()
 
