--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -1,5 +1,10 @@
-"""The devices' edge: its structures, one polling thread or a thread each, and a thousand devices on bad links
-beside routers. `python -m benchmarks.edge [structures] [repeats] [hosting] [fleet]`, some four minutes."""
+"""Measurements of the device edge, about four minutes in all.
+
+    python -m benchmarks.edge [structures] [repeats] [hosting] [fleet]
+
+structures compares the timer wheel with a heap, and the sketch with a dict. repeats measures the
+detection of duplicate requests. hosting compares one polling thread with one thread per connection.
+fleet overloads an app server with a thousand devices on bad links and with proxies."""
 
 from __future__ import annotations
 
@@ -39,186 +44,220 @@
 from lilacwalk.testing.site_settings import SETTINGS, make_process_config
 
 SECRET = bytes(range(32))
-WORK = {"look": 0.003, "swap": 0.006, "move": 0.006}  # seconds on one core
+EXECUTION_TIMES = {"look": 0.003, "swap": 0.006, "move": 0.006}  # seconds on one core
 BENEFIT = {each["name"]: each["worth"] for each in SETTINGS["classes"]}
-LIMITS = {each["name"]: each["hard_limit_ms"] / 1000 for each in SETTINGS["classes"]}
-SHARES = ("look", "look", "swap", "move")
+TIMEOUTS = {each["name"]: each["hard_limit_ms"] / 1000 for each in SETTINGS["classes"]}
+CLASS_MIX = ("look", "look", "swap", "move")
 
 
-def resident() -> float:
+def resident_mb() -> float:
+    """Resident memory of this process in MB."""
     with open("/proc/self/status") as file:
         return next(int(line.split()[1]) for line in file if line.startswith("VmRSS")) / 1000
 
 
-def timed(work) -> float:
-    began = time.perf_counter()
-    work()
-    return time.perf_counter() - began
+def measure_seconds(action) -> float:
+    started_at = time.perf_counter()
+    action()
+    return time.perf_counter() - started_at
 
 
-# Structures
+# Data structures
 
 
-class Heap:
-    """Timers in a heap: what is moved or dropped stays until its time."""
+class TimerHeap:
+    """Timers in a heap. The old entry of a rescheduled timer remains until its time."""
 
     def __init__(self) -> None:
-        self.rows: list[tuple[int, int]] = []
-        self.due: dict[int, int] = {}
+        self.heap: list[tuple[int, int]] = []
+        self.due_by_name: dict[int, int] = {}
 
     def schedule(self, name: int, due: int) -> None:
-        self.due[name] = due
-        heapq.heappush(self.rows, (due, name))
+        self.due_by_name[name] = due
+        heapq.heappush(self.heap, (due, name))
 
     def expire(self, now: int):
-        while self.rows and self.rows[0][0] <= now:
-            due, name = heapq.heappop(self.rows)
-            if self.due.get(name) == due:
-                del self.due[name]
+        while self.heap and self.heap[0][0] <= now:
+            due, name = heapq.heappop(self.heap)
+            if self.due_by_name.get(name) == due:
+                del self.due_by_name[name]
                 yield name
 
 
-def timers(table: Table) -> None:
-    lines = []
+def measure_timers(table: Table) -> None:
+    rows = []
     for count in (1_000, 100_000, 1_000_000):
-        for name, make in (("wheel", lambda: Wheel(0)), ("heapq", Heap)):
-            rng, made, before = random.Random(1), make(), resident()
-            dues = [rng.randrange(1, 6_000_000) for _ in range(count)]
-            filled = timed(
-                lambda made=made, dues=dues: [made.schedule(*each) for each in enumerate(dues)]
+        for name, create in (("wheel", lambda: Wheel(0)), ("heapq", TimerHeap)):
+            rng, structure, memory_before = random.Random(1), create(), resident_mb()
+            due_times = [rng.randrange(1, 6_000_000) for _ in range(count)]
+            set_time = measure_seconds(
+                lambda structure=structure, due_times=due_times: [
+                    structure.schedule(*entry) for entry in enumerate(due_times)
+                ]
             )
             moves = [(rng.randrange(count), rng.randrange(1, 6_000_000)) for _ in range(2 * count)]
-            moved = timed(lambda made=made, moves=moves: [made.schedule(*each) for each in moves])
-            size = resident() - before
-            fired = timed(
-                lambda made=made: [
-                    1 for now in range(0, 6_000_000, 20_000) for _ in made.expire(now)
+            move_time = measure_seconds(
+                lambda structure=structure, moves=moves: [
+                    structure.schedule(*entry) for entry in moves
                 ]
             )
-            lines.append(
+            megabytes = resident_mb() - memory_before
+            fire_time = measure_seconds(
+                lambda structure=structure: [
+                    1 for now in range(0, 6_000_000, 20_000) for _ in structure.expire(now)
+                ]
+            )
+            rows.append(
                 (
                     count,
                     name,
-                    filled / count * 1e6,
-                    moved / len(moves) * 1e6,
-                    fired / count * 1e6,
-                    size,
+                    set_time / count * 1e6,
+                    move_time / len(moves) * 1e6,
+                    fire_time / count * 1e6,
+                    megabytes,
                 )
             )
     table.rows(
-        "timers over ten minutes, each moved twice",
-        ("timers", "structure", "set us", "move us", "fire us", "MB"),
-        lines,
+        "timers over ten minutes, each rescheduled twice on average",
+        ("timers", "structure", "set us", "reschedule us", "expire us", "MB"),
+        rows,
     )
 
 
-def counting(table: Table) -> None:
-    lines = []
+def measure_counting(table: Table) -> None:
+    rows = []
     for count in (1_000, 100_000, 1_000_000):
         rng = random.Random(1)
         keys = [rng.getrandbits(32).to_bytes(4, "big") for _ in range(count)]
-        before, sketch = resident(), Sketch(7, 100_000, 0)
-        took = timed(lambda sketch=sketch, keys=keys: [sketch.add(key, 0) for key in keys])
-        lines.append(
+        memory_before, sketch = resident_mb(), Sketch(7, 100_000, 0)
+        seconds = measure_seconds(
+            lambda sketch=sketch, keys=keys: [sketch.add(key, 0) for key in keys]
+        )
+        rows.append(
             (
                 count,
                 "sketch",
-                took / count * 1e6,
-                resident() - before,
+                seconds / count * 1e6,
+                resident_mb() - memory_before,
                 sum(sketch.count(key, 0) for key in keys[:2_000]) / min(count, 2_000),
             )
         )
-        before, plain = resident(), {}
+        memory_before, counts = resident_mb(), {}
 
-        def add(plain=plain, keys=keys):
+        def add(counts=counts, keys=keys):
             for key in keys:
-                plain[key] = plain.get(key, 0) + 1
+                counts[key] = counts.get(key, 0) + 1
 
-        took = timed(add)
-        lines.append((count, "dict", took / count * 1e6, resident() - before, 1.0))
+        seconds = measure_seconds(add)
+        rows.append((count, "dict", seconds / count * 1e6, resident_mb() - memory_before, 1.0))
     table.rows(
-        "counting sources that come once each",
-        ("sources", "structure", "add us", "MB", "mean count told (true: 1)"),
-        lines,
+        "counting sources that occur once each",
+        ("sources", "structure", "add us", "MB", "mean count (exact: 1)"),
+        rows,
     )
 
 
-# Repeats without a mark
+# Duplicate requests without idempotency keys
 
 
-def repeats(table: Table) -> None:
-    """Devices whose intents are known: each loses its session at times and asks again what has no answer, and
-    at times means the same request a second time. What was run is held against what was meant."""
-    lines = []
-    for equal in (0.0, 0.05, 0.3):
-        for lost in (0.05, 0.3):
-            lines.append((equal, lost, *meant_and_run(equal, lost)))
+def measure_duplicate_detection(table: Table) -> None:
+    """Compares the executions with the intents of simulated devices.
+
+    A device at times loses its session and sends an unanswered request again, and at times intends
+    a request that is equal to an earlier one. Each intent should be executed once."""
+    rows = []
+    for repeat_probability in (0.0, 0.05, 0.3):
+        for loss_probability in (0.05, 0.3):
+            rows.append(
+                (
+                    repeat_probability,
+                    loss_probability,
+                    *simulate_intents(repeat_probability, loss_probability),
+                )
+            )
     table.rows(
-        "10,000 intents of 200 devices, mutating",
-        ("meant again", "sessions lost", "asked", "joined", "wrong joins", "missed"),
-        lines,
+        "10,000 intents of 200 devices, request class not idempotent",
+        (
+            "equal intents",
+            "sessions lost",
+            "requests sent",
+            "detected",
+            "false positives",
+            "missed",
+        ),
+        rows,
     )
 
 
-def meant_and_run(equal: float, lost: float) -> tuple[int, int, int, int]:
+def simulate_intents(
+    repeat_probability: float, loss_probability: float
+) -> tuple[int, int, int, int]:
+    """Requests sent, duplicates detected, intents not executed, and repeated executions."""
     rng, now = random.Random(5), 18_000_000_000_000
     config = EdgeConfig(listen=("127.0.0.1", 0), secrets="", arrivals=1_000_000)
     tokens = Tokens([SECRET], b"n")
-    serving = DeviceService(
+    service = DeviceService(
         config, {"move": DeviceRequestClass(Effect.NON_IDEMPOTENT, 40_000)}, tokens, 1, now
     )
-    number = 0
-    asked = wrong = missed = 0
-    for turn in range(10_000):
+    connection = 0
+    sent = false_positives = missed = 0
+    for intent in range(10_000):
         now += rng.randrange(2_000)
-        device = turn % 200
+        device = intent % 200
         token = tokens.make(DEVICE, b"d%d" % device, 2**40)
-        body = b"same" if rng.random() < equal else b"%d" % turn
-        number += 1
-        serving.connection_opened(number, b"\x7f\0\0" + bytes((rng.randrange(256),)), b"", now)
-        serving.frame_received(number, frames.Hello(1, token, b"", 0, 16), now)
-        runs = 0
+        body = b"same" if rng.random() < repeat_probability else b"%d" % intent
+        connection += 1
+        service.connection_opened(connection, b"\x7f\0\0" + bytes((rng.randrange(256),)), b"", now)
+        service.frame_received(connection, frames.Hello(1, token, b"", 0, 16), now)
+        executions = 0
         for attempt in range(6):
-            asked += 1
-            serving.frame_received(number, frames.Ask(1, "move", body, 0, 0), now)
-            made = [each for each in serving.take_actions() if each.type is ActionType.SUBMIT]
-            runs += len(made)
+            sent += 1
+            service.frame_received(connection, frames.Ask(1, "move", body, 0, 0), now)
+            submitted = [each for each in service.take_actions() if each.type is ActionType.SUBMIT]
+            executions += len(submitted)
             now += rng.randrange(500)
-            for each in made:  # answered at once, or only after the session was lost
+            for each in (
+                submitted
+            ):  # some are answered at once, the others after a possible loss of the session
                 if rng.random() < 0.7:
-                    serving.send_answer(each.session, each.number, 0, b"r", 0, now)
-            session = serving.connections[number].session
-            if rng.random() >= lost or attempt == 5:
-                for each in made:
-                    serving.send_answer(each.session, each.number, 0, b"r", 0, now)
-                for late in [one for one in session.open]:
-                    serving.send_answer(session, late, 0, b"r", 0, now)
-                serving.frame_received(number, frames.Got(session.last_order), now)
+                    service.send_answer(each.session, each.number, 0, b"r", 0, now)
+            session = service.connections[connection].session
+            if rng.random() >= loss_probability or attempt == 5:
+                for each in submitted:
+                    service.send_answer(each.session, each.number, 0, b"r", 0, now)
+                for number in [each for each in session.open]:
+                    service.send_answer(session, number, 0, b"r", 0, now)
+                service.frame_received(connection, frames.Got(session.last_order), now)
                 break
-            serving.connection_closed(number, now)
-            for each in made:
-                serving.send_answer(each.session, each.number, 0, b"r", 0, now)
-            number += 1
-            serving.connection_opened(number, b"\x7f\0\0\1", b"", now)
-            serving.frame_received(number, frames.Hello(1, token, b"", 0, 16), now)
-        serving.connection_closed(number, now)
-        serving.tick(now)
-        serving.take_actions()
-        wrong += runs == 0
-        missed += max(0, runs - 1)
-    return asked, serving.duplicate_detector.duplicates, wrong, missed
-
-
-# One polling thread, or a thread each
-
-
-class ThreadEach:
-    """The same machine, each connection read by a thread of its own that puts frames onto one queue."""
-
-    def __init__(self, config: EdgeConfig, groups: dict[str, DeviceRequestClass], on_ask) -> None:
+            service.connection_closed(connection, now)
+            for each in submitted:
+                service.send_answer(each.session, each.number, 0, b"r", 0, now)
+            connection += 1
+            service.connection_opened(connection, b"\x7f\0\0\1", b"", now)
+            service.frame_received(connection, frames.Hello(1, token, b"", 0, 16), now)
+        service.connection_closed(connection, now)
+        service.tick(now)
+        service.take_actions()
+        false_positives += executions == 0
+        missed += max(0, executions - 1)
+    return sent, service.duplicate_detector.duplicates, false_positives, missed
+
+
+# One polling thread, or one thread per connection
+
+
+class ThreadPerConnectionHost:
+    """Runs the same `DeviceService`. One thread per connection reads frames and puts them into one
+    queue."""
+
+    def __init__(
+        self, config: EdgeConfig, request_classes: dict[str, DeviceRequestClass], on_request
+    ) -> None:
         threading.stack_size(THREAD_STACK_BYTES)
-        self.service = DeviceService(config, groups, Tokens([SECRET], b"n"), 1, Clock().now())
-        self.clock, self.on_ask = Clock().now, on_ask
+        self.service = DeviceService(
+            config, request_classes, Tokens([SECRET], b"n"), 1, Clock().now()
+        )
+        self.clock, self.on_request = Clock().now, on_request
         self.inbox: SimpleQueue = SimpleQueue()
         self.socks: dict[int, socket.socket] = {}
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
@@ -269,40 +308,42 @@
                     self.socks[action.connection].sendall(action.payload)
                     self.service.bytes_sent(action.connection, len(action.payload), self.clock())
                 elif action.type is ActionType.SUBMIT:
-                    self.on_ask(action.session, action.number, action.payload)
+                    self.on_request(action.session, action.number, action.payload)
 
 
-def one_hosting(kind: str, count: int, seconds: float) -> None:
-    """Runs in a process of its own; the devices are driven from another."""
+def run_host(kind: str, count: int, seconds: float) -> None:
+    """Measures a host of this kind in this process; another process simulates the devices."""
     sys.setswitchinterval(SWITCH_INTERVAL)
-    groups = {"look": DeviceRequestClass(Effect.IDEMPOTENT, 60_000)}
-    secret = Path(tempfile.mkdtemp()) / "secrets"
-    secret.touch(mode=0o600)
-    secret.write_text(SECRET.hex())
+    request_classes = {"look": DeviceRequestClass(Effect.IDEMPOTENT, 60_000)}
+    secrets_file = Path(tempfile.mkdtemp()) / "secrets"
+    secrets_file.touch(mode=0o600)
+    secrets_file.write_text(SECRET.hex())
     config = EdgeConfig(
         listen=("127.0.0.1", 0),
-        secrets=str(secret),
+        secrets=str(secrets_file),
         arrivals=1_000_000,
         sessions=count + 10,
         connections=count + 10,
     )
-    before = resident()
+    memory_before = resident_mb()
     if kind == "polling":
         host = EdgeHost(
             config,
-            groups,
+            request_classes,
             "n",
             1,
             Clock().now,
-            lambda *each: host.send_answer(each[0], each[1], 0, b"ok", 0),
-            lambda *each: None,
+            lambda *arguments: host.send_answer(arguments[0], arguments[1], 0, b"ok", 0),
+            lambda *arguments: None,
         )
         host.start()
     else:
-        host = ThreadEach(
-            config, groups, lambda *each: host.send_answer(each[0], each[1], 0, b"ok", 0)
+        host = ThreadPerConnectionHost(
+            config,
+            request_classes,
+            lambda *arguments: host.send_answer(arguments[0], arguments[1], 0, b"ok", 0),
         )
-    out = subprocess.run(
+    output = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -316,30 +357,30 @@
         text=True,
         check=True,
     ).stdout
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    told = json.loads(out)
-    print(json.dumps([resident() - before, *told, used.ru_utime + used.ru_stime]))
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    figures = json.loads(output)
+    print(json.dumps([resident_mb() - memory_before, *figures, usage.ru_utime + usage.ru_stime]))
 
 
-def drive(port: int, count: int, seconds: float) -> None:
-    """Many devices by the client's machine over plain sockets, each asking once a second."""
+def drive_devices(port: int, count: int, seconds: float) -> None:
+    """Simulates devices: `ClientSession`s over plain sockets, with one request per second each."""
     import selectors
 
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     )
     tokens, selector, rows = Tokens([SECRET], b""), selectors.DefaultSelector(), []
-    for each in range(count):
-        machine = ClientSession(tokens.make(DEVICE, b"d%d" % each, 2**40))
+    for number in range(count):
+        session = ClientSession(tokens.make(DEVICE, b"d%d" % number, 2**40))
         sock = socket.create_connection(("127.0.0.1", port), 10.0)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        machine.connected()
-        sock.sendall(machine.take_output())
-        row = [machine, sock, Stream(1 << 16), {}, time.monotonic() + 1.0 + each / count]
+        session.connected()
+        sock.sendall(session.take_output())
+        row = [session, sock, Stream(1 << 16), {}, time.monotonic() + 1.0 + number / count]
         rows.append(row)
         selector.register(sock, selectors.EVENT_READ, row)
-    times, until, turn = [], time.monotonic() + seconds + 1.0, 0
-    while (now := time.monotonic()) < until:
+    response_times, end_at, turn = [], time.monotonic() + seconds + 1.0, 0
+    while (now := time.monotonic()) < end_at:
         while rows[turn % count][4] <= now:
             row = rows[turn % count]
             row[3][row[0].ask("look", b"x")] = now
@@ -347,108 +388,142 @@
             row[4] = now + 1.0
             turn += 1
         for key, _ in selector.select(0.001):
-            machine, sock, stream, asked, _ = key.data
+            session, sock, stream, sent_at, _ = key.data
             for frame in stream.feed(sock.recv(65_536)):
-                machine.frame_received(frame)
+                session.frame_received(frame)
                 if isinstance(frame, frames.Answer):
-                    times.append(time.monotonic() - asked.pop(frame.number))
-            if data := machine.take_output():
+                    response_times.append(time.monotonic() - sent_at.pop(frame.number))
+            if data := session.take_output():
                 sock.sendall(data)
-    print(json.dumps([len(times), quantile(times, 0.5) * 1000, quantile(times, 0.99) * 1000]))
+    print(
+        json.dumps(
+            [
+                len(response_times),
+                quantile(response_times, 0.5) * 1000,
+                quantile(response_times, 0.99) * 1000,
+            ]
+        )
+    )
 
 
-def hosting(table: Table, count: int) -> None:
-    lines = []
-    for kind in ("polling", "thread each"):
-        out = subprocess.run(
+def measure_hosting(table: Table, count: int) -> None:
+    rows = []
+    for kind in ("polling", "thread per connection"):
+        output = subprocess.run(
             [sys.executable, "-m", "benchmarks.edge", "--hosting", kind, str(count), "10"],
             capture_output=True,
             text=True,
             check=True,
         ).stdout
-        size, done, median, most, cpu = json.loads(out)
-        lines.append(
-            (kind, size, size * 1000 / count, done, median, most, cpu * 1000 / max(1, done))
+        megabytes, answered, median, percentile, cpu_seconds = json.loads(output)
+        rows.append(
+            (
+                kind,
+                megabytes,
+                megabytes * 1000 / count,
+                answered,
+                median,
+                percentile,
+                cpu_seconds * 1000 / max(1, answered),
+            )
         )
     table.rows(
-        f"{count:,} devices that ask once a second",
-        ("host", "MB more", "KB each", "answered", "median ms", "99th ms", "CPU ms an exchange"),
-        lines,
+        f"{count:,} devices with one request per second each",
+        (
+            "host",
+            "additional MB",
+            "KB per device",
+            "answered",
+            "median ms",
+            "99th percentile ms",
+            "CPU ms per request",
+        ),
+        rows,
     )
 
 
-# A thousand devices on bad links beside routers
+# A thousand devices on bad links, together with proxies
 
 
-def serve(block: str, rate: float, seconds: float, devices: int, memory_mb: float) -> None:
-    """The app server and its kernel; says where it listens, then what happened."""
+def run_server(
+    edge_options: str, rate: float, seconds: float, devices: int, memory_mb: float
+) -> None:
+    """Runs the app server and its executor; prints first its ports, and at the end its figures."""
     sys.setswitchinterval(SWITCH_INTERVAL)
     threading.stack_size(THREAD_STACK_BYTES)
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
     )
-    kernel = StandInExecutor(
-        2, work=lambda group, body: WORK[group], result=lambda group, body: body[:64]
+    executor = StandInExecutor(
+        2,
+        work=lambda class_name, body: EXECUTION_TIMES[class_name],
+        result=lambda class_name, body: body[:64],
+    )
+    event_queue = EventQueue()
+    event_loop, components = build(
+        make_process_config(executor.address, memory_mb=memory_mb), event_queue
     )
-    inbox = EventQueue()
-    event_loop, parts = build(make_process_config(kernel.address, memory_mb=memory_mb), inbox)
-    secret = Path(tempfile.mkdtemp()) / "secrets"
-    secret.touch(mode=0o600)
-    secret.write_text(SECRET.hex())
+    secrets_file = Path(tempfile.mkdtemp()) / "secrets"
+    secrets_file.touch(mode=0o600)
+    secrets_file.write_text(SECRET.hex())
     if devices:
         text = (
-            f"edge {{\n listen 127.0.0.1:0\n secrets {secret}\n customer devices\n arrivals 1000000\n"
-            + "".join(f" {line}\n" for line in block.split(";") if line)
+            f"edge {{\n listen 127.0.0.1:0\n secrets {secrets_file}\n customer devices\n"
+            " arrivals 1000000\n"
+            + "".join(f" {line}\n" for line in edge_options.split(";") if line)
             + "}\n"
         )
         event_loop.subsystems.apply(parse_operator_file(text, "benchmark"))
-    asked: dict[str, float] = {}
-    done: dict[str, float] = {}
+    received: dict[str, float] = {}
+    completed: dict[str, float] = {}
     late = 0
     if devices:
-        front = event_loop.subsystems.devices
-        ask, answered = front.request_received, front.send_response
-
-        def count_asked(session, number, asking):
-            asked[asking.frame.group] = asked.get(asking.frame.group, 0) + 1
-            due[session, number] = (
-                asking.frame.group,
-                time.monotonic() + LIMITS[asking.frame.group] + 0.05,
+        frontend = event_loop.subsystems.devices
+        request_received, send_response = frontend.request_received, frontend.send_response
+
+        def counting_request_received(session, number, device_request):
+            received[device_request.frame.group] = received.get(device_request.frame.group, 0) + 1
+            deadlines[session, number] = (
+                device_request.frame.group,
+                time.monotonic() + TIMEOUTS[device_request.frame.group] + 0.05,
             )
-            ask(session, number, asking)
+            request_received(session, number, device_request)
 
-        def count_answered(caller, tag, reply):
+        def counting_send_response(client, tag, response):
             nonlocal late
-            group, by = due.pop((caller.session, tag), ("", 0.0))
-            late += bool(group) and time.monotonic() > by
-            if group and reply.status.name == "COMPLETED":
-                done[group] = done.get(group, 0) + 1
-            answered(caller, tag, reply)
-
-        due: dict = {}
-        front.request_received, front.send_response = count_asked, count_answered
+            class_name, deadline = deadlines.pop((client.session, tag), ("", 0.0))
+            late += bool(class_name) and time.monotonic() > deadline
+            if class_name and response.status.name == "COMPLETED":
+                completed[class_name] = completed.get(class_name, 0) + 1
+            send_response(client, tag, response)
+
+        deadlines: dict = {}
+        frontend.request_received, frontend.send_response = (
+            counting_request_received,
+            counting_send_response,
+        )
     threading.Thread(target=event_loop.run, daemon=True).start()
-    for part in parts:
-        part.start()
-    edge = event_loop.subsystems.devices.edge.address[1] if devices else 0
-    print(json.dumps([event_loop.listener.address[1], edge]), flush=True)
-    sizes = []
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    for component in components:
+        component.start()
+    edge_port = event_loop.subsystems.devices.edge.address[1] if devices else 0
+    print(json.dumps([event_loop.listener.address[1], edge_port]), flush=True)
+    memory_samples = []
+    end_at = time.monotonic() + seconds
+    while time.monotonic() < end_at:
         time.sleep(0.5)
-        sizes.append(resident())
+        memory_samples.append(resident_mb())
     counts = event_loop.subsystems.devices.edge.service.counts if devices else {}
     print(
         json.dumps(
             {
-                "asked": asked,
-                "done": done,
+                "asked": received,
+                "done": completed,
                 "late": late,
-                "sizes": sizes,
+                "sizes": memory_samples,
                 "counts": counts,
-                "twice": sum(each > 1 for each in kernel.ran.values()),
-                "ran": kernel.finished,
-                "unanswered": len(due) if devices else 0,
+                "twice": sum(executions > 1 for executions in executor.ran.values()),
+                "ran": executor.finished,
+                "unanswered": len(deadlines) if devices else 0,
                 "seconds": rate,
             }
         ),
@@ -456,127 +531,147 @@
     )
 
 
-def fleet_devices(
-    port: int, count: int, rate: float, seconds: float, seed: int, first: int
+def run_devices(
+    port: int, count: int, rate: float, seconds: float, seed: int, first_device: int
 ) -> None:
-    """So many devices, each with its own bad link through one proxy, asking at random."""
+    """Simulates devices that send requests at random, over bad links through one `Proxy`."""
     rng, tokens = random.Random(seed), Tokens([SECRET], b"")
     threading.stack_size(THREAD_STACK_BYTES)
     proxy = Proxy(("127.0.0.1", port), LinkConditions(reset=0.01, stall=(0.5, 5.0)), seed)
     devices = [
-        Device(proxy.address, tokens.make(DEVICE, b"d%d" % (first + each), 2**40), seed=seed + each)
+        Device(
+            proxy.address,
+            tokens.make(DEVICE, b"d%d" % (first_device + each), 2**40),
+            seed=seed + each,
+        )
         for each in range(count)
     ]
-    asked, began = [], time.monotonic()
-    while (now := time.monotonic()) < began + seconds:
-        if len(asked) < (now - began) * rate:
-            group = rng.choice(SHARES)
+    sent, started_at = [], time.monotonic()
+    while (now := time.monotonic()) < started_at + seconds:
+        if len(sent) < (now - started_at) * rate:
+            class_name = rng.choice(CLASS_MIX)
             device = rng.choice(devices)
-            stated = {"key": f"{seed}-{len(asked)}"} if group == "swap" else {}
-            asked.append(
-                (group, device, device.ask(group, b"%d-%d" % (seed, len(asked)), 0, **stated))
+            fields = {"key": f"{seed}-{len(sent)}"} if class_name == "swap" else {}
+            sent.append(
+                (
+                    class_name,
+                    device,
+                    device.ask(class_name, b"%d-%d" % (seed, len(sent)), 0, **fields),
+                )
             )
             if rng.random() < 0.02:
-                device.session.session = b""  # an app that was ended: it knows its session no more
+                device.session.session = b""  # a restarted app, which has lost its session
                 device.session.got = 0
                 device.drop_connection()
         else:
             time.sleep(0.002)
-    end = time.monotonic() + 6.0
+    give_up_at = time.monotonic() + 6.0
     counts: dict[str, list[int]] = {}
-    doubled = 0
-    for group, device, number in asked:
-        row = counts.setdefault(group, [0, 0, 0, 0])
+    duplicate_answers = 0
+    for class_name, device, number in sent:
+        outcomes = counts.setdefault(class_name, [0, 0, 0, 0])
         with device.changed:
             device.changed.wait_for(
-                lambda d=device, n=number: n in d.session.outcomes, max(0.0, end - time.monotonic())
+                lambda d=device, n=number: n in d.session.outcomes,
+                max(0.0, give_up_at - time.monotonic()),
             )
             outcome = device.session.outcomes.get(number)
-        row[3 if outcome is None else outcome.word] += 1
+        outcomes[3 if outcome is None else outcome.word] += 1
     for device in devices:
-        doubled += device.session.duplicate_answers
+        duplicate_answers += device.session.duplicate_answers
     print(
         json.dumps(
-            {"words": counts, "stalls": proxy.stalls, "resets": proxy.resets, "doubled": doubled}
+            {
+                "words": counts,
+                "stalls": proxy.stalls,
+                "resets": proxy.resets,
+                "doubled": duplicate_answers,
+            }
         )
     )
     os._exit(0)
 
 
-def fleet_routers(port: int, rate: float, seconds: float) -> None:
+def run_proxy_clients(port: int, rate: float, seconds: float) -> None:
+    """Sends requests as the proxies do, and prints their outcomes."""
     rng, proxy_clients = random.Random(9), [ProxyClient(("127.0.0.1", port)) for _ in range(12)]
-    asked, began = [], time.monotonic()
-    while (now := time.monotonic()) < began + seconds:
-        if len(asked) < (now - began) * rate:
+    sent, started_at = [], time.monotonic()
+    while (now := time.monotonic()) < started_at + seconds:
+        if len(sent) < (now - started_at) * rate:
             proxy_client = min(
                 rng.sample(proxy_clients, 2), key=lambda each: len(each.asked) - len(each.answers)
             )
-            group = rng.choice(SHARES)
-            more = {"k": f"r{len(asked)}"} if group == "swap" else {}
-            asked.append(
+            class_name = rng.choice(CLASS_MIX)
+            fields = {"k": f"r{len(sent)}"} if class_name == "swap" else {}
+            sent.append(
                 (
-                    group,
+                    class_name,
                     proxy_client,
-                    proxy_client.ask(group, b"x", 4_000 if group != "look" else 2_000, **more),
+                    proxy_client.ask(
+                        class_name, b"x", 4_000 if class_name != "look" else 2_000, **fields
+                    ),
                 )
             )
         else:
             time.sleep(0.001)
     time.sleep(4.5)
-    done: dict[str, int] = {}
-    total: dict[str, int] = {}
-    many = 0
-    for group, proxy_client, tag in asked:
-        total[group] = total.get(group, 0) + 1
-        rows = proxy_client.answers.get(tag, [])
-        many += len(rows) != 1
-        done[group] = done.get(group, 0) + any(word == "done" for _, word, _ in rows)
-    print(json.dumps({"asked": total, "done": done, "not_one_answer": many}))
-
-
-def weighted(done: dict, asked: dict) -> float:
-    whole = sum(BENEFIT[group] * count for group, count in asked.items())
+    completed: dict[str, int] = {}
+    sent_by_class: dict[str, int] = {}
+    not_one_answer = 0
+    for class_name, proxy_client, tag in sent:
+        sent_by_class[class_name] = sent_by_class.get(class_name, 0) + 1
+        answers = proxy_client.answers.get(tag, [])
+        not_one_answer += len(answers) != 1
+        completed[class_name] = completed.get(class_name, 0) + any(
+            status == "done" for _, status, _ in answers
+        )
+    print(json.dumps({"asked": sent_by_class, "done": completed, "not_one_answer": not_one_answer}))
+
+
+def benefit_ratio(completed: dict, sent: dict) -> float:
+    """The benefit of the completed requests as a fraction of that of all requests."""
+    offered_benefit = sum(BENEFIT[class_name] * count for class_name, count in sent.items())
     return (
-        sum(BENEFIT[group] * done.get(group, 0) for group in asked) / whole
-        if whole
+        sum(BENEFIT[class_name] * completed.get(class_name, 0) for class_name in sent)
+        / offered_benefit
+        if offered_benefit
         else float("nan")
     )
 
 
-CAPACITY = 2 / (
-    sum(WORK[group] for group in SHARES) / len(SHARES)
-)  # exchanges a second of two cores
+# Requests per second that two cores can execute.
+CAPACITY = 2 / (sum(EXECUTION_TIMES[each] for each in CLASS_MIX) / len(CLASS_MIX))
 
 
-def fleet_run(block: str, devices: int, seconds: float, share: float) -> dict:
-    """At 130 % of what the cores do, `share` of it from devices."""
-    total = 1.3 * CAPACITY
+def run_fleet(edge_options: str, devices: int, seconds: float, device_share: float) -> dict:
+    """Sends 130 % of the load that the server can execute, `device_share` of it from devices."""
+    rate = 1.3 * CAPACITY
     server = subprocess.Popen(
         [
             sys.executable,
             "-m",
             "benchmarks.edge",
             "--serve",
-            block,
-            str(total),
+            edge_options,
+            str(rate),
             str(seconds + 12),
             str(devices),
         ],
         stdout=subprocess.PIPE,
         text=True,
     )
-    listener, edge = json.loads(server.stdout.readline())
-    runs, workers = [], 4
-    routers = total * (1 - share)
-    runs.append(
+    listener_port, edge_port = json.loads(server.stdout.readline())
+    processes, workers = [], 4
+    proxy_rate = rate * (1 - device_share)
+    processes.append(
         subprocess.Popen(
             [
                 sys.executable,
                 "-m",
                 "benchmarks.edge",
                 "--routers",
-                str(listener),
-                str(routers),
+                str(listener_port),
+                str(proxy_rate),
                 str(seconds),
             ],
             stdout=subprocess.PIPE,
@@ -584,16 +679,16 @@
         )
     )
     for each in range(workers if devices else 0):
-        runs.append(
+        processes.append(
             subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
                     "benchmarks.edge",
                     "--devices",
-                    str(edge),
+                    str(edge_port),
                     str(devices // workers),
-                    str(total * share / workers),
+                    str(rate * device_share / workers),
                     str(seconds),
                     str(each + 1),
                     str(each * 1_000),
@@ -602,113 +697,121 @@
                 text=True,
             )
         )
-    told = [json.loads(each.communicate()[0]) for each in runs]
-    return {"routers": told[0], "devices": told[1:], "server": json.loads(server.communicate()[0])}
-
-
-def fleet(table: Table, devices: int, seconds: float) -> None:
-    lines = []
-    base = fleet_run("", 0, seconds, 0.0)
-    routers = base["routers"]
-    lines.append(
+    results = [json.loads(each.communicate()[0]) for each in processes]
+    return {
+        "routers": results[0],
+        "devices": results[1:],
+        "server": json.loads(server.communicate()[0]),
+    }
+
+
+def measure_fleet(table: Table, devices: int, seconds: float) -> None:
+    rows = []
+    baseline = run_fleet("", 0, seconds, 0.0)
+    proxies = baseline["routers"]
+    rows.append(
         (
-            "edge off, all of it from routers",
-            weighted(routers["done"], routers["asked"]),
+            "edge off, all requests from proxies",
+            benefit_ratio(proxies["done"], proxies["asked"]),
             "-",
             "-",
             "-",
-            routers["not_one_answer"],
+            proxies["not_one_answer"],
             0,
             0,
-            max(base["server"]["sizes"]),
+            max(baseline["server"]["sizes"]),
         )
     )
-    for name, block in (
-        ("all on", ""),
+    for name, edge_options in (
+        ("all features on", ""),
         ("no estimates", "estimates no"),
         ("no repeats", "repeats no"),
         ("no resume", "resume no"),
     ):
-        got = fleet_run(block, devices, seconds, 0.4)
-        routers, server = got["routers"], got["server"]
-        words: dict[str, list[int]] = {}
-        for each in got["devices"]:
-            for group, row in each["words"].items():
-                words[group] = [a + b for a, b in zip(words.get(group, [0] * 4), row, strict=True)]
-        seen = weighted(
-            {group: row[0] for group, row in words.items()},
-            {group: sum(row) for group, row in words.items()},
+        results = run_fleet(edge_options, devices, seconds, 0.4)
+        proxies, server = results["routers"], results["server"]
+        outcomes: dict[str, list[int]] = {}
+        for each in results["devices"]:
+            for class_name, counts in each["words"].items():
+                outcomes[class_name] = [
+                    a + b for a, b in zip(outcomes.get(class_name, [0] * 4), counts, strict=True)
+                ]
+        observed = benefit_ratio(
+            {class_name: counts[0] for class_name, counts in outcomes.items()},
+            {class_name: sum(counts) for class_name, counts in outcomes.items()},
         )
-        sizes = server["sizes"]
-        lines.append(
+        memory_samples = server["sizes"]
+        rows.append(
             (
                 name,
-                weighted(routers["done"], routers["asked"]),
-                weighted(server["done"], server["asked"]),
-                seen,
-                sum(row[3] for row in words.values()),
-                routers["not_one_answer"],
+                benefit_ratio(proxies["done"], proxies["asked"]),
+                benefit_ratio(server["done"], server["asked"]),
+                observed,
+                sum(counts[3] for counts in outcomes.values()),
+                proxies["not_one_answer"],
                 server["late"],
                 server["twice"],
-                max(sizes),
+                max(memory_samples),
             )
         )
         table.say(
-            f"{name}: stalls {sum(each['stalls'] for each in got['devices']):,}, resets "
-            f"{sum(each['resets'] for each in got['devices']):,}, {server['counts']}, unanswered at the end "
-            f"{server['unanswered']}, memory by quarters "
-            + " ".join(f"{sizes[len(sizes) * part // 4]:.0f}" for part in range(4))
-            + f" {sizes[-1]:.0f} MB\n"
+            f"{name}: stalls {sum(each['stalls'] for each in results['devices']):,}, resets "
+            f"{sum(each['resets'] for each in results['devices']):,}, {server['counts']}, "
+            f"unanswered at the end {server['unanswered']}, memory by quarters of the run "
+            + " ".join(
+                f"{memory_samples[len(memory_samples) * quarter // 4]:.0f}" for quarter in range(4)
+            )
+            + f" {memory_samples[-1]:.0f} MB\n"
         )
     table.rows(
-        f"{devices:,} devices on bad links and routers beside, 130 % of two cores, {seconds:.0f} s",
+        f"{devices:,} devices on bad links and proxies, load 130 % of two cores, {seconds:.0f} s",
         (
             "edge",
-            "routers' service",
-            "devices' service, of what was read",
-            "as devices saw it",
+            "benefit, proxies",
+            "benefit, devices (server)",
+            "benefit, devices (observed)",
             "no answer in 6 s",
-            "routers: not one answer",
+            "proxies: not exactly one answer",
             "answered late",
-            "ran twice",
-            "most MB",
+            "executed twice",
+            "max MB",
         ),
-        lines,
+        rows,
     )
 
 
 def main() -> None:
-    words = sys.argv[1:]
-    if words[:1] == ["--hosting"]:
-        one_hosting(words[1], int(words[2]), float(words[3]))
-    elif words[:1] == ["--drive"]:
-        drive(int(words[1]), int(words[2]), float(words[3]))
-    elif words[:1] == ["--serve"]:
-        serve(words[1], float(words[2]), float(words[3]), int(words[4]), 192.0)
-    elif words[:1] == ["--routers"]:
-        fleet_routers(int(words[1]), float(words[2]), float(words[3]))
-    elif words[:1] == ["--devices"]:
-        fleet_devices(
-            int(words[1]),
-            int(words[2]),
-            float(words[3]),
-            float(words[4]),
-            int(words[5]),
-            int(words[6]),
+    arguments = sys.argv[1:]
+    if arguments[:1] == ["--hosting"]:
+        run_host(arguments[1], int(arguments[2]), float(arguments[3]))
+    elif arguments[:1] == ["--drive"]:
+        drive_devices(int(arguments[1]), int(arguments[2]), float(arguments[3]))
+    elif arguments[:1] == ["--serve"]:
+        run_server(arguments[1], float(arguments[2]), float(arguments[3]), int(arguments[4]), 192.0)
+    elif arguments[:1] == ["--routers"]:
+        run_proxy_clients(int(arguments[1]), float(arguments[2]), float(arguments[3]))
+    elif arguments[:1] == ["--devices"]:
+        run_devices(
+            int(arguments[1]),
+            int(arguments[2]),
+            float(arguments[3]),
+            float(arguments[4]),
+            int(arguments[5]),
+            int(arguments[6]),
         )
     else:
-        chosen = words or ["structures", "repeats", "hosting", "fleet"]
-        table = Table("edge-" + "-".join(chosen) if words else "edge")
-        table.say(f"# The devices' edge, Python {sys.version.split()[0]}\n")
+        chosen = arguments or ["structures", "repeats", "hosting", "fleet"]
+        table = Table("edge-" + "-".join(chosen) if arguments else "edge")
+        table.say(f"# The device edge, Python {sys.version.split()[0]}\n")
         if "structures" in chosen:
-            timers(table)
-            counting(table)
+            measure_timers(table)
+            measure_counting(table)
         if "repeats" in chosen:
-            repeats(table)
+            measure_duplicate_detection(table)
         if "hosting" in chosen:
-            hosting(table, 1_000)
+            measure_hosting(table, 1_000)
         if "fleet" in chosen:
-            fleet(table, 1_000, 20.0)
+            measure_fleet(table, 1_000, 20.0)
         table.write()
 
 
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -110,7 +110,7 @@
         "20 simulated seconds at load 0.85, requests of 0.2 and 0.4 s on four cores, one process",
         (
             "servers",
-            "routers",
+            "proxies",
             "requests",
             "events",
             "events per second",
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -78,8 +78,8 @@
 
 
 class HeartbeatMembership(Membership):
-    """All-to-all heartbeats: a member pings all others in each interval, and declares one dead after
-    five intervals without a datagram from it, without notifying the others directly."""
+    """All-to-all heartbeats: a member pings all others in each interval, and declares one dead
+    after five intervals without a datagram from it, without notifying the others directly."""
 
     failure_detector_type = NoProbesFailureDetector
 
