--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -272,10 +272,10 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             number += 1
             self.socks[number] = sock
-            self.inbox.put((self._opened, number))
+            self.inbox.put((self._connection_opened, number))
             threading.Thread(target=self._read, args=(number, sock), daemon=True).start()
 
-    def _opened(self, number: int) -> None:
+    def _connection_opened(self, number: int) -> None:
         self.service.connection_opened(number, b"\x7f\0\0\1", b"", self.clock())
 
     def _read(self, number: int, sock: socket.socket) -> None:
@@ -283,11 +283,11 @@
         try:
             while chunk := sock.recv(2_048):
                 for frame in stream.feed(chunk):
-                    self.inbox.put((self._frame, number, frame))
+                    self.inbox.put((self._frame_received, number, frame))
         except OSError:
             pass
 
-    def _frame(self, number: int, frame) -> None:
+    def _frame_received(self, number: int, frame) -> None:
         self.service.frame_received(number, frame, self.clock())
 
     def send_answer(self, session, number: int, word: int, body: bytes, come_back: int) -> None:
@@ -379,14 +379,14 @@
         row = [session, sock, Stream(1 << 16), {}, time.monotonic() + 1.0 + number / count]
         rows.append(row)
         selector.register(sock, selectors.EVENT_READ, row)
-    response_times, end_at, turn = [], time.monotonic() + seconds + 1.0, 0
+    response_times, end_at, sent_count = [], time.monotonic() + seconds + 1.0, 0
     while (now := time.monotonic()) < end_at:
-        while rows[turn % count][4] <= now:
-            row = rows[turn % count]
+        while rows[sent_count % count][4] <= now:
+            row = rows[sent_count % count]
             row[3][row[0].ask("look", b"x")] = now
             row[1].sendall(row[0].taken())
             row[4] = now + 1.0
-            turn += 1
+            sent_count += 1
         for key, _ in selector.select(0.001):
             session, sock, stream, sent_at, _ = key.data
             for frame in stream.feed(sock.recv(65_536)):
@@ -415,7 +415,7 @@
             text=True,
             check=True,
         ).stdout
-        megabytes, answered, median, percentile, cpu_seconds = json.loads(output)
+        megabytes, answered, median, p99, cpu_seconds = json.loads(output)
         rows.append(
             (
                 kind,
@@ -423,7 +423,7 @@
                 megabytes * 1000 / count,
                 answered,
                 median,
-                percentile,
+                p99,
                 cpu_seconds * 1000 / max(1, answered),
             )
         )
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -14,7 +14,7 @@
 from lilacwalk.testing.fleet import ProcessFleet
 from lilacwalk.testing.proxy_client import ProxyClient
 
-RATE, SECONDS = 150.0, 8.0
+RATE, SECONDS = 150.0, 8.0  # requests per second, and duration of the load
 # lines of the operator file, by the name of the case
 OPERATOR_LINES = {
     "no options": "",
