--- a/benchmarks/site_fleet.py
+++ b/benchmarks/site_fleet.py
@@ -1,11 +1,15 @@
-"""A site lost among 30 sites and 3,000 nodes, in simulated time: when all nodes that decide agree on who
-stands in, how far they disagree until then, and what a view that flickers moves.
+"""Failover plans of nodes with different views, when one site of 30 fails. Simulated time.
+
+Measures how long the planning nodes take to agree on the nodes that take the failed site's load, by
+how many nodes their sets differ until then, and how often a set changes when members are falsely
+suspected.
 
     python -m benchmarks.site_fleet [--quick]
 
-Some nodes decide, each with a view of its own of all 3,000 members. A change reaches each view at a time
-drawn from what the view's own measurement found for a crash (5 to 12 probe intervals of a second), member by
-member. Load figures differ between views by as much as they change between two tellings."""
+Each planning node has a view of its own of all 3,000 members. A change reaches each view, member by
+member, after a time drawn from the range that the membership benchmark found for a crash: 5 to 12
+probe intervals of one second. Load figures differ between views by as much as a member's load
+changes between two reports of it."""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 import sys
 from collections import Counter
 
-from benchmarks.site_plan import made
+from benchmarks.site_plan import make_config
 from benchmarks.table import Table, quantile
 from lilacwalk.failover.detector import MemberStatus
 from lilacwalk.failover.node_plan import FailoverPlanner
@@ -21,170 +25,195 @@
 from lilacwalk.membership.conclusions import ViewStatistics, conclude
 from lilacwalk.membership.messages import Health, NodeState
 
-SECOND = 10_000
-FIRST, LAST = (
+SECOND = 10_000  # tenths of a ms
+# Seconds until a view has detected a crash: see docs/design/membership.md.
+MIN_DETECTION_TIME, MAX_DETECTION_TIME = (
     5.0,
     12.0,
-)  # seconds in which a crash is known to a view: see docs/design/membership.md
-SITES, NODES = 30, 100
+)
+SITES, NODES_PER_SITE = 30, 100
 
 
-class Decider:
+class PlanningNode:
     def __init__(
-        self, orders, name: str, site: str, members: list[NodeView], rng: random.Random
+        self, config, name: str, site: str, members: list[NodeView], rng: random.Random
     ) -> None:
-        self.machine = FailoverPlanner(orders, name, site, 0)
+        self.planner = FailoverPlanner(config, name, site, 0)
         self.rng, self.site = rng, site
-        self.rows = {each.name: each for each in members}
-        self.due: list[tuple[float, str, Health]] = []
-
-    def learns(self, at: float, names: list[str], health: Health) -> None:
-        self.due += [(at + self.rng.uniform(FIRST, LAST), name, health) for name in names]
+        self.view = {each.name: each for each in members}
+        # time in seconds, member, new health
+        self.pending_changes: list[tuple[float, str, Health]] = []
+
+    def schedule_detection(self, at: float, names: list[str], health: Health) -> None:
+        self.pending_changes += [
+            (at + self.rng.uniform(MIN_DETECTION_TIME, MAX_DETECTION_TIME), name, health)
+            for name in names
+        ]
 
-    def look(self, now: float, scatter: float) -> dict[str, tuple[str, ...]]:
+    def evaluate(self, now: float, load_deviation: float) -> dict[str, tuple[str, ...]]:
+        """Applies the changes that are due and returns the failover nodes by failed site."""
         later = []
-        for due, name, health in self.due:
+        for due, name, health in self.pending_changes:
             if due > now:
                 later.append((due, name, health))
                 continue
-            self.rows[name] = changed(self.rows[name], health, self.rows[name].status.utilisation)
-        self.due = later
-        if scatter:
-            for name in self.rng.sample(sorted(self.rows), len(self.rows) // 20):
-                load = 0.6 + self.rng.uniform(-scatter, scatter)
-                self.rows[name] = changed(self.rows[name], self.rows[name].status.health, load)
-        healths = Counter(row.status.health for row in self.rows.values())
-        lost = healths[Health.DEAD]
-        told = conclude(
+            self.view[name] = with_status(
+                self.view[name], health, self.view[name].status.utilisation
+            )
+        self.pending_changes = later
+        if load_deviation:
+            for name in self.rng.sample(sorted(self.view), len(self.view) // 20):
+                load = 0.6 + self.rng.uniform(-load_deviation, load_deviation)
+                self.view[name] = with_status(self.view[name], self.view[name].status.health, load)
+        health_counts = Counter(member.status.health for member in self.view.values())
+        dead = health_counts[Health.DEAD]
+        conclusion = conclude(
             ViewStatistics(
-                len(self.rows) - lost,
-                healths[Health.SUSPECT],
-                lost,
+                len(self.view) - dead,
+                health_counts[Health.SUSPECT],
+                dead,
                 0,
                 0,
                 0,
                 False,
                 False,
                 False,
-                not healths[Health.SUSPECT],
+                not health_counts[Health.SUSPECT],
             )
         )
-        found = self.machine.evaluate(
-            self.rows.values(), "whole" if told.firm else told.verdict, int(now * SECOND)
+        node_plan = self.planner.evaluate(
+            self.view.values(),
+            "whole" if conclusion.firm else conclusion.verdict,
+            int(now * SECOND),
         )
-        return {lost: tuple(sorted(nodes)) for lost, nodes in found.failover_nodes.items()}
+        return {site: tuple(sorted(nodes)) for site, nodes in node_plan.failover_nodes.items()}
 
 
-def changed(row: NodeView, health: Health, load: float) -> NodeView:
-    seen = row.status
+def with_status(member: NodeView, health: Health, load: float) -> NodeView:
+    before = member.status
     return NodeView(
-        row.name,
-        MemberStatus(seen.site, health, seen.state, seen.cores, load, seen.completed_per_second),
+        member.name,
+        MemberStatus(
+            before.site, health, before.state, before.cores, load, before.completed_per_second
+        ),
     )
 
 
-def apart(sets: list[frozenset[str]]) -> int:
-    """Nodes on which the two views that differ most disagree."""
+def max_difference(sets: list[frozenset[str]]) -> int:
+    """Returns by how many nodes the two sets differ that differ most."""
     return max((len(one ^ other) for one in set(sets) for other in set(sets)), default=0)
 
 
-def play(seed: int, scatter: float, flicker: bool, deciders: int, seconds: int) -> dict[str, float]:
+def run(
+    seed: int, load_deviation: float, false_suspicions: bool, node_count: int, seconds: int
+) -> dict[str, float]:
     rng = random.Random(seed)
-    orders = made(SITES, NODES, rng)
-    names = [each.name for each in orders.site]
+    config = make_config(SITES, NODES_PER_SITE, rng)
+    names = [each.name for each in config.site]
     members = [
         NodeView(f"{site}-{at}", MemberStatus(site, Health.ALIVE, NodeState.READY, 1, 0.6, 100))
         for site in names
-        for at in range(NODES)
+        for at in range(NODES_PER_SITE)
     ]
-    lost = names[rng.randrange(SITES)]
-    others = [site for site in names if site != lost]
-    who = [
-        Decider(orders, f"{site}-{at}", site, members, random.Random(f"{seed} {site} {at}"))
+    failed_site = names[rng.randrange(SITES)]
+    others = [site for site in names if site != failed_site]
+    nodes = [
+        PlanningNode(config, f"{site}-{at}", site, members, random.Random(f"{seed} {site} {at}"))
         for site in others
         for at in range(2)
-    ][:deciders]
+    ][:node_count]
     for _ in range(3):
-        for each in who:
-            each.look(0.0, 0.0)
-    gone = [row.name for row in members if row.status.site == lost]
-    for each in who:
-        each.learns(1.0, gone, Health.DEAD)
-    agreed, worst, worst_after, moves = float("nan"), 0, 0, 0
-    before: list[frozenset[str]] = [frozenset()] * len(who)
-    most: dict[str, int] = {}
+        for each in nodes:
+            each.evaluate(0.0, 0.0)
+    failed_members = [member.name for member in members if member.status.site == failed_site]
+    for each in nodes:
+        each.schedule_detection(1.0, failed_members, Health.DEAD)
+    agreed_after, difference_before, difference_after, changes = float("nan"), 0, 0, 0
+    previous: list[frozenset[str]] = [frozenset()] * len(nodes)
+    max_by_site: dict[str, int] = {}
     for now in range(1, seconds):
-        if (
-            flicker and now > 2
-        ):  # one member in a hundred is suspected and refutes, each second, in each view
-            for each in who:
+        # Each second, about one member in a hundred is suspected and refutes it, in each view.
+        if false_suspicions and now > 2:
+            for each in nodes:
                 for name in each.rng.sample(
-                    [row.name for row in members if row.status.site != lost], 30
+                    [member.name for member in members if member.status.site != failed_site], 30
                 ):
-                    each.due.append((now + each.rng.random(), name, Health.SUSPECT))
-                    each.due.append((now + 1 + each.rng.random(), name, Health.ALIVE))
-        sets = [frozenset(each.look(float(now), scatter).get(lost, ())) for each in who]
-        known = now > LAST + 1
-        difference = apart(sets)
-        for found in sets:
+                    each.pending_changes.append((now + each.rng.random(), name, Health.SUSPECT))
+                    each.pending_changes.append((now + 1 + each.rng.random(), name, Health.ALIVE))
+        sets = [
+            frozenset(each.evaluate(float(now), load_deviation).get(failed_site, ()))
+            for each in nodes
+        ]
+        is_detected = now > MAX_DETECTION_TIME + 1
+        difference = max_difference(sets)
+        for failover_nodes in sets:
             for site in others:
-                most[site] = max(
-                    most.get(site, 0), sum(name.startswith(site + "-") for name in found)
+                max_by_site[site] = max(
+                    max_by_site.get(site, 0),
+                    sum(name.startswith(site + "-") for name in failover_nodes),
                 )
-        if known:
-            worst_after = max(worst_after, difference)
-            moves += sum(one != other for one, other in zip(sets, before, strict=True))
+        if is_detected:
+            difference_after = max(difference_after, difference)
+            changes += sum(one != other for one, other in zip(sets, previous, strict=True))
         else:
-            worst = max(worst, difference)
-        if difference == 0 and sets[0] and agreed != agreed:
-            agreed = now - 1.0
-        before = sets
+            difference_before = max(difference_before, difference)
+        if difference == 0 and sets[0] and agreed_after != agreed_after:
+            agreed_after = now - 1.0
+        previous = sets
     return {
-        "agreed": agreed,
-        "apart": worst,
-        "apart after": worst_after,
-        "stand in": len(before[0]),
-        "moves": moves / len(who) / max(1, seconds - LAST - 2),
-        "fullest": max(most.values()) / NODES,
+        "agreed after": agreed_after,
+        "difference before": difference_before,
+        "difference after": difference_after,
+        "failover nodes": len(previous[0]),
+        "changes": changes / len(nodes) / max(1, seconds - MAX_DETECTION_TIME - 2),
+        "largest share": max(max_by_site.values()) / NODES_PER_SITE,
     }
 
 
 def main() -> None:
     quick = "--quick" in sys.argv
-    deciders, seconds = (10, 20) if quick else (30, 30)
+    node_count, seconds = (10, 20) if quick else (30, 30)
     rows = []
-    for what, scatter, flicker in (
-        ("the same figures", 0.0, False),
+    for views, load_deviation, false_suspicions in (
+        ("equal figures", 0.0, False),
         ("loads differ by 0.05", 0.05, False),
-        ("loads differ, one in a hundred flickers", 0.05, True),
+        ("loads differ, 1% of members falsely suspected", 0.05, True),
     ):
-        found = [
-            play(seed, scatter, flicker, deciders, seconds) for seed in range(1 if quick else 3)
+        results = [
+            run(seed, load_deviation, false_suspicions, node_count, seconds)
+            for seed in range(1 if quick else 3)
         ]
         rows.append(
             (
-                what,
-                len(found),
+                views,
+                len(results),
                 *(
-                    quantile([each[name] for each in found], 1.0)
-                    for name in ("agreed", "apart", "apart after", "stand in", "moves", "fullest")
+                    quantile([each[name] for each in results], 1.0)
+                    for name in (
+                        "agreed after",
+                        "difference before",
+                        "difference after",
+                        "failover nodes",
+                        "changes",
+                        "largest share",
+                    )
                 ),
             )
         )
         print(rows[-1], flush=True)
     table = Table("site-fleet")
     table.rows(
-        f"{SITES} sites, {SITES * NODES:,} nodes, {deciders} of them decide, one site lost: the worst "
-        "of the plays",
+        f"{SITES} sites, {SITES * NODES_PER_SITE:,} nodes, {node_count} of them plan, one site "
+        "fails: the worst of the runs",
         (
             "views",
-            "plays",
-            "s to agree",
-            "nodes apart before",
-            "nodes apart after",
-            "nodes that stand in",
-            "changes a node-second after",
-            "fullest site",
+            "runs",
+            "seconds to agree",
+            "differing nodes before detection",
+            "differing nodes after detection",
+            "failover nodes",
+            "set changes per node and second after detection",
+            "largest share of a site's nodes",
         ),
         rows,
     )
--- a/benchmarks/site_plan.py
+++ b/benchmarks/site_plan.py
@@ -1,6 +1,7 @@
-"""How long a plan takes: for a few sites, and for 30 sites of 100 nodes each.
+"""Time to compute a failover plan, from three small sites to 30 sites of 100 nodes each, and how far
+a placement changes when the load of one failover target changes.
 
-python -m benchmarks.site_plan"""
+    python -m benchmarks.site_plan"""
 
 from __future__ import annotations
 
@@ -18,18 +19,18 @@
 from lilacwalk.membership.messages import Health, NodeState
 
 
-def made(count: int, nodes: int, rng: random.Random) -> FailoverConfig:
-    names = [f"s{at:02d}" for at in range(count)]
+def make_config(site_count: int, nodes_per_site: int, rng: random.Random) -> FailoverConfig:
+    names = [f"s{at:02d}" for at in range(site_count)]
     sites = []
     for name in names:
-        others = rng.sample([other for other in names if other != name], min(4, count - 1))
+        targets = rng.sample([other for other in names if other != name], min(4, site_count - 1))
         sites.append(
             Site(
                 name=name,
-                cores=float(nodes),
-                load=nodes * rng.uniform(0.5, 0.75),
+                cores=float(nodes_per_site),
+                load=nodes_per_site * rng.uniform(0.5, 0.75),
                 stand_in=tuple(
-                    StandIn(site=other, cost=rng.randrange(20, 300)) for other in others
+                    StandIn(site=target, cost=rng.randrange(20, 300)) for target in targets
                 ),
             )
         )
@@ -40,52 +41,66 @@
     return FailoverConfig(
         site=tuple(sites),
         class_=classes,
-        shared=(Shared(name="index", limit=count * nodes * 40.0),),
+        shared=(Shared(name="index", limit=site_count * nodes_per_site * 40.0),),
     )
 
 
-def timed(action, times: int) -> tuple[float, float]:
-    took = []
-    for at in range(times):
+def measure_times(action, repetitions: int) -> tuple[float, float]:
+    """Returns the median and the 99th percentile of the action's time, in ms."""
+    times = []
+    for at in range(repetitions):
         began = time.perf_counter()
         action(at)
-        took.append((time.perf_counter() - began) * 1000)
-    return quantile(took, 0.5), quantile(took, 0.99)
+        times.append((time.perf_counter() - began) * 1000)
+    return quantile(times, 0.5), quantile(times, 0.99)
 
 
-def proportional(here: dict[str, SiteCapacity], lost: str) -> dict[str, float]:
-    """The plain form: by cores, whatever room is left."""
-    cores = {target: here[target].cores for target, _ in here[lost].failover_targets}
-    return {target: here[lost].load * part / sum(cores.values()) for target, part in cores.items()}
+def place_by_cores(capacities: dict[str, SiteCapacity], failed_site: str) -> dict[str, float]:
+    """The simplest form: in proportion to the cores of the targets, whatever their spare capacity."""
+    cores = {
+        target: capacities[target].cores for target, _ in capacities[failed_site].failover_targets
+    }
+    return {
+        target: capacities[failed_site].load * target_cores / sum(cores.values())
+        for target, target_cores in cores.items()
+    }
 
 
-def hashed(here: dict[str, SiteCapacity], lost: str, parts: int = 400) -> dict[str, float]:
-    """Consistent hashing with bounded loads: parts of the load on a ring of the stand-ins' points, a full one
-    passed over."""
+def place_by_hashing(
+    capacities: dict[str, SiteCapacity], failed_site: str, parts: int = 400
+) -> dict[str, float]:
+    """Consistent hashing with bounded loads.
+
+    Each part of the load goes to the next point on a ring whose target has spare capacity for it.
+    """
     ring = sorted(
         (random.Random(f"{target} {point}").random(), target)
-        for target, _ in here[lost].failover_targets
+        for target, _ in capacities[failed_site].failover_targets
         for point in range(64)
     )
-    found = dict.fromkeys((target for _, target in ring), 0.0)
-    size = here[lost].load / parts
+    placed = dict.fromkeys((target for _, target in ring), 0.0)
+    size = capacities[failed_site].load / parts
     for part in range(parts):
-        at = random.Random(f"part {part}").random()
-        first = next((index for index, (point, _) in enumerate(ring) if point >= at), 0)
+        position = random.Random(f"part {part}").random()
+        first = next((at for at, (point, _) in enumerate(ring) if point >= position), 0)
         for step in range(len(ring)):
             target = ring[(first + step) % len(ring)][1]
-            if found[target] + size <= here[target].spare_capacity(0.1):
-                found[target] += size
+            if placed[target] + size <= capacities[target].spare_capacity(0.1):
+                placed[target] += size
                 break
-    return found
+    return placed
+
 
+def measure_sensitivity(place, rng: random.Random) -> tuple[float, float]:
+    """Returns how far a placement changes with the load of one target, and its worst utilisation.
 
-def moved_by_one(form, rng: random.Random) -> tuple[float, float]:
-    """Part of the lost load that goes elsewhere when one stand-in's load changes by 5%; worst utilisation."""
-    changes, worst = [], []
+    The first figure is the median share of the failed site's load that goes to another target when
+    one target's load changes by 5%, the second the 99th percentile of the highest utilisation.
+    """
+    moved_shares, max_utilisations = [], []
     for _ in range(60):
         names = [f"s{at}" for at in range(6)]
-        here = {
+        capacities = {
             name: SiteCapacity(
                 name,
                 20.0,
@@ -94,76 +109,94 @@
             )
             for name in names
         }
-        before = form(here, "s0")
-        one = rng.choice(names[1:])
-        here[one] = SiteCapacity(one, 20.0, here[one].load * 1.05, here[one].failover_targets)
-        after = form(here, "s0")
-        changes.append(
+        before = place(capacities, "s0")
+        changed = rng.choice(names[1:])
+        capacities[changed] = SiteCapacity(
+            changed, 20.0, capacities[changed].load * 1.05, capacities[changed].failover_targets
+        )
+        after = place(capacities, "s0")
+        moved_shares.append(
             sum(abs(before.get(name, 0) - after.get(name, 0)) for name in names)
             / 2
-            / here["s0"].load
+            / capacities["s0"].load
         )
-        worst.append(
-            max((here[name].load + after.get(name, 0)) / here[name].cores for name in names[1:])
+        max_utilisations.append(
+            max(
+                (capacities[name].load + after.get(name, 0)) / capacities[name].cores
+                for name in names[1:]
+            )
         )
-    return quantile(changes, 0.5), quantile(worst, 0.99)
+    return quantile(moved_shares, 0.5), quantile(max_utilisations, 0.99)
 
 
 def main() -> None:
     rng = random.Random(1)
     rows = []
-    for count, nodes in ((3, 8), (10, 50), (30, 100)):
-        orders = made(count, nodes, rng)
-        here, names = configured_capacities(orders), [each.name for each in orders.site]
-        one = timed(
-            lambda at, names=names, orders=orders, here=here: plan_failover(
-                orders, here, {names[at % len(names)]: 1.0}
+    for site_count, nodes_per_site in ((3, 8), (10, 50), (30, 100)):
+        config = make_config(site_count, nodes_per_site, rng)
+        capacities, names = configured_capacities(config), [each.name for each in config.site]
+        plan_times = measure_times(
+            lambda at, names=names, config=config, capacities=capacities: plan_failover(
+                config, capacities, {names[at % len(names)]: 1.0}
             ),
             60,
         )
-        more = timed(
-            lambda at, names=names, orders=orders, here=here: additional_cores_needed(
-                orders, here, {names[at % len(names)]: 1.0}
+        sizing_times = measure_times(
+            lambda at, names=names, config=config, capacities=capacities: additional_cores_needed(
+                config, capacities, {names[at % len(names)]: 1.0}
             ),
             20,
         )
         members = [
             NodeView(f"{name}-{at}", MemberStatus(name, Health.ALIVE, NodeState.READY, 1, 0.6, 100))
             for name in names
-            for at in range(nodes)
+            for at in range(nodes_per_site)
         ]
-        gone = [
+        members_after_failure = [
             NodeView(
-                row.name, MemberStatus(row.status.site, Health.DEAD, NodeState.READY, 1, 0.6, 100)
+                member.name,
+                MemberStatus(member.status.site, Health.DEAD, NodeState.READY, 1, 0.6, 100),
             )
-            if row.status.site == names[0]
-            else row
-            for row in members
+            if member.status.site == names[0]
+            else member
+            for member in members
         ]
-        machine = FailoverPlanner(orders, members[-1].name, names[-1], 0)
-        machine.evaluate(members, "whole", 0)
-        look = timed(
-            lambda at, machine=machine, gone=gone: machine.evaluate(
-                gone, "whole", 2_000 * (at + 1)
+        planner = FailoverPlanner(config, members[-1].name, names[-1], 0)
+        planner.evaluate(members, "whole", 0)
+        evaluation_times = measure_times(
+            lambda at, planner=planner, members=members_after_failure: planner.evaluate(
+                members, "whole", 2_000 * (at + 1)
             ),
             30,
         )
-        rows.append((count, count * nodes, *one, *more, *look))
+        rows.append(
+            (
+                site_count,
+                site_count * nodes_per_site,
+                *plan_times,
+                *sizing_times,
+                *evaluation_times,
+            )
+        )
     table = Table("site-plan")
     table.rows(
-        "a plan, more_cores, and a look of a living node while a site is lost: median and 99th ms",
-        ("sites", "nodes", "plan", "99th", "more_cores", "99th", "look", "99th"),
+        "time of a plan, of the number of additional cores, and of an evaluation on a running node "
+        "while a site is lost: median and 99th percentile, ms",
+        ("sites", "nodes", "plan", "99th", "additional cores", "99th", "evaluation", "99th"),
         rows,
     )
     forms = {
-        "by room and path": lambda here, lost: place_load(here, {lost: 1.0}, 0.1).placed_from(lost),
-        "by cores": proportional,
-        "consistent hashing, bounded": hashed,
+        "by spare capacity and path cost": lambda capacities, failed_site: place_load(
+            capacities, {failed_site: 1.0}, 0.1
+        ).placed_from(failed_site),
+        "by cores": place_by_cores,
+        "consistent hashing, bounded": place_by_hashing,
     }
     table.rows(
-        "one stand-in's load changes by 5%: lost load that goes elsewhere, worst utilisation",
-        ("form", "moved (median)", "worst utilisation (99th)"),
-        [(name, *moved_by_one(form, random.Random(2))) for name, form in forms.items()],
+        "one target's load changes by 5%: share of the failed site's load that moves, highest "
+        "utilisation",
+        ("form", "moved share (median)", "highest utilisation (99th)"),
+        [(name, *measure_sensitivity(place, random.Random(2))) for name, place in forms.items()],
     )
     table.write()
 
