--- a/benchmarks/site_forms.py
+++ b/benchmarks/site_forms.py
@@ -1,10 +1,10 @@
-"""Starts the program with a plainer form of the plan, to be measured against:
+"""Starts lilacwalk with a simpler form of the failover plan, for comparison in measurements:
 
     python -m benchmarks.site_forms proportional|at-once -- serve --config …
 
-proportional: a lost site's load goes to its stand-ins in proportion to their cores, whatever room is left
-              there and however long the path; nothing gives way but what p_a refuses
-at-once:      a site that is seen again is whole at once"""
+proportional: a failed site's load goes to its failover targets in proportion to their cores,
+              whatever their spare capacity and path cost; only p_a rejects requests
+at-once:      a site that is reachable again takes all of its load at once"""
 
 from __future__ import annotations
 
@@ -18,35 +18,37 @@
 from lilacwalk.failover.recovery import RecoveryStage, SiteProbe, SiteRecovery
 
 
-def by_cores(
-    places: Mapping[str, SiteCapacity], lost: Mapping[str, float], headroom: float
+def place_by_cores(
+    sites: Mapping[str, SiteCapacity], failed: Mapping[str, float], headroom: float
 ) -> LoadPlacement:
-    made = LoadPlacement()
-    for name in sorted(lost):
+    placement = LoadPlacement()
+    for name in sorted(failed):
         cores = {
-            target: places[target].cores
-            for target, _ in places[name].failover_targets
-            if lost.get(target, 0.0) <= 0
+            target: sites[target].cores
+            for target, _ in sites[name].failover_targets
+            if failed.get(target, 0.0) <= 0
         }
         total = sum(cores.values())
-        made.unplaced[name] = 0.0 if total else places[name].load
-        for target, part in cores.items():
-            made.placed[name, target] = places[name].load * part / total
-    return made
+        placement.unplaced[name] = 0.0 if total else sites[name].load
+        for target, target_cores in cores.items():
+            placement.placed[name, target] = sites[name].load * target_cores / total
+    return placement
 
 
-def at_once(self: SiteRecovery, seen: SiteProbe, good: bool, now: int, may_ramp: bool) -> None:
-    self._enter(RecoveryStage.HEALTHY, 1.0, "seen again", now)
+def skip_ramp(
+    self: SiteRecovery, probe: SiteProbe, is_good: bool, now: int, may_ramp: bool
+) -> None:
+    self._enter(RecoveryStage.HEALTHY, 1.0, "reachable again", now)
 
 
 def main() -> None:
-    at = sys.argv.index("--")
-    form, sys.argv[1:] = sys.argv[1], sys.argv[at + 1 :]
+    separator = sys.argv.index("--")
+    form, sys.argv[1:] = sys.argv[1], sys.argv[separator + 1 :]
     if form == "proportional":
-        planning.place_load = by_cores
+        planning.place_load = place_by_cores
         LocalPriority.reject_if_overloaded = lambda *arguments: None  # type: ignore[method-assign]
     else:
-        SiteRecovery._in_lost = SiteRecovery._in_probing = at_once  # type: ignore[method-assign]
+        SiteRecovery._in_lost = SiteRecovery._in_probing = skip_ramp  # type: ignore[method-assign]
     runpy.run_module("lilacwalk", run_name="__main__")
 
 
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -1,10 +1,13 @@
-"""A site of three is lost and comes back: what users got, second by second, with the plan and without.
+"""Loss and return of one of three sites: what its users and others are served in each second, with
+the failover plan and without.
 
     python -m benchmarks.site_loss [0.75 …]
 
-Real app servers, four a site, with stand-in kernels and users who follow announcements half a second late
-(`testing/site_outage.py`). Lost in the 10th second, back in the 25th, watched to the 55th. At 75% also with
-plainer forms of the plan (`site_forms.py`), and without the listeners that tell guests from home traffic."""
+Real app servers, four per site, with stand-in executors and users who follow announcements with a
+delay of half a second (`testing/site_outage.py`). The site is lost at second 10 and started again
+at second 25; the run ends at second 55. At 75% load it is also run with simpler forms of the plan
+(`site_forms.py`), without the listeners that distinguish failover traffic from home traffic, and
+with a lower benefit of failover traffic."""
 
 from __future__ import annotations
 
@@ -14,46 +17,57 @@
 from benchmarks.table import Table
 from lilacwalk.testing.site_outage import BENEFIT, SITES, Outage
 
-LOST, BACK, END = 10, 25, 55
-FORMS = ("plan", "none", "guests not told apart", "guest worth 0.2", "proportional", "at-once")
+LOST_AT, BACK_AT, END = 10, 25, 55  # seconds since the start
+FORMS = (
+    "plan",
+    "no plan",
+    "failover traffic not distinguished",
+    "guest-worth 0.2",
+    "proportional",
+    "at-once",
+)
 
 
-def play(load: float, form: str, seed: int) -> dict:
-    made = Outage(
-        plan=form != "none",
+def run(load: float, form: str, seed: int) -> dict:
+    outage = Outage(
+        plan=form != "no plan",
         load=load,
         seed=seed,
-        guests=form != "guests not told apart",
+        guests=form != "failover traffic not distinguished",
         guest_worth=0.2 if "worth" in form else 1.0,
     )
     if form in ("proportional", "at-once"):
-        made.rig.program = ("benchmarks.site_forms", form, "--")
+        outage.rig.program = ("benchmarks.site_forms", form, "--")
     try:
-        made.start()
-        until(made, LOST)
-        made.lose("recife")
-        until(made, BACK)
-        made.bring_back("recife")
-        until(made, END)
-        whole, home, others = (made.shares(sites) for sites in (SITES, SITES[:1], SITES[1:]))
-        rows = made.rows(LOST + 3, BACK)
+        outage.start()
+        wait_until(outage, LOST_AT)
+        outage.lose("recife")
+        wait_until(outage, BACK_AT)
+        outage.bring_back("recife")
+        wait_until(outage, END)
+        all_sites, lost_site, other_sites = (
+            outage.shares(sites) for sites in (SITES, SITES[:1], SITES[1:])
+        )
+        rows = outage.rows(LOST_AT + 3, BACK_AT)
         offered = sum(sum(row.offered.values()) for row in rows)
-        unanswered = sum(sum(row.other.values()) for row in rows)
-        refused = {group: made.denied(LOST + 3, BACK, group) for group in BENEFIT}
+        failed = sum(sum(row.other.values()) for row in rows)
+        denied = {
+            class_name: outage.denied(LOST_AT + 3, BACK_AT, class_name) for class_name in BENEFIT
+        }
         return {
-            "whole": whole,
-            "lost site": home,
-            "stand-ins": others,
-            "twice": made.count_duplicate_effects(),
-            "refused": refused,
-            "unanswered": unanswered / max(1, offered),
+            "all sites": all_sites,
+            "lost site": lost_site,
+            "other sites": other_sites,
+            "duplicate effects": outage.count_duplicate_effects(),
+            "denied": denied,
+            "failed": failed / max(1, offered),
         }
     finally:
-        made.end()
+        outage.end()
 
 
-def until(made: Outage, second: float) -> None:
-    while made.now < second:
+def wait_until(outage: Outage, second: float) -> None:
+    while outage.now < second:
         time.sleep(0.02)
 
 
@@ -61,29 +75,33 @@
     return sum(values) / len(values)
 
 
-def row(load: float, form: str, found: dict) -> tuple:
-    whole, others = found["whole"], found["stand-ins"]
-    before = mean(whole[3:LOST])
-    again = next((at - LOST for at in range(LOST, END - 1) if whole[at] >= 0.95 * before), -1)
-    worst = min(mean(whole[at : at + 10]) for at in range(LOST, BACK))
-    after = mean(whole[BACK - 5 : BACK])
-    dip = max(0.0, after - min(whole[BACK : BACK + 20]))
-    groups = found["refused"]
-    short = max(0.0, before - min(mean(others[at : at + 2]) for at in range(LOST + 2, BACK)))
+def table_row(load: float, form: str, result: dict) -> tuple:
+    all_sites, other_sites = result["all sites"], result["other sites"]
+    before = mean(all_sites[3:LOST_AT])
+    recovered_after = next(
+        (at - LOST_AT for at in range(LOST_AT, END - 1) if all_sites[at] >= 0.95 * before), -1
+    )
+    worst = min(mean(all_sites[at : at + 10]) for at in range(LOST_AT, BACK_AT))
+    before_return = mean(all_sites[BACK_AT - 5 : BACK_AT])
+    drop = max(0.0, before_return - min(all_sites[BACK_AT : BACK_AT + 20]))
+    denied = result["denied"]
+    others_drop = max(
+        0.0, before - min(mean(other_sites[at : at + 2]) for at in range(LOST_AT + 2, BACK_AT))
+    )
     return (
         f"{load:.0%}",
         form,
         before,
-        again if again >= 0 else "never",
+        recovered_after if recovered_after >= 0 else "never",
         worst,
-        mean(whole[LOST + 5 : BACK]),
-        mean(found["lost site"][LOST + 5 : BACK]),
-        mean(others[LOST + 5 : BACK]),
-        short,
-        dip,
-        " ".join(f"{group} {groups[group]:.2f}" for group in sorted(groups)),
-        found["unanswered"],
-        found["twice"],
+        mean(all_sites[LOST_AT + 5 : BACK_AT]),
+        mean(result["lost site"][LOST_AT + 5 : BACK_AT]),
+        mean(other_sites[LOST_AT + 5 : BACK_AT]),
+        others_drop,
+        drop,
+        " ".join(f"{class_name} {denied[class_name]:.2f}" for class_name in sorted(denied)),
+        result["failed"],
+        result["duplicate effects"],
     )
 
 
@@ -92,35 +110,35 @@
     rows, series = [], []
     for load in loads:
         for form in FORMS if load == 0.75 else FORMS[:2]:
-            found = play(load, form, 1)
-            rows.append(row(load, form, found))
+            result = run(load, form, 1)
+            rows.append(table_row(load, form, result))
             print(rows[-1], flush=True)
             series.append(
-                (f"{load:.0%} {form}", " ".join(f"{share:.2f}" for share in found["whole"]))
+                (f"{load:.0%} {form}", " ".join(f"{share:.2f}" for share in result["all sites"]))
             )
     table = Table("site-loss")
     table.rows(
-        "a site of three lost for 15 s: benefit got over benefit wanted",
+        "one of three sites lost for 15 s: completed benefit over offered benefit",
         (
             "load",
             "form",
             "before",
-            "seconds to 0.95 of it",
+            "seconds to 0.95 of before",
             "worst 10 s",
-            "while lost",
-            "its users",
-            "others",
-            "others' worst 2 s under before",
-            "second dip",
-            "refused, by class",
-            "no answer",
-            "twice",
+            "during the loss",
+            "lost site's users",
+            "other sites' users",
+            "other sites' largest drop over 2 s",
+            "drop after the return",
+            "denied by class",
+            "failed",
+            "duplicate effects",
         ),
         rows,
     )
     table.rows(
-        "the whole, second by second (lost in the 10th, back in the 25th)",
-        ("play", "shares"),
+        "all sites, second by second (lost at second 10, started again at second 25)",
+        ("run", "shares"),
         series,
     )
     table.write()
--- a/benchmarks/sketches.py
+++ b/benchmarks/sketches.py
@@ -1,9 +1,11 @@
-"""Counting sources that choose their own names: our sketch beside those of the datasketches library.
+"""Sketches that count events by source where the sources choose their own names: `edge/sketch.py`
+and those of the datasketches library.
 
     python -m benchmarks.sketches
 
-200,000 tries of 100,000 sources, most seen once or twice and ten seen 500 times each; every form with about
-the same memory. The library's do not forget with time; ours does (half-life), which is not used here."""
+200,000 events from 100,000 sources: most sources occur once or twice, and ten occur 500 times each.
+All sketches use about the same memory. Counts in `edge/sketch.py` decay with a half-life, which is
+not used here; those of the library do not decay."""
 
 from __future__ import annotations
 
@@ -15,72 +17,83 @@
 from benchmarks.table import Table, quantile
 from lilacwalk.edge.sketch import Sketch
 
-SOURCES, LIGHT, HEAVY = 100_000, 195_000, 500
+LIGHT_SOURCES, LIGHT_EVENTS, EVENTS_PER_HEAVY_SOURCE = 100_000, 195_000, 500
 
 
-def tries(seed: int) -> list[bytes]:
+def make_events(seed: int) -> list[bytes]:
+    """Returns the source of each event."""
     rng = random.Random(seed)
-    made = [b"source %d" % rng.randrange(SOURCES) for _ in range(LIGHT)]
-    made += [b"heavy %d" % at for at in range(10) for _ in range(HEAVY)]
-    rng.shuffle(made)
-    return made
+    events = [b"source %d" % rng.randrange(LIGHT_SOURCES) for _ in range(LIGHT_EVENTS)]
+    events += [b"heavy %d" % at for at in range(10) for _ in range(EVENTS_PER_HEAVY_SOURCE)]
+    rng.shuffle(events)
+    return events
 
 
 def main() -> None:
     import datasketches
 
-    keys = tries(1)
-    truth = Counter(keys)
-    heavy = [key for key in truth if key.startswith(b"heavy")]
-    light = [key for key in truth if key.startswith(b"source")][:20_000]
+    events = make_events(1)
+    exact = Counter(events)
+    heavy = [source for source in exact if source.startswith(b"heavy")]
+    light = [source for source in exact if source.startswith(b"source")][:20_000]
     rows = []
 
     def measure(name: str, add, count, kilobytes: float) -> None:
         began = time.perf_counter()
-        for key in keys:
-            add(key)
-        spent = (time.perf_counter() - began) / len(keys) * 1e6
-        over = [count(key) - truth[key] for key in light]
-        off = [abs(count(key) - truth[key]) / truth[key] for key in heavy]
-        rows.append((name, spent, sum(over) / len(over), quantile(over, 0.99), max(off), kilobytes))
+        for source in events:
+            add(source)
+        microseconds = (time.perf_counter() - began) / len(events) * 1e6
+        excess = [count(source) - exact[source] for source in light]
+        relative_errors = [abs(count(source) - exact[source]) / exact[source] for source in heavy]
+        rows.append(
+            (
+                name,
+                microseconds,
+                sum(excess) / len(excess),
+                quantile(excess, 0.99),
+                max(relative_errors),
+                kilobytes,
+            )
+        )
 
-    ours = Sketch(7, 100_000, 0)
+    sketch = Sketch(7, 100_000, 0)
     measure(
         "edge/sketch, 4 by 4,096",
-        lambda key: ours.add(key, 0),
-        lambda key: ours.count(key, 0),
+        lambda source: sketch.add(source, 0),
+        lambda source: sketch.count(source, 0),
         4 * 4_096 * 8 / 1e3,
     )
-    theirs = datasketches.count_min_sketch(4, 4_096, 7)
+    count_min = datasketches.count_min_sketch(4, 4_096, 7)
     measure(
         "datasketches count_min_sketch, 4 by 4,096",
-        lambda key: theirs.update(key.decode()),
-        lambda key: theirs.get_estimate(key.decode()),
+        lambda source: count_min.update(source.decode()),
+        lambda source: count_min.get_estimate(source.decode()),
         4 * 4_096 * 8 / 1e3,
     )
-    often = datasketches.frequent_strings_sketch(12)
+    frequent_strings = datasketches.frequent_strings_sketch(12)
     measure(
         "datasketches frequent_strings_sketch, 2^12",
-        lambda key: often.update(key.decode()),
-        lambda key: often.get_estimate(key.decode()),
+        lambda source: frequent_strings.update(source.decode()),
+        lambda source: frequent_strings.get_estimate(source.decode()),
         4_096 * 0.75 * 32 / 1e3,
     )
-    plain: Counter[bytes] = Counter()
+    counter: Counter[bytes] = Counter()
     measure(
         "a dict",
-        lambda key: plain.update((key,)),
-        lambda key: plain[key],
-        (sys.getsizeof(truth) + sum(map(sys.getsizeof, truth))) / 1e3,
+        lambda source: counter.update((source,)),
+        lambda source: counter[source],
+        (sys.getsizeof(exact) + sum(map(sys.getsizeof, exact))) / 1e3,
     )
     table = Table("sketches")
     table.rows(
-        f"{len(keys):,} tries of {len(truth):,} sources, ten of them seen {HEAVY} times",
+        f"{len(events):,} events from {len(exact):,} sources, ten of which occur "
+        f"{EVENTS_PER_HEAVY_SOURCE} times",
         (
             "form",
-            "us a try",
-            "light: mean over",
-            "99th over",
-            "heavy: worst part off",
+            "us per event",
+            "light: mean excess",
+            "light: 99th percentile of excess",
+            "heavy: largest relative error",
             "KB of counters",
         ),
         rows,
