--- a/benchmarks/site_plan.py
+++ b/benchmarks/site_plan.py
@@ -1,5 +1,5 @@
-"""Time to compute a failover plan, from three small sites to 30 sites of 100 nodes each, and how far
-a placement changes when the load of one failover target changes.
+"""Time to compute a failover plan, from three small sites to 30 sites of 100 nodes each, and how
+far a placement changes when the load of one failover target changes.
 
     python -m benchmarks.site_plan"""
 
@@ -56,7 +56,7 @@
 
 
 def place_by_cores(capacities: dict[str, SiteCapacity], failed_site: str) -> dict[str, float]:
-    """The simplest form: in proportion to the cores of the targets, whatever their spare capacity."""
+    """The simplest form: in proportion to the targets' cores, whatever their spare capacity."""
     cores = {
         target: capacities[target].cores for target, _ in capacities[failed_site].failover_targets
     }
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -1,5 +1,9 @@
-"""Our log beside sqlite3 and lmdb as the store: `python -m benchmarks.storage`, about a minute. lmdb is asked
-only where it is installed. All on one directory, the same records: a key of 24 bytes, a value of 120."""
+"""The journal of `lilacwalk/storage` compared with sqlite3 and lmdb as the store, about a minute:
+
+    python -m benchmarks.storage
+
+lmdb is measured only where it is installed. All stores write the same records below the current
+directory: a key of 24 bytes and a value of 120."""
 
 from __future__ import annotations
 
@@ -19,184 +23,196 @@
 from lilacwalk.storage.store import Store
 
 VALUE = os.urandom(120)
-BATCH = 64  # records that come together, as the exchanges of one pass would
+BATCH = 64  # records written together, like those of the requests in one event loop iteration
 
 
-def key(each: int) -> bytes:
-    return b"%024d" % each
+def make_key(number: int) -> bytes:
+    return b"%024d" % number
 
 
-def used(path: str) -> int:
+def file_bytes(path: str) -> int:
     return sum(each.stat().st_size for each in Path(path).rglob("*") if each.is_file())
 
 
-class Ours:
+class JournalStore:
     name = "log"
 
     def __init__(self, path: str, durability: Durability) -> None:
-        self.kept = threading.Semaphore(0)
+        self.acknowledged = threading.Semaphore(0)
         self.store = Store(
-            Directory(path), durability, JournalLimits(), lambda token, good: self.kept.release()
+            Directory(path),
+            durability,
+            JournalLimits(),
+            lambda token, is_persisted: self.acknowledged.release(),
         )
         self.store.start()
 
-    def write(self, rows: list[int]) -> None:
-        for each in rows:
-            self.store.put(1, key(each), VALUE, token=each)
-        for _ in rows:
-            self.kept.acquire()
+    def write(self, numbers: list[int]) -> None:
+        """Writes records and waits until they are as durable as requested."""
+        for number in numbers:
+            self.store.put(1, make_key(number), VALUE, token=number)
+        for _ in numbers:
+            self.acknowledged.acquire()
 
-    def end(self) -> None:
+    def close(self) -> None:
         self.store.close(30.0)
 
 
-class Sqlite:
+class SqliteStore:
     name = "sqlite3"
 
     def __init__(self, path: str, durability: Durability) -> None:
-        self.base = sqlite3.connect(f"{path}/base", isolation_level=None)
-        self.base.execute("pragma journal_mode=wal")
-        self.base.execute(
+        self.connection = sqlite3.connect(f"{path}/base", isolation_level=None)
+        self.connection.execute("pragma journal_mode=wal")
+        self.connection.execute(
             f"pragma synchronous={'full' if durability is Durability.SYNCED else 'off'}"
         )
-        self.base.execute(
-            "create table if not exists kept (key blob primary key, value blob) without rowid"
+        self.connection.execute(
+            "create table if not exists records (key blob primary key, value blob) without rowid"
         )
 
-    def write(self, rows: list[int]) -> None:
-        self.base.execute("begin")
-        self.base.executemany(
-            "insert or replace into kept values (?, ?)", [(key(each), VALUE) for each in rows]
+    def write(self, numbers: list[int]) -> None:
+        self.connection.execute("begin")
+        self.connection.executemany(
+            "insert or replace into records values (?, ?)",
+            [(make_key(number), VALUE) for number in numbers],
         )
-        self.base.execute("commit")
+        self.connection.execute("commit")
 
-    def end(self) -> None:
-        self.base.close()
+    def close(self) -> None:
+        self.connection.close()
 
 
-class Lmdb:
+class LmdbStore:
     name = "lmdb"
 
     def __init__(self, path: str, durability: Durability) -> None:
         import lmdb
 
-        synced = durability is Durability.SYNCED
-        self.base = lmdb.open(path, map_size=1 << 31, sync=synced, metasync=synced)
+        is_synced = durability is Durability.SYNCED
+        self.environment = lmdb.open(path, map_size=1 << 31, sync=is_synced, metasync=is_synced)
 
-    def write(self, rows: list[int]) -> None:
-        with self.base.begin(write=True) as change:
-            for each in rows:
-                change.put(key(each), VALUE)
+    def write(self, numbers: list[int]) -> None:
+        with self.environment.begin(write=True) as transaction:
+            for number in numbers:
+                transaction.put(make_key(number), VALUE)
 
-    def end(self) -> None:
-        self.base.close()
+    def close(self) -> None:
+        self.environment.close()
 
 
-def stores() -> list[type]:
+def available_stores() -> list[type]:
     try:
         import lmdb  # noqa: F401
     except ImportError:
-        return [Ours, Sqlite]
-    return [Ours, Sqlite, Lmdb]
+        return [JournalStore, SqliteStore]
+    return [JournalStore, SqliteStore, LmdbStore]
 
 
-def appends(table: Table) -> None:
+def measure_writes(table: Table) -> None:
     lines = []
     for durability in (Durability.FLUSHED, Durability.SYNCED):
-        for make in stores():
+        for store_class in available_stores():
             with tempfile.TemporaryDirectory(dir=".") as path:
-                made, times, done = make(path, durability), [], 0
+                store, times, written = store_class(path, durability), [], 0
                 until = time.perf_counter() + 3.0
                 while (began := time.perf_counter()) < until:
-                    made.write(list(range(done, done + BATCH)))
+                    store.write(list(range(written, written + BATCH)))
                     times.append(time.perf_counter() - began)
-                    done += BATCH
-                made.end()
+                    written += BATCH
+                store.close()
                 lines.append(
                     (
                         durability.value,
-                        make.name,
-                        int(done / 3),
+                        store_class.name,
+                        int(written / 3),
                         quantile(times, 0.5) * 1000,
                         quantile(times, 0.99) * 1000,
                         max(times) * 1000,
-                        used(path) / done,
+                        file_bytes(path) / written,
                     )
                 )
     table.rows(
-        f"writes of {BATCH} records at a time, each waited for",
-        ("durability", "store", "records/s", "median ms", "99th ms", "most ms", "bytes a record"),
+        f"writes of {BATCH} records at a time, each awaited",
+        ("durability", "store", "records/s", "median ms", "99th ms", "max ms", "bytes per record"),
         lines,
     )
 
 
-def caller(table: Table) -> None:
-    """What a pass of the event loop would pay: ours only queues, the others write there and then."""
+def measure_caller_time(table: Table) -> None:
+    """Measures how long the event loop would be blocked.
+
+    The journal only queues the records; the other stores write them before the call returns.
+    """
     lines = []
-    for make in stores():
+    for store_class in available_stores():
         with tempfile.TemporaryDirectory(dir=".") as path:
-            made, times = make(path, Durability.SYNCED), []
+            store, times = store_class(path, Durability.SYNCED), []
             for at in range(300):
                 began = time.perf_counter()
-                if isinstance(made, Ours):
-                    for each in range(4):
-                        made.store.put(1, key(4 * at + each), VALUE)
+                if isinstance(store, JournalStore):
+                    for number in range(4):
+                        store.store.put(1, make_key(4 * at + number), VALUE)
                 else:
-                    made.write(list(range(4 * at, 4 * at + 4)))
+                    store.write(list(range(4 * at, 4 * at + 4)))
                 times.append(time.perf_counter() - began)
                 time.sleep(0.003)
-            made.end()
+            store.close()
             lines.append(
                 (
-                    make.name,
+                    store_class.name,
                     quantile(times, 0.5) * 1e6,
                     quantile(times, 0.99) * 1e6,
                     max(times) * 1e6,
                 )
             )
     table.rows(
-        "what the caller waits for four records, synced",
-        ("store", "median us", "99th us", "most us"),
+        "time that the caller is blocked for four records, synced",
+        ("store", "median us", "99th us", "max us"),
         lines,
     )
 
 
-def recovery(table: Table, count: int) -> None:
+def measure_recovery(table: Table, count: int) -> None:
     lines = []
     with tempfile.TemporaryDirectory(dir=".") as path:
-        bounds = JournalLimits(snapshot_after_bytes=1 << 40, max_disk_bytes=1 << 40)
-        store = Store(Directory(path), Durability.FLUSHED, bounds)
-        for each in range(count):
-            store.put(1, key(each), VALUE)
-        store.start()
-        store.close(120.0)
+        limits = JournalLimits(snapshot_after_bytes=1 << 40, max_disk_bytes=1 << 40)
+        journal = Store(Directory(path), Durability.FLUSHED, limits)
+        for number in range(count):
+            journal.put(1, make_key(number), VALUE)
+        journal.start()
+        journal.close(120.0)
         disk, began = Directory(path), time.perf_counter()
-        found = recover(disk.list_files(), disk.read)
-        lines.append(("log", len(found.state), time.perf_counter() - began, used(path) / 1e6))
+        recovered = recover(disk.list_files(), disk.read)
+        lines.append(
+            ("log", len(recovered.state), time.perf_counter() - began, file_bytes(path) / 1e6)
+        )
     with tempfile.TemporaryDirectory(dir=".") as path:
-        made = Sqlite(path, Durability.FLUSHED)
+        store = SqliteStore(path, Durability.FLUSHED)
         for at in range(0, count, 10_000):
-            made.write(list(range(at, at + 10_000)))
-        made.end()
+            store.write(list(range(at, at + 10_000)))
+        store.close()
         began = time.perf_counter()
-        made = Sqlite(path, Durability.FLUSHED)
-        rows = {row[0]: row[1] for row in made.base.execute("select key, value from kept")}
-        lines.append(("sqlite3", len(rows), time.perf_counter() - began, used(path) / 1e6))
-        made.end()
-    if Lmdb in stores():
+        store = SqliteStore(path, Durability.FLUSHED)
+        rows = {
+            row[0]: row[1] for row in store.connection.execute("select key, value from records")
+        }
+        lines.append(("sqlite3", len(rows), time.perf_counter() - began, file_bytes(path) / 1e6))
+        store.close()
+    if LmdbStore in available_stores():
         with tempfile.TemporaryDirectory(dir=".") as path:
-            made = Lmdb(path, Durability.FLUSHED)
+            store = LmdbStore(path, Durability.FLUSHED)
             for at in range(0, count, 10_000):
-                made.write(list(range(at, at + 10_000)))
-            made.end()
+                store.write(list(range(at, at + 10_000)))
+            store.close()
             began = time.perf_counter()
-            made = Lmdb(path, Durability.FLUSHED)
-            with made.base.begin() as look:
-                rows = {bytes(name): bytes(value) for name, value in look.cursor()}
-            lines.append(("lmdb", len(rows), time.perf_counter() - began, used(path) / 1e6))
-            made.end()
+            store = LmdbStore(path, Durability.FLUSHED)
+            with store.environment.begin() as transaction:
+                rows = {bytes(key): bytes(value) for key, value in transaction.cursor()}
+            lines.append(("lmdb", len(rows), time.perf_counter() - began, file_bytes(path) / 1e6))
+            store.close()
     table.rows(
-        f"all of {count:,} records back in memory",
+        f"all of {count:,} records read back into memory",
         ("store", "records", "seconds", "MB on disk"),
         lines,
     )
@@ -205,11 +221,13 @@
 def main() -> None:
     table = Table("storage")
     table.say(f"# Storage, Python {sys.version.split()[0]}\n")
-    appends(table)
-    caller(table)
-    recovery(table, 100_000)
-    recovery(table, 1_000_000)
-    table.say(f"peak resident {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000:.0f} MB")
+    measure_writes(table)
+    measure_caller_time(table)
+    measure_recovery(table, 100_000)
+    measure_recovery(table, 1_000_000)
+    table.say(
+        f"peak resident memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000:.0f} MB"
+    )
     table.write()
 
 
--- a/benchmarks/storage_lives.py
+++ b/benchmarks/storage_lives.py
@@ -1,10 +1,12 @@
-"""Whole app servers killed at seeded instants, again and again, on one store: what became of every exchange.
+"""Whole app servers, each with one store, that are killed repeatedly at seeded random times: the
+outcomes of all requests.
 
     python -m benchmarks.storage_lives [LIVES]
 
-Each life is asked for deduplicated exchanges under new keys, and again for those that had no answer; it is
-killed 5 to 80 ms later, its kernel goes on. Effects are counted at the kernel by what was asked. After the
-last life some of those that were answered are asked again."""
+LIVES is the number of kills. After each start the app server receives deduplicated requests with
+new keys, and again those that were not answered or were denied. It is killed 5 to 80 ms later; its
+executor keeps running. Effects are counted at the executor by request body. After the last start
+some of the completed requests are sent again."""
 
 from __future__ import annotations
 
@@ -16,52 +18,57 @@
 from benchmarks.table import Table
 from lilacwalk.testing.restart_soak import RestartSoak
 
-PLAYS, AGAIN = 5, 40
-WINDOW = 60.0 - 4.0  # the group's own, from the first asking; an effect comes within a wait of that
+# Runs in parallel, with one app server each; completed requests that each run sends again.
+PARALLEL_RUNS, SENT_AGAIN = 5, 40
+# Seconds from the first effect. The class's window of 60 s begins with the first request, whose
+# effect follows within the 4 s that its client waits.
+DEDUPLICATION_WINDOW = 60.0 - 4.0
 
 
-def play(seed: int, lives: int) -> tuple[Counter, int, float]:
-    """What became of exchanges; effects had more than once; seconds of a life."""
-    made = RestartSoak(seed=seed, effects="600s")
+def run(seed: int, kills: int) -> tuple[Counter, int, float]:
+    """Returns the counts of outcomes, the number of duplicate effects and the seconds per kill."""
+    soak = RestartSoak(seed=seed, effects="600s")
     counts: Counter[str] = Counter()
     try:
-        left: list[str] = []
-        done: list[str] = []
+        unfinished: list[str] = []
+        completed: list[str] = []
         began = time.monotonic()
-        for life in range(lives):
-            made.start()
-            found = made.run_until_kill([f"{life}-{at}" for at in range(60)], left)
-            left = found.get("", []) + found.get("later", [])
-            done += found.get("done", [])
-            counts["completed"] += len(found.get("done", []))
-            counts["terminated"] += len(found.get("error", []))
-            counts["no answer"] += len(found.get("", []))
-        spent = (time.monotonic() - began) / lives
-        made.start()
-        for key in left:
-            counts["settled in the last life"] += made.ask("swap", key)[0] != "later"
-        for key in made.rng.sample(done, min(AGAIN, len(done))):
-            counts[f"completed before, asked again: {made.ask('swap', key)[0]}"] += 1
-        counts["effects"] = sum(made.effects.values())
-        return counts, made.count_duplicates_within(WINDOW), spent
+        for kill in range(kills):
+            soak.start()
+            outcomes = soak.run_until_kill([f"{kill}-{at}" for at in range(60)], unfinished)
+            unfinished = outcomes.get("", []) + outcomes.get("later", [])
+            completed += outcomes.get("done", [])
+            counts["completed"] += len(outcomes.get("done", []))
+            counts["terminated"] += len(outcomes.get("error", []))
+            counts["not answered"] += len(outcomes.get("", []))
+        seconds_per_kill = (time.monotonic() - began) / kills
+        soak.start()
+        for key in unfinished:
+            counts["finished after the last start"] += soak.ask("swap", key)[0] != "later"
+        for key in soak.rng.sample(completed, min(SENT_AGAIN, len(completed))):
+            counts[f"completed before, sent again: {soak.ask('swap', key)[0]}"] += 1
+        counts["effects"] = sum(soak.effects.values())
+        return counts, soak.count_duplicates_within(DEDUPLICATION_WINDOW), seconds_per_kill
     finally:
-        made.end()
+        soak.end()
 
 
 def main() -> None:
-    lives = int(sys.argv[1]) if len(sys.argv) > 1 else 500
-    with ThreadPoolExecutor(PLAYS) as pool:
-        found = list(pool.map(lambda seed: play(seed, lives // PLAYS), range(PLAYS)))
-    total = sum((each[0] for each in found), Counter())
-    twice = sum(each[1] for each in found)
+    kills = int(sys.argv[1]) if len(sys.argv) > 1 else 500
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
+        results = list(
+            pool.map(lambda seed: run(seed, kills // PARALLEL_RUNS), range(PARALLEL_RUNS))
+        )
+    total = sum((each[0] for each in results), Counter())
+    duplicates = sum(each[1] for each in results)
     rows = [
-        ("lives", lives),
-        ("effects had twice within the window of their key", twice),
+        ("kills", kills),
+        ("effects applied twice within the window of their key", duplicates),
         *sorted(total.items()),
-        ("seconds a life", round(sum(each[2] for each in found) / PLAYS, 2)),
+        ("seconds per kill", round(sum(each[2] for each in results) / PARALLEL_RUNS, 2)),
     ]
     table = Table("storage-lives")
-    table.rows("app servers killed by SIGKILL, synced", ("what", "count"), rows)
+    table.rows("app servers killed by SIGKILL, synced", ("outcome", "count"), rows)
     table.write()
 
 
