--- a/benchmarks/storage_engines.py
+++ b/benchmarks/storage_engines.py
@@ -1,10 +1,12 @@
-"""Which engine keeps what must outlive a crash: the log of our own or lmdb, asked what a node would meet.
+"""The journal of `lilacwalk/storage` compared with lmdb: how they handle the faults of a node.
 
     python -m benchmarks.storage_engines [lives|damage|full] [--quick]
 
-lives: a real process writes and says what it was told is kept; it is killed at a seeded instant, 500 times.
-damage: a bit flipped, a page zeroed, a file cut short: told, given back as right, or does the process die?
-full: the process's files may not grow: what becomes of it, and does it write again when they may?"""
+lives:  a process writes records and prints how many are acknowledged; it is killed at a seeded
+        random time, 500 times. Are acknowledged records lost?
+damage: a bit is flipped, a page zeroed or a file truncated. Is the damage reported, are wrong
+        values returned, or does the process die?
+full:   the process may not extend files. How does it fail, and does it write again when it may?"""
 
 from __future__ import annotations
 
@@ -29,287 +31,306 @@
 from lilacwalk.storage.store import Store
 
 ENGINES = ("log", "lmdb")
-RECORDS = 2_000  # of a store that is damaged
-MAP = 1 << 28
-SMALL = JournalLimits(
+DAMAGED_RECORDS = 2_000  # records in a store that is damaged
+LMDB_MAP_BYTES = 1 << 28
+SMALL_LIMITS = JournalLimits(
     segment_bytes=200_000, snapshot_after_bytes=400_000
-)  # so that kills meet file changes and snapshots too
+)  # so that kills also occur while files are rotated and snapshots written
 
 
 def value(key: bytes) -> bytes:
     return blake2b(key, digest_size=60).digest() * 2
 
 
-# In the child: one engine behind the same three words
+# The engines, with one interface. `write` returns whether the records are persisted, `rows` are
+# those found at the start, `warnings` reports damage that was found.
 
 
-class Log:
-    def __init__(self, path: str, bounds: JournalLimits = SMALL) -> None:
-        self.kept = threading.Semaphore(0)
-        self.good = True
-        self.store = Store(Directory(path), Durability.SYNCED, bounds, self._told)
+class JournalEngine:
+    def __init__(self, path: str, limits: JournalLimits = SMALL_LIMITS) -> None:
+        self.acknowledged = threading.Semaphore(0)
+        self.last_is_persisted = True
+        self.store = Store(Directory(path), Durability.SYNCED, limits, self._acknowledge)
         self.rows = {row.key: row.value for row in self.store.journal.state.rows.values()}
-        self.told = list(self.store.recovered.warnings)
+        self.warnings = list(self.store.recovered.warnings)
         self.store.start()
 
-    def _told(self, token: object, good: bool) -> None:
-        self.good = good
-        self.kept.release()
+    def _acknowledge(self, token: object, is_persisted: bool) -> None:
+        self.last_is_persisted = is_persisted
+        self.acknowledged.release()
 
     def write(self, keys: list[bytes]) -> bool:
         for key in keys:
             self.store.put(1, key, value(key), token=key)
         for _ in keys:
-            self.kept.acquire()
-        return self.good
+            self.acknowledged.acquire()
+        return self.last_is_persisted
 
-    def end(self) -> None:
+    def close(self) -> None:
         self.store.close(10.0)
 
 
-class Lmdb:
+class LmdbEngine:
     def __init__(self, path: str) -> None:
         import lmdb
 
-        self.base = lmdb.open(path, map_size=MAP)
-        self.told: list[str] = []
-        with self.base.begin() as look:
-            self.rows = {bytes(key): bytes(held) for key, held in look.cursor()}
+        self.environment = lmdb.open(path, map_size=LMDB_MAP_BYTES)
+        self.warnings: list[str] = []
+        with self.environment.begin() as transaction:
+            self.rows = {bytes(key): bytes(stored) for key, stored in transaction.cursor()}
 
     def write(self, keys: list[bytes]) -> bool:
         import lmdb
 
         try:
-            with self.base.begin(write=True) as change:
+            with self.environment.begin(write=True) as transaction:
                 for key in keys:
-                    change.put(key, value(key))
+                    transaction.put(key, value(key))
         except lmdb.Error:
             return False
         return True
 
-    def end(self) -> None:
-        self.base.close()
+    def close(self) -> None:
+        self.environment.close()
 
 
-MAKE = {"log": Log, "lmdb": Lmdb}
+ENGINE_CLASSES = {"log": JournalEngine, "lmdb": LmdbEngine}
 
 
-def child_writes(engine: str, path: str) -> None:
-    """Says how many it found, then the number of the last record that it was told is kept, until killed."""
-    made = MAKE[engine](path)
-    at = len(made.rows)
-    wrong = sum(held != value(key) for key, held in made.rows.items())
-    gaps = sum(b"%012d" % each not in made.rows for each in range(at))
+# In the child process
+
+
+def child_writes(engine_name: str, path: str) -> None:
+    """Prints the number of records found, of wrong values and of gaps, then writes until killed.
+
+    After each write it prints how many records are acknowledged.
+    """
+    engine = ENGINE_CLASSES[engine_name](path)
+    at = len(engine.rows)
+    wrong = sum(stored != value(key) for key, stored in engine.rows.items())
+    gaps = sum(b"%012d" % number not in engine.rows for number in range(at))
     print(f"found {at} {wrong} {gaps}", flush=True)
     while True:
-        if made.write([b"%012d" % each for each in range(at, at + 8)]):
+        if engine.write([b"%012d" % number for number in range(at, at + 8)]):
             at += 8
             print(at, flush=True)
 
 
-def child_reads(engine: str, path: str) -> None:
+def child_reads(engine_name: str, path: str) -> None:
+    """Prints counts of the records in a damaged store, or the error that prevents opening it."""
     try:
-        made = MAKE[engine](path)
+        engine = ENGINE_CLASSES[engine_name](path)
         print(
             json.dumps(
                 {
-                    "found": len(made.rows),
-                    "told": bool(made.told),
-                    "wrong": sum(held != value(key) for key, held in made.rows.items()),
+                    "found": len(engine.rows),
+                    "reported": bool(engine.warnings),
+                    "wrong": sum(stored != value(key) for key, stored in engine.rows.items()),
                 }
             ),
             flush=True,
         )
-        made.end()
+        engine.close()
     except Exception as error:
         print(json.dumps({"refused": type(error).__name__}), flush=True)
 
 
-def child_fills(engine: str, path: str) -> None:
-    """No file grows; then they may again."""
-    made = MAKE[engine](path)
-    at, found = 0, {"before": made.write([b"%012d" % each for each in range(64)])}
+def child_fills(engine_name: str, path: str) -> None:
+    """Writes while files may be extended, while they may not, and when they may again."""
+    engine = ENGINE_CLASSES[engine_name](path)
+    at, result = 0, {"before": engine.write([b"%012d" % number for number in range(64)])}
     at = 64
     signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
-    found["while full"] = any(made.write([b"%012d" % (at + each)]) for each in range(5))
+    result["while full"] = any(engine.write([b"%012d" % (at + number)]) for number in range(5))
     resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
     until = time.monotonic() + 12
-    found["after"] = False
-    while time.monotonic() < until and not found["after"]:
-        found["after"] = made.write([b"%012d" % (at + 100)])
+    result["after"] = False
+    while time.monotonic() < until and not result["after"]:
+        result["after"] = engine.write([b"%012d" % (at + 100)])
         time.sleep(0.2)
-    print(json.dumps(found), flush=True)
-    made.end()
+    print(json.dumps(result), flush=True)
+    engine.close()
 
 
-CHILDREN = {"writes": child_writes, "reads": child_reads, "fills": child_fills}
+CHILD_TASKS = {"writes": child_writes, "reads": child_reads, "fills": child_fills}
 
 
-def child(what: str, engine: str, path: str) -> subprocess.Popen:
+def start_child(task: str, engine_name: str, path: str) -> subprocess.Popen:
     return subprocess.Popen(
-        [sys.executable, "-m", "benchmarks.storage_engines", "child", what, engine, path],
+        [sys.executable, "-m", "benchmarks.storage_engines", "child", task, engine_name, path],
         stdout=subprocess.PIPE,
         stderr=subprocess.DEVNULL,
         text=True,
     )
 
 
-# Measured
+# Measurements, in the parent process
 
 
-def lives(engine: str, count: int) -> tuple:
-    """Each life goes on with the files of the one before."""
+def measure_kills(engine_name: str, count: int) -> tuple:
+    """Kills the writing process `count` times; each process opens the files of the one before."""
     rng = random.Random(7)
-    lost = wrong = gaps = died = written = 0
-    sure, recovery = 0, []
+    lost = wrong = gaps = failed_starts = written = 0
+    acknowledged, start_times = 0, []
     with tempfile.TemporaryDirectory(dir=".") as path:
         for _ in range(count):
             began = time.monotonic()
-            running = child("writes", engine, path)
-            words = running.stdout.readline().split()
-            recovery.append(time.monotonic() - began)
+            process = start_child("writes", engine_name, path)
+            words = process.stdout.readline().split()
+            start_times.append(time.monotonic() - began)
             if not words:
-                died += 1
-                running.wait()
+                failed_starts += 1
+                process.wait()
                 continue
             found = int(words[1])
-            lost += max(0, sure - found)
+            lost += max(0, acknowledged - found)
             wrong += int(words[2])
             gaps += int(words[3])
-            sure = found
-            killer = threading.Timer(rng.uniform(0.001, 0.05), running.kill)
+            acknowledged = found
+            killer = threading.Timer(rng.uniform(0.001, 0.05), process.kill)
             killer.start()
-            for line in running.stdout:
+            for line in process.stdout:
                 if line.endswith("\n"):
-                    sure = max(sure, int(line))
-            running.wait()
-            written = sure
-            if sure > 60_000:  # begun anew, so that reading it all does not become the measurement
+                    acknowledged = max(acknowledged, int(line))
+            process.wait()
+            written = acknowledged
+            # Starts again with an empty store, so that reading it does not take most of the time.
+            if acknowledged > 60_000:
                 shutil.rmtree(path)
                 os.mkdir(path)
-                sure = 0
-    return engine, count, written, lost, wrong, gaps, died
+                acknowledged = 0
+    return engine_name, count, written, lost, wrong, gaps, failed_starts
 
 
-def spoil(path: str, rng: random.Random, kind: str) -> None:
+def damage_file(path: str, rng: random.Random, kind: str) -> None:
     files = [each for each in Path(path).iterdir() if each.stat().st_size > 4_096]
-    file = rng.choice(sorted(files))
-    size = file.stat().st_size
-    with open(file, "r+b") as held:
-        if kind == "a bit flipped":
+    damaged_path = rng.choice(sorted(files))
+    size = damaged_path.stat().st_size
+    with open(damaged_path, "r+b") as file:
+        if kind == "bit flipped":
             at = rng.randrange(size)
-            held.seek(at)
-            byte = held.read(1)[0]
-            held.seek(at)
-            held.write(bytes((byte ^ 1 << rng.randrange(8),)))
-        elif kind == "a page zeroed":
-            held.seek(rng.randrange(size // 4_096) * 4_096)
-            held.write(bytes(4_096))
+            file.seek(at)
+            byte = file.read(1)[0]
+            file.seek(at)
+            file.write(bytes((byte ^ 1 << rng.randrange(8),)))
+        elif kind == "page zeroed":
+            file.seek(rng.randrange(size // 4_096) * 4_096)
+            file.write(bytes(4_096))
         else:
-            held.truncate(rng.randrange(1, size))
+            file.truncate(rng.randrange(1, size))
 
 
-def damage(engine: str, kind: str, count: int) -> tuple:
+def measure_damage(engine_name: str, kind: str, count: int) -> tuple:
     rng = random.Random(11)
-    with tempfile.TemporaryDirectory(dir=".") as place:
-        sound = f"{place}/sound"
-        os.mkdir(sound)
-        made = Lmdb(sound) if engine == "lmdb" else Log(sound, JournalLimits())
-        for at in range(0, RECORDS, 50):
-            made.write([b"%012d" % each for each in range(at, at + 50)])
-        made.end()
-        for each in Path(sound).glob("lock*"):
+    with tempfile.TemporaryDirectory(dir=".") as directory:
+        intact = f"{directory}/sound"
+        os.mkdir(intact)
+        engine = (
+            LmdbEngine(intact) if engine_name == "lmdb" else JournalEngine(intact, JournalLimits())
+        )
+        for at in range(0, DAMAGED_RECORDS, 50):
+            engine.write([b"%012d" % number for number in range(at, at + 50)])
+        engine.close()
+        for each in Path(intact).glob("lock*"):
             each.unlink()
 
-        def one(at: int) -> str:
-            path = f"{place}/{at}"
-            shutil.copytree(sound, path)
-            spoil(path, random.Random(rng_seeds[at]), kind)
-            running = child("reads", engine, path)
-            out, _ = running.communicate()
+        def run_trial(at: int) -> str:
+            path = f"{directory}/{at}"
+            shutil.copytree(intact, path)
+            damage_file(path, random.Random(trial_seeds[at]), kind)
+            process = start_child("reads", engine_name, path)
+            out, _ = process.communicate()
             shutil.rmtree(path)
-            if running.returncode < 0 or not out:
-                return "killed"
-            found = json.loads(out)
-            if "refused" in found:
+            if process.returncode < 0 or not out:
+                return "crashed"
+            result = json.loads(out)
+            if "refused" in result:
                 return "refused"
-            if found["wrong"]:
+            if result["wrong"]:
                 return "wrong"
-            if found["found"] == RECORDS:
+            if result["found"] == DAMAGED_RECORDS:
                 return "harmless"
-            return "told" if found["told"] else "silent"
+            return "reported" if result["reported"] else "silent"
 
-        rng_seeds = [rng.random() for _ in range(count)]
+        trial_seeds = [rng.random() for _ in range(count)]
         with ThreadPoolExecutor(4) as pool:
-            results = list(pool.map(one, range(count)))
+            outcomes = list(pool.map(run_trial, range(count)))
     return (
-        engine,
+        engine_name,
         kind,
         count,
         *(
-            results.count(word)
-            for word in ("harmless", "told", "refused", "silent", "wrong", "killed")
+            outcomes.count(word)
+            for word in ("harmless", "reported", "refused", "silent", "wrong", "crashed")
         ),
     )
 
 
-def full(engine: str) -> tuple:
+def measure_full(engine_name: str) -> tuple:
     with tempfile.TemporaryDirectory(dir=".") as path:
-        running = child("fills", engine, path)
-        out, _ = running.communicate()
-        return engine, running.returncode, *(json.loads(out).values() if out else ("-", "-", "-"))
+        process = start_child("fills", engine_name, path)
+        out, _ = process.communicate()
+        return (
+            engine_name,
+            process.returncode,
+            *(json.loads(out).values() if out else ("-", "-", "-")),
+        )
 
 
 def main() -> None:
     words = [word for word in sys.argv[1:] if not word.startswith("-")]
     if words and words[0] == "child":
-        CHILDREN[words[1]](*words[2:])
+        CHILD_TASKS[words[1]](*words[2:])
         return
     quick = "--quick" in sys.argv
     table = Table("-".join(["storage-engines", *words]))
     if not words or "lives" in words:
         with ThreadPoolExecutor(2) as pool:
-            rows = list(pool.map(lambda engine: lives(engine, 40 if quick else 500), ENGINES))
+            rows = list(
+                pool.map(
+                    lambda engine_name: measure_kills(engine_name, 40 if quick else 500), ENGINES
+                )
+            )
         table.rows(
-            "killed by SIGKILL at a seeded instant, 8 records at a time, synced",
+            "killed by SIGKILL at a seeded random time, 8 records at a time, synced",
             (
                 "engine",
-                "lives",
-                "records in the last",
+                "kills",
+                "records at the last kill",
                 "acknowledged and lost",
                 "wrong",
                 "gaps",
-                "did not start",
+                "failed starts",
             ),
             rows,
         )
     if not words or "damage" in words:
         rows = [
-            damage(engine, kind, 20 if quick else 200)
-            for engine in ENGINES
-            for kind in ("a bit flipped", "a page zeroed", "cut short")
+            measure_damage(engine_name, kind, 20 if quick else 200)
+            for engine_name in ENGINES
+            for kind in ("bit flipped", "page zeroed", "truncated")
         ]
         table.rows(
-            f"files damaged, {RECORDS:,} records in them, then all read",
+            f"files with {DAMAGED_RECORDS:,} records damaged, then all records read",
             (
                 "engine",
                 "damage",
                 "trials",
                 "harmless",
-                "told, the rest right",
-                "refused whole",
-                "records missing, not told",
-                "wrong values given back",
-                "process killed",
+                "reported, other records right",
+                "opening refused",
+                "records missing, not reported",
+                "wrong values returned",
+                "process crashed",
             ),
             rows,
         )
     if not words or "full" in words:
-        rows = [full(each) for each in ENGINES]
+        rows = [measure_full(engine_name) for engine_name in ENGINES]
         table.rows(
-            "no file may grow, then they may again",
-            ("engine", "exit", "kept before", "kept while full", "kept after"),
+            "files may not be extended, then they may again",
+            ("engine", "exit code", "persisted before", "persisted while full", "persisted after"),
             rows,
         )
     table.write()
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -1,16 +1,18 @@
-"""A storm of retries at a node that was silent: with each defence, without each, and without all. And the
-callers of a third of twelve nodes, which fall upon the rest.
+"""Retry storms at an app server after an outage, with all defences, without each of them and
+without any; and the clients of a lost third of twelve app servers, which turn to the others.
 
     python -m benchmarks.storms [silent|third] [--quick]
 
-silent: one real app server, two stand-in cores that finish 100 exchanges a second; wishes at 130 a second
-from 40 callers, each tried for six seconds. The process is killed in the 12th second and back in the 22nd,
-with caches that cost three times the work for five seconds; all callers come at once. Watched to the 62nd.
-Each play has a process of its own, with the kernel in it, and one for the crowd.
+silent: one real app server; its stand-in executor has two cores that complete 100 requests per
+second. 130 requests per second arrive from 40 clients and are attempted for six seconds each. The
+process is killed at second 12 and back at second 22, with cold caches that make requests take three
+times as long for five seconds; all clients reconnect at once. The run ends at second 62. Each run
+has a process of its own, which contains the executor, and another one for the clients.
 
-third: twelve real app servers at 75% of their cores, four of them killed in the 12th second and back in the
-30th; four crowds, a process each. Seconds to 0.95 of what the eight that are left can finish, and how much of
-all come-back times that were told lies in the fullest second."""
+third: twelve real app servers at 75% load; four of them are killed at second 12 and started again
+at second 30. The clients are divided among four processes. Measures the seconds to 0.9 of what the
+eight remaining app servers can complete, and the largest share of all retry-after times that end
+within one second."""
 
 from __future__ import annotations
 
@@ -24,164 +26,193 @@
 from lilacwalk.testing.fleet import ProcessFleet
 from lilacwalk.testing.retrying_clients import ClientCounts, RetryBehaviour, RetryingClientsProcess
 
-LOST, BACK, END = 12, 22, 62
-WORK, CORES, RATE, CALLERS = 0.02, 2, 130.0, 40
-COLD, COLD_TIME = 3.0, 5.0
-AT_ONCE = 3  # plays at once, each with three processes: the machine has eight cores
-FORMS = {
-    "none (as before)": None,
+LOST_AT, BACK_AT, END = 12, 22, 62  # `silent`: seconds since the start
+EXECUTION_TIME, CORES, REQUEST_RATE, CLIENTS = 0.02, 2, 130.0, 40
+COLD_FACTOR, COLD_TIME = 3.0, 5.0
+PARALLEL_RUNS = 3  # with three processes each, for a machine with eight cores
+# Statements of the `storms` block; None: no block.
+DEFENCES = {
+    "none": None,
     "all": "",
     "no budget": "budget no",
     "no spread": "spread no",
     "no late-first": "late-first no",
 }
-HABITS = {
-    "heed": RetryBehaviour(),
-    "heed nothing": RetryBehaviour(honours_retry_after=False, marks_retries=False),
+BEHAVIOURS = {
+    "honour retry-after": RetryBehaviour(),
+    "ignore retry-after": RetryBehaviour(honours_retry_after=False, marks_retries=False),
 }
-THIRD, BACK_AGAIN, WATCHED = 12, 30, 50
+THIRD_LOST_AT, THIRD_BACK_AT, THIRD_END = 12, 30, 50  # `third`: seconds since the start
 
 
-def silent(task: tuple[str, str, int]) -> tuple:
-    form, habit, seed = task
+def run_silent(task: tuple[str, str, int]) -> tuple:
+    defence, behaviour, seed = task
     rig = ProcessFleet(seed, 500, "serve", store=False)
     try:
         server = rig.add("n0")
-        words = FORMS[form]
-        server.extra = "" if words is None else f"storms {{\n    {words}\n}}\n"
+        statement = DEFENCES[defence]
+        server.extra = "" if statement is None else f"storms {{\n    {statement}\n}}\n"
         server.cpus = CORES
         cold_until = [0.0]
-        runs = [0]
+        executions = [0]
 
-        def work(group: str, body: bytes) -> float:
-            runs[0] += 1
-            return WORK * (COLD if time.monotonic() < cold_until[0] else 1.0)
+        def execution_time(class_name: str, body: bytes) -> float:
+            executions[0] += 1
+            return EXECUTION_TIME * (COLD_FACTOR if time.monotonic() < cold_until[0] else 1.0)
 
-        server.executor = StandInExecutor(CORES, work)
+        server.executor = StandInExecutor(CORES, execution_time)
         rig.start("n0")
-        rig.wait(lambda: "event=executor_up" in rig.log("n0"), 15, "up")
-        crowd = RetryingClientsProcess(addresses(rig, ["n0"]), RATE, CALLERS, HABITS[habit], seed)
-        got = ClientCounts()
+        rig.wait(lambda: "event=executor_up" in rig.log("n0"), 15, "executor connected")
+        clients = RetryingClientsProcess(
+            write_addresses(rig, ["n0"]), REQUEST_RATE, CLIENTS, BEHAVIOURS[behaviour], seed
+        )
+        counts = ClientCounts()
         try:
-            crowd.wait_until(LOST)
+            clients.wait_until(LOST_AT)
             rig.kill("n0")
-            addresses(rig, [])
-            crowd.wait_until(BACK - 1)
+            write_addresses(rig, [])
+            clients.wait_until(BACK_AT - 1)
             rig.start("n0", wait=False)
-            rig.wait(lambda: rig.log("n0").count("event=executor_up") > 1, 15, "up again")
-            crowd.wait_until(BACK)
+            rig.wait(
+                lambda: rig.log("n0").count("event=executor_up") > 1, 15, "executor connected again"
+            )
+            clients.wait_until(BACK_AT)
             cold_until[0] = time.monotonic() + COLD_TIME
-            addresses(rig, ["n0"])
-            crowd.wait_until(END + 7)
+            write_addresses(rig, ["n0"])
+            clients.wait_until(END + 7)
         finally:
-            got = crowd.end()
-        before = sum(got.completed[at] for at in range(3, LOST - 6)) / (LOST - 9)
-        series = [got.completed[at] / max(1.0, before) for at in range(END)]
-        steady = staying(series, BACK, END)
-        asked = sum(got.requests[at] for at in range(BACK, END))
-        tries = sum(got.attempts[at] for at in range(BACK, END))
-        done = sum(got.completed.values())
+            counts = clients.end()
+        before = sum(counts.completed[at] for at in range(3, LOST_AT - 6)) / (LOST_AT - 9)
+        shares = [counts.completed[at] / max(1.0, before) for at in range(END)]
+        recovered_after = seconds_to_recover(shares, BACK_AT, END)
+        requests = sum(counts.requests[at] for at in range(BACK_AT, END))
+        attempts = sum(counts.attempts[at] for at in range(BACK_AT, END))
+        completed = sum(counts.completed.values())
         return (
-            habit,
-            form,
+            behaviour,
+            defence,
             seed,
             before,
-            99.0 if steady is None else float(steady),
-            min(mean(series[at : at + 10]) for at in range(BACK, END - 10)),
-            mean(series[BACK:END]),
-            tries / max(1, asked),
-            1 - done / max(1, runs[0]),
+            99.0 if recovered_after is None else float(recovered_after),
+            min(mean(shares[at : at + 10]) for at in range(BACK_AT, END - 10)),
+            mean(shares[BACK_AT:END]),
+            attempts / max(1, requests),
+            1 - completed / max(1, executions[0]),
             rig.log("n0").count("event=retry_storm_stage "),
         )
     finally:
         rig.end()
 
 
-def addresses(rig: ProcessFleet, names: list[str]) -> Path:
+def write_addresses(rig: ProcessFleet, names: list[str]) -> Path:
+    """Writes the file with the app servers that clients may connect to, and returns its path."""
     path = rig.directory / "addresses"
-    new = rig.directory / "addresses.new"
-    new.write_text("".join("{}:{}\n".format(*rig.address(name)) for name in names))
-    new.rename(path)
+    new_path = rig.directory / "addresses.new"
+    new_path.write_text("".join("{}:{}\n".format(*rig.address(name)) for name in names))
+    new_path.rename(path)
     return path
 
 
-def staying(series: list[float], begin: int, end: int, level: float = 0.95) -> int | None:
-    """Seconds until five in a row are at the level, and none after them falls under 0.85."""
+def seconds_to_recover(
+    shares: list[float], begin: int, end: int, level: float = 0.95
+) -> int | None:
+    """Returns the seconds from `begin` until the service has recovered; None if it has not.
+
+    It has recovered when the mean of five seconds is at least `level` and no later mean of five
+    seconds is below 0.85.
+    """
     for at in range(begin, end - 8):
         if (
-            mean(series[at : at + 5]) >= level
-            and min(mean(series[then : then + 5]) for then in range(at, end - 5)) >= 0.85
+            mean(shares[at : at + 5]) >= level
+            and min(mean(shares[later : later + 5]) for later in range(at, end - 5)) >= 0.85
         ):
             return at - begin
     return None
 
 
-def third(task: tuple[str, bool, int]) -> tuple:
-    """Storms on or off, with the view of the fleet or without."""
-    form, view, seed = task
+def run_third(task: tuple[str, bool, int]) -> tuple:
+    """Runs with a defence; without `has_view`, the app servers have no `fleet` block."""
+    defence, has_view, seed = task
     rig = ProcessFleet(seed, 200, "serve", store=False)
     names = [f"n{at}" for at in range(12)]
     try:
         for name in names:
             server = rig.add(name, seeds=names[:2])
-            words = FORMS[form]
-            server.extra = "" if words is None else f"storms {{\n    {words}\n}}\n"
+            statement = DEFENCES[defence]
+            server.extra = "" if statement is None else f"storms {{\n    {statement}\n}}\n"
             server.cpus, server.max_retry_after_ms = 1, 5000.0
-            server.executor = StandInExecutor(1, lambda group, body: WORK)
-        if not view:
+            server.executor = StandInExecutor(1, lambda class_name, body: EXECUTION_TIME)
+        if not has_view:
             rig.write = lambda each: each.file.write_text(each.extra)  # type: ignore[method-assign]
-        rig.start(*names, wait=view)
+        rig.start(*names, wait=has_view)
         for name in names:
             rig.wait(
                 lambda name=name: (rig.processes[name].directory / "log").exists()
                 and "event=executor_up" in rig.log(name),
                 20,
-                "up",
+                "executor connected",
+            )
+        rate = 0.75 * len(names) / EXECUTION_TIME
+        path = write_addresses(rig, names)
+        client_processes = [
+            RetryingClientsProcess(
+                path, rate / 4, 60, BEHAVIOURS["honour retry-after"], 10 * seed + at
             )
-        rate = 0.75 * len(names) / WORK
-        path = addresses(rig, names)
-        crowds = [
-            RetryingClientsProcess(path, rate / 4, 60, HABITS["heed"], 10 * seed + at)
             for at in range(4)
         ]
         try:
-            crowds[0].wait_until(THIRD)
+            client_processes[0].wait_until(THIRD_LOST_AT)
             rig.kill(*names[:4])
             for name in names[:4]:
                 rig.processes[name].executor.end()
-            addresses(rig, names[4:])
-            crowds[0].wait_until(BACK_AGAIN)
+            write_addresses(rig, names[4:])
+            client_processes[0].wait_until(THIRD_BACK_AT)
             for name in names[:4]:
-                rig.processes[name].executor = StandInExecutor(1, lambda group, body: WORK)
+                rig.processes[name].executor = StandInExecutor(
+                    1, lambda class_name, body: EXECUTION_TIME
+                )
             rig.start(*names[:4], wait=False)
             for name in names[:4]:
                 rig.wait(
-                    lambda name=name: rig.log(name).count("event=executor_up") > 1, 20, "up again"
+                    lambda name=name: rig.log(name).count("event=executor_up") > 1,
+                    20,
+                    "executor connected again",
                 )
-            addresses(rig, names)
-            crowds[0].wait_until(WATCHED + 7)
+            write_addresses(rig, names)
+            client_processes[0].wait_until(THIRD_END + 7)
         finally:
-            found = [crowd.end() for crowd in crowds]
-        completed = [sum(got.completed[at] for got in found) for at in range(WATCHED)]
-        before = mean([float(count) for count in completed[3 : THIRD - 1]])
-        can = min(before, 8 / WORK)
-        left = [count / can for count in completed]
-        told = [sum(got.retry_after_times[at] for got in found) for at in range(10 * BACK_AGAIN)]
-        after = told[10 * THIRD :]
-        fullest = max(sum(after[at : at + 10]) for at in range(len(after) - 10))
-        tries = sum(got.attempts[at] for got in found for at in range(THIRD, BACK_AGAIN))
-        wished = sum(got.requests[at] for got in found for at in range(THIRD, BACK_AGAIN))
-        taken = staying(left, THIRD, BACK_AGAIN + 3, 0.9)
+            all_counts = [clients.end() for clients in client_processes]
+        completed = [sum(counts.completed[at] for counts in all_counts) for at in range(THIRD_END)]
+        before = mean([float(count) for count in completed[3 : THIRD_LOST_AT - 1]])
+        remaining_capacity = min(before, 8 / EXECUTION_TIME)
+        shares = [count / remaining_capacity for count in completed]
+        retry_after_times = [
+            sum(counts.retry_after_times[at] for counts in all_counts)
+            for at in range(10 * THIRD_BACK_AT)
+        ]
+        after_loss = retry_after_times[10 * THIRD_LOST_AT :]
+        fullest = max(sum(after_loss[at : at + 10]) for at in range(len(after_loss) - 10))
+        attempts = sum(
+            counts.attempts[at]
+            for counts in all_counts
+            for at in range(THIRD_LOST_AT, THIRD_BACK_AT)
+        )
+        requests = sum(
+            counts.requests[at]
+            for counts in all_counts
+            for at in range(THIRD_LOST_AT, THIRD_BACK_AT)
+        )
+        recovered_after = seconds_to_recover(shares, THIRD_LOST_AT, THIRD_BACK_AT + 3, 0.9)
         return (
-            "with" if view else "without",
-            form,
+            "with" if has_view else "without",
+            defence,
             seed,
             before,
-            99.0 if taken is None else float(taken),
-            mean(left[THIRD + 3 : BACK_AGAIN]),
-            fullest / max(1, sum(after)),
-            tries / max(1, wished),
-            mean([count / before for count in completed[BACK_AGAIN + 5 : WATCHED]]),
+            99.0 if recovered_after is None else float(recovered_after),
+            mean(shares[THIRD_LOST_AT + 3 : THIRD_BACK_AT]),
+            fullest / max(1, sum(after_loss)),
+            attempts / max(1, requests),
+            mean([count / before for count in completed[THIRD_BACK_AT + 5 : THIRD_END]]),
         )
     finally:
         rig.end()
@@ -191,71 +222,79 @@
     return sum(values) / max(1, len(values))
 
 
-def middle(rows: list[tuple], keys: int) -> list[tuple]:
-    """Over the seeds: median and, in brackets, the worst of each figure, in the order of first rows."""
+def summarise_seeds(rows: list[tuple], keys: int) -> list[tuple]:
+    """Returns a row for each combination of the first `keys` cells, in the order of first rows.
+
+    It has the number of seeds and, of each figure, the median over the seeds and the range.
+    """
     groups: dict[tuple, list[tuple]] = {}
     for row in rows:
         groups.setdefault(row[:keys], []).append(row[keys + 1 :])
-    made = []
-    for key, found in groups.items():
+    summary = []
+    for key, figures in groups.items():
         cells = []
-        for values in zip(*found, strict=True):
+        for values in zip(*figures, strict=True):
             low, high = min(values), max(values)
             cells.append(f"{quantile(list(values), 0.5):.3g} ({low:.3g} to {high:.3g})")
-        made.append((*key, len(found), *cells))
-    return made
+        summary.append((*key, len(figures), *cells))
+    return summary
 
 
 def main() -> None:
     words = [word for word in sys.argv[1:] if not word.startswith("-")] or ["silent", "third"]
     seeds = (1,) if "--quick" in sys.argv else (1, 2, 3)
     if "silent" in words:
-        tasks = [(form, habit, seed) for habit in HABITS for form in FORMS for seed in seeds]
-        with Pool(AT_ONCE, maxtasksperchild=1) as pool:
-            rows = pool.map(silent, tasks, chunksize=1)
+        tasks = [
+            (defence, behaviour, seed)
+            for behaviour in BEHAVIOURS
+            for defence in DEFENCES
+            for seed in seeds
+        ]
+        with Pool(PARALLEL_RUNS, maxtasksperchild=1) as pool:
+            rows = pool.map(run_silent, tasks, chunksize=1)
         table = Table("storms")
         table.rows(
-            "a node silent for 10 s at 130% of its cores, back cold, all callers at once: median "
-            "(range) over seeds; 99: never",
+            "an app server silent for 10 s, at 130% load, back with cold caches, all clients at "
+            "once: median (range) over seeds; 99: never",
             (
-                "callers",
+                "clients",
                 "defence",
-                "plays",
-                "completed a second before",
-                "seconds to 0.95, staying",
+                "runs",
+                "completed per second before",
+                "seconds to a lasting 0.95",
                 "worst 10 s",
-                "mean after",
-                "tries a wish",
-                "wasted runs",
-                "changes of stage",
+                "mean after the return",
+                "attempts per request",
+                "wasted executions",
+                "stage changes",
             ),
-            middle(rows, 2),
+            summarise_seeds(rows, 2),
         )
         table.write()
     if "third" in words:
-        tasks_ = [
-            (form, view, seed)
-            for form in ("none (as before)", "all")
-            for view in (True, False)
+        third_tasks = [
+            (defence, has_view, seed)
+            for defence in ("none", "all")
+            for has_view in (True, False)
             for seed in seeds
         ]
-        rows = [third(task) for task in tasks_]
+        rows = [run_third(task) for task in third_tasks]
         table = Table("storms-third")
         table.rows(
-            "a third of twelve nodes killed at 75%, their callers fall upon the rest: median (range) "
-            "over seeds; 99: never",
+            "a third of twelve app servers killed at 75% load, their clients turn to the others: "
+            "median (range) over seeds; 99: never",
             (
-                "view",
+                "view of the fleet",
                 "defence",
-                "plays",
-                "completed a second before",
-                "seconds to 0.9 of what is left",
-                "mean of that",
-                "told for the fullest second",
-                "tries a wish",
-                "mean when back",
+                "runs",
+                "completed per second before",
+                "seconds to 0.9 of the remaining capacity",
+                "mean share of that capacity",
+                "largest share of retry-after times ending in one second",
+                "attempts per request",
+                "mean after the return",
             ),
-            middle(rows, 2),
+            summarise_seeds(rows, 2),
         )
         table.write()
 
