--- a/benchmarks/site_fleet.py
+++ b/benchmarks/site_fleet.py
@@ -27,10 +27,7 @@
 
 SECOND = 10_000  # tenths of a ms
 # Seconds until a view has detected a crash: see docs/design/membership.md.
-MIN_DETECTION_TIME, MAX_DETECTION_TIME = (
-    5.0,
-    12.0,
-)
+MIN_DETECTION_TIME, MAX_DETECTION_TIME = 5.0, 12.0
 SITES, NODES_PER_SITE = 30, 100
 
 
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -1,5 +1,5 @@
-"""Loss and return of one of three sites: what its users and others are served in each second, with
-the failover plan and without.
+"""Loss and return of one of three sites: the share of the offered benefit that is completed in each
+second, with the failover plan and without.
 
     python -m benchmarks.site_loss [0.75 …]
 
--- a/benchmarks/storage_engines.py
+++ b/benchmarks/storage_engines.py
@@ -33,9 +33,8 @@
 ENGINES = ("log", "lmdb")
 DAMAGED_RECORDS = 2_000  # records in a store that is damaged
 LMDB_MAP_BYTES = 1 << 28
-SMALL_LIMITS = JournalLimits(
-    segment_bytes=200_000, snapshot_after_bytes=400_000
-)  # so that kills also occur while files are rotated and snapshots written
+# So small that kills also occur while files are rotated and snapshots written.
+SMALL_LIMITS = JournalLimits(segment_bytes=200_000, snapshot_after_bytes=400_000)
 
 
 def value(key: bytes) -> bytes:
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -261,7 +261,7 @@
                 "defence",
                 "runs",
                 "completed per second before",
-                "seconds to a lasting 0.95",
+                "seconds to a lasting 0.95 of before",
                 "worst 10 s",
                 "mean after the return",
                 "attempts per request",
