--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -210,7 +210,7 @@
             | handed
         )
         self.path = tmp_path / "config.json"
-        self.limits, self.process, self.thread = limits or {}, None, None
+        self.limits, self.process, self.thread, self.parts = limits or {}, None, None, []
         self.moved = [self.kernel_port, self.index_port]
 
     def start(self):
@@ -272,12 +272,27 @@
         if self.thread is not None and self.thread.is_alive():
             self.event_loop.event_queue.post(setattr, self.event_loop, "has_ended", True)
             self.thread.join(PATIENCE)
-            for part in self.parts:  # otherwise one could connect to the ports of another test
-                part.close()
+        # Also after an event loop that has ended by itself: an executor client that is not closed
+        # reconnects for ever, and would connect to another test that was given the same port.
+        for part in self.parts:
+            part.close()
         for sock in (*self.moved, self.catalog):
             sock.close()
 
 
+@pytest.fixture(autouse=True)
+def executor_readers_end_with_their_test():
+    """Fails a test that leaves a thread behind which reconnects to its executor for ever.
+
+    Such a thread would also connect to a later test that is given the same port, and send nothing.
+    """
+    yield
+    for thread in threading.enumerate():
+        if thread.name == "executor-reader":
+            thread.join(PATIENCE)
+            assert not thread.is_alive()
+
+
 @pytest.fixture
 def make_site(tmp_path):
     sites = []
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -49,6 +49,7 @@
 
     def build_and_send_sigterm(*arguments):
         event_loop, components = build(*arguments)
+        site.parts = components  # the site closes them, as those that it has built itself
         proxies.append(ProxyClient(event_loop.listener.address))
         proxies[0].submit(1)
         os.kill(os.getpid(), signal.SIGTERM)
