--- a/lilacwalk/commands/__init__.py
+++ b/lilacwalk/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: a module for each group of commands, imported when it is called."""
+"""The command line: one module for each command or group, imported when the command is run."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class LazyGroup(click.Group):
-    """Imports a command's module on use, so that an app server does not load the tools."""
+    """Imports a command's module when the command is run, so an app server loads no other ones."""
 
     def list_commands(
         self,
         ctx: click.Context,  # noqa: ARG002  click's signature
     ) -> list[str]:
-        """The names of all commands, in the order of the help page."""
+        """Returns the names of all commands, in the order of the help page."""
         return list(MODULES_BY_COMMAND)
 
     def get_command(
@@ -36,7 +36,7 @@
         ctx: click.Context,  # noqa: ARG002  click's signature
         cmd_name: str,
     ) -> click.Command | None:
-        """Imports the module of a command."""
+        """Imports the module of a command and returns the command; None if its name is unknown."""
         if cmd_name not in MODULES_BY_COMMAND:
             return None
         module = import_module(f"lilacwalk.commands.{MODULES_BY_COMMAND[cmd_name]}")
@@ -45,7 +45,7 @@
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Adds the closest command's name to the error about an unknown one."""
+        """Adds the most similar command name to the error message for an unknown command."""
         try:
             return super().resolve_command(ctx, args)
         except click.UsageError as error:
@@ -60,8 +60,9 @@
 def lilacwalk() -> None:
     """An app server with an overload controller.
 
-    Exit codes: 0 done; 1 a defect while running; 2 the command line, a file or an address cannot
-    be used.
+    Exit codes: 0 success; 1 internal error; 2 the command line or a file is invalid, or an address
+    cannot be used. The help of a command lists its further exit codes.
+
     Shell completion: eval "$(_LILACWALK_COMPLETE=bash_source lilacwalk)" (or zsh_source,
     fish_source).
     """
--- a/lilacwalk/commands/announce.py
+++ b/lilacwalk/commands/announce.py
@@ -1,4 +1,4 @@
-"""`lilacwalk announce`: the BGP speaker beside any other program."""
+"""`lilacwalk announce`: runs a BGP speaker beside another program."""
 
 from __future__ import annotations
 
@@ -32,64 +32,71 @@
     metavar="FILE",
     required=True,
     type=click.Path(dir_okay=False),
-    help="the operator's own file, with an announce block",
+    help="operator's file with an announce block",
 )
 @log_level_option
 def announce(operator_file: str, log_level: str) -> None:
-    """Announce services over BGP for another program.
+    """Announce services over BGP on behalf of another program.
 
-    Node states come as lines on standard input: cold, warming, ready, sick, standing-still,
-    leaving. End of input or SIGTERM withdraws all, ends every session (cease/2) and exits with 0;
-    SIGHUP reads the file again.
+    Node states are read from standard input, one per line: cold, warming, ready, sick,
+    standing-still, leaving. At the end of input or on SIGTERM, all routes are withdrawn, every
+    session is closed with a Cease notification (subcode 2), and the exit code is 0. SIGHUP reloads
+    the file.
     """
     start_logging(getattr(logging, log_level.upper()))
     sys.exit(run_speaker(operator_file, require_block(operator_file, "announce")))
 
 
 def run_speaker(operator_file: str, config: BgpConfig) -> int:
-    """Runs a speaker until it is asked to stop or ends by itself; returns the exit code."""
-    from lilacwalk.bgp.admin import create_admin_socket as answering_at
+    """Runs a speaker until a stop is requested or its thread ends; returns the exit code."""
+    from lilacwalk.bgp.admin import create_admin_socket
     from lilacwalk.bgp.speaker_io import Speaker
 
     admin_socket = None
     try:
         speaker = Speaker(config, int.from_bytes(os.urandom(8), "big"))
         if config.socket is not None:
-            admin_socket = answering_at(speaker, config.socket)
+            admin_socket = create_admin_socket(speaker, config.socket)
     except OSError as error:
-        print(f"lilacwalk: cannot listen: {error.strerror or error}", file=sys.stderr)
+        print(
+            f"lilacwalk: {operator_file}: cannot open the BGP listener or the admin socket of the "
+            f"announce block: {error.strerror or error}",
+            file=sys.stderr,
+        )
         return EXIT_UNUSABLE
-    states = NodeStateInput(stops_at_end_of_input=True)
+    state_input = NodeStateInput(stops_at_end_of_input=True)
     speaker.start()
     if admin_socket is not None:
         admin_socket.start()
-    states.start()
+    state_input.start()
     log.info("event=announcing_started peers=%d services=%d", len(config.peer), len(config.service))
-    apply_states(states, speaker, operator_file)
+    apply_states(state_input, speaker, operator_file)
     speaker.end()
     if admin_socket is not None:
         admin_socket.close()
     return 1 if speaker.failed else 0
 
 
-def apply_states(states: NodeStateInput, speaker: Speaker, operator_file: str) -> None:
-    """Hands node states to the speaker until a stop is asked for or the speaker has ended."""
+def apply_states(state_input: NodeStateInput, speaker: Speaker, operator_file: str) -> None:
+    """Passes node states to the speaker until a stop is requested or the speaker has ended."""
     from lilacwalk.bgp.announcement_policy import NodeStatus
 
-    nodes_by_word = {node.value: node for node in NodeStatus if node is not NodeStatus.GONE}
-    while (word := states.next()) is not Control.STOP and not speaker.ended.is_set():
-        if word is Control.RELOAD:
+    statuses_by_name = {
+        status.value: status for status in NodeStatus if status is not NodeStatus.GONE
+    }
+    while (entry := state_input.next()) is not Control.STOP and not speaker.ended.is_set():
+        if entry is Control.RELOAD:
             reload_speaker(speaker, operator_file)
-        elif word not in nodes_by_word:
-            states.report_unknown(word, nodes_by_word)
-        elif nodes_by_word[word] is NodeStatus.LEAVING:
+        elif entry not in statuses_by_name:
+            state_input.report_unknown(entry, statuses_by_name)
+        elif statuses_by_name[entry] is NodeStatus.LEAVING:
             speaker.leave(None)
         else:
-            speaker.set_node_status(nodes_by_word[word])
+            speaker.set_node_status(statuses_by_name[entry])
 
 
 def reload_speaker(speaker: Speaker, operator_file: str) -> None:
-    """Reads the file again; a file that cannot be used changes nothing."""
+    """Reloads the operator's file; if it is invalid, the speaker keeps its configuration."""
     from lilacwalk.operator.errors import UnusableFileError
 
     try:
--- a/lilacwalk/commands/bgp.py
+++ b/lilacwalk/commands/bgp.py
@@ -1,4 +1,4 @@
-"""`lilacwalk bgp`: the running BGP speaker, what peers sent, and captured messages."""
+"""`lilacwalk bgp`: queries the running BGP speaker and decodes captured messages."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     from lilacwalk.bgp.messages import Open, Update
 
-READ_BYTES = 65_536
+READ_CHUNK_BYTES = 65_536
 SPEAKER_FIELDS = (
     "as",
     "router_id",
@@ -37,11 +37,11 @@
 
 @click.group()
 def bgp() -> None:
-    """Ask the running speaker; decode captured messages."""
+    """Query the running BGP speaker, or decode captured messages."""
 
 
-def query_bgp(operator_file: str, question: str) -> Any:
-    """The running speaker's answer; ends the command with 2 where there is none."""
+def query_bgp(operator_file: str, query_line: str) -> Any:
+    """Returns the answer of the running speaker; without an answer, exits with code 2."""
     from lilacwalk.operator.errors import UnusableFileError
     from lilacwalk.operator.loader import load_operator_file
 
@@ -51,11 +51,11 @@
         exit_unusable(error)
     if config is None or config.announce is None or config.announce.socket is None:
         exit_unusable(f"{operator_file}:1: file: expected an announce block with a socket")
-    return query_or_exit(config.announce.socket, question)
+    return query_or_exit(config.announce.socket, query_line)
 
 
 def format_pairs(**pairs: object) -> str:
-    """Pairs as NAME=VALUE in a line."""
+    """Returns the pairs as one line of NAME=VALUE."""
     return " ".join(f"{name}={value}" for name, value in pairs.items())
 
 
@@ -63,7 +63,7 @@
 @running_file_option
 @json_option
 def show(operator_file: str, as_json: bool) -> None:
-    """Sessions, what is announced and why, what was received, damping."""
+    """Show sessions, announced routes and why, numbers of received routes, and flap damping."""
     status = query_bgp(operator_file, "show")
     if as_json:
         print(json.dumps(status, indent=2))
@@ -76,7 +76,7 @@
 
 
 def print_peer(peer: dict) -> None:
-    """Prints one peer's session and the routes announced to it."""
+    """Prints the session with a peer and the routes announced to the peer."""
     received = " ".join(f"received_{name}={count}" for name, count in peer["received"].items())
     session = format_pairs(**{name: peer[name] for name in PEER_FIELDS})
     print(session, received, f"last_end={peer['last_end']!r}")
@@ -97,7 +97,10 @@
 @running_file_option
 @click.argument("peer")
 def received(operator_file: str, peer: str) -> None:
-    """What a peer (its address and port, as the file has them) has told, and why it is not used."""
+    """List the routes received from PEER, and why a route is not used.
+
+    PEER is the peer's address and port as in the file.
+    """
     for received_route in query_bgp(operator_file, f"received {peer}"):
         key = "path" if received_route["used"] else "refused"
         print(
@@ -110,53 +113,55 @@
 @running_file_option
 @click.argument("prefix")
 def route(operator_file: str, prefix: str) -> None:
-    """Which peers have a usable route for a prefix."""
+    """Show for each peer the usable route with the longest match for PREFIX."""
     for usable_route in query_bgp(operator_file, f"route {prefix}"):
         print(format_pairs(**usable_route))
 
 
 @bgp.command(
-    help="Print captured messages, one a line, from a file or standard input; exit 2 where one "
-    "cannot be read."
+    help="Print captured messages, one per line, from a file or standard input. Exit code 2 if the "
+    "input is not valid."
 )
 @click.argument("file", type=click.File("rb"), default="-")
-@click.option("--as2", is_flag=True, help="paths of two octets (a peer without RFC 6793)")
-@click.option("--internal", is_flag=True, help="of a peer with our own AS")
 @click.option(
-    "--hex", "as_hex", is_flag=True, help="the input is hexadecimal digits, with or without spaces"
+    "--as2", is_flag=True, help="AS paths have two-octet AS numbers (a peer without RFC 6793)"
+)
+@click.option("--internal", is_flag=True, help="the peer has the same AS number as the speaker")
+@click.option(
+    "--hex", "as_hex", is_flag=True, help="input is hexadecimal digits, with or without spaces"
 )
 def decode(file: BinaryIO, as2: bool, internal: bool, as_hex: bool) -> None:
-    """Prints captured messages; exits with 2 where one cannot be read."""
+    """Prints captured messages; exits with code 2 if the input is not valid."""
     from lilacwalk.bgp import messages
     from lilacwalk.bgp.capabilities import NegotiatedCapabilities
     from lilacwalk.bgp.errors import BgpError
     from lilacwalk.bgp.prefixes import Afi
 
     stream = messages.Stream(messages.MAX_EXTENDED_SIZE)
-    agreed = NegotiatedCapabilities(families=(Afi.IPV4, Afi.IPV6), as4=not as2)
+    negotiated = NegotiatedCapabilities(families=(Afi.IPV4, Afi.IPV6), as4=not as2)
     failed = False
     try:
-        while chunk := file.read(READ_BYTES):
+        while chunk := file.read(READ_CHUNK_BYTES):
             data = bytes.fromhex(chunk.decode("ascii", "strict")) if as_hex else chunk
             for kind, body in stream.feed(data):
                 try:
-                    print(format_message(messages.decode(kind, body, agreed, internal)))
+                    print(format_message(messages.decode(kind, body, negotiated, internal)))
                 except BgpError as error:
                     print(f"error {error}")
                     failed = True
     except BgpError as error:
         print(f"error {error}")
         failed = True
-    except ValueError:
-        exit_unusable("lilacwalk: not hexadecimal digits")
+    except ValueError as error:
+        exit_unusable(f"lilacwalk: cannot decode the input, expected hexadecimal digits: {error}")
     if stream.rest and not failed:
-        print(f"error {len(stream.rest)} bytes of an unfinished message")
+        print(f"error input ends with {len(stream.rest)} bytes of an unfinished message")
         failed = True
     sys.exit(EXIT_UNUSABLE if failed else 0)
 
 
 def format_message(message: object) -> str:
-    """A decoded message as a line."""
+    """Returns a decoded message as one line."""
     from lilacwalk.bgp.errors import reason
     from lilacwalk.bgp.messages import Keepalive, Notification, Open, Refresh
 
@@ -181,7 +186,7 @@
 
 
 def format_open(message: Open) -> str:
-    """An OPEN message with its capabilities as a line."""
+    """Returns an OPEN message and its capabilities as one line."""
     capabilities = message.capabilities
     return format_pairs(
         message="open",
@@ -199,25 +204,25 @@
 
 
 def format_update(message: Update) -> str:
-    """An UPDATE message with all its routes as a line."""
+    """Returns an UPDATE message and all its routes as one line."""
     from lilacwalk.bgp.prefixes import Afi
 
     if message.end_of_rib is not None:
         family = Afi(message.end_of_rib).name.lower()
         return format_pairs(message="update", end_of_rib=family)
-    parts = [format_pairs(message="update")]
+    fields = [format_pairs(message="update")]
     if message.withdrawn:
-        parts.append("withdrawn=" + ",".join(map(str, message.withdrawn)))
-    parts += [format_announced(attributes, prefixes) for attributes, prefixes in message.reachable]
-    parts += [
+        fields.append("withdrawn=" + ",".join(map(str, message.withdrawn)))
+    fields += [format_announced(attributes, prefixes) for attributes, prefixes in message.reachable]
+    fields += [
         f"fault={f'{fault.kind}: {fault.text}'!r} handled={fault.severity.name.lower()}"
         for fault in message.faults
     ]
-    return " ".join(parts)
+    return " ".join(fields)
 
 
 def format_announced(attributes: Any, prefixes: Iterable[object]) -> str:
-    """Announced prefixes with the path attributes that they share."""
+    """Returns announced prefixes and their common path attributes as one line."""
     from lilacwalk.bgp.prefixes import address_text
 
     as_numbers = (str(number) for _, segment in attributes.as_path for number in segment)
--- a/lilacwalk/commands/experiment.py
+++ b/lilacwalk/commands/experiment.py
@@ -1,4 +1,4 @@
-"""`lilacwalk experiment`: runs experiments in the simulator, lists, compares and reports them."""
+"""`lilacwalk experiment`: runs, reports, lists and compares experiments in the simulator."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 if TYPE_CHECKING:
     from lilacwalk.experiments.config import Experiment
 
-EXIT_UNEXPECTED = 3
-MAX_ERROR_CHARACTERS = 300  # of another revision's messages, from their end
+EXIT_EXPECTATION_FAILED = 3
+MAX_ERROR_CHARACTERS = 300  # shown of another revision's standard error, from its end
 
 
 @click.group()
 def experiment() -> None:
-    """Experiments in simulated time: the real decisions, modelled machines and users."""
+    """Run experiments in simulated time: the real controller, simulated servers and clients."""
 
 
 file_argument = click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
@@ -35,19 +35,26 @@
     default="found",
     show_default=True,
     type=click.Path(file_okay=False),
-    help="where each play is kept",
+    help="directory in which the result of each run is stored",
 )
 processes_option = click.option(
-    "--processes", type=click.IntRange(1, 64), default=os.cpu_count() or 1, show_default="cores"
+    "--processes",
+    type=click.IntRange(1, 64),
+    default=os.cpu_count() or 1,
+    show_default="cores",
+    help="number of simulations that run at the same time",
 )
 
 
 def load_experiment(path: str) -> tuple[Experiment, list[Any]]:
-    """An experiment and its runs; ends the command with 2 where they cannot be had."""
+    """Returns an experiment and its planned runs.
+
+    If the file is invalid or a library is not installed, exits with code 2.
+    """
     try:
         from lilacwalk.experiments import planner, runner
     except ImportError as error:
-        exit_unusable(f"lilacwalk: {error}: requirements-experiments.txt names what it needs")
+        exit_unusable(f"lilacwalk: {error}: install the packages in requirements-experiments.txt")
     from lilacwalk.operator.errors import UnusableFileError
 
     try:
@@ -60,28 +67,32 @@
 
 
 def run_missing(
-    definition: Experiment, plays: list[Any], folder: str, processes: int
+    definition: Experiment, planned_runs: list[Any], folder: str, processes: int
 ) -> tuple[dict, list[str]]:
-    """Runs what is not kept yet; returns the results by cell and the unmet expectations."""
+    """Simulates the runs that have no stored result.
+
+    Returns:
+        The results by cell, and a message for each unmet expectation.
+    """
     from lilacwalk.experiments import planner, runner
 
-    with click.progressbar(length=len(plays), label="plays", file=sys.stderr) as progress_bar:
+    with click.progressbar(length=len(planned_runs), label="runs", file=sys.stderr) as progress_bar:
 
-        def advance(_play: object, _result: object) -> None:
+        def advance(_planned: object, _is_new: object) -> None:
             progress_bar.update(1)
 
-        results = runner.run(plays, Path(folder), runner.revision(), processes, advance)
-    results_by_cell = runner.gathered(plays, results)
+        results = runner.run(planned_runs, Path(folder), runner.revision(), processes, advance)
+    results_by_cell = runner.gathered(planned_runs, results)
     return results_by_cell, planner.unmet(definition, results_by_cell)
 
 
-def format_table(results_by_cell: dict, names: tuple[str, ...]) -> str:
-    """The results as aligned text under a header."""
+def format_table(results_by_cell: dict, measure_names: tuple[str, ...]) -> str:
+    """Returns the results as an aligned table with a header."""
     width = max([len(str(cell)) for cell in results_by_cell], default=0)
-    lines = [f"{'cell':<{width}}  " + "  ".join(f"{name:>24}" for name in names)]
+    lines = [f"{'cell':<{width}}  " + "  ".join(f"{name:>24}" for name in measure_names)]
     lines += [
-        f"{cell!s:<{width}}  " + "  ".join(f"{figures[name]!s:>24}" for name in names)
-        for cell, figures in results_by_cell.items()
+        f"{cell!s:<{width}}  " + "  ".join(f"{measures[name]!s:>24}" for name in measure_names)
+        for cell, measures in results_by_cell.items()
     ]
     return "\n".join(lines)
 
@@ -91,17 +102,17 @@
 @folder_option
 @processes_option
 def run(path: str, folder: str, processes: int) -> None:
-    """Play all of FILE that is not played yet, and print its table.
+    """Simulate the runs of FILE that have no stored result, and print a table of all results.
 
-    Exit codes: 0 all is as expected, 3 not, 2 the file is wrong.
+    Exit codes: 0 all expectations of FILE are met, 2 FILE is invalid, 3 an expectation is not met.
     """
-    definition, plays = load_experiment(path)
-    results_by_cell, unmet = run_missing(definition, plays, folder, processes)
+    definition, planned_runs = load_experiment(path)
+    results_by_cell, unmet = run_missing(definition, planned_runs, folder, processes)
     print(definition.question)
     print(format_table(results_by_cell, ("share", "worst", "wasted", "tries", "breaches")))
     for expectation in unmet:
         print(f"not as expected: {expectation}")
-    sys.exit(EXIT_UNEXPECTED if unmet else 0)
+    sys.exit(EXIT_EXPECTATION_FAILED if unmet else 0)
 
 
 @experiment.command()
@@ -113,19 +124,19 @@
     metavar="FILE",
     required=True,
     type=click.Path(dir_okay=False),
-    help="the page; needs no network to be read",
+    help="HTML page to write; it loads nothing from the network",
 )
 @processes_option
 def report(path: str, folder: str, target: str, processes: int) -> None:
-    """A page with charts and tables, after playing what is not played yet."""
-    definition, plays = load_experiment(path)
-    results_by_cell, unmet = run_missing(definition, plays, folder, processes)
+    """Simulate the runs of FILE that have no stored result, and write a report of all results."""
+    definition, planned_runs = load_experiment(path)
+    results_by_cell, unmet = run_missing(definition, planned_runs, folder, processes)
     from lilacwalk.experiments import charts, runner
 
     page = charts.page(
         Path(path).stem,
         definition,
-        plays,
+        planned_runs,
         results_by_cell,
         unmet,
         Path(folder),
@@ -139,17 +150,17 @@
 @file_argument
 @folder_option
 def list_(path: str, folder: str) -> None:
-    """Which plays of FILE are kept, by this program, and which are not."""
+    """List the runs of FILE, and whether this revision of the program has stored their results."""
     from lilacwalk.experiments import runner
 
-    _, plays = load_experiment(path)
+    _, planned_runs = load_experiment(path)
     revision = runner.revision()
-    kept_count = 0
-    for play in plays:
-        is_kept = runner.kept(Path(folder), play.digest, revision) is not None
-        kept_count += is_kept
-        print(f"{'kept   ' if is_kept else 'missing'} seed {play.seed} {play.cell}")
-    print(f"{kept_count} of {len(plays)} kept by {revision}")
+    stored_count = 0
+    for planned in planned_runs:
+        is_stored = runner.kept(Path(folder), planned.digest, revision) is not None
+        stored_count += is_stored
+        print(f"{'kept   ' if is_stored else 'missing'} seed {planned.seed} {planned.cell}")
+    print(f"{stored_count} of {len(planned_runs)} kept by {revision}")
 
 
 @experiment.command()
@@ -157,41 +168,41 @@
 @click.argument("revision", metavar="COMMIT")
 @folder_option
 @processes_option
-@click.option("--measure", default="share", show_default=True)
+@click.option("--measure", default="share", show_default=True, help="measure to compare")
 def compare(path: str, revision: str, folder: str, processes: int, measure: str) -> None:
-    """This program against an earlier COMMIT of its repository, paired by seed, cell by cell."""
-    definition, plays = load_experiment(path)
+    """Compare this program with COMMIT of its repository, cell by cell, paired by seed."""
+    definition, planned_runs = load_experiment(path)
     from lilacwalk.experiments import planner, runner
 
-    current = runner.run(plays, Path(folder), runner.revision(), processes)
+    current = runner.run(planned_runs, Path(folder), runner.revision(), processes)
     measures = next(iter(current.values()))
     if measure not in measures:
-        message = f"expected a measure ({', '.join(sorted(measures))})"
+        message = f"--measure: expected one of {', '.join(sorted(measures))}, got {measure}"
         raise click.UsageError(message)
     earlier = run_revision(path, revision, processes)
     for cell in planner.cells(definition):
-        cell_plays = [play for play in plays if play.cell == cell]
+        cell_runs = [planned for planned in planned_runs if planned.cell == cell]
         earlier_by_seed = {
-            play.seed: earlier[play.digest][measure]
-            for play in cell_plays
-            if earlier.get(play.digest)
+            planned.seed: earlier[planned.digest][measure]
+            for planned in cell_runs
+            if earlier.get(planned.digest)
         }
-        current_by_seed = {play.seed: current[play.digest][measure] for play in cell_plays}
-        figure, verdict = planner.compared(earlier_by_seed, current_by_seed)
-        print(f"{cell}: {measure} {figure} against {revision}: {verdict}")
+        current_by_seed = {planned.seed: current[planned.digest][measure] for planned in cell_runs}
+        difference, verdict = planner.compared(earlier_by_seed, current_by_seed)
+        print(f"{cell}: {measure} {difference} against {revision}: {verdict}")
 
 
 def run_revision(path: str, revision: str, processes: int) -> dict[str, Any]:
-    """Runs an experiment with another revision of this program; its results by digest.
+    """Runs an experiment with another revision of this program and returns the results by digest.
 
-    Ends the command with 2 where the revision cannot be checked out or cannot run it.
+    If the revision cannot be checked out or cannot run the experiment, exits with code 2.
     """
     from lilacwalk.experiments import runner
 
     with tempfile.TemporaryDirectory() as directory:
-        folder = Path(directory) / "then"
+        folder = Path(directory) / "results"
         tree = Path(directory) / "tree"
-        with checked_out(revision, tree):
+        with git_worktree(revision, tree):
             completed = subprocess.run(
                 [
                     *(sys.executable, "-B", "-m", "lilacwalk", "experiment", "run"),
@@ -205,9 +216,9 @@
                 text=True,
                 check=False,
             )
-            if completed.returncode not in (0, EXIT_UNEXPECTED):
+            if completed.returncode not in (0, EXIT_EXPECTATION_FAILED):
                 reason = completed.stderr.strip()[-MAX_ERROR_CHARACTERS:]
-                exit_unusable(f"lilacwalk: {revision} cannot play it: {reason}")
+                exit_unusable(f"lilacwalk: revision {revision} cannot run {path}: {reason}")
             results = {}
             for file in folder.glob("*.parquet"):
                 digest, made_by = file.stem.split("-", 1)
@@ -216,8 +227,11 @@
 
 
 @contextmanager
-def checked_out(revision: str, tree: Path) -> Iterator[None]:
-    """A git worktree of a revision, removed at the end; ends the command with 2 without one."""
+def git_worktree(revision: str, tree: Path) -> Iterator[None]:
+    """Checks a revision out into a git worktree, and removes the worktree afterwards.
+
+    If the revision cannot be checked out, exits with code 2.
+    """
     from lilacwalk.experiments import runner
 
     git = ["git", "-C", str(runner.ROOT), "worktree"]
@@ -225,7 +239,7 @@
         [*git, "add", "--detach", str(tree), revision], capture_output=True, text=True, check=False
     )
     if added.returncode:
-        exit_unusable(f"lilacwalk: {added.stderr.strip()}")
+        exit_unusable(f"lilacwalk: cannot check out {revision}: {added.stderr.strip()}")
     try:
         yield
     finally:
--- a/lilacwalk/commands/fleet.py
+++ b/lilacwalk/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`lilacwalk fleet`: the membership view; a member beside any other program; scenarios."""
+"""`lilacwalk fleet`: queries a member, runs a member beside another program, runs scenarios."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 MEMBER_COLUMNS = ("name", "site", "address", "health", "state", "disk", "age_ms", "life", "by")
 EXIT_NO_ANSWER = 4
 EXIT_EXPECTATION_FAILED = 3
-HOST_CHECK_SECONDS = 1.0  # how soon the command notices that the host ended by itself
+HOST_CHECK_SECONDS = 1.0  # time until a host that has failed is noticed
 
 
 @click.group()
 def fleet() -> None:
-    """The view of the fleet that members keep: ask one, be one, play a drill."""
+    """Query a member of the fleet, run a member, or run a fault-injection scenario."""
 
 
-def query_fleet(operator_file: str, question: str) -> Any:
-    """The answer of the running member's admin socket."""
+def query_fleet(operator_file: str, query_line: str) -> Any:
+    """Returns the answer of the running member; without an answer, exits with code 2."""
     block = require_block(operator_file, "fleet", needs_socket=True)
-    return query_or_exit(block.socket, question)
+    return query_or_exit(block.socket, query_line)
 
 
 def format_table(rows: list[dict], columns: tuple[str, ...]) -> str:
-    """Rows as aligned text under a header."""
+    """Returns the rows as an aligned table with a header."""
     lines = [list(columns), *([str(row[name]) for name in columns] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(
@@ -57,7 +57,7 @@
 
 
 def format_summary(view: dict) -> str:
-    """What a node concludes about itself, in a line."""
+    """Returns a node's conclusion about its view as one line."""
     return (
         f"{view['name']} of {view['site']}: {view['conclusion']} ({view['reason']}), "
         f"{'settled' if view['settled'] else 'not settled'}, digest {view['digest']}, "
@@ -69,7 +69,10 @@
 @running_file_option
 @json_option
 def show(operator_file: str, as_json: bool) -> None:
-    """Members with state, life, age of what is known and who said so; what this node concludes."""
+    """Show the members and the running node's conclusion about its view.
+
+    The columns life and by are the member's incarnation and the member that reported its health.
+    """
     view = query_fleet(operator_file, "show")
     if as_json:
         print(json.dumps(view, indent=2))
@@ -80,10 +83,10 @@
 
 @fleet.command()
 @running_file_option
-@click.option("--every", default=1.0, show_default=True, help="seconds between two looks")
-@click.option("--times", default=0, help="looks, then the end; 0: until Ctrl-C")
+@click.option("--every", default=1.0, show_default=True, help="seconds between two queries")
+@click.option("--times", default=0, help="number of queries; 0: until Ctrl-C")
 def watch(operator_file: str, every: float, times: int) -> None:
-    """A line whenever what this node concludes, or who is there, has changed."""
+    """Print a line whenever the running node's conclusion or the health of a member changes."""
     previous_view = None
     count = 0
     try:
@@ -100,14 +103,14 @@
 
 
 def print_view_changes(previous_view: dict | None, view: dict) -> None:
-    """Prints the summary and the members that changed, if anything did."""
+    """Prints the summary and the changed members, if anything has changed."""
     health = health_by_member(view)
     previous_health = health_by_member(previous_view) if previous_view is not None else {}
-    is_same = previous_view is not None and (
+    is_unchanged = previous_view is not None and (
         health == previous_health
         and all(view[key] == previous_view[key] for key in ("conclusion", "reason", "settled"))
     )
-    if is_same:
+    if is_unchanged:
         return
     print(time.strftime("%H:%M:%S"), format_summary(view), flush=True)
     if previous_view is None:
@@ -120,7 +123,7 @@
 
 
 def health_by_member(view: dict) -> dict[str, tuple[str, str]]:
-    """Health and state of each member of a view."""
+    """Returns the health and the state of each member of a view."""
     return {member["name"]: (member["health"], member["state"]) for member in view["members"]}
 
 
@@ -128,7 +131,7 @@
 @running_file_option
 @json_option
 def events(operator_file: str, as_json: bool) -> None:
-    """The last changes, with their cause and who said so."""
+    """List recent membership changes with their cause and the member that reported them."""
     changes = query_fleet(operator_file, "events")
     if as_json:
         print(json.dumps(changes, indent=2))
@@ -141,8 +144,8 @@
 
 
 @fleet.command(
-    help="Probe MEMBER now, from the running node; exit 4 where it does not answer within a "
-    "probe interval."
+    help="Probe MEMBER from the running node. Exit code 4 if it does not answer within a probe "
+    "interval."
 )
 @running_file_option
 @click.argument("member")
@@ -157,23 +160,23 @@
 @running_file_option
 @log_level_option
 def run(operator_file: str, log_level: str) -> None:
-    """Be a member beside any other program.
+    """Run a member of the fleet beside another program.
 
-    States come as lines on standard input: cold, warming, ready, sick, standing-still, leaving.
-    End of input changes nothing. SIGTERM tells the others that it leaves and ends with 0; SIGHUP
-    reads the file again.
+    Node states are read from standard input, one per line: cold, warming, ready, sick,
+    standing-still, leaving. The end of input changes nothing. On SIGTERM, the member announces to
+    the others that it leaves, and the exit code is 0. SIGHUP reloads the file.
     """
     start_logging(getattr(logging, log_level.upper()))
     config = require_config(operator_file, "fleet")
     if config.fleet.name is None:
-        exit_unusable(f"{operator_file}:1: fleet: expected name in this block")
-    states = NodeStateInput(stops_at_end_of_input=False)
+        exit_unusable(f"{operator_file}:1: fleet: expected a name in this block")
+    state_input = NodeStateInput(stops_at_end_of_input=False)
     host, socket = open_member(config)
     host.start()
     if socket is not None:
         socket.start()
-    states.start()
-    apply_states(states, host, operator_file)
+    state_input.start()
+    apply_states(state_input, host, operator_file)
     host.leave()
     if socket is not None:
         socket.close()
@@ -181,10 +184,11 @@
 
 
 def open_member(config: OperatorConfig) -> tuple[FleetHost, Any]:
-    """The member's host and its admin socket, if the file names one; neither is started.
+    """Creates the member's host and, if the file sets its path, the admin socket.
 
-    With a sites block the member also plans failover, which the log and `lilacwalk sites show`
-    tell. Ends the command with 2 where a key or an address cannot be used.
+    Neither is started. With a sites block the member also plans failover; the log and
+    `lilacwalk sites show` report the plan. If the key, an address or the path of the admin socket
+    cannot be used, exits with code 2.
     """
     from lilacwalk.membership.admin import admin_socket
     from lilacwalk.membership.host import FleetError, FleetHost
@@ -200,44 +204,48 @@
     try:
         if site_failover is None:
             host = FleetHost(config.fleet, on_evaluate=None)
-            answer_others = None
+            answer_site_query = None
         else:
             host = FleetHost(config.fleet, on_evaluate=site_failover.evaluate)
-            answer_others = partial(answer_admin_query, host=host, site_failover=site_failover)
+            answer_site_query = partial(answer_admin_query, host=host, site_failover=site_failover)
         if config.fleet.socket is None:
             return host, None
-        return host, admin_socket(host, config.fleet.socket, answer_others)
+        return host, admin_socket(host, config.fleet.socket, answer_site_query)
     except FleetError as error:
         exit_unusable(f"lilacwalk: {error}")
     except OSError as error:
-        exit_unusable(f"lilacwalk: cannot listen: {error.strerror or error}")
+        host_name, port = config.fleet.listen
+        exit_unusable(
+            f"lilacwalk: cannot listen on {host_name}:{port} or open the admin socket "
+            f"{config.fleet.socket or '(none)'}: {error.strerror or error}"
+        )
 
 
 def ignore_plan(_plan: object) -> None:
-    """A member without an app server has no traffic to apply a plan to."""
+    """Ignores a plan: a member without an app server has no traffic to which it could apply."""
 
 
-def apply_states(states: NodeStateInput, host: FleetHost, operator_file: str) -> None:
-    """Hands node states to the member until a stop is asked for or the host has ended."""
+def apply_states(state_input: NodeStateInput, host: FleetHost, operator_file: str) -> None:
+    """Passes node states to the member until a stop is requested or the host has stopped."""
     from lilacwalk.membership.messages import NODE_STATES_BY_NAME
 
-    accepted = [name for name in NODE_STATES_BY_NAME if name != "gone"]
+    accepted_names = [name for name in NODE_STATES_BY_NAME if name != "gone"]
     while not host.stopped.is_set():
-        word = states.next(timeout=HOST_CHECK_SECONDS)
-        if word is None:
+        entry = state_input.next(timeout=HOST_CHECK_SECONDS)
+        if entry is None:
             continue
-        if word is Control.STOP:
+        if entry is Control.STOP:
             return
-        if word is Control.RELOAD:
+        if entry is Control.RELOAD:
             reload_member(host, operator_file)
-        elif word in accepted:
-            host.update_metadata(NODE_STATES_BY_NAME[word])
+        elif entry in accepted_names:
+            host.update_metadata(NODE_STATES_BY_NAME[entry])
         else:
-            states.report_unknown(word, accepted)
+            state_input.report_unknown(entry, accepted_names)
 
 
 def reload_member(host: FleetHost, operator_file: str) -> None:
-    """Reads the file again; a file that cannot be used changes nothing."""
+    """Reloads the operator's file; if it is invalid, the member keeps its configuration."""
     from lilacwalk.membership.host import FleetError
     from lilacwalk.operator.errors import UnusableFileError
 
@@ -249,15 +257,24 @@
 
 @fleet.command()
 @click.argument("script", type=click.Path(exists=True, dir_okay=False))
-@click.option("--seed", default=None, type=int, help="instead of the script's")
 @click.option(
-    "--keep", type=click.Path(file_okay=False), help="keep files and logs of the processes here"
+    "--seed",
+    default=None,
+    type=int,
+    help="seed of the random draws, in place of the seed in SCRIPT",
+)
+@click.option(
+    "--keep",
+    type=click.Path(file_okay=False),
+    help="directory in which the files and logs of the processes are kept",
+)
+@click.option(
+    "--quiet", is_flag=True, help="print only the failed expectations and the final count"
 )
-@click.option("--quiet", is_flag=True, help="the verdict alone")
 def drill(script: str, seed: int | None, keep: str | None, quiet: bool) -> None:
-    """Play SCRIPT: real processes, faults between them, and what they believed.
+    """Run the fault-injection scenario SCRIPT with real processes, and check its expectations.
 
-    Exit codes: 0 all expectations held; 3 one did not; 2 the script cannot be used.
+    Exit codes: 0 all expectations are met, 2 SCRIPT is invalid, 3 an expectation is not met.
     """
     from lilacwalk.testing.scenario import BadScriptError, play, read
 
--- a/lilacwalk/commands/node_states.py
+++ b/lilacwalk/commands/node_states.py
@@ -1,4 +1,4 @@
-"""What drives a subsystem that runs beside another program: node states by line, and signals."""
+"""Input of commands that run beside another program: lines with node states, and signals."""
 
 from __future__ import annotations
 
@@ -17,21 +17,25 @@
 
 
 class Control(enum.Enum):
-    """What the operating system asks for."""
+    """A request to stop or reload, by a signal or the end of standard input."""
 
     STOP = "stop"
     RELOAD = "reload"
 
 
 class NodeStateInput:
-    """Owns the queue of state names from standard input and of requests from signals.
+    """Owns the queue of lines from standard input and of requests by signals.
 
-    SIGTERM and SIGINT ask to stop, SIGHUP asks to reload. The daemon thread `states` reads the
-    lines; it ends with the input.
+    SIGTERM and SIGINT request a stop, SIGHUP a reload. The daemon thread `states` reads standard
+    input until its end.
     """
 
     def __init__(self, *, stops_at_end_of_input: bool) -> None:
-        """Takes over the signals; lines are read from `start` on."""
+        """Installs the signal handlers; `start` begins to read lines.
+
+        Args:
+            stops_at_end_of_input: whether the end of standard input requests a stop.
+        """
         self._queue: SimpleQueue[str | Control] = SimpleQueue()
         self._stops_at_end_of_input = stops_at_end_of_input
         self._unknown_words = ReportThrottle()
@@ -40,18 +44,18 @@
         signal.signal(signal.SIGHUP, lambda *_: self._queue.put(Control.RELOAD))
 
     def start(self) -> None:
-        """Starts to read standard input."""
+        """Starts the thread that reads standard input."""
         threading.Thread(target=self._read_lines, name="states", daemon=True).start()
 
     def next(self, timeout: float | None = None) -> str | Control | None:
-        """The next word or request; None after `timeout` seconds without one."""
+        """Waits for the next line or request; returns None after `timeout` seconds without one."""
         try:
             return self._queue.get(timeout=timeout)
         except Empty:
             return None
 
     def report_unknown(self, word: str, expected: Iterable[str]) -> None:
-        """Logs a word that is not a state, at a limited rate."""
+        """Logs a line that is not the name of a node state, at a limited rate."""
         if count := self._unknown_words.count_and_check():
             log.warning(
                 {
--- a/lilacwalk/commands/options.py
+++ b/lilacwalk/commands/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share, and what commands do with the operator's file."""
+"""Options that several commands share, and functions that load the operator's file for commands."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 if TYPE_CHECKING:
     from lilacwalk.operator.schema import OperatorConfig
 
-EXIT_UNUSABLE = 2  # the command line, a file or an address cannot be used
+EXIT_UNUSABLE = 2  # the command line or a file is invalid, or an address cannot be used
 
 operator_file_option = click.option(
     "--file",
     "operator_file",
     metavar="FILE",
     type=click.Path(dir_okay=False),
-    help="the operator's own file (an example: deploy/lilacwalk.conf)",
+    help="operator's file (example: deploy/lilacwalk.conf)",
 )
 settings_option = click.option(
     "--config",
@@ -25,13 +25,14 @@
     metavar="FILE",
     envvar="ROUTER_CONFIG",
     type=click.Path(dir_okay=False),
-    help="the configuration as JSON (default: the file that ROUTER_CONFIG names)",
+    help="process configuration as JSON (default: the file named by ROUTER_CONFIG)",
 )
 log_level_option = click.option(
     "--log-level",
     default="info",
     show_default=True,
     type=click.Choice(["debug", "info", "warning", "error"]),
+    help="lowest level of the log lines that are written",
 )
 running_file_option = click.option(
     "--file",
@@ -39,22 +40,22 @@
     metavar="FILE",
     required=True,
     type=click.Path(dir_okay=False),
-    help="the operator's own file of the running program",
+    help="operator's file; for a query, the file of the running program",
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="the whole answer as JSON")
+json_option = click.option("--json", "as_json", is_flag=True, help="print the whole result as JSON")
 
 
 def exit_unusable(message: object) -> NoReturn:
-    """Ends the command with exit code 2 and a message on standard error."""
+    """Prints a message to standard error and exits with code 2."""
     print(message, file=sys.stderr)
     sys.exit(EXIT_UNUSABLE)
 
 
 def load_with_block(operator_file: str, block_name: str) -> OperatorConfig:
-    """Loads an operator's file in which a block must stand.
+    """Loads an operator's file that must contain a block.
 
     Raises:
-        UnusableFileError: the block is not there, or the file cannot be used.
+        UnusableFileError: the file is invalid or cannot be read, or the block is missing.
     """
     from lilacwalk.operator.errors import UnusableFileError
     from lilacwalk.operator.loader import load_operator_file
@@ -69,7 +70,7 @@
 
 
 def require_config(operator_file: str, block_name: str) -> OperatorConfig:
-    """Loads an operator's file with a block; ends the command with 2 where that is impossible."""
+    """Loads an operator's file that must contain a block; on an error, exits with code 2."""
     from lilacwalk.operator.errors import UnusableFileError
 
     try:
@@ -79,28 +80,28 @@
 
 
 def require_block(operator_file: str, block_name: str, *, needs_socket: bool = False) -> Any:
-    """One block of an operator's file; ends the command with 2 where it is not there.
+    """Returns one block of an operator's file; if it is missing, exits with code 2.
 
     Args:
         operator_file: the file's path.
-        block_name: the block's keyword.
-        needs_socket: the block must also name its admin socket.
+        block_name: the keyword of the block.
+        needs_socket: whether the block must also set the path of an admin socket.
     """
     block = getattr(require_config(operator_file, block_name), block_name)
     if needs_socket and block.socket is None:
-        exit_unusable(f"{operator_file}:1: {block_name}: expected socket in this block")
+        exit_unusable(f"{operator_file}:1: {block_name}: expected a socket in this block")
     return block
 
 
-def query_or_exit(socket_path: str, question: str) -> Any:
-    """The answer of a program's admin socket; ends the command with 2 where there is none."""
+def query_or_exit(socket_path: str, query_line: str) -> Any:
+    """Returns the answer of a program's admin socket; without an answer, exits with code 2."""
     from lilacwalk.protocols.admin_socket import query
 
     try:
-        answer = query(socket_path, question)
+        answer = query(socket_path, query_line)
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or error
-        exit_unusable(f"lilacwalk: nobody answers at {socket_path}: {reason}")
+        exit_unusable(f"lilacwalk: no answer from the admin socket {socket_path}: {reason}")
     if isinstance(answer, dict) and "error" in answer:
         exit_unusable(f"lilacwalk: {answer['error']}")
     return answer
--- a/lilacwalk/commands/serve.py
+++ b/lilacwalk/commands/serve.py
@@ -1,4 +1,4 @@
-"""`lilacwalk serve` runs an app server; `lilacwalk check` checks the files that it would read."""
+"""`lilacwalk serve` runs an app server; `lilacwalk check` validates its files."""
 
 from __future__ import annotations
 
@@ -22,24 +22,26 @@
 @operator_file_option
 @log_level_option
 def serve(settings_file: str | None, operator_file: str | None, log_level: str) -> None:
-    """Serve until SIGTERM; SIGHUP reads both files again."""
+    """Run an app server until SIGTERM; SIGHUP reloads both files."""
     if settings_file is None:
-        message = "no configuration: give --config or set ROUTER_CONFIG"
+        message = "no configuration: expected --config or the environment variable ROUTER_CONFIG"
         raise click.UsageError(message)
     start_logging(getattr(logging, log_level.upper()))
     sys.exit(startup.serve(settings_file, operator_config_reader(operator_file)))
 
 
 @click.command(
-    help="Read the configuration, the operator's own file or both, as `serve` would, and say what "
-    "they mean."
+    help="Validate the configuration, the operator's file or both, as `serve` would, and print the "
+    "settings in them."
 )
 @settings_option
 @operator_file_option
 def check(settings_file: str | None, operator_file: str | None) -> None:
-    """Checks the given files and prints what they mean."""
+    """Validates the given files and prints the settings in them."""
     if settings_file is None and operator_file is None:
-        message = "nothing to check: give --config, --file or both, or set ROUTER_CONFIG"
+        message = (
+            "no file to check: expected --config, --file or the environment variable ROUTER_CONFIG"
+        )
         raise click.UsageError(message)
     exit_code = 0
     if operator_file is not None:
@@ -52,7 +54,10 @@
 
 
 def operator_config_reader(path: str | None) -> OperatorConfigReader | None:
-    """What reads the operator's file, at start and at each SIGHUP; None where there is no file."""
+    """Returns the function that reads the operator's file at start and at each SIGHUP.
+
+    Returns None if no file is given.
+    """
     if path is None:
         return None
     from lilacwalk.operator.errors import UnusableFileError
--- a/lilacwalk/commands/storage.py
+++ b/lilacwalk/commands/storage.py
@@ -1,4 +1,4 @@
-"""`lilacwalk storage`: what a store holds, whether it is complete, compaction and export."""
+"""`lilacwalk storage`: shows, checks, compacts and exports a store."""
 
 from __future__ import annotations
 
@@ -22,35 +22,38 @@
 if TYPE_CHECKING:
     from lilacwalk.storage.recovery import RecoveryResult
 
-EXIT_DAMAGED = 3
+EXIT_INCOMPLETE = 3
 NS_PER_TENTH_OF_MS = 100_000
 TENTHS_OF_MS_PER_SECOND = 10_000
 
 
 @click.group()
 def storage() -> None:
-    """What outlives a crash: look at it, check it, make it small, export it."""
+    """Show, check, compact or export the store, whose content survives a crash."""
 
 
 def recover_store(directory: str) -> RecoveryResult:
-    """What a start would recover from a store, without writing; ends the command with 2 if none."""
+    """Returns the data that a start would recover from a store, without writing to the store.
+
+    If the directory does not exist or cannot be read, exits with code 2.
+    """
     from lilacwalk.storage.disk import Directory
     from lilacwalk.storage.recovery import recover
 
     if not Path(directory).is_dir():  # `Directory` would create it
-        exit_unusable(f"lilacwalk: {directory}: no such directory")
+        exit_unusable(f"lilacwalk: cannot read the store {directory}: no such directory")
     try:
         disk = Directory(directory)
         return recover(disk.list_files(), disk.read)
     except OSError as error:
-        exit_unusable(f"lilacwalk: {directory}: {error.strerror}")
+        exit_unusable(f"lilacwalk: cannot read the store {directory}: {error.strerror}")
 
 
 def summarize(recovered: RecoveryResult, now: int) -> dict[str, Any]:
-    """What a store holds, under the keys of the printed answer.
+    """Returns a summary of a store, with the keys that `lilacwalk storage check --json` prints.
 
     Args:
-        recovered: what a start would recover.
+        recovered: data that a start would recover.
         now: Unix time in tenths of a millisecond.
     """
     from lilacwalk.storage.state import Table, clock_set_back
@@ -72,7 +75,7 @@
 
 
 def unix_time_tenths_of_ms() -> int:
-    """The time in the unit of stored rows."""
+    """Returns Unix time in tenths of a millisecond, the unit in stored rows."""
     return time.time_ns() // NS_PER_TENTH_OF_MS
 
 
@@ -80,7 +83,7 @@
 @running_file_option
 @json_option
 def show(operator_file: str, as_json: bool) -> None:
-    """The running program's store: its state, the rule while it cannot keep, what it holds."""
+    """Show the running program's store: state, size, and the rule for effects not persisted."""
     block = require_block(operator_file, "store", needs_socket=True)
     status = query_or_exit(block.socket, "show")
     if as_json:
@@ -91,24 +94,24 @@
 
 
 @storage.command(
-    help="Read a store as a start would, and write nothing. Exit codes: 0 whole, 3 something is "
-    "cut off or missing, 2 it cannot be read."
+    help="Read a store as at a start, without writing, and check whether it is complete. Exit "
+    "codes: 0 complete, 2 the store cannot be read, 3 data is truncated or missing."
 )
 @running_file_option
 @json_option
 def check(operator_file: str, as_json: bool) -> None:
-    """Prints what a store holds and whether it is complete."""
+    """Prints a summary of a store and whether it is complete."""
     recovered = recover_store(require_block(operator_file, "store").directory)
     summary = summarize(recovered, unix_time_tenths_of_ms())
     if as_json:
         print(json.dumps(summary, indent=2))
     else:
         print_summary(summary)
-    sys.exit(0 if summary["whole"] else EXIT_DAMAGED)
+    sys.exit(0 if summary["whole"] else EXIT_INCOMPLETE)
 
 
 def print_summary(summary: dict[str, Any]) -> None:
-    """Prints a store's summary in a line, then a line for each warning."""
+    """Prints the summary of a store as one line, then each warning as a line."""
     tables = " ".join(f"{name}={count}" for name, count in summary["tables"].items())
     print(
         f"rows={summary['rows']} over={summary['over']} "
@@ -121,13 +124,12 @@
 
 
 @storage.command(
-    help="Write the rows that are still believed anew, and drop the rest. Not beside a running "
-    "program."
+    help="Rewrite a store without its expired rows. No running program may have the store open."
 )
 @running_file_option
-@click.option("--node", required=True, help="the name under which the app server uses it")
+@click.option("--node", required=True, help="name of the app server that owns the store")
 def compact(operator_file: str, node: str) -> None:
-    """Rewrites a store without its outdated rows."""
+    """Rewrites a store without its expired rows."""
     from lilacwalk.storage.compaction import compact as compact_store
     from lilacwalk.storage.disk import Directory
     from lilacwalk.storage.ownership import OwnershipError
@@ -140,7 +142,9 @@
     except OwnershipError as error:
         exit_unusable(f"lilacwalk: {error}")
     except OSError as error:
-        exit_unusable(f"lilacwalk: {error.filename or path}: {error.strerror}")
+        exit_unusable(
+            f"lilacwalk: cannot compact the store: {error.filename or path}: {error.strerror}"
+        )
     print(
         f"rows={result.row_count} bytes_before={result.bytes_before} "
         f"bytes_after={result.bytes_after}"
@@ -151,10 +155,10 @@
 @running_file_option
 @click.argument("target", type=click.Path(dir_okay=False, writable=True))
 def export(operator_file: str, target: str) -> None:
-    """All rows as a Parquet file TARGET, for other tools. Needs the extra `experiments`."""
+    """Export all rows to the Parquet file TARGET. Requires the extra `experiments`."""
     recovered = recover_store(require_block(operator_file, "store").directory)
     try:
         from lilacwalk.experiments.store_export import export as export_rows
     except ImportError as error:
-        exit_unusable(f"lilacwalk: {error}: requirements-experiments.txt names what it needs")
+        exit_unusable(f"lilacwalk: {error}: install the packages in requirements-experiments.txt")
     print(f"rows={export_rows(recovered.state, target)}")
--- a/lilacwalk/commands/storms.py
+++ b/lilacwalk/commands/storms.py
@@ -1,4 +1,4 @@
-"""`lilacwalk storms`: retry storms as the running program sees and damps them."""
+"""`lilacwalk storms`: queries the detection and damping of retry storms."""
 
 from __future__ import annotations
 
@@ -16,31 +16,32 @@
 
 @click.group()
 def storms() -> None:
-    """Storms of retries: what is seen of one, and what is done about it."""
+    """Query the detection and damping of retry storms."""
 
 
 @storms.command()
 @running_file_option
 @json_option
 def show(operator_file: str, as_json: bool) -> None:
-    """Stage, tries against the usual, the part that asks again, what was turned away and why."""
+    """Show the damping stage, attempts and retries against the baseline, and rejections."""
     block = require_block(operator_file, "storms", needs_socket=True)
     status = query_or_exit(block.socket, "show")
     if as_json:
         print(json.dumps(status, indent=2))
         return
-    print(f"{status['stage']}: {status['why']} (since {status['since_ms'] / 1000:.1f} s)")
+    print(f"{status['stage']}: {status['why']} (for {status['since_ms'] / 1000:.1f} s)")
     print(
-        f"tries {status['tries']:g} a second (usually {status['usual_tries']:g}), "
-        f"{status['first']:g} first ones; {status['repeats']:.0%} ask again "
-        f"(usually {status['usual_repeats']:.0%})"
+        f"attempts {status['tries']:g} per second (baseline {status['usual_tries']:g}), "
+        f"first attempts {status['first']:g} per second, retries {status['repeats']:.0%} of the "
+        f"attempts (baseline {status['usual_repeats']:.0%})"
     )
     print(
-        f"completed {status['completed']:g} a second, {status['line_ms']} ms to an answer, "
-        f"connects {status['connects']:g} (usually {status['usual_connects']:g}), "
-        f"bunched {status['bunched']:g}"
+        f"completions {status['completed']:g} per second, expected response time "
+        f"{status['line_ms']} ms, connects {status['connects']:g} per second "
+        f"(baseline {status['usual_connects']:g}), periodicity {status['bunched']:g}"
     )
     print(
-        f"passed on {status['passed']}, turned away: beyond the budget {status['shed_budget']}, "
-        f"too late {status['shed_late']}; repeats paid for {status['retries_paid']}"
+        f"passed to the controller {status['passed']}, rejected: beyond the retry budget "
+        f"{status['shed_budget']}, too late {status['shed_late']}; "
+        f"retries admitted by the budget {status['retries_paid']}"
     )
--- a/lilacwalk/commands/version.py
+++ b/lilacwalk/commands/version.py
@@ -1,4 +1,4 @@
-"""`lilacwalk version`."""
+"""`lilacwalk version`: prints the version."""
 
 from __future__ import annotations
 
