--- a/lilacwalk/overload/admission.py
+++ b/lilacwalk/overload/admission.py
@@ -37,7 +37,7 @@
         self._latency = latency
         self.random_source = random.Random(server.seed)
         self.admission_probability = 1.0
-        self.last_error = 0.0
+        self.last_error = 0.0  # e of the last update
         self._arrivals = 0  # requests read in this control period
         self._arrival_rate = 0.0  # λ, requests per second
 
@@ -50,7 +50,10 @@
         return self.random_source.random() < self.admission_probability
 
     def update(self) -> None:
-        """Updates the admission probability, once each control period."""
+        """Updates the admission probability; to be called once each control period.
+
+        The probability does not change if no response was recorded and no cores are free.
+        """
         self._arrival_rate = self._arrivals * SECOND / CONTROL_PERIOD
         self._arrivals = 0
         has_free_cores = self._load.has_free_cores()
@@ -101,7 +104,10 @@
         )
 
     def restore(self, *, probability: float, last_error: float, weight: float) -> None:
-        """Interpolates towards the state of an earlier incarnation; `weight` is from 0 to 1."""
+        """Moves the state of a new controller towards that of an earlier incarnation.
+
+        The higher `weight` (0 to 1), the more the earlier state counts.
+        """
         current = self.admission_probability
         restored = current + weight * (probability - current)
         self.admission_probability = max(MINIMUM_ADMISSION_PROBABILITY, restored)
--- a/lilacwalk/overload/admission_gate.py
+++ b/lilacwalk/overload/admission_gate.py
@@ -20,7 +20,10 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class AdmissionGate:
-    """Admits requests or rejects them immediately. Has no state of its own."""
+    """Admits requests or rejects them immediately. Has no state of its own.
+
+    `deadline_margin` is in tenths of a millisecond.
+    """
 
     context: BatchContext
     server: ServerSettings
@@ -34,8 +37,13 @@
     deadline_margin: int
 
     def admit(self, request: Request) -> bool:
-        """Returns whether the request is admitted; if not, it has been answered."""
-        # Drawn even if another check rejects the request, so that draws depend on arrivals only.
+        """Decides on a request; if it is not admitted, also answers and ends it.
+
+        Returns:
+            Whether the request is admitted.
+        """
+        # Drawn even if another check rejects the request, so that the sequence of random draws
+        # depends on arrivals only.
         passes_draw = self.admission.draw()
         if self._cannot_serve(request):
             self.termination.reject_or_fail(request)
@@ -63,6 +71,7 @@
         return self.load.memory_kb + key_kb > self.load.memory_limit_kb()
 
     def _is_feasible(self, request: Request) -> bool:
+        """Whether the request can finish in time behind the requests that are queued now."""
         queue_wait = self.feasibility.queue_wait(request)
         return self.feasibility.can_finish_in_time(request, queue_wait)
 
@@ -71,8 +80,8 @@
 
         Each further attempt makes another server read the request, and a large fleet allows many
         attempts. Retries elsewhere are wasteful if the request is itself a retry, if it is too late
-        for any server, or if this server currently rejects many requests. The last rule applies
-        even if only this server is slow, and then prevents attempts that a faster server would
+        for any server, or if this server currently rejects many requests. The last condition holds
+        even if only this server is slow; it then prevents attempts that a faster server would
         complete.
         """
         return not self.drain.is_active and (
--- a/lilacwalk/overload/batch_context.py
+++ b/lilacwalk/overload/batch_context.py
@@ -13,7 +13,8 @@
     """The time and decision sink of the current batch, and actions scheduled for later batches.
 
     Owned by the controller, which sets `now` and `sink` before the first event of a batch. Actions
-    that are due at the same time run in the order in which they were scheduled.
+    that are due at the same time run in the order in which they were scheduled. Times are in tenths
+    of a millisecond.
     """
 
     __slots__ = ("_scheduled", "_sequence", "now", "sink")
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -6,13 +6,14 @@
 
 RETURNING_WEIGHT = 0.05  # weight of the newest request in the moving average `returning_share`
 ACTIVITY_DECAY = 0.8  # factor applied to each client's activity once per control period
-MINIMUM_ACTIVITY = 0.05  # a client whose activity is not above this value is removed
-# Clients whose activity is below this value do not get a histogram of timeouts of their own, but
-# use a common one.
+MINIMUM_ACTIVITY = 0.05  # a client is removed unless its activity is above this value
+# Clients whose activity is below this value have no histograms of timeouts of their own; they share
+# one for each request class.
 MINIMUM_TRACKED_ACTIVITY = 2
 TIMEOUT_BUCKETS = 50  # number of histogram buckets between 0 and the timeout of the request class
 MAXIMUM_TIMEOUT_COUNT = 400  # number of requests in a histogram above which its counts are halved
-# A timeout is one of the client's usual ones if at least this fraction of its requests have it.
+# A timeout is one of the client's usual ones if at least this fraction of its requests have about
+# the same timeout.
 USUAL_TIMEOUT_SHARE = 0.25
 
 
@@ -20,13 +21,14 @@
     """Owns the recent activity of each client and histograms of the timeouts of its requests."""
 
     def __init__(self) -> None:
-        """Creates a tracker without clients that assumes all requests to be from returning ones."""
+        """Creates a tracker that knows no clients; `returning_share` starts at 1."""
         # The activity by client: its number of requests, which decays over time.
         self.activity: dict[int, float] = {}
-        # Fraction of requests that come from a client with earlier requests in the last seconds.
+        # Moving average of the fraction of requests from clients that sent earlier requests in the
+        # last seconds.
         self.returning_share = 1.0
-        # Histograms of timeouts (bucket to count) by client and request class. The key None is for
-        # all clients whose activity is low.
+        # Histograms of timeouts (bucket to count) by client and request class. All clients whose
+        # activity is low share the histograms of the client None.
         self.timeout_counts: dict[tuple[int | None, RequestClass], dict[int, float]] = {}
 
     def record_request(self, client: int) -> None:
@@ -42,7 +44,8 @@
             for client, activity in self.activity.items()
             if activity > MINIMUM_ACTIVITY
         }
-        # A client has another number after a restart, so histograms of removed clients are useless.
+        # A client has another number after it restarts, so histograms of removed clients would not
+        # be used again.
         known = {None, *self.activity}
         self.timeout_counts = {
             key: counts for key, counts in self.timeout_counts.items() if key[0] in known
@@ -55,6 +58,12 @@
         attempt with the remainder of the request class's timeout. An unusual timeout therefore
         reveals the age of the request, which its arrival time does not show. The estimate is wrong
         for clients that have no usual timeouts.
+
+        Also counts the timeout in a histogram, and is therefore to be called once for each request,
+        after `record_request`.
+
+        Returns:
+            The time in tenths of a millisecond; 0 if the timeout is a usual one.
         """
         stated_timeout = request.deadline - request.arrived_at
         class_timeout = request.request_class.timeout
--- a/lilacwalk/overload/concurrency_limit.py
+++ b/lilacwalk/overload/concurrency_limit.py
@@ -20,8 +20,10 @@
     def adapt(self) -> None:
         """Raises or lowers the limit by 1 according to the executor's latest gauges.
 
-        The limit grows while cores are free and requests are queued, up to half of the collapse
-        point and not during slow start. It shrinks while the run queue is longer than the limit.
+        The limit grows while it is reached, requests are queued and cores are free, but not during
+        slow start. Its maximum is half the number of runnable requests at which throughput
+        collapses. It shrinks while the run queue is longer than the limit. Its minimum is one
+        execution per core.
         """
         load = self._load
         cores = self._server.cores
--- a/lilacwalk/overload/connection_policy.py
+++ b/lilacwalk/overload/connection_policy.py
@@ -10,13 +10,13 @@
 MINIMUM_IDLE_TIME = SECOND // 4  # enough for a client that sends its next request immediately
 MAXIMUM_IDLE_TIME = 8 * SECOND
 # The overhead share is the fraction of the run queue that is caused by reading requests and by
-# connecting, not by executions. The idle time is doubled while the share is above the first value
-# and halved while it is below the second.
+# connecting, not by executions. The idle time is doubled while the share is above
+# HIGH_OVERHEAD_SHARE and halved while it is below LOW_OVERHEAD_SHARE.
 HIGH_OVERHEAD_SHARE = 0.5
 LOW_OVERHEAD_SHARE = 0.25
-OVERHEAD_WEIGHT = 0.3  # weight of the newest control period in the moving average of that share
+OVERHEAD_WEIGHT = 0.3  # weight of the newest control period in the mean overhead share
 # Idle connections are closed from the time when the fraction of requests from returning clients
-# falls below the first value until it reaches the second.
+# falls below CLOSE_BELOW_RETURNING_SHARE until it reaches CLOSE_UNTIL_RETURNING_SHARE.
 CLOSE_BELOW_RETURNING_SHARE = 0.4
 CLOSE_UNTIL_RETURNING_SHARE = 0.6
 
@@ -27,9 +27,9 @@
     Idle connections cost processor time and fill the connection table. They are useful only if
     clients return soon; if few clients do, connections are closed after a short idle time. However,
     if reading and connecting use more processor time than executions, a connection table full of
-    known clients is the cheapest way to reject others, and connections stay open while idle for
-    seconds. Long idle times are a disadvantage if opening connections is expensive and the table
-    is large, and for clients that find the table full although cores are free.
+    known clients is the cheapest way to reject others, and connections may stay idle for seconds.
+    Short idle times are a disadvantage if opening connections is expensive and the table is large;
+    long ones are a disadvantage for clients that find the table full although cores are free.
     """
 
     def __init__(self, context: BatchContext, load: ServerLoad, clients: ClientTracker) -> None:
@@ -41,7 +41,7 @@
         self._overhead_sum = 0.0  # sum of the run-queue entries that were not running executions
         self._overhead_share = 0.0
         self._idle_time = MINIMUM_IDLE_TIME
-        self._closes = False
+        self._closes_idle = False  # whether idle connections are closed
 
     def record_gauges(self) -> None:
         """Adds the executor's latest gauges to the sums of this control period."""
@@ -50,17 +50,19 @@
         self._overhead_sum += max(0.0, run_queue - self._load.running)
 
     def update(self) -> None:
-        """Updates the decision once each control period and passes a change to the sink."""
+        """Updates the idle time, once each control period, and passes any change to the sink."""
         newest_share = self._overhead_sum / max(1.0, self._run_queue_sum)
         self._overhead_share += OVERHEAD_WEIGHT * (newest_share - self._overhead_share)
         self._run_queue_sum = 0.0
         self._overhead_sum = 0.0
-        threshold = CLOSE_UNTIL_RETURNING_SHARE if self._closes else CLOSE_BELOW_RETURNING_SHARE
-        closes = self._clients.returning_share < threshold
+        threshold = (
+            CLOSE_UNTIL_RETURNING_SHARE if self._closes_idle else CLOSE_BELOW_RETURNING_SHARE
+        )
+        closes_idle = self._clients.returning_share < threshold
         idle_time = self._next_idle_time()
-        if closes != self._closes or (closes and idle_time != self._idle_time):
-            self._context.sink.close_idle_connections(idle_time if closes else 0)
-        self._closes = closes
+        if closes_idle != self._closes_idle or (closes_idle and idle_time != self._idle_time):
+            self._context.sink.close_idle_connections(idle_time if closes_idle else 0)
+        self._closes_idle = closes_idle
         self._idle_time = idle_time
 
     def _next_idle_time(self) -> int:
--- a/lilacwalk/overload/controller.py
+++ b/lilacwalk/overload/controller.py
@@ -38,9 +38,10 @@
 class Controller:
     """Makes the admission, dispatch and termination decisions of one app server.
 
-    The host passes events to `process_batch`, starting with `ServerStarted`, and carries out the
-    decisions that it receives through the sink. The controller owns the parts and the start time
-    of the next control period; the docstring of each part names the state that it owns.
+    The host (the app server, the emulator or the simulator adapter) passes events to
+    `process_batch`, starting with `ServerStarted`, and carries out the decisions that it receives
+    through the sink. The controller owns the parts and the start time of the next control period;
+    the docstring of each part names the state that it owns.
     """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
@@ -59,7 +60,7 @@
 
     @property
     def queue(self) -> list[Request]:
-        """Admitted requests whose execution has not started."""
+        """Admitted requests not yet dispatched, and duplicates that wait for one of them."""
         return self.parts.load.queue
 
     @property
@@ -84,17 +85,17 @@
 
     @property
     def mean_execution_time(self) -> float:
-        """The moving average of execution times over all request classes."""
+        """The mean execution time over all request classes, in tenths of a millisecond."""
         return self.parts.latency.mean_execution_time
 
     @property
     def execution_times(self) -> dict[RequestClass, float]:
-        """The moving average of execution times for each request class executed so far."""
+        """The mean execution time of each class executed so far, in tenths of a millisecond."""
         return self.parts.latency.execution_times
 
     @property
     def mean_unread_delay(self) -> float:
-        """The moving average of the time from a request's arrival until it is read."""
+        """The mean time from a request's arrival until it is read, in tenths of a millisecond."""
         return self.parts.latency.mean_unread_delay
 
     @property
@@ -104,7 +105,10 @@
 
     @property
     def calls_in_progress(self) -> int:
-        """The number of dependency calls in progress, including abandoned ones still executed."""
+        """The number of dependency calls in progress.
+
+        Includes abandoned calls that the dependency may still execute.
+        """
         return self.parts.dependency.in_progress
 
     @property
@@ -127,9 +131,10 @@
         )
 
     def restore_learned_state(self, earlier: LearnedState, weight: float) -> None:
-        """Interpolates towards the state of an earlier incarnation; `weight` is from 0 to 1.
+        """Moves the state of a new controller towards that of an earlier incarnation.
 
-        Slow start is not affected: the executor reports whether caches are cold.
+        The higher `weight` (0 to 1), the more the earlier state counts. Slow start is not affected:
+        the executor reports whether caches are cold.
         """
         parts = self.parts
         parts.admission.restore(
@@ -147,7 +152,10 @@
     # Events
 
     def process_batch(self, now: int, events: Sequence[Event], sink: DecisionSink) -> None:
-        """Handles the events since the last batch in order and passes decisions to `sink`."""
+        """Handles the events since the last batch in order and passes decisions to `sink`.
+
+        `now` is the current time in tenths of a millisecond.
+        """
         parts = self.parts
         parts.context.now = now
         parts.context.sink = sink
@@ -207,7 +215,7 @@
         parts.load.queue.append(request)
 
     def _estimate(self, request: Request) -> None:
-        """Sets the expected work, the objective deadline and the weight per work of a request."""
+        """Sets the expected work, objective deadline and weight per work of a new request."""
         request_class = request.request_class
         request.expected_work = self.parts.latency.expected_execution_time(request)
         objective = (
@@ -296,7 +304,7 @@
         parts.load_reporter.report_periodically()
 
     def _stall_started(self) -> None:
-        """Reports the server as unhealthy and rejects requests that another server may execute."""
+        """Reports the server as unhealthy and ends requests that another server may execute."""
         parts = self.parts
         parts.load_reporter.report_health(False)
         parts.context.sink.log(
--- a/lilacwalk/overload/decision_sink.py
+++ b/lilacwalk/overload/decision_sink.py
@@ -32,10 +32,10 @@
         """Cancels a running execution whose result is no longer needed."""
 
     def coalesce(self, request: Request, /) -> None:
-        """Responds to a duplicate with the result of the original request, once it is known."""
+        """Responds to a duplicate with the original request's result, once this is known."""
 
     def register_key(self, request: Request, lifetime: int, /) -> None:
-        """Stores the request's idempotency key for `lifetime`."""
+        """Stores the request's idempotency key for the duration `lifetime` from now."""
 
     def release_key(self, request: Request, /) -> None:
         """Removes the idempotency key of a request that was never executed."""
@@ -53,7 +53,10 @@
         """Sends a load report to clients; `LoadReportKind` defines the meaning of `value`."""
 
     def close_idle_connections(self, after: int, /) -> None:
-        """Closes client connections once they have been idle for `after`, or none if it is 0."""
+        """Closes client connections once they have been idle for `after`; if it is 0, closes none.
+
+        The decision holds until the next one.
+        """
 
     def set_timer(self, after: int, /) -> None:
         """Requests one `TimerExpired` event after the duration `after`."""
--- a/lilacwalk/overload/deduplication.py
+++ b/lilacwalk/overload/deduplication.py
@@ -8,16 +8,19 @@
 
 
 class Deduplication:
-    """Owns the links between duplicates and the memory that registered keys use."""
+    """Links duplicates to their originals, and accounts for the memory of registered keys.
+
+    The `Request` records contain the links, and `ServerLoad` owns the memory in use.
+    """
 
     def __init__(self, context: BatchContext, server: ServerSettings, load: ServerLoad) -> None:
-        """Creates deduplication on the controller's batch context, settings and load."""
+        """Stores the context, the settings and the load, which other parts also use."""
         self._context = context
         self._server = server
         self._load = load
 
     def register_key(self, request: Request) -> None:
-        """Registers the key of an admitted request for the rest of its deduplication window.
+        """Registers the idempotency key of a request for the rest of its deduplication window.
 
         The key is registered when the request is queued, not when it is dispatched, so that every
         duplicate that arrives within the window is detected.
@@ -41,11 +44,14 @@
             self._load.free_memory(self._server.deduplication_entry_kb)
 
     def attach(self, duplicate: Request) -> bool:
-        """Attaches a duplicate to its original; returns False if it has to be executed itself.
+        """Attaches a duplicate to its original request.
 
         If the original was dispatched, the duplicate is answered with its result; if the original
-        is queued, the duplicate waits for it. The two are never executed concurrently. If the
-        original ended without being executed, the duplicate replaces it.
+        is queued, the duplicate waits for it. The two are never executed concurrently.
+
+        Returns:
+            False if the original ended without being executed. The duplicate then no longer counts
+            as one, and may be admitted in place of the original.
         """
         original = duplicate.duplicate_of
         while original.duplicate_of and not original.was_dispatched:
@@ -73,16 +79,16 @@
         self._context.sink.coalesce(duplicate)
 
     def replace_unexecuted(self, request: Request) -> None:
-        """Replaces a request that ended without being executed by its first queued duplicate.
+        """Lets the first queued duplicate take the place of a request that was never executed.
 
-        Releases the key of the request if no duplicate is queued.
+        If no duplicate is queued, releases the key of the request.
         """
         queued = [other for other in request.duplicates if other.state is RequestState.QUEUED]
         if queued:
             successor, *others = queued
             successor.duplicate_of = None
             successor.duplicates = others
-            # Includes `request`, so that duplicates already linked to it find its successor.
+            # `request` also gets a link, so that duplicates that refer to it find its successor.
             for other in (request, *others):
                 other.duplicate_of = successor
             self.register_key(successor)
--- a/lilacwalk/overload/dependency_limiter.py
+++ b/lilacwalk/overload/dependency_limiter.py
@@ -5,16 +5,18 @@
 from lilacwalk.overload.batch_context import BatchContext
 from lilacwalk.overload.model import SECOND, Request, RequestState, ServerSettings
 
-CALLS_PER_CORE = 4.0  # full limit per core if `dependency_call_share` is not configured
+# The full limit (the limit while calls are not congested) per core, if `dependency_call_share` is
+# not configured.
+CALLS_PER_CORE = 4.0
 # Weight of the newest call in the mean call time. It is high because calls can become slow within
 # seconds.
 CALL_TIME_WEIGHT = 0.1
 BASELINE_WEIGHT = 0.005  # weight of the newest call in the baseline call time
-CONGESTED_BASELINE_DIVISOR = 20  # BASELINE_WEIGHT is divided by it while calls are congested
+CONGESTED_BASELINE_DIVISOR = 20  # divisor of BASELINE_WEIGHT while calls are congested
 # The first calls are averaged with equal weights, so that one unusual call does not determine the
 # baseline.
 INITIAL_CALLS = 20
-# A call counts for at most this multiple of the mean call time, so that one lost reply is not taken
+# A call time is counted as at most this multiple of the mean, so that one lost reply is not taken
 # for congestion.
 OUTLIER_CAP_MULTIPLE = 3
 # Calls are congested if their mean time exceeds the baseline by this factor, which is outside the
@@ -24,9 +26,9 @@
 # other reasons than its load would otherwise be left idle.
 MINIMUM_LIMIT_SHARE = 0.3
 LIMIT_DECREASE = 0.8  # factor applied to the limit after each call during congestion
-LIMIT_INCREASE_STEPS = 16  # number of calls after which the limit has grown by the full limit
-# After this time without a call, or without progress of any execution, estimates are ignored and a
-# call or execution is tried.
+LIMIT_INCREASE_STEPS = 16  # number of uncongested calls that raise the limit by the full limit
+# After this time without a call, or without progress of any execution, a call or an execution is
+# tried even if the estimates predict that it ends too late.
 PROBE_INTERVAL = SECOND
 
 
@@ -45,16 +47,18 @@
         self._context = context
         self._server = server
         self.pending: list[Request] = []  # requests whose call has not been made or skipped
-        self.in_progress = 0  # number of calls, including abandoned ones that are still executed
-        self.call_time = 0.0
-        self.baseline_call_time = 0.0
-        self.measured_calls = 0
+        # Number of calls, including abandoned ones that the dependency may still execute.
+        self.in_progress = 0
+        self.call_time = 0.0  # mean, in tenths of a millisecond
+        self.baseline_call_time = 0.0  # mean over a longer time, in tenths of a millisecond
+        self.measured_calls = 0  # number of calls in the two means
         self.limit = self._full_limit()  # maximum mean number of calls in progress
         self.is_congested = False
         self.next_call_at = context.now
         self._last_call_at = context.now
 
     def _full_limit(self) -> float:
+        """The maximum of the limit, which applies while calls are not congested."""
         share = self._server.dependency_call_share or CALLS_PER_CORE * self._server.cores
         return share if share < 1 else float(int(share))
 
@@ -63,7 +67,7 @@
         return self.in_progress >= max(1, int(self.limit)) or self._context.now < self.next_call_at
 
     def has_been_idle(self) -> bool:
-        """Whether no call was in progress for longer than PROBE_INTERVAL.
+        """Whether no call is in progress and the last one ended more than PROBE_INTERVAL ago.
 
         The mean call time is then ignored. Otherwise, once slow calls have made all requests
         infeasible, no further call would show that the dependency has recovered.
@@ -71,7 +75,10 @@
         return not self.in_progress and self._context.now - self._last_call_at > PROBE_INTERVAL
 
     def expected_wait(self, calls_needed: int) -> float:
-        """The time until `calls_needed` requests that cannot skip their call have made it."""
+        """The expected time until a call completes that has `calls_needed` others ahead of it.
+
+        The time is in tenths of a millisecond.
+        """
         return self.call_time * (1 + calls_needed / self.limit)
 
     def add_pending(self, request: Request) -> None:
@@ -88,7 +95,8 @@
     def end_call(self, elapsed: int, *, is_abandoned: bool) -> None:
         """Records that a call ended, or was abandoned, `elapsed` after its start.
 
-        An abandoned call counts as in progress until `abandoned_call_linger` has passed.
+        An abandoned call counts as in progress until `abandoned_call_linger` has passed. `elapsed`
+        is in tenths of a millisecond.
         """
         now = self._context.now
         linger = self._server.abandoned_call_linger
@@ -105,10 +113,13 @@
         self.end_call(0, is_abandoned=False)
 
     def record_call_time(self, elapsed: int) -> None:
-        """Updates the mean and baseline call times with a completed call and adapts the limit."""
+        """Updates the mean and baseline call times and adapts the limit.
+
+        `elapsed` is the duration of a call that succeeded or timed out, in tenths of a millisecond.
+        """
         self.measured_calls += 1
-        is_first = self.measured_calls <= INITIAL_CALLS
-        counted = elapsed if is_first else min(elapsed, OUTLIER_CAP_MULTIPLE * self.call_time)
+        is_initial = self.measured_calls <= INITIAL_CALLS
+        counted = elapsed if is_initial else min(elapsed, OUTLIER_CAP_MULTIPLE * self.call_time)
         weight = max(CALL_TIME_WEIGHT, 1 / self.measured_calls)
         self.call_time += weight * (counted - self.call_time)
         self.baseline_call_time += self._baseline_weight() * (counted - self.baseline_call_time)
@@ -125,7 +136,10 @@
         return BASELINE_WEIGHT / (CONGESTED_BASELINE_DIVISOR if self.is_congested else 1)
 
     def restore(self, *, call_time: float, baseline_call_time: float, weight: float) -> None:
-        """Adopts call times of an earlier incarnation unless calls have been measured."""
+        """Adopts the call times of an earlier incarnation, unless calls have been measured already.
+
+        The adopted times count as `weight` (0 to 1) times INITIAL_CALLS measured calls.
+        """
         if call_time and not self.measured_calls:
             self.call_time = call_time
             self.baseline_call_time = baseline_call_time
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -11,10 +11,11 @@
 from lilacwalk.overload.slow_start import SlowStart
 from lilacwalk.overload.termination import Termination
 
-# The first call of a request times out after this multiple of the mean call time.
+# The first call of an idempotent request times out after this multiple of the mean call time, once
+# enough calls have been measured and while calls are not congested.
 CALL_TIMEOUT_MULTIPLE = 10
 # Calls are made only while the number of executions that run or will resume after a call is below
-# this fraction of the safe concurrency.
+# this fraction of the safe concurrency, or below the number of cores plus 1 if that is greater.
 RESUMED_CONCURRENCY_SHARE = 0.75
 
 
@@ -42,7 +43,10 @@
         termination: Termination,
         deadline_margin: int,
     ) -> None:
-        """Creates the scheduler on the parts of the controller that it uses."""
+        """Stores the parts of the controller that the scheduler uses.
+
+        `deadline_margin` is in tenths of a millisecond.
+        """
         self._context = context
         self._server = server
         self._load = load
@@ -52,7 +56,8 @@
         self._limiter = limiter
         self._termination = termination
         self._deadline_margin = deadline_margin
-        # Only classes with this value make calls while calls are congested and at their limit.
+        # While calls are congested and at their limit, classes that would lose less weight by
+        # skipping their calls skip them.
         self._greatest_lost_weight = max(
             (
                 weight_lost_by_skipping(each)
@@ -63,12 +68,16 @@
         )
 
     def decide_pending_calls(self) -> None:
-        """Makes pending calls up to the limit; skips calls or ends requests that are too late."""
+        """Makes pending calls up to the limit.
+
+        If a call would end too late or may not be made, skips the call or ends the request.
+        """
         if not self._limiter.pending:
             return
         waiting = [request for request in self._limiter.pending if not request.answered]
         waiting.sort(key=lambda request: -weight_lost_by_skipping(request.request_class))
-        # Executions that resume after a call are added to those within the concurrency limit.
+        # Executions that resume after a call run in addition to those that the concurrency limit
+        # permits, so that their number needs a limit of its own.
         limit = max(
             self._server.cores + 1,
             RESUMED_CONCURRENCY_SHARE * self._slow_start.safe_concurrency(),
@@ -109,7 +118,7 @@
     def _is_late(self, request: Request, position: int) -> bool:
         """Whether a call would end too late for a useful response.
 
-        `position` is the number of calls that are to be made before it.
+        `position` is the number of pending calls that are to be made before this one.
         """
         limiter = self._limiter
         expected_call_time = 0.0 if limiter.has_been_idle() else limiter.call_time
@@ -124,7 +133,7 @@
         )
 
     def _must_skip(self, request_class: RequestClass) -> bool:
-        """Whether the class has to skip its calls, so that classes that would lose more can call.
+        """Whether requests of the class must skip their calls in favor of classes that lose more.
 
         This applies only while calls are congested and no further call is permitted.
         """
@@ -140,6 +149,7 @@
         self._context.sink.call_dependency(request, timeout_at)
 
     def _call_timeout_at(self, request: Request) -> int:
+        """The time at which a call that is made now times out."""
         now = self._context.now
         limiter = self._limiter
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
--- a/lilacwalk/overload/drain.py
+++ b/lilacwalk/overload/drain.py
@@ -17,6 +17,6 @@
         return bool(self.terminate_at)
 
     def begin(self, *, grace_ends_at: int, terminate_at: int) -> None:
-        """Starts the drain."""
+        """Starts the drain with these times, in tenths of a millisecond."""
         self.grace_ends_at = grace_ends_at
         self.terminate_at = terminate_at
--- a/lilacwalk/overload/events.py
+++ b/lilacwalk/overload/events.py
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutionFinished:
-    """The execution of a request has ended, or the host has stopped waiting for its outcome."""
+    """The execution of a dispatched request has ended or will not start.
+
+    For a coalesced duplicate: it has been answered, with or without the original's result.
+    """
 
     request: Request
     outcome: Outcome
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """A dependency call has ended `elapsed` after its start."""
+    """A dependency call has ended or timed out, `elapsed` after its start."""
 
     request: Request
     outcome: Outcome
--- a/lilacwalk/overload/feasibility.py
+++ b/lilacwalk/overload/feasibility.py
@@ -13,16 +13,20 @@
 from lilacwalk.overload.model import Effect, Request
 from lilacwalk.overload.server_load import ServerLoad
 
-# Fraction of the expected work for which there must be time. It is below 1 because execution times
-# vary widely.
+# An execution must have at least this fraction of its expected work as time until its deadline. The
+# fraction is below 1 because execution times vary widely.
 REQUIRED_TIME_SHARE = 0.7
-# Value of `late_weight_share` from which late responses are useful even if no cores are free.
+# Responses that miss the latency objective are useful even if no cores are free if
+# `late_weight_share` is at least this value.
 LOADED_LATE_SHARE = 0.5
 
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Feasibility:
-    """Estimates response times from execution times and queues. Has no state of its own."""
+    """Estimates response times from execution times and queues. Has no state of its own.
+
+    All times and durations are in tenths of a millisecond.
+    """
 
     context: BatchContext
     load: ServerLoad
@@ -33,7 +37,7 @@
     deadline_margin: int
 
     def useful_response_deadline(self, request: Request) -> int:
-        """The time after which a response is not worth executing the request.
+        """The time after which a response is no longer useful.
 
         If a response that misses the latency objective retains little weight, it is useful only
         while cores are free, because then no other request needs them.
@@ -45,7 +49,11 @@
         return min(request.objective_deadline, latest)
 
     def can_finish_in_time(self, request: Request, queue_wait: float) -> bool:
-        """Whether a request that waits for `queue_wait` can be answered while that is useful."""
+        """Whether a request can be answered while a response is useful.
+
+        `queue_wait` is the expected time until its execution starts. A response is not useful
+        either once a drain has ended.
+        """
         now = self.context.now
         until = min(self.useful_response_deadline(request), self.drain.terminate_at or inf)
         wait = queue_wait
@@ -71,7 +79,7 @@
         )
 
     def queue_wait(self, request: Request) -> float:
-        """The expected time in the queue, behind requests of equal or higher weight per work."""
+        """The expected time in the queue behind requests of equal or higher weight per work."""
         load = self.load
         if load.running < self.concurrency.limit and not load.queue:
             return 0.0
@@ -83,7 +91,10 @@
         return (work_ahead + self.latency.mean_execution_time) / self.concurrency.limit
 
     def _dependency_wait(self) -> float:
-        """The time until all open requests that cannot skip their call have completed it."""
+        """The expected time until all open requests that cannot skip their call have completed it.
+
+        It is 0 if no call was made recently, as the mean call time may then be outdated.
+        """
         if self.dependency.has_been_idle():
             return 0.0
         calls_needed = sum(
--- a/lilacwalk/overload/latency_estimator.py
+++ b/lilacwalk/overload/latency_estimator.py
@@ -9,7 +9,7 @@
 from lilacwalk.overload.model import LearnedState, Request, RequestClass, ServerSettings
 from lilacwalk.overload.server_load import ServerLoad
 
-EXECUTION_TIME_WEIGHT = 0.05  # weight of the newest execution in mean execution times
+EXECUTION_TIME_WEIGHT = 0.05  # weight of the newest execution in means of execution times
 UNREAD_DELAY_WEIGHT = 0.1  # weight of the newest request in the mean unread delay
 MAXIMUM_HINT_RATIO = 10.0  # cap on the ratio of measured to hinted execution time of one request
 # The initial mean execution time is the shortest latency objective divided by this number.
@@ -17,7 +17,10 @@
 
 
 class LatencyEstimator:
-    """Owns mean execution times and the latency ratios T measured in recent control periods."""
+    """Owns mean execution times and the latency ratios T measured in recent control periods.
+
+    Times and durations are in tenths of a millisecond.
+    """
 
     def __init__(
         self, server: ServerSettings, load: ServerLoad, concurrency: ConcurrencyLimit
@@ -33,9 +36,10 @@
         # Mean time from the arrival of a request at the machine until it is read.
         self.mean_unread_delay = 0.0
         self._hint_ratio = 1.0  # mean ratio of measured to hinted execution time
+        # Sum and number of the measured values of T. Both are halved after each control period.
         self.ratio_sum = 0.0
         self.ratio_count = 0.0
-        self._objective_sum = 0.0
+        self._objective_sum = 0.0  # sum of the latency objectives of this period's responses
         self.responses_in_period = 0
 
     def record_unread_delay(self, request: Request) -> None:
@@ -65,7 +69,7 @@
             self._hint_ratio += EXECUTION_TIME_WEIGHT * (ratio - self._hint_ratio)
 
     def record_response(self, request: Request, now: int) -> None:
-        """Adds the latency ratio T of a request that is answered now or ended as too late."""
+        """Adds the latency ratio T of a request that is answered or, as too late, ended now."""
         objective = max(1, request.objective_deadline - request.arrived_at)
         self.ratio_sum += (now - request.arrived_at - request.dependency_wait) / objective
         self.ratio_count += 1
@@ -84,14 +88,14 @@
         return self.ratio_sum / self.ratio_count if self.ratio_count else None
 
     def update_mean_objective(self) -> None:
-        """Sets the mean latency objective A to that of this control period's responses, if any."""
+        """Sets A, the mean latency objective, to that of this period's responses, if any."""
         if self.responses_in_period:
             self.mean_latency_objective = self._objective_sum / self.responses_in_period
 
     def end_period(self) -> None:
-        """Ends a control period.
+        """Ends a control period: values of T measured so far get half their weight.
 
-        The mean of T covers about two control periods, which dampens outliers.
+        The mean of T therefore covers about two control periods, which dampens outliers.
         """
         self.ratio_sum = self.ratio_sum / 2
         self.ratio_count = self.ratio_count / 2
@@ -99,7 +103,10 @@
         self.responses_in_period = 0
 
     def restore(self, earlier: LearnedState, weight: float) -> None:
-        """Interpolates towards times of an earlier incarnation; `weight` is from 0 to 1."""
+        """Restores the execution times of an earlier incarnation.
+
+        `weight` is from 0, which keeps the current mean, to 1, which adopts the earlier times.
+        """
         mean = self.mean_execution_time
         self.execution_times = {
             request_class: mean + weight * (time - mean)
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -14,21 +14,24 @@
 from lilacwalk.overload.stall_detector import StallDetector
 
 REPORT_INTERVAL = SECOND // 10  # much shorter than the time for which clients use a report
-# Fraction of the requests that can be answered in the target time for which tokens are granted. It
+# A token permits a client to have one request outstanding at this server. The target time is that
+# in which requests should be answered, TARGET_LATENCY_RATIO times the mean latency objective.
+# Tokens are granted for this fraction of the requests that can be answered in the target time. It
 # is below 1 because outstanding requests include those that are still in transit.
 OUTSTANDING_SHARE = 0.65
-MINIMUM_TOKENS = 0.2  # minimum number of tokens granted to each client
+MINIMUM_TOKENS = 0.2  # minimum number of tokens granted to each client, except in slow start
 MAXIMUM_TOKEN_FACTOR = 10.0  # maximum of the factor by which tokens are multiplied
-TOKEN_FACTOR_GROWTH = 1.1  # growth of that factor per report while cores are free
-TOKEN_FACTOR_DECAY = 0.8  # decrease of that factor per report while cores are busy
-# Sum of all clients' recent requests from which the share of the heaviest client is measured.
+TOKEN_FACTOR_GROWTH = 1.1  # multiplies the token factor at each report while cores are free
+TOKEN_FACTOR_DECAY = 0.8  # multiplies the token factor at each report while cores are busy
+# The share of the heaviest client is measured if the activity of all clients together is above this
+# number of requests; otherwise the clients are assumed to have equal shares.
 MINIMUM_MEASURED_ACTIVITY = 5
-MAXIMUM_UNREAD_SHARE = 0.7  # maximum fraction by which unread requests reduce the tokens
+MAXIMUM_UNREAD_SHARE = 0.7  # maximum fraction by which the unread delay reduces the tokens
 TOKEN_PRECISION = 10_000  # in slow start, tokens are rounded down to multiples of 1/10,000
 RANK_WEIGHT = 0.3  # weight of the newest value in the moving average of the minimum rank
 # The minimum rank rises from 0 to 1 with the latency ratio T (defined in `latency_estimator`). It
-# is 0 up to the first value, the ratio of a lightly loaded server, and 1 if T exceeds it by the
-# second, when hardly any request would be answered in time.
+# is 0 while T is at most RANK_ZERO_RATIO, as on a lightly loaded server, and 1 while T is at least
+# RANK_ZERO_RATIO + RANK_RATIO_RANGE, when hardly any request would be answered in time.
 RANK_ZERO_RATIO = 0.15
 RANK_RATIO_RANGE = 0.5
 
@@ -50,7 +53,7 @@
         latency: LatencyEstimator,
         admission: AdmissionControl,
     ) -> None:
-        """Creates a reporter without earlier reports, on the parts of the controller it uses."""
+        """Stores the parts of the controller that the reporter uses; nothing is reported yet."""
         self._context = context
         self._server = server
         self._load = load
@@ -63,8 +66,9 @@
         self._admission = admission
         self._minimum_rank = 0.0
         self._last_value = -1.0
-        # How unevenly clients send is unknown at start, when each is assumed to have an equal share
-        # of the requests. A server that did not start cold therefore starts with the maximum.
+        # At start each client is assumed to send an equal share of the requests, as the actual
+        # shares are not known yet. Unless the server started cold, the factor therefore starts at
+        # its maximum, so that the heaviest client gets enough tokens.
         self._token_factor = 1.0 if server.started_cold else MAXIMUM_TOKEN_FACTOR
         self._next_report_at = context.now
 
@@ -123,18 +127,19 @@
         if not self._slow_start.is_warming_up():
             return tokens
         # All clients may send to a new server at once, so the safe concurrency is divided among
-        # all of them, including those that have not sent a request yet. The number of tokens is
-        # too low if only a few of many clients ever use this server.
+        # all of them, including those that have not sent a request yet. If only a few of many
+        # clients use this server, the number of tokens is therefore too low.
         clients = max(self._server.client_count, len(self._clients.activity))
         share = TOKEN_PRECISION * self._slow_start.safe_concurrency() / clients
         return min(tokens, int(share) / TOKEN_PRECISION)
 
     def _outstanding(self, target_time: float) -> float:
-        """The number of requests that may be outstanding to be answered in the target time."""
+        """The number of requests, of all clients, that may be outstanding at this server."""
         executions = target_time / max(1.0, self._latency.mean_execution_time)
         return self._concurrency.limit * OUTSTANDING_SHARE * max(1.0, executions)
 
     def _heaviest_client_share(self) -> float:
+        """The fraction of recent requests that the most active client has sent."""
         activity = self._clients.activity.values()
         total = sum(activity)
         if total > MINIMUM_MEASURED_ACTIVITY:
@@ -142,9 +147,9 @@
         return 1 / self._server.client_count
 
     def _update_token_factor(self) -> None:
-        """Raises the factor on tokens while cores are free, else lowers it.
+        """Raises the token factor while cores are free and no request is queued, else lowers it.
 
-        Clients rarely use all their tokens at once.
+        The factor is at least 1. It is needed because clients rarely use all tokens at once.
         """
         if self._load.has_free_cores() and not self._load.queue:
             self._token_factor = min(MAXIMUM_TOKEN_FACTOR, self._token_factor * TOKEN_FACTOR_GROWTH)
--- a/lilacwalk/overload/model.py
+++ b/lilacwalk/overload/model.py
@@ -67,14 +67,14 @@
 
 @dataclass(eq=False)
 class RequestClass:
-    """Time limits, priority weight and other properties common to requests of one kind."""
+    """Time limits, weight and other properties that all requests of a class have in common."""
 
     name: str
-    weight: float
-    latency_objective: int
-    timeout: int
+    weight: float  # value of a response in time, relative to other classes
+    latency_objective: int  # time from the arrival of a request in which it should be answered
+    timeout: int  # time from the arrival of a request after which a response is useless
     effect: Effect = Effect.IDEMPOTENT
-    # The latency objective is extended by this fraction of the request's expected work.
+    # The latency objective is extended by this multiple of the request's expected work.
     objective_stretch: float = 0.0
     # Fraction of the weight that a response retains if it misses the latency objective.
     late_weight_share: float = 0.0
@@ -88,7 +88,7 @@
 
 @dataclass(eq=False)
 class Tenant:
-    """A customer with a request-rate quota."""
+    """A group of clients that share one request-rate quota."""
 
     name: str
     quota: float  # requests per second over the whole fleet; 0 means that the tenant has no quota
@@ -101,12 +101,12 @@
     seed: int
     cores: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running request, as a multiple of a queued one
+    running_memory_factor: float  # memory of a request after its dispatch / memory before it
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     fleet_size: int = 1
     client_count: int = 1
-    deduplication_entry_kb: float = 0.0
+    deduplication_entry_kb: float = 0.0  # memory of one idempotency key
     stop_mode: StopMode = StopMode.NONE
     load_report_kind: LoadReportKind = LoadReportKind.NONE
     # Number of concurrent dependency calls that this server may make; 0 if it is not configured.
@@ -115,16 +115,20 @@
     dependency_call_span: int = 0
     # Time for which the dependency still executes a call after this server has abandoned it.
     abandoned_call_linger: int = 0
-    started_cold: bool = False
+    started_cold: bool = False  # with cold caches, so that executions are slower
+    # Speed of a server with cold caches, as a fraction of its full speed.
     cold_capacity_share: float = 1.0
-    warm_up_time: int = 0
+    warm_up_time: int = 0  # time from a cold start until full speed
     # Number of runnable requests per core at which throughput collapses.
     collapse_multiple: float = 2.0
+    # Time from the start of a drain in which new requests are still admitted.
     drain_grace_period: int = 0
     max_retry_after: int = 0  # 0 means that rejections are sent without a retry-after
+    # Fraction of its weight that a request retains if its tenant has no credit.
     over_quota_weight_share: float = 1.0
+    # Whether the weight of a class is that per unit of work instead of that per request.
     weight_scales_with_work: bool = False
-    timer_quantum: int = 10
+    timer_quantum: int = 10  # resolution of the host's timers
 
 
 @dataclass(eq=False)
@@ -138,7 +142,7 @@
     arrived_at: int  # time at which the request reached the machine
     read_at: int  # time at which the request was read from the socket
     deadline: int
-    memory_kb: float
+    memory_kb: float  # memory before the request is dispatched
     tenant: Tenant | None = None
     work_hint: int = 0  # execution time expected by the client; 0 if it did not state any
     is_retry: bool = False
@@ -148,17 +152,17 @@
     state: RequestState = RequestState.QUEUED
     answered: bool = False
     was_dispatched: bool = False
-    objective_deadline: int = 0
+    objective_deadline: int = 0  # time until which a response meets the latency objective
     expected_work: int = 0  # expected execution time on this server
     weight_per_work: float = 0.0
     dispatched_at: int = 0
     call_pending_since: int = 0
-    dependency_wait: int = 0
+    dependency_wait: int = 0  # total time for which the execution has waited for dependency calls
     # A dependency call ended with an outcome that does not prove that it was not executed.
     call_may_have_executed: bool = False
     is_registered: bool = False  # the request's idempotency key is registered
     within_quota: bool = False  # the request was admitted with a credit of its tenant
-    duplicates: list[Request] = field(default_factory=list)
+    duplicates: list[Request] = field(default_factory=list)  # duplicates attached while queued
 
 
 @dataclass(frozen=True, slots=True)
--- a/lilacwalk/overload/parts.py
+++ b/lilacwalk/overload/parts.py
@@ -26,7 +26,8 @@
 from lilacwalk.overload.termination import Termination
 
 MAXIMUM_TIMER_PERIOD = 250  # tenths of a millisecond
-# The timer period is at most the shortest latency objective divided by this number.
+# The timer period is at most the shortest latency objective divided by this number, but at least
+# `timer_quantum`.
 TIMER_PERIODS_PER_OBJECTIVE = 40
 
 
@@ -34,7 +35,7 @@
     """The parts of one controller: one instance of each, shared by the parts that depend on it."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
-        """Creates the parts for a server that starts at `now`."""
+        """Creates the parts for a server that starts at `now`, in tenths of a millisecond."""
         self.server = server
         shortest = min(each.latency_objective for each in server.request_classes)
         self.timer_period = max(
@@ -134,7 +135,7 @@
         )
 
     def _create_reporting_parts(self) -> None:
-        """Creates the parts that inform clients and proxies."""
+        """Creates the parts that send load reports and decide on idle client connections."""
         self.load_reporter = LoadReporter(
             self.context,
             self.server,
--- a/lilacwalk/overload/scheduler.py
+++ b/lilacwalk/overload/scheduler.py
@@ -17,7 +17,8 @@
 from lilacwalk.overload.tenant_quota import TenantQuota
 from lilacwalk.overload.termination import Termination
 
-# Maximum number of dependency calls, pending or in progress, per execution within the limit.
+# Maximum number of dependency calls, pending or in progress, for each execution that the
+# concurrency limit permits.
 CALLS_PER_EXECUTION = 4
 _weight_per_work = attrgetter("weight_per_work")
 
@@ -38,7 +39,7 @@
     termination: Termination
 
     def dispatch_queued(self) -> None:
-        """Ends queued requests that are too late and dispatches others up to the limit."""
+        """Ends queued requests that cannot finish in time; dispatches others up to the limit."""
         self._drop_infeasible()
         if self.stall_detector.stalled:
             return
@@ -57,10 +58,11 @@
             self.termination.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def _dispatchable(self) -> list[Request]:
-        """Queued requests that can be executed now.
+        """Queued requests that can be dispatched now.
 
-        Excludes those for which too many dependency calls are open, memory is insufficient, or the
-        original of which they are a duplicate is queued.
+        Excludes requests that call the dependency while too many calls are pending or in progress,
+        requests whose execution would exceed the memory limit, and duplicates whose original is
+        also queued.
         """
         load = self.load
         dependency = self.dependency
--- a/lilacwalk/overload/server_load.py
+++ b/lilacwalk/overload/server_load.py
@@ -4,8 +4,8 @@
 
 from lilacwalk.overload.model import Request, RequestState, ServerSettings
 
-# Fraction of the memory that requests and keys may use. The rest is for requests that are read in
-# one batch, before any of them can be rejected.
+# Fraction of the memory that requests and idempotency keys may use. The rest is for the requests of
+# one batch, which are all read before any of them can be rejected.
 MEMORY_LIMIT_SHARE = 0.9
 FREE_CORE_USE = 0.85  # fraction of the cores in use below which cores count as free
 
@@ -25,19 +25,19 @@
         self.queue: list[Request] = []
         # Requests that are unanswered or still use memory, in the order in which they were read.
         self.open_requests: dict[Request, None] = {}
-        self.running = 0
-        self.memory_kb = 0.0
-        self.core_use = 0.0
-        self.run_queue = 0.0
+        self.running = 0  # number of executions, without those that wait for a dependency call
+        self.memory_kb = 0.0  # memory in use
+        self.core_use = 0.0  # fraction of the cores that is in use
+        self.run_queue = 0.0  # number of runnable requests, including running ones
         self.last_progress_at = now
 
     def add(self, request: Request) -> None:
-        """Adds a request that was read, with its memory."""
+        """Adds a request that was read to the open requests, and its memory to that in use."""
         self.open_requests[request] = None
         self.memory_kb += request.memory_kb
 
     def remove(self, request: Request) -> None:
-        """Removes an ended request with its memory, and marks it as finished and answered."""
+        """Removes an ended request and its memory, and marks it as finished and answered."""
         self.memory_kb -= request.memory_kb * (
             self.server.running_memory_factor if request.was_dispatched else 1
         )
@@ -46,11 +46,11 @@
         self.open_requests.pop(request, None)
 
     def reserve_memory(self, memory_kb: float) -> None:
-        """Adds to the memory in use, beyond that of queued requests."""
+        """Adds memory of an execution or of an idempotency key to the memory in use."""
         self.memory_kb += memory_kb
 
     def free_memory(self, memory_kb: float) -> None:
-        """Subtracts memory that was added by `reserve_memory`."""
+        """Subtracts memory that was added by `reserve_memory` from the memory in use."""
         self.memory_kb -= memory_kb
 
     def memory_limit_kb(self) -> float:
@@ -58,7 +58,7 @@
         return MEMORY_LIMIT_SHARE * self.server.memory_kb
 
     def execution_memory_kb(self, request: Request) -> float:
-        """The additional memory that a queued request needs during its execution."""
+        """The memory that a request needs from its dispatch on, in addition to that before it."""
         return request.memory_kb * (self.server.running_memory_factor - 1)
 
     def begin_execution(self, request: Request, now: int) -> None:
@@ -73,7 +73,7 @@
         self.running -= 1
 
     def has_free_cores(self) -> bool:
-        """Whether the executor has capacity for more work, by its latest gauges."""
+        """Whether the executor's latest gauges show capacity for more work."""
         return self.core_use < FREE_CORE_USE and self.run_queue < self.server.cores
 
     def is_idle(self) -> bool:
--- a/lilacwalk/overload/slow_start.py
+++ b/lilacwalk/overload/slow_start.py
@@ -10,7 +10,10 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class SlowStart:
-    """Computes the capacity of the server while it warms up. Has no state of its own."""
+    """Computes the capacity of a server that may be warming up. Has no state of its own.
+
+    `started_at` is in tenths of a millisecond.
+    """
 
     context: BatchContext
     server: ServerSettings
@@ -22,7 +25,10 @@
         return server.started_cold and self.context.now < self.started_at + server.warm_up_time
 
     def capacity_share(self) -> float:
-        """The minimum current speed of the server, as a fraction of its full speed."""
+        """The current speed of the server, as a fraction of its full speed.
+
+        During the whole warm-up time this is the speed with cold caches, a lower bound.
+        """
         return self.server.cold_capacity_share if self.is_warming_up() else 1.0
 
     def safe_concurrency(self) -> float:
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -10,11 +10,11 @@
 # Executions count as stalled if none has made progress for this multiple of the expected time
 # between the ends of two executions. The probability of such a gap without a stall is e^-9.
 STALL_GAP_MULTIPLE = 9
-STALL_TIMER_PERIODS = 4  # number of timer periods allowed in addition to that time
+STALL_TIMER_PERIODS = 4  # number of timer periods that are added to this time
 
 
 class StallDetector:
-    """Owns whether executions are stalled and whether the link to the executor is up."""
+    """Owns the state of the executions (stalled or not) and of the link to the executor."""
 
     def __init__(
         self,
@@ -25,7 +25,10 @@
         slow_start: SlowStart,
         timer_period: int,
     ) -> None:
-        """Creates a detector for executions that are not stalled and a link that is up."""
+        """Assumes at first that executions are not stalled and that the link is up.
+
+        `timer_period` is in tenths of a millisecond.
+        """
         self._context = context
         self._load = load
         self._latency = latency
@@ -41,7 +44,11 @@
         self._load.last_progress_at = self._context.now
 
     def record_timer(self) -> None:
-        """Excludes time in which this process itself was not scheduled, judged by late timers."""
+        """Records a timer event, which shows whether this process itself was paused.
+
+        If the event is late by more than two timer periods, the process did not run. This time does
+        not count as time without progress of executions.
+        """
         now = self._context.now
         pause = now - self._last_timer_at - self._timer_period
         self._last_timer_at = now
@@ -49,14 +56,14 @@
             self._load.last_progress_at += pause
 
     def record_progress(self) -> bool:
-        """Records that an execution made progress; returns whether that ends a stall."""
+        """Records that an execution made progress; returns whether a stall has ended by that."""
         self._load.last_progress_at = self._context.now
         ends_stall = self.stalled
         self.stalled = False
         return ends_stall
 
     def detects_new_stall(self) -> bool:
-        """Checks for a stall; returns whether one starts now."""
+        """Updates `stalled`; returns whether a stall was detected that was not known before."""
         load = self._load
         if self.stalled or not self._executor_link_is_up or not load.running:
             return False
--- a/lilacwalk/overload/tenant_quota.py
+++ b/lilacwalk/overload/tenant_quota.py
@@ -6,22 +6,23 @@
 from lilacwalk.overload.model import SECOND, Request, ServerSettings
 from lilacwalk.overload.server_load import ServerLoad
 
-# A tenant may use this multiple of its quota's part for this server, because proxies distribute its
-# requests unevenly over the fleet.
-OVER_QUOTA_SHARE = 1.2
+# A tenant may use this multiple of its quota divided by the fleet size, because proxies distribute
+# its requests unevenly over the fleet.
+OVER_QUOTA_MULTIPLE = 1.2
 DISPATCH_SHARE = 0.7  # minimum fraction of the dispatch rate that is divided among tenants by quota
-# A tenant can accumulate credits for this number of seconds, but always for as many requests.
+# The maximum of a tenant's credits is what it receives in this number of seconds, but at least this
+# number of credits.
 CREDIT_CAPACITY = 3.0
 DISPATCH_RATE_WEIGHT = 0.3  # weight of the newest control period in the mean dispatch rate
 SHORTAGE_PROBABILITY = 0.98  # admission probability below which capacity counts as short
-LENIENT_WEIGHT_SHARE = 0.5  # value of `over_quota_weight_share` from which quotas are not enforced
+LENIENT_WEIGHT_SHARE = 0.5  # quotas are not enforced if `over_quota_weight_share` is at least this
 
 
 class TenantQuota:
-    """Owns the credits of tenants: the number of requests that each may still have admitted.
+    """Owns the credits of each tenant: the number of further requests that its quota permits.
 
     Only admitted requests use credits. If rejected requests used them too, every tenant would seem
-    to exceed its quota under overload, because rejected requests are retried. The division is too
+    to exceed its quota under overload, because rejected requests are retried. The quotas are too
     strict for a tenant whose requests are sent to only a few servers by the proxy.
     """
 
@@ -33,6 +34,7 @@
         self._load = load
         self._admission = admission
         self.credit = dict.fromkeys(server.tenants, CREDIT_CAPACITY)
+        # Requests per second that all quotas together permit at this server.
         self._quota_sum = sum(tenant.quota for tenant in server.tenants) / server.fleet_size
         self._dispatched = 0  # number of requests dispatched in this control period
         self._dispatch_rate = 0.0  # mean number of dispatched requests per second
@@ -42,16 +44,16 @@
         self._dispatched += 1
 
     def refill(self) -> None:
-        """Adds the share of each tenant to its credits, once each control period.
+        """Adds credits for each tenant, once each control period, in proportion to its quota.
 
-        Shares are proportional to quotas. Their sum is this server's part of the fleet's quotas, or
-        is based on this server's dispatch rate if that is higher.
+        The rate of all new credits together is OVER_QUOTA_MULTIPLE times this server's part of the
+        quotas, or DISPATCH_SHARE times its dispatch rate if that is higher.
         """
         newest_rate = self._dispatched * SECOND / CONTROL_PERIOD
         self._dispatch_rate += DISPATCH_RATE_WEIGHT * (newest_rate - self._dispatch_rate)
         self._dispatched = 0
         scale = max(
-            OVER_QUOTA_SHARE, DISPATCH_SHARE * self._dispatch_rate / max(0.01, self._quota_sum)
+            OVER_QUOTA_MULTIPLE, DISPATCH_SHARE * self._dispatch_rate / max(0.01, self._quota_sum)
         )
         for tenant in self.credit:
             rate = scale * tenant.quota / self._server.fleet_size
@@ -63,8 +65,9 @@
     def must_reject(self, request: Request) -> bool:
         """Whether to reject a request because its tenant has no credit while capacity is short.
 
-        A request without credit that is not rejected loses most of its weight, so that it is
-        dispatched after requests of other tenants.
+        If the tenant has no credit, also multiplies the request's weight per work by
+        `over_quota_weight_share`, so that the request, if it is admitted, is dispatched after
+        requests of other tenants. To be called only once for each request.
         """
         tenant = request.tenant
         share = self._server.over_quota_weight_share
@@ -85,6 +88,6 @@
             request.within_quota = True
 
     def refund(self, request: Request) -> None:
-        """Returns the credit of a request that was never executed."""
+        """Returns the credit, if any, that a request used; for requests that were not executed."""
         if request.within_quota:
             self.credit[request.tenant] += 1
--- a/lilacwalk/overload/termination.py
+++ b/lilacwalk/overload/termination.py
@@ -18,7 +18,7 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class Termination:
-    """Answers uncompleted requests and frees their resources. Has no state of its own."""
+    """Answers requests that are not completed, and frees resources. Has no state of its own."""
 
     context: BatchContext
     server: ServerSettings
@@ -32,7 +32,10 @@
     deduplication: Deduplication
 
     def reject_or_fail(self, request: Request, *, do_not_retry_elsewhere: bool = False) -> None:
-        """Rejects the request, or fails it if it may have had a side effect."""
+        """Rejects the request, or fails it if it may have had a side effect.
+
+        A request that is not executing is also released; an execution is cancelled if possible.
+        """
         if self._may_have_had_side_effect(request):
             self.context.sink.fail(request)
         else:
@@ -51,13 +54,19 @@
         return request.was_dispatched or (original is not None and original.was_dispatched)
 
     def _retry_after(self) -> int:
-        """The retry-after of a rejection, which grows as the admission probability falls."""
+        """The retry-after of a rejection, in tenths of a millisecond.
+
+        It grows as the admission probability falls, and is at its maximum during a stall or drain.
+        """
         is_unavailable = self.stall_detector.stalled or self.drain.is_active
         share = 1.0 if is_unavailable else 1 - self.admission.admission_probability
         return int(self.server.max_retry_after * share)
 
     def _cancel_execution(self, request: Request) -> None:
-        """Cancels a running execution, unless a duplicate may need its result."""
+        """Cancels the execution if it is running, idempotent and can be cancelled.
+
+        Others continue: a duplicate of a request with side effects may need its result.
+        """
         if (
             request.state is RequestState.RUNNING
             and request.request_class.effect is Effect.IDEMPOTENT
@@ -66,7 +75,7 @@
             self.context.sink.cancel(request)
 
     def abandon(self, request: Request) -> None:
-        """Ends a request without a response, as its client has disconnected or withdrawn it."""
+        """Ends a request whose client has disconnected or withdrawn it, without a response."""
         if request.state in (RequestState.QUEUED, RequestState.COALESCED):
             self.release(request)
         elif request.state is not RequestState.FINISHED:
@@ -85,7 +94,7 @@
             self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def objective_missed(self, request: Request) -> None:
-        """Ends a request whose response is no longer useful.
+        """Ends a request that missed its latency objective, as its response is no longer useful.
 
         An execution that may have side effects continues, because ending it could cause a retry.
         """
@@ -100,7 +109,10 @@
         self.reject_or_fail(request, do_not_retry_elsewhere=True)
 
     def reject_or_fail_all(self, include_side_effects: bool) -> None:
-        """Ends all open requests; those that may have had a side effect only if requested."""
+        """Ends all unanswered requests.
+
+        Those that may have had a side effect are ended only if `include_side_effects` is true.
+        """
         for request in list(self.load.open_requests):
             if not request.answered and (
                 include_side_effects
@@ -112,7 +124,7 @@
     def release(self, request: Request) -> None:
         """Frees the resources of an ended request.
 
-        If the request was not executed, its first queued duplicate takes its place.
+        If the request was not dispatched, its first queued duplicate takes its place.
         """
         match request.state:
             case RequestState.QUEUED:
