--- a/lilacwalk/errors.py
+++ b/lilacwalk/errors.py
@@ -4,4 +4,7 @@
 
 
 class LilacwalkError(Exception):
-    """Derived errors hold the details of a failure as attributes and state it in their message."""
+    """Base class of this package's errors.
+
+    Subclasses describe the failure in their message and hold its details as attributes.
+    """
--- a/lilacwalk/event_queue.py
+++ b/lilacwalk/event_queue.py
@@ -27,7 +27,7 @@
 
 
 class EventQueue(SimpleQueue):
-    """An unbounded queue with one consumer; any thread and any signal handler may post.
+    """An unbounded queue with one consumer; any thread and any signal handler may add items.
 
     Each producer has to limit the number of its own queued items.
     """
--- a/lilacwalk/limits.py
+++ b/lilacwalk/limits.py
@@ -42,14 +42,14 @@
 
     #: Maximum number of open proxy connections.
     connections: int
-    #: Number of proxy connections above which some are closed to make room for new ones.
+    #: Number of proxy connections above which some are closed, so that new ones can be opened.
     connection_high_water: int
     #: Time from the stop signal until the platform kills the process.
     stop_timeout: int
-    #: Time for which the result of an idempotent request may be used for others with the same
-    #: subject. If it is 0, results are not reused.
+    #: Time for which the result of an idempotent request may also answer other requests with the
+    #: same subject. If it is 0, results are not reused.
     result_freshness: int
-    #: Number of unsent bytes from which a proxy is disconnected.
+    #: Size of the send buffer of a proxy connection, which is closed if the buffer overflows.
     send_buffer_bytes: int
     #: Maximum number of requests in flight.
     max_in_flight: int
@@ -57,7 +57,7 @@
     max_cache_entries: int
     #: Maximum total size of the results in the cache.
     max_cached_result_bytes: int
-    #: Number of unsent bytes from which the executor counts as unresponsive.
+    #: Size of the executor's send buffer. If it overflows, the link is closed and opened again.
     executor_send_buffer_bytes: int
     #: Maximum number of dependency connections. Each carries one call; further calls wait.
     max_dependency_connections: int
@@ -75,13 +75,13 @@
     max_message_parts: int = 8
     #: Maximum size of a message part. A longer part is skipped.
     max_part_bytes: int = 16_384
-    #: Size of a skipped message part from which the connection is closed.
+    #: Maximum size of a skipped message part. If a part is longer, the connection is closed.
     max_skipped_bytes: int = 1_048_576
     #: Number of bytes requested by one socket read. Most messages have a few hundred bytes.
     proxy_read_bytes: int = 2_048
     #: Maximum number of messages passed to the event loop in one batch.
     max_batch_messages: int = 32
-    #: Maximum number of batches read from one connection but not processed by the event loop yet.
+    #: Maximum number of batches read from one connection that the event loop has not processed yet.
     max_undecided_batches: int = 2
     #: Size of the operating system's socket buffer in each direction.
     socket_buffer_bytes: int = 65_536
@@ -100,7 +100,7 @@
     #: Number of bytes requested by one socket read. Each buffer is truncated to the bytes received,
     #: and truncating large buffers fragments the heap.
     link_read_bytes: int = 4_096
-    #: Maximum length of a line.
+    #: Maximum length of a line of the protocol.
     max_line_bytes: int = 512
     #: Maximum size of a reply. A longer reply is a framing error.
     max_reply_bytes: int = 65_536
@@ -119,7 +119,7 @@
 
     #: Time for which idempotency keys are stored after the end of the deduplication window.
     deduplication_window_slack: int = SECOND // 20
-    #: Interval between reports to the service registry. It lists a server for 3 s after a report.
+    #: Interval between reports to the service registry, which lists a server for 3 s after each.
     report_interval: int = 3 * SECOND // 10
     #: Interval between checks for idle connections and expired cache entries.
     housekeeping_interval: int = SECOND // 20
@@ -127,8 +127,8 @@
     drain_flush_margin: int = 3 * SECOND // 10
     #: Time within which a proxy has to close a connection after it was asked to.
     close_request_timeout: int = 2 * SECOND
-    #: Time after a proxy was asked to close a connection in a drain, during which requests that it
-    #: sent earlier may still arrive.
+    #: Time for which requests that a proxy has sent may still arrive after it was asked to close
+    #: the connection in a drain.
     drain_settle_time: int = SECOND // 10
     #: Maximum time for which a half-closed connection is read.
     half_close_linger: int = SECOND // 5
--- a/lilacwalk/log.py
+++ b/lilacwalk/log.py
@@ -78,7 +78,7 @@
 
 
 class ReportThrottle:
-    """Counts faults of a peer and permits a log line at the 1st, 2nd, 4th, 8th fault and so on.
+    """Counts repeated faults and permits a log line at the 1st, 2nd, 4th, 8th fault and so on.
 
     Not synchronized: with several threads a line may be missing or duplicated.
     """
--- a/lilacwalk/requests/records.py
+++ b/lilacwalk/requests/records.py
@@ -20,11 +20,12 @@
         id: The id chosen by the client, unique among the requests in flight.
         class_name: The name of the request class.
         tenant_name: The name of the tenant; empty if none was stated.
-        client: The number of the originating client; 0 if none was stated.
+        client: The number of the client that made the request; 0 if none was stated.
         arrived_at: The Unix time at which the request reached this machine.
-        timeout: The timeout, which starts at `arrived_at`; None for that of the request class.
+        timeout: The time from `arrived_at` until the deadline; None for the timeout of the request
+            class.
         work_hint: The execution time that the client expects; 0 if none was stated.
-        memory_kb: The memory needed for the request.
+        memory_kb: The memory in kilobytes that the request needs while it is queued.
         is_retry: Whether the client has made an earlier attempt.
         subject: The object that the request reads; empty if unknown. Requests with the same subject
             may share a result.
@@ -59,8 +60,8 @@
 
     class_name: str
     tenant_name: str
-    kind: str
-    text: str
+    kind: str  # a `CacheKeyKind`
+    text: str  # the idempotency key, subject or request id, depending on `kind`
 
 
 class FinalStatus(Enum):
@@ -68,7 +69,7 @@
 
     COMPLETED = auto()
     REJECTED = auto()  # the attempt was not executed
-    FAILED = auto()  # the outcome may be unknown
+    FAILED = auto()  # the outcome is unknown, or the execution failed or was not finished in time
 
 
 @dataclass(slots=True)
@@ -99,7 +100,7 @@
         commands_resent: Whether commands were sent again after the link was lost, so that the
             executor may have received them twice.
         call_body: The body of the dependency call that the execution requested last.
-        call_event_number: The number of the executor event that requested that call.
+        call_event_number: The number of the executor event by which the execution requested it.
         call: The dependency call in progress.
         call_started_at: The time at which the dependency call started.
         awaits_result_of: The original request whose result answers this duplicate.
@@ -163,8 +164,8 @@
     def tick(self, now: int, was_stalled: bool, /) -> None:
         """Does the front end's housekeeping, such as closing idle connections.
 
-        `was_stalled` means that the event loop was delayed. Received messages may then be unread,
-        so that no connection may be closed as idle.
+        If `was_stalled` is true, the event loop was delayed. Messages that have arrived may then be
+        unread, so that no connection may be closed as idle.
         """
 
     def start_draining(self, now: int, /) -> None:
@@ -176,7 +177,7 @@
     def close_idle_connections(self, now: int, is_final: bool, /) -> None:
         """Closes unused connections; called repeatedly after `stop_accepting`.
 
-        `is_final` means that the process is about to end, so that connections are closed without
+        If `is_final` is true, the process is about to end, and connections are closed without
         waiting for the clients to do so.
         """
 
--- a/lilacwalk/requests/result_cache.py
+++ b/lilacwalk/requests/result_cache.py
@@ -35,14 +35,14 @@
 
 
 class ResultCache:
-    """Cache entries by key, in the order in which they were added."""
+    """Holds cache entries by key, in the order in which they were added."""
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
         """Creates an empty cache; `max_bytes` limits the total size of the results."""
         self.max_entries = max_entries
         self.max_bytes = max_bytes
         self.entries: dict[CacheKey, CacheEntry] = {}
-        self.bytes = 0
+        self.bytes = 0  # total size of the stored results
         self.evicted_until = 0  # duplicates that arrived before this time may go undetected
 
     @property
@@ -51,9 +51,10 @@
         return len(self.entries) >= self.max_entries
 
     def find(self, key: CacheKey, arrived_at: int) -> CacheEntry | None:
-        """Returns the entry unless it had expired at `arrived_at`, the arrival of a duplicate.
+        """Returns the entry under a key, or None if there was none at `arrived_at`.
 
-        The time at which the duplicate is read does not matter.
+        `arrived_at` is the arrival time of the request that may be a duplicate. An entry that
+        expires between the arrival and the reading of that request is still returned.
         """
         entry = self.entries.get(key)
         if entry is not None and entry.expires_at is not None and entry.expires_at <= arrived_at:
@@ -61,7 +62,7 @@
         return entry
 
     def has_different_body(self, key: CacheKey, arrived_at: int, body: bytes) -> bool:
-        """Whether the key belongs to a request whose body is known to be different."""
+        """Whether the key belongs to a request whose body is known to differ from `body`."""
         entry = self.find(key, arrived_at)
         return entry is not None and entry.body_hash is not None and entry.body_hash != hash(body)
 
@@ -102,10 +103,10 @@
         return True
 
     def record_result(self, key: CacheKey, request: Request, result: bytes | None) -> None:
-        """Records the end of the request's execution.
+        """Records the end of the request's execution; `result` is None if there is no result.
 
-        A result that does not fit is not stored. Its entry remains, so that no duplicate is
-        executed.
+        If the result does not fit into the cache, it is not stored, but the entry remains, so that
+        no duplicate is executed.
         """
         entry = self.entries.get(key)
         if entry is None or entry.request is not request:
@@ -116,7 +117,7 @@
             self.bytes += len(result)
 
     def remove(self, key: CacheKey, request: Request) -> None:
-        """Removes the entry if it belongs to the request."""
+        """Removes the entry under the key if it belongs to the request."""
         entry = self.entries.get(key)
         if entry is not None and entry.request is request:
             del self.entries[key]
@@ -125,7 +126,7 @@
     def evict_expired(self, now: int) -> None:
         """Removes entries that expired at least MAX_READ_DELAY ago.
 
-        Until then a duplicate that arrived before the expiry may still be unread.
+        Before that time, a duplicate that arrived before the expiry may still be unread.
         """
         for key, entry in list(self.entries.items()):
             if entry.expires_at is not None and entry.expires_at <= now - MAX_READ_DELAY:
--- a/lilacwalk/settings.py
+++ b/lilacwalk/settings.py
@@ -20,7 +20,8 @@
     Tenant,
 )
 
-# Tenths of a millisecond. Compensates for times that have no exact binary representation.
+# In tenths of a millisecond. Without it, a time that has no exact binary representation could be
+# rounded to the wrong integer.
 ROUNDING_TOLERANCE = 1e-6
 TENTHS_PER_MILLISECOND = 10
 
@@ -118,7 +119,11 @@
 
 
 def read_integer(settings: Mapping, name: str, default: int | None = None) -> int:
-    """Returns an integer, like `read_number`; a fraction is truncated."""
+    """Returns an integer, or `default` if the value is empty or missing; truncates a fraction.
+
+    Raises:
+        SettingsError: The value is not a finite number, or is missing and has no default.
+    """
     value = settings.get(name)
     if isinstance(value, int):
         return int(value)
@@ -128,7 +133,7 @@
 
 
 def is_true(value: object) -> bool:
-    """Whether a flag is set, as a boolean or as text."""
+    """Whether the value of a flag, a boolean or a text, means that the flag is set."""
     return value in (True, "true", "1")
 
 
@@ -244,7 +249,7 @@
         weight=read_number(fields, "worth", 1.0),
         latency_objective=latency_objective,
         timeout=timeout,
-        # With an unknown effect the requests are assumed not to be safe to execute twice.
+        # If the effect is unknown, executing a request twice is assumed to be unsafe.
         effect=_EFFECTS.get(str(fields.get("effect")), Effect.NON_IDEMPOTENT),
         objective_stretch=read_number(fields, "aim_stretch", 0.0),
         late_weight_share=read_number(fields, "late_worth", 0.0),
--- a/lilacwalk/simulator_adapter/codec.py
+++ b/lilacwalk/simulator_adapter/codec.py
@@ -64,12 +64,15 @@
 
 
 def nest_fields(fields: Mapping[str, str]) -> dict:
-    """Converts `path=value` fields to nested data.
+    """Converts fields whose names are dotted paths to nested data.
 
-    `a.count` with `a.0.x` becomes a list, and so does a value with commas.
+    A path `a.x` becomes the element `x` of a dict `a`. If a top-level dict has an element `count`,
+    it becomes a list of that length with the elements `0`, `1` and so on. A value with commas also
+    becomes a list.
 
     Raises:
-        WireError: The parent of a path has a plain value.
+        WireError: A path such as `a.x` is given although `a` has a plain value.
+        SettingsError: A count is not a number.
     """
     nested: dict = {}
     for path, value in fields.items():
@@ -88,7 +91,12 @@
 
 
 def decode_server_settings(fields: Mapping[str, str]) -> ServerSettings:
-    """Decodes the fields of a `start` message."""
+    """Decodes the fields of a `start` message.
+
+    Raises:
+        WireError: A path is given although its parent has a plain value.
+        SettingsError: A setting is missing or invalid.
+    """
     seed = read_integer(fields, "nonce64", 0)
     return settings.decode_server_settings(nest_fields(fields), seed)
 
@@ -99,7 +107,11 @@
     time_ms: float,
     duplicate_of: Request | None,
 ) -> Request:
-    """Decodes the fields of an `incoming` message that was read at `time_ms`."""
+    """Decodes the fields of an `incoming` message; the request is read at `time_ms`.
+
+    Raises:
+        SettingsError: A field is missing or invalid.
+    """
     classes_by_name = {each.name: each for each in server.request_classes}
     request_class = read_choice(fields, "class", classes_by_name)
     tenant_name = fields.get("owner", "0")
@@ -126,7 +138,11 @@
 
 
 def decode_outcome(fields: Mapping[str, str]) -> Outcome:
-    """Decodes how an execution or a call ended."""
+    """Decodes the outcome of an execution or of a dependency call.
+
+    Raises:
+        SettingsError: The outcome is missing or unknown.
+    """
     return read_choice(fields, "disposition", OUTCOMES)
 
 
@@ -147,5 +163,5 @@
 
 
 def format_ms(time: int) -> str:
-    """Formats tenths of a millisecond as milliseconds."""
+    """Formats a time in tenths of a millisecond as milliseconds with one decimal."""
     return f"{time / TENTHS_PER_MILLISECOND:.1f}"
--- a/lilacwalk/simulator_adapter/host.py
+++ b/lilacwalk/simulator_adapter/host.py
@@ -48,12 +48,15 @@
     """Owns the server instances, by their names in the simulator."""
 
     def __init__(self) -> None:
-        """Starts without an instance."""
+        """Creates a host without instances."""
         self._instances: dict[str, ServerInstance] = {}
 
     def process_batch(self, time_ms: float, lines: Sequence[NumberedLine]) -> list[str]:
         """Processes all messages of one simulated time, and returns the lines of the reply.
 
+        If a controller fails, the reply ends with a `die` line, and the events of servers after it
+        are not processed.
+
         Raises:
             WireError: A line does not follow the protocol.
         """
@@ -106,7 +109,10 @@
 def _decode_event(
     message: str, instance: ServerInstance, fields: Mapping[str, str], time_ms: float
 ) -> Event | None:
-    """Returns the event of a message; None if the message refers to a request that was removed."""
+    """Returns the event of a message; None if the message refers to an unknown request.
+
+    A request is unknown if it was removed from the instance after it finished.
+    """
     match message:
         case "incoming":
             return _decode_incoming(instance, fields, time_ms)
--- a/lilacwalk/simulator_adapter/instance.py
+++ b/lilacwalk/simulator_adapter/instance.py
@@ -12,10 +12,16 @@
 
 
 class ServerInstance:
-    """Owns a controller and its requests; as a `DecisionSink`, writes a line for each decision."""
+    """Owns a controller and its requests; as a `DecisionSink`, writes a line for each decision.
+
+    Times are in tenths of a millisecond.
+    """
 
     def __init__(self, name: str, server: ServerSettings, now: int) -> None:
-        """Starts a server under its name in the simulator."""
+        """Creates the controller of a server that starts at `now`.
+
+        `name` is the name of the server in the simulator.
+        """
         self.server = server
         self._name = name
         self._now = now
@@ -24,7 +30,7 @@
         self._controller = Controller(server, now)
 
     def process_batch(self, now: int, events: Sequence[Event], lines: list[str]) -> None:
-        """Has the controller handle the events and appends its decisions to `lines`."""
+        """Passes the events to the controller and appends its decisions to `lines`."""
         self._now = now
         self._lines = lines
         self._controller.process_batch(now, events, self)
@@ -33,7 +39,7 @@
     # Requests
 
     def add_request(self, fields: Mapping[str, str], request: Request) -> None:
-        """Adds a request under the identifier in the message.
+        """Adds a request under the identifier in the fields of its message.
 
         Raises:
             WireError: The message has no identifier.
@@ -41,7 +47,7 @@
         self._requests.add(_request_id(fields), request)
 
     def find_request(self, fields: Mapping[str, str]) -> Request | None:
-        """Returns the request with the identifier in the message; None if it was removed.
+        """Returns the request with the identifier in a message's fields; None if it was removed.
 
         Raises:
             WireError: The message has no identifier.
@@ -49,10 +55,10 @@
         return self._requests.find(_request_id(fields))
 
     def find_original(self, fields: Mapping[str, str], now: int) -> Request | None:
-        """Returns the earlier request of which an incoming one is a duplicate, if any.
+        """Returns the request of which an incoming one is a duplicate; None if it is no duplicate.
 
-        An original that was removed here is replaced by a finished request, as the simulated
-        server still has its result.
+        If the original has been removed from the table, returns a finished request in its place,
+        because the simulated server still has the original's result.
         """
         original_id = fields.get("earlier", "0")
         if original_id in ("", "0"):
@@ -112,9 +118,9 @@
         """See `DecisionSink`."""
         self._write_for(request, "unpin")
 
-    def call_dependency(self, request: Request, give_up_at: int) -> None:
+    def call_dependency(self, request: Request, timeout_at: int) -> None:
         """See `DecisionSink`."""
-        self._write_for(request, "invoke", f" stop_at_ms={format_ms(give_up_at)}")
+        self._write_for(request, "invoke", f" stop_at_ms={format_ms(timeout_at)}")
 
     def skip_dependency_call(self, request: Request) -> None:
         """See `DecisionSink`."""
--- a/lilacwalk/simulator_adapter/request_table.py
+++ b/lilacwalk/simulator_adapter/request_table.py
@@ -4,38 +4,46 @@
 
 from lilacwalk.overload.model import SECOND, Request, RequestState
 
-EXPIRY_INTERVAL = SECOND  # between removals of identifiers that are no longer needed
+# Time between removals of finished requests. A request stays for at least this time after the end
+# of its deduplication window.
+EXPIRY_INTERVAL = SECOND
 
 
 class RequestTable:
-    """Maps identifiers to requests and back, and removes finished requests."""
+    """Maps identifiers to requests and back, and removes finished requests.
+
+    Times are in tenths of a millisecond.
+    """
 
     def __init__(self, now: int) -> None:
-        """Creates an empty table at the time `now`, in tenths of a millisecond."""
+        """Creates an empty table; `now` is the current time."""
         self._requests_by_id: dict[str, Request] = {}
         self._ids: dict[Request, str] = {}
         self._key_expires_at: dict[str, int] = {}
         self._next_expiry_at = now + EXPIRY_INTERVAL
 
     def add(self, request_id: str, request: Request) -> None:
-        """Adds a request."""
+        """Adds a request under an identifier."""
         self._requests_by_id[request_id] = request
         self._ids[request] = request_id
 
     def find(self, request_id: str) -> Request | None:
-        """Returns the request with this identifier."""
+        """Returns the request with this identifier, or None if it was removed or never added."""
         return self._requests_by_id.get(request_id)
 
     def id_of(self, request: Request) -> str:
-        """Returns the identifier of a request that was added."""
+        """Returns the identifier of a request in the table."""
         return self._ids[request]
 
     def retain_for_key(self, request: Request, expires_at: int) -> None:
-        """Retains a request as long as a duplicate may have the same idempotency key."""
+        """Retains a request until its idempotency key expires, since duplicates may refer to it."""
         self._key_expires_at[self._ids[request]] = expires_at
 
     def remove_expired(self, now: int) -> None:
-        """Removes finished requests that no message can refer to, once per `EXPIRY_INTERVAL`."""
+        """Removes finished requests that no message can refer to any more.
+
+        Has no effect if the last removal was less than `EXPIRY_INTERVAL` ago.
+        """
         if now < self._next_expiry_at:
             return
         self._next_expiry_at = now + EXPIRY_INTERVAL
--- a/lilacwalk/simulator_adapter/session.py
+++ b/lilacwalk/simulator_adapter/session.py
@@ -16,7 +16,7 @@
 
 
 class Session:
-    """Owns the host, and the lines and the time of the batch that is being read."""
+    """Owns the host, and the lines and simulated time of the batch that is being read."""
 
     def __init__(self, replies: TextIO) -> None:
         """Creates a session that expects the first batch."""
@@ -67,7 +67,11 @@
         self._lines = []
 
     def end(self, last_number: int) -> None:
-        """Checks that the input did not end inside a batch, after the line `last_number`."""
+        """Checks that the input, which ended after line `last_number`, has no incomplete batch.
+
+        Raises:
+            WireError: The input ended inside a batch.
+        """
         if self._time_ms is not None:
             raise WireError(
                 problem=f"input ended inside a batch, expected '{BATCH_END}'", line=last_number
@@ -75,7 +79,7 @@
 
 
 def serve(lines: TextIO, replies: TextIO) -> None:
-    """Processes batches, and writes a reply to each, until the input ends.
+    """Processes batches from `lines` and writes their replies, until the input ends.
 
     Raises:
         WireError: A line does not follow the protocol.
