--- a/lilacwalk/server/clock.py
+++ b/lilacwalk/server/clock.py
@@ -9,10 +9,10 @@
 
 
 class Clock:
-    """Returns the system time, and advances by elapsed time if the system clock is set back.
+    """Follows the system clock; if that is set back, continues by the elapsed time instead.
 
-    A clock that ran backwards would delay every timer. Owns the last reading of both sources and
-    the offset from the system clock.
+    If the time of the process decreased, every timer would be delayed. Owns the last reading of
+    both sources and the offset from the system clock.
     """
 
     def __init__(
@@ -20,7 +20,7 @@
         unix: Callable[[], int] = time.time_ns,
         elapsed: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        """Reads both sources, which return nanoseconds."""
+        """Reads both sources; both return nanoseconds, and `elapsed` never decreases."""
         self._unix = unix
         self._elapsed = elapsed
         self._last_time = unix()
--- a/lilacwalk/server/decision_applier.py
+++ b/lilacwalk/server/decision_applier.py
@@ -18,26 +18,27 @@
 class DecisionApplier:
     """The controller's `DecisionSink` in the app server; every decision is applied at once.
 
-    If a client disconnects while its request is in the batch, the controller may decide on a
-    request that is no longer in flight; such a decision is ignored.
+    If a client disconnects while an event of its request is in the batch, the controller may decide
+    on a request that is no longer in flight; such a decision is ignored.
 
-    Owns what the controller last reported of this server (health, advertised capacity, idle limit)
-    and the time of the next report to the service registry.
+    Owns the health, the advertised capacity and the idle limit that the controller last reported,
+    and the time of the next report to the service registry. Times and durations are in tenths of a
+    millisecond.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        """Until the controller decides, the server is healthy and advertises no capacity."""
+        """Sets the state before the first decision: healthy, without advertised capacity."""
         self._event_loop = event_loop
         self._requests = event_loop.requests
         self._in_flight = event_loop.requests.in_flight.by_request
         self._result_cache = event_loop.requests.result_cache
         self.is_healthy = True
         self.advertised_capacity: float | None = None  # None: nothing is advertised yet
-        self.close_idle_after = 0  # 0: the frontends' own limit
+        self.close_idle_after = 0  # 0: frontends use limits of their own
         self.next_report_at = 0
 
     def dispatch(self, request: Request) -> None:
-        """Dispatches the request, after its record has been written if it needs one."""
+        """Dispatches the request, at once or after its effect record has been written."""
         entry = self._in_flight[request]
         if self._requests.effect_gate.may_dispatch(entry):
             self._event_loop.executor.dispatch(entry)
@@ -45,9 +46,9 @@
     def reject(
         self, request: Request, retry_after: int = 0, do_not_retry_elsewhere: bool = False
     ) -> None:
-        """Rejects a request.
+        """Rejects a request; if `retry_after` is 0, the response has no retry-after.
 
-        `retry_after` is in tenths of a millisecond; if it is 0, the response gives no time.
+        If retry storms are damped, the damper may change `retry_after`.
         """
         entry = self._in_flight.get(request)
         if entry is None:
@@ -73,18 +74,21 @@
             self._release_if_never_dispatched(entry)
 
     def _release_if_never_dispatched(self, entry: InFlightRequest) -> None:
-        """Releases a request that was never dispatched; others are released by their execution."""
+        """Releases a request that was never dispatched; others are released when execution ends."""
         if not entry.request.was_dispatched:
             self._requests.release_request(entry, None)
 
     def cancel(self, request: Request) -> None:
-        """Tells the executor to stop the execution."""
+        """Sends the executor the command to cancel the execution."""
         entry = self._in_flight.get(request)
         if entry is not None:
             self._event_loop.executor.send_commands(entry, encode_cancel(entry.id))
 
     def coalesce(self, request: Request) -> None:
-        """Responds to a duplicate with the original's result, now or when the original ends."""
+        """Responds to a duplicate with the original's result, now or when the original ends.
+
+        If the original has ended and its result is not known, the response is that it failed.
+        """
         entry = self._in_flight.get(request)
         if entry is None:
             return
@@ -99,24 +103,24 @@
         self._requests.respond_to_duplicate(entry, cached.result if is_known else None)
 
     def register_key(self, request: Request, lifetime: int) -> None:
-        """Keeps the idempotency key for `lifetime` tenths of a millisecond from now."""
+        """Stores the request's idempotency key for the duration `lifetime` from now."""
         entry = self._in_flight.get(request)
         if entry is not None and entry.cache_key is not None:
             expires_at = self._event_loop.now + lifetime
             self._result_cache.put(entry.cache_key, request, expires_at, entry.body)
 
     def release_key(self, request: Request) -> None:
-        """Removes the idempotency key of a request that did not run."""
+        """Removes the idempotency key of a request that was never executed."""
         entry = self._in_flight.get(request)
         if entry is not None:
             self._requests.release_key(entry)
 
-    def call_dependency(self, request: Request, give_up_at: int) -> None:
-        """Starts the dependency call that the execution waits for."""
-        self._event_loop.dependency_calls.start(self._in_flight[request], give_up_at)
+    def call_dependency(self, request: Request, timeout_at: int) -> None:
+        """Starts the dependency call for which the execution waits."""
+        self._event_loop.dependency_calls.start(self._in_flight[request], timeout_at)
 
     def skip_dependency_call(self, request: Request) -> None:
-        """Tells the executor to continue the execution without its dependency call."""
+        """Sends the executor the command to continue the execution without its call."""
         self._event_loop.dependency_calls.skip(self._in_flight[request])
 
     def report_health(self, is_healthy: bool) -> None:
@@ -128,11 +132,11 @@
         self.advertised_capacity = value
 
     def close_idle_connections(self, after: int) -> None:
-        """Sets the idle time after which frontends close connections."""
+        """Sets the idle time after which frontends close connections; 0 means their own limits."""
         self.close_idle_after = after
 
     def set_timer(self, after: int) -> None:
-        """Sets the controller's next timer."""
+        """Sets the controller's next timer, which expires after the duration `after`."""
         self._event_loop.set_controller_timer(after)
 
     def log(self, text: str) -> None:
--- a/lilacwalk/server/dependency_calls.py
+++ b/lilacwalk/server/dependency_calls.py
@@ -31,37 +31,49 @@
         client.on_call_finished = self._call_finished
 
     def request(self, request_id: str, event_number: int, body: memoryview | bytes) -> None:
-        """Reports to the controller that an execution waits for a call."""
+        """Reports to the controller that an execution waits for a call.
+
+        Args:
+            request_id: The id of the executed request.
+            event_number: The number of the executor event that requested the call.
+            body: The body of the call.
+        """
         entry = self._event_loop.requests.in_flight.by_id.get(request_id)
         if entry is None:
             return
-        entry.unacknowledged_commands.clear()  # the execution runs, so the commands were read
+        entry.unacknowledged_commands.clear()  # the executor has read them, as the execution runs
         entry.call_event_number = event_number
         entry.call_body = bytes(body)
         self._event_loop.controller_events.append(CallRequested(entry.request))
 
-    def start(self, entry: InFlightRequest, give_up_at: int) -> None:
-        """Starts the call that `entry` waits for; it times out at `give_up_at`."""
+    def start(self, entry: InFlightRequest, timeout_at: int) -> None:
+        """Starts the call for which `entry` waits; the call times out at `timeout_at`.
+
+        `timeout_at` is in tenths of a millisecond.
+        """
         event_loop = self._event_loop
         call = DependencyCall(
             entry.id,
-            max(1, (give_up_at - event_loop.now) // MILLISECOND),
+            max(1, (timeout_at - event_loop.now) // MILLISECOND),
             entry.call_body,
             entry.request.request_class.effect is not Effect.IDEMPOTENT,
         )
         entry.call = call
         entry.call_started_at = event_loop.now
         self.client.start_call(call)
-        event_loop.schedule(give_up_at, self._timed_out, entry, call)
+        event_loop.schedule(timeout_at, self._timed_out, entry, call)
 
     def skip(self, entry: InFlightRequest) -> None:
-        """Tells the executor to continue the execution without the result of its call."""
+        """Sends the executor the command to continue the execution without its call."""
         self._event_loop.executor.send_commands(
             entry, encode_skip_call(entry.id, entry.call_event_number)
         )
 
     def abandon(self, entry: InFlightRequest) -> None:
-        """Abandons a call whose execution has ended, without an event for the controller."""
+        """Abandons the call, if any, of an execution that has ended.
+
+        The controller gets no event of this call; it gets the end of the execution.
+        """
         if entry.call is not None:
             self.client.abandon(entry.call)
             entry.call = None
--- a/lilacwalk/server/drain.py
+++ b/lilacwalk/server/drain.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL = SECOND // 100
+POLL_INTERVAL = SECOND // 100  # time between two checks whether the drain can continue
 
 
 class Drain:
@@ -30,7 +30,7 @@
     def __init__(self, event_loop: EventLoop) -> None:
         """Creates a drain that has not started."""
         self._event_loop = event_loop
-        self.stop_at = 0  # 0 until the drain starts
+        self.stop_at = 0  # in tenths of a millisecond; 0 until the drain starts
 
     @property
     def is_started(self) -> bool:
@@ -58,15 +58,18 @@
         event_loop.schedule(listeners_close_at, self.close_listeners)
 
     def notify_controller(self) -> None:
-        """Passes the start of the drain to the controller, also to one created after that start."""
+        """Reports the drain to the controller if it has started.
+
+        Also called for a controller that is created after the start of the drain.
+        """
         if self.is_started:
             self._event_loop.controller_events.append(DrainStarted(self._flush_starts_at()))
 
     def close_listeners(self) -> None:
         """Closes the listeners, because a refused connection costs a client less than a rejection.
 
-        If the service is announced by BGP, the listeners close only after the withdrawal has been
-        sent and has had time to propagate, or when the stop timeout allows no more delay.
+        If the service is announced by BGP, the listeners are closed only after the withdrawal has
+        been sent and has had time to propagate, or when the stop timeout allows no more delay.
         """
         event_loop = self._event_loop
         bgp = event_loop.subsystems.bgp
@@ -81,7 +84,10 @@
         self._close_connections()
 
     def in_flight_summary(self) -> str:
-        """Returns the log fields of all that counts as in flight; all should be 0 at the end."""
+        """Returns log fields with the numbers of requests, executions and calls in flight.
+
+        All should be 0 at the end of a drain.
+        """
         in_flight = len(self._event_loop.requests.in_flight)
         controller = self._event_loop.controller
         if controller is None:
@@ -93,7 +99,11 @@
         )
 
     def _close_connections(self) -> None:
-        """Half-closes idle connections until all are closed or the stop timeout is almost over."""
+        """Closes idle connections, at intervals, until none is open or the stop timeout is near.
+
+        Shortly before the stop timeout, fails the requests that are still in flight and closes all
+        connections. Then ends the process.
+        """
         event_loop = self._event_loop
         margin = event_loop.limits.drain_flush_margin
         is_final = event_loop.now >= self.stop_at - margin // 2
@@ -110,7 +120,10 @@
             event_loop.schedule(event_loop.now + POLL_INTERVAL, self._close_connections)
 
     def _flush_starts_at(self) -> int:
-        """Time by which the controller has decided on all requests; then connections are closed."""
+        """The time by which the controller must have decided on all requests.
+
+        The time from then until `stop_at` is reserved for sending responses.
+        """
         return self.stop_at - self._event_loop.limits.drain_flush_margin
 
     def _log_start(self) -> None:
--- a/lilacwalk/server/effect_gate.py
+++ b/lilacwalk/server/effect_gate.py
@@ -1,4 +1,4 @@
-"""Records requests with an effect on disk before they run, if a store is configured."""
+"""Records non-idempotent requests on disk before they are executed, if a store is configured."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class EffectGate:
-    """Delays the dispatch of non-idempotent requests until their record is on disk.
+    """Delays the dispatch of requests that are not idempotent until their record is on disk.
 
     Without a store, requests are dispatched at once. Has no state of its own: the persistence
-    integration holds waiting requests, and records of earlier incarnations are restored into the
-    result cache.
+    integration stores which requests wait, and records of earlier incarnations are restored into
+    the result cache.
     """
 
     def __init__(self, event_loop: EventLoop, requests: RequestLifecycle) -> None:
@@ -33,16 +33,20 @@
 
     @property
     def can_record(self) -> bool:
-        """Whether requests with an effect may be admitted.
+        """Whether requests that are not idempotent may be accepted.
 
-        They may be admitted if their records can be written, or if the operator allows them to run
-        unrecorded.
+        They may be accepted if no store is configured, if their records can be written, or if the
+        operator allows them to run unrecorded.
         """
         persistence = self._subsystems.persistence
         return persistence is None or persistence.effect_log.accepts_effects
 
     def may_dispatch(self, entry: InFlightRequest) -> bool:
-        """Whether the request may run now; otherwise `record_written` decides on it later."""
+        """Whether the request may be dispatched now.
+
+        Otherwise the writing of its record has started or is impossible, and `record_written` is
+        called later.
+        """
         persistence = self._subsystems.persistence
         request = entry.request
         if (
@@ -60,7 +64,11 @@
         return bool(may_run)
 
     def record_written(self, entry: InFlightRequest, may_run: bool) -> None:
-        """Dispatches a request that waited for its record, or rejects it without running it."""
+        """Ends the wait of a request for its record: dispatches the request or rejects it.
+
+        A request whose client is gone or that has been answered is not dispatched. `may_run` is
+        false if the record could not be written.
+        """
         requests = self._requests
         event_loop = self._event_loop
         if may_run and entry.connection is not None and not entry.request.answered:
@@ -74,7 +82,10 @@
         requests.in_flight.remove(entry)
 
     def record_end(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Records the end of a request that was dispatched, and its result if known."""
+        """Records the end of a request that was dispatched; `result` is None if unknown.
+
+        Has no effect for idempotent or undispatched requests, or without a store.
+        """
         persistence = self._subsystems.persistence
         request = entry.request
         if (
@@ -89,10 +100,11 @@
     def find_earlier_execution(
         self, class_name: str, tenant_name: str, idempotency_key: str, request_id: str
     ) -> tuple[bool, bytes | None]:
-        """Looks for an execution by an earlier incarnation; requires a store.
+        """Looks for an execution of a request by an earlier incarnation; requires a store.
 
         Returns:
-            Whether the execution may have begun, and its result if known.
+            Whether the execution may have begun, and its result or None if that is not known. It
+            may always have begun if the operator allows requests to run unrecorded.
         """
         persistence = self._subsystems.persistence
         assert persistence is not None
@@ -113,7 +125,7 @@
         """Adds the records of earlier incarnations to the result cache."""
         requests = self._requests
         now = self._event_loop.now
-        dropped = 0
+        dropped_count = 0
         for effect in recovered:
             cache_key = CacheKey(*effect.cache_key)
             request_class = requests.request_classes.get(cache_key.class_name)
@@ -129,10 +141,11 @@
                 answered=True,
                 was_dispatched=True,
             )
-            dropped += not requests.result_cache.restore(
+            dropped_count += not requests.result_cache.restore(
                 cache_key, request, effect.expires_at, effect.result
             )
-        if dropped:
+        if dropped_count:
             log.error(
-                "event=effects_not_restored count=%d detail='the result cache is full'", dropped
+                "event=effects_not_restored count=%d detail='the result cache is full'",
+                dropped_count,
             )
--- a/lilacwalk/server/event_loop.py
+++ b/lilacwalk/server/event_loop.py
@@ -37,7 +37,7 @@
 
 
 class ComponentFailedError(LilacwalkError):
-    """A component that this app server requires has failed."""
+    """A component that this app server requires has failed, so that the process must end."""
 
     def __init__(self, reason: str) -> None:
         """`reason` is the component's error message."""
@@ -48,8 +48,8 @@
 class Timer(NamedTuple):
     """A handler to call at `due`; timers due at the same time run in the order they were set."""
 
-    due: int
-    order: int
+    due: int  # Unix time in tenths of a millisecond
+    order: int  # the number of timers set before
     handler: Callable[..., object]
     arguments: tuple
 
@@ -90,8 +90,8 @@
         self.now = clock.now()
         self.has_ended = False
         self.controller: Controller | None = None  # None until the executor has been up once
-        self.controller_events: list[Event] = []  # of the current iteration
-        self.warm_up_ends_at = 0  # 0: not a cold start
+        self.controller_events: list[Event] = []  # the next batch for the controller
+        self.warm_up_ends_at = 0  # 0: the executor did not start with cold caches
         self._timers: list[Timer] = []
         self._timer_order = count()
         self._unflushed_buffers: dict[SendBuffer, None] = {}
@@ -135,7 +135,10 @@
         self.subsystems.report_node_state()
 
     def take_items(self) -> list[Callback | ComponentFailure]:
-        """Waits for an item until the next timer at most, and takes all items that are queued."""
+        """Waits for an item, at most until the next timer is due, and takes the queued items.
+
+        Takes at most `limits.max_events_per_iteration` items; returns none if none arrived.
+        """
         wait = max(0, self._timers[0].due - self.clock.now()) if self._timers else SECOND
         items: list[Callback | ComponentFailure] = []
         try:
@@ -160,10 +163,10 @@
         return send_buffer.append(data)
 
     def start_controller(self, *, is_cold: bool, executor_age: int) -> None:
-        """Creates the controller when the executor reports for the first time.
+        """Creates the controller after the executor has reported its state for the first time.
 
         Args:
-            is_cold: Whether the executor is still warming up.
+            is_cold: Whether the executor started with cold caches and is still warming up.
             executor_age: Time since the executor started, in tenths of a millisecond.
         """
         started_at = self.now - (executor_age if is_cold else 0)
@@ -174,13 +177,19 @@
         self.drain.notify_controller()
 
     def set_controller_timer(self, delay: int) -> None:
-        """Sets the controller's next timer, and requests new gauge values shortly before it."""
+        """Sets the controller's next timer, and requests new gauges shortly before it expires.
+
+        `delay` is in tenths of a millisecond.
+        """
         due = self.now + delay
         self.schedule(due - self.limits.gauge_lead, self.executor.request_gauges)
         self.schedule(due, self._controller_timer_expired)
 
     def _controller_timer_expired(self) -> None:
-        """Uses the gauges reported last, without waiting for a report that is late."""
+        """Passes the event to the controller with the gauges that the executor reported last.
+
+        Does not wait for a report that is late.
+        """
         gauges = self.executor.gauges
         self.controller_events.append(TimerExpired(gauges.core_use, gauges.run_queue))
 
--- a/lilacwalk/server/executor_session.py
+++ b/lilacwalk/server/executor_session.py
@@ -35,14 +35,14 @@
 class Gauges(NamedTuple):
     """Load of the executor's cores, as last reported."""
 
-    core_use: float  # 0 to 1
-    run_queue: float  # requests running on the cores
+    core_use: float  # fraction of the cores that is in use, from 0 to 1
+    run_queue: float  # number of runnable requests, including running ones
 
 
 class ExecutorSession:
-    """Keeps commands and events consistent when the link to the executor breaks.
+    """Ensures that no command and no event is lost when the link to the executor breaks.
 
-    After the opening of a new link the executor replays its events. It responds to commands in the
+    When a new link has been opened, the executor replays its events. It responds to commands in the
     order in which it reads them. A gauge request sent after the opening is therefore a fence: its
     response shows that all replayed events have been received. Likewise, the response to a numbered
     gauge poll acknowledges all commands that were sent before the poll.
@@ -58,7 +58,7 @@
         self.is_ready = False  # whether there is a link whose replay has been received
         # Until the first report, all cores count as in use.
         self.gauges = Gauges(1.0, float(event_loop.server.cores))
-        self.gauge_polls = 0
+        self.gauge_polls = 0  # number of gauge polls sent over all links
         self._fence_tag = ""  # empty: no fence is outstanding
         self._fence_count = 0
         client.on_connected = self._connected
@@ -68,15 +68,15 @@
     # Commands
 
     def send_commands(self, entry: InFlightRequest, *commands: bytes) -> None:
-        """Sends commands and keeps them until the executor has acknowledged them.
+        """Sends commands and stores them until the executor has acknowledged them.
 
-        Without a link, the commands are sent when the next link is ready. A call without commands
+        Without a link, the commands are sent when the next link is ready. If `commands` is empty,
         resends the unacknowledged ones.
 
-        Only commands sent since the last answered gauge poll are unacknowledged, so it is rare that
-        an execution ends, or requests its next dependency call, between the replay of its events
-        and the arrival of a resent command. In that case the request would run twice, or the next
-        call would get the result of the previous one.
+        A resent command causes a fault if, between the replay of its events and the arrival of the
+        command, an execution ends or requests its next dependency call: the request would run
+        twice, or the next call would get the result of the previous one. This is rare, because only
+        commands sent since the last answered gauge poll are resent.
         """
         entry.unacknowledged_commands.extend(commands)
         entry.gauge_poll_at_last_command = self.gauge_polls
@@ -86,11 +86,14 @@
                 shut_down_socket(self.send_buffer.sock)
 
     def dispatch(self, entry: InFlightRequest) -> None:
-        """Tells the executor to run a request."""
+        """Sends the executor the command to execute a request."""
         self.send_commands(entry, encode_dispatch(entry.id, entry.class_name, entry.body))
 
     def request_gauges(self) -> None:
-        """Requests the gauges; the response also acknowledges all commands sent before."""
+        """Sends a gauge poll; the response also acknowledges all commands sent before.
+
+        Has no effect while no link is ready.
+        """
         if self.is_ready:
             self.gauge_polls += 1
             tag = f"{GAUGE_POLL_PREFIX}{self.gauge_polls}"
@@ -127,7 +130,7 @@
                         event.request_id, event.event_number, event.body
                     )
                 case _ if send_buffer is not self.send_buffer:
-                    pass  # from a lost link, only ended executions and requested calls count
+                    pass  # other events of a lost link are ignored
                 case GaugesReported():
                     self._gauges_reported(event)
                 case ExecutorBooted():
@@ -157,13 +160,13 @@
             self._replay_ended()
 
     def _acknowledge_commands(self, poll: int) -> None:
-        """Drops the commands that were sent over this link before a gauge poll: they were read."""
+        """Drops the commands that were sent before a gauge poll, as the executor has read them."""
         for entry in self._event_loop.requests.in_flight.by_id.values():
             if entry.gauge_poll_at_last_command < poll:
                 entry.unacknowledged_commands.clear()
 
     def _replay_ended(self) -> None:
-        """Resends the commands that the executor has not acknowledged over the lost link."""
+        """Marks the link as ready and resends the commands that have not been acknowledged."""
         event_loop = self._event_loop
         self.is_ready = True
         self._fence_tag = ""
--- a/lilacwalk/server/integrations/__init__.py
+++ b/lilacwalk/server/integrations/__init__.py
@@ -1,1 +1,1 @@
-"""Connects the event loop to the optional subsystems; each has an integration module."""
+"""Connects the event loop to the optional subsystems, by one integration module for each."""
--- a/lilacwalk/server/integrations/bgp.py
+++ b/lilacwalk/server/integrations/bgp.py
@@ -27,7 +27,10 @@
     """Called in the event loop's thread when the level of the announcements changes."""
 
     def __call__(self, withdrawn: bool, /) -> None:
-        """Handles whether this node's announcements are withdrawn because it is unhealthy."""
+        """Handles the change.
+
+        `withdrawn` is true if this node's announcements are withdrawn because it is unhealthy.
+        """
 
 
 class BgpIntegration:
@@ -87,7 +90,10 @@
             self.admin_socket.close()
 
     def evaluate(self, facts: tuple, now: int) -> None:
-        """Reports the node state if it changed; `facts` are the fields of `readiness.Facts`."""
+        """Reports the node state to the speaker if it has changed, unless a drain has started.
+
+        `facts` are the fields of `readiness.Facts`, in their order.
+        """
         if self.reported_state is NodeStatus.LEAVING:
             return
         state = node_status(Facts(*facts), now)
@@ -96,10 +102,9 @@
             self.speaker.set_node_status(state)
 
     def drain(self, close_delay: int) -> None:
-        """Withdraws the announcements.
+        """Withdraws the announcements at the start of a drain.
 
-        `close_delay` is the time until the listener closes at the latest, in tenths of a
-        millisecond.
+        `close_delay` is the maximum time until the listener is closed, in tenths of a millisecond.
         """
         self.reported_state = NodeStatus.LEAVING
         self.speaker.leave(close_delay)
@@ -122,26 +127,33 @@
         self.speaker.set_level_cap(LEVELS_BY_SERVICE_MODE[mode])
 
     def announce_failover_prefixes(self, prefixes: tuple[object, ...]) -> None:
-        """Announces these service prefixes of failed sites, instead of those set before."""
+        """Announces these service prefixes of failed sites, and no other prefixes of such sites."""
         self.speaker.set_failover_services(tuple(Service(prefix=prefix) for prefix in prefixes))
 
     def restore_flap_penalty(
         self, penalty: float, suppressed: bool, announced: bool, age: int
     ) -> None:
-        """Restores flap damping stored by an earlier process `age` tenths of a millisecond ago."""
+        """Restores the flap damping that an earlier process stored.
+
+        The arguments are those of `flap_penalty_state` and their age in tenths of a millisecond.
+        """
         self.speaker.restore_penalty(penalty, suppressed, announced, age)
 
     def flap_penalty_state(self) -> tuple[float, bool, bool]:
-        """Returns the flap penalty, whether it suppresses announcements, and whether any is made.
+        """Returns the state of flap damping.
 
         The speaker's thread owns these values; they are read without a lock.
+
+        Returns:
+            The flap penalty, whether it suppresses announcements, and whether this node announces
+            any service.
         """
-        announcing = self.speaker.state.announcement_policy
-        is_leaving = announcing.node_status in (NodeStatus.LEAVING, NodeStatus.GONE)
+        policy = self.speaker.state.announcement_policy
+        is_leaving = policy.node_status in (NodeStatus.LEAVING, NodeStatus.GONE)
         return (
-            announcing.penalty.value_at(self.speaker.now()),
-            announcing.penalty.suppressed,
-            announcing.level is not Level.NONE and not is_leaving,
+            policy.penalty.value_at(self.speaker.now()),
+            policy.penalty.suppressed,
+            policy.level is not Level.NONE and not is_leaving,
         )
 
     def _announcement_level_changed(self, level: Level) -> None:
@@ -152,7 +164,10 @@
         self.on_withdrawn(level is Level.NONE and self.reported_state in UNHEALTHY_STATUSES)
 
     def _withdrawal_sent(self, close_delay: int) -> None:
-        """Passes the delay to the event loop; runs in the speaker's thread."""
+        """Passes the time until the listener may close to the event loop.
+
+        Runs in the speaker's thread, after the withdrawal has been sent.
+        """
         self.event_queue.post(self._schedule_listener_close, close_delay)
 
     def _schedule_listener_close(self, close_delay: int) -> None:
--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -30,12 +30,17 @@
 # Failover listeners together get at most this fraction (a quarter) of the limits on connections and
 # on requests in flight.
 FAILOVER_LIMIT_DIVISOR = 4
-# Gives the local priorities a random sequence of their own, apart from the controller's.
+# Combined with the server's seed by XOR, so that `LocalPriority` gets a random sequence of its own,
+# different from the controller's.
 SEED_MASK = 0x517E
 
 
 class FailoverTrafficIntegration:
-    """Owns the listeners for failover traffic, their frontends and the `LocalPriority`."""
+    """Owns the listeners for failover traffic, their frontends and the `LocalPriority`.
+
+    While the node is overloaded, the `LocalPriority` decides which requests are rejected ahead of
+    the controller.
+    """
 
     def __init__(
         self,
@@ -117,7 +122,10 @@
         return site.guests is not None and site.name != self.site
 
     def reconfigure(self, config: FailoverConfig) -> None:
-        """Applies a sites block, at start and after a reload, except for changed listeners."""
+        """Applies a sites block, at start and after a reload.
+
+        Changed addresses of listeners only have an effect after a restart; a warning is logged.
+        """
         if _listening_addresses(config) != _listening_addresses(self.config):
             log.warning(
                 "event=reload_ignored "
@@ -160,7 +168,7 @@
             listener.close()
 
     def clear_traffic_plan(self) -> None:
-        """Drops the traffic plan after the sites block was removed.
+        """Sets an empty traffic plan, as the sites block has been removed.
 
         Requests that still arrive at the failover listeners are then ranked by weight, like local
         traffic.
@@ -168,7 +176,7 @@
         self.set_traffic_plan(TrafficPlan())
 
     def set_traffic_plan(self, traffic_plan: TrafficPlan) -> None:
-        """Sets the traffic plan that the node plan has made."""
+        """Sets the traffic plan made by the failover planner."""
         self.local_priority.traffic_plan = traffic_plan
 
     def effective_class(self, source_site: str, request_class: RequestClass) -> RequestClass:
@@ -178,14 +186,17 @@
     def reject_if_overloaded(
         self, class_name: str, source_site: str, controller: Controller
     ) -> LocalRejection | None:
-        """Returns the rejection of a request, or None if the controller decides on it."""
+        """Returns the rejection of a request, or None if the controller is to decide on it.
+
+        `source_site` is empty for local traffic.
+        """
         is_busy = bool(controller.queue) or controller.running >= self.server.cores
         return self.local_priority.reject_if_overloaded(
             class_name, source_site or self.site, is_busy
         )
 
     def request_completed(self) -> None:
-        """Counts a request that was completed."""
+        """Counts a completed request."""
         self.completed_requests += 1
 
     def evaluate(self, controller: Controller, now: int, core_use: float) -> None:
@@ -219,10 +230,10 @@
     def _execution_times(
         self, controller: Controller, flows: Iterable[tuple[str, str]]
     ) -> dict[tuple[str, str], int]:
-        """Returns expected execution times by class and site.
+        """Returns expected execution times, in tenths of a millisecond, by class and site.
 
-        Each is the larger of the means of the class's failover and local requests, or the overall
-        mean if the class has not been executed yet.
+        The expected time is the larger of the class's mean execution times for failover and for
+        local requests. If the class has not been executed yet, it is the mean over all classes.
         """
         local_classes = {each.name: each for each in self.server.request_classes}
         expected = {}
--- a/lilacwalk/server/integrations/learned_state.py
+++ b/lilacwalk/server/integrations/learned_state.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 SECOND = 10_000  # tenths of a ms
 PERSIST_INTERVAL = 5 * SECOND  # a killed process loses at most the changes of this time
-RETENTION_HALF_LIVES = 10  # half-lives until a row expires, when its weight is negligible
+RETENTION_HALF_LIVES = 10  # a row expires after this number of half-lives: its weight is then tiny
 # Weight of a row with a time in the future, whose age is unknown because the clock was set back.
 SET_BACK_CLOCK_WEIGHT = 0.5
 ROW_KEY = b"controller"
@@ -44,7 +44,10 @@
 def encode_learned_state(
     state: LearnedState, request_classes: dict[str, RequestClass], expires_at: int
 ) -> RowUpdate:
-    """Returns the row to be written, without request classes that are no longer configured."""
+    """Returns the row to be written, without request classes that are not configured.
+
+    `expires_at` is Unix time in tenths of a millisecond.
+    """
     execution_times = {
         request_class.name: execution_time
         for request_class, execution_time in state.execution_times.items()
@@ -64,7 +67,10 @@
 def decode_learned_state(
     rows: list[Record], request_classes: dict[str, RequestClass], unix_now: int
 ) -> RecoveredLearnedState | None:
-    """Returns the learned state in the rows; None if its row is missing, expired or unreadable."""
+    """Returns the learned state in the rows; None if its row is missing, expired or unreadable.
+
+    `unix_now` is in tenths of a millisecond.
+    """
     for record in rows:
         if record.table == Table.LEARNED and record.key == ROW_KEY:
             break
@@ -95,10 +101,10 @@
 def restore(
     controller: Controller, recovered: RecoveredLearnedState, now: int, half_life: int
 ) -> None:
-    """Restores learned state with a weight that depends on its age.
+    """Restores learned state with a weight that is halved for each `half_life` of its age.
 
-    If the clock has been set back since, the row's age is unknown: it has half the weight of a row
-    written now.
+    If the clock has been set back since the state was written, its age is unknown; it then has half
+    the weight of state written now. Times are in tenths of a millisecond.
     """
     state = recovered.state
     row = Record(0, Table.LEARNED, ROW_KEY, None, 0, recovered.written_at)
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -32,21 +32,24 @@
 
 
 class WithdrawalPermissionListener(Protocol):
-    """Called in the membership thread when the permission to withdraw or the verdict changes."""
+    """Called in the membership thread when the permission to withdraw or the verdict changes.
+
+    The verdict states which part of the fleet this node can see.
+    """
 
     def __call__(self, may_withdraw: bool, verdict: str, /) -> None:
-        """Handles whether this node may withdraw its announcements when it is unhealthy.
+        """Handles the change.
 
-        `verdict` is the value of `membership.conclusions.Verdict`: which part of the fleet this
-        node can see.
+        `may_withdraw` is true if this node may withdraw its announcements when it is unhealthy;
+        `verdict` is a value of `membership.conclusions.Verdict`.
         """
 
 
 class MembershipIntegration:
     """Owns the membership host, its admin socket and the metrics since the last report.
 
-    The event loop calls all public methods. The membership thread writes `draining_peers` and
-    `load_multiplier`, which the event loop reads.
+    All public methods run in the event loop's thread. The membership thread sets `draining_peers`
+    and `load_multiplier`, which the event loop reads.
     """
 
     def __init__(
@@ -62,12 +65,13 @@
 
         Args:
             config: the fleet block.
-            name: the name of the app server, used if the block gives none.
+            name: the name of the app server, used if the block contains no member name.
             cores: the number of this app server's cores, which other members learn by gossip.
             revision: the version of the program, which other members learn by gossip.
             on_withdrawal_permission: called when the permission to withdraw announcements or the
                 verdict on the membership view changes.
-            site_failover: evaluates the view in the membership thread.
+            site_failover: the failover planner, which evaluates the view in the membership thread;
+                None without a sites block.
 
         Raises:
             FleetError: the block cannot be used.
@@ -91,15 +95,17 @@
                 self.host.close()
                 raise
         self.storage_state = ""
-        self.draining_peers = 0
-        # Ratio of known to present members: clients of dead members move to the present ones.
+        self.draining_peers = 0  # number of other members that are draining
+        # Ratio of all members, present and dead, to the present ones, to which the clients of dead
+        # members move.
         self.load_multiplier = 1.0
         self.reported_state: NodeStatus | None = None
         self.next_report_at = 0
         self.last_evaluated_at = 0
-        # Integral of core use over time since the last report; a single sample is not meaningful.
+        # Integral of the core use over the time since the last report, for the mean core use; a
+        # single sample is not meaningful.
         self.utilization_integral = 0.0
-        self.completed = 0
+        self.completed = 0  # number of completed requests since the last report
         self.rejected_by_class: Counter[str] = Counter()
 
     def start(self) -> None:
@@ -123,7 +129,10 @@
             self.admin_socket.close()
 
     def set_withdrawn(self, withdrawn: bool) -> None:
-        """Gossips whether this node has withdrawn its announcements because it is unhealthy."""
+        """Sets the metadata by which members learn whether this node withdrew its announcements.
+
+        `withdrawn` is true only if they are withdrawn because the node is unhealthy.
+        """
         self.host.update_metadata(withdrawn=withdrawn)
 
     def record_outcome(self, request_class: str, status: FinalStatus) -> None:
@@ -147,7 +156,7 @@
             facts: the fields of `readiness.Facts`, in this order.
             now: the current time in tenths of a millisecond.
             admission_probability: the controller's admission probability.
-            core_use: the share of the cores in use.
+            core_use: the fraction of the cores that is in use.
             storage_state: the state of the effect log; empty if effects are persisted.
         """
         if storage_state != self.storage_state:
@@ -182,7 +191,10 @@
         self.rejected_by_class.clear()
 
     def _publish_view(self, membership: Membership, verdict: Verdict, may_withdraw: bool) -> None:
-        """Takes counts from a changed membership view; runs in the membership thread."""
+        """Publishes the counts of a changed membership view, and the permission to withdraw.
+
+        Runs in the membership thread.
+        """
         view = membership.view
         self.draining_peers = sum(member.name != membership.name for member in view.draining())
         dead_members = len(view.with_health(Health.DEAD))
--- a/lilacwalk/server/integrations/persistence.py
+++ b/lilacwalk/server/integrations/persistence.py
@@ -1,7 +1,9 @@
 """Connects the event loop to the store: effects, learned state, damping, device sessions.
 
-Loaded only if the operator's file has a store block. Methods run in the event loop's thread unless
-documented otherwise. None of them waits for the disk, except `end`.
+An effect is the side effect of a request that is not idempotent; its record, a row of the store,
+shows after a restart that it may have occurred. Loaded only if the operator's file has a store
+block. Methods run in the event loop's thread unless documented otherwise. None of them waits for
+the disk, except `end`.
 """
 
 from __future__ import annotations
@@ -48,7 +50,7 @@
     """Called once the store has been read, or cannot be opened."""
 
     def __call__(self, effects: list[RecoveredEffect], /) -> None:
-        """Restores the effects of earlier processes, in the event loop.
+        """Restores the effects of earlier processes; called in the event loop's thread.
 
         `effects` is empty if the store cannot be opened.
         """
@@ -59,23 +61,23 @@
     """Called when the record of a waiting request is on disk, or could not be written."""
 
     def __call__(self, token: object, may_run: bool, /) -> None:
-        """Runs or rejects the request that `token` identifies, in the event loop."""
+        """Runs the request that was passed to `begin_effect` as `token`, or rejects it.
+
+        Called in the event loop's thread.
+        """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class PendingEffect:
-    """A request that waits for its row to be persisted."""
+    """A request that waits until its row is persisted."""
 
-    token: object
+    token: object  # passed back to `on_persisted`
     cache_key: CacheKey
 
 
 class PersistenceIntegration:
-    """Connects the event loop to the store.
-
-    Owns the effect log, the store with its opener, and recovered state until it is restored.
-    """
+    """Owns the effect log, the store with its opener, and recovered state until it is restored."""
 
     def __init__(
         self,
@@ -88,6 +90,14 @@
     ) -> None:
         """Creates the store opener and the admin socket.
 
+        Args:
+            config: the store block.
+            node: the name of this node, with which it claims the store's directory.
+            event_queue: the queue of the event loop.
+            request_classes: the configured request classes by name.
+            on_recovered: called once the store has been read or cannot be opened.
+            on_persisted: called for each request for which `begin_effect` returned None.
+
         Raises:
             OSError: the admin socket cannot be created.
         """
@@ -101,7 +111,7 @@
         self.learned: RecoveredLearnedState | None = None  # None: nothing to restore
         self.subsystems = SubsystemState(config.damping_retention)
         self.recovered_sessions: dict[bytes, bytes] = {}
-        self._next_persist = 0
+        self._next_persist_at = 0
         self._unpersisted_report = ReportThrottle()
         self._opener = StoreOpener(
             config,
@@ -123,7 +133,7 @@
             self.admin_socket.start()
 
     def end(self, timeout: float) -> None:
-        """Writes pending updates, for at most `timeout` seconds, and closes the store."""
+        """Writes pending updates and closes the store; waits at most `timeout` seconds."""
         self._opener.stop()
         if self.admin_socket is not None:
             self.admin_socket.close()
@@ -180,14 +190,24 @@
     # Requests with an effect
 
     def deduplicated_until(self, request: Request, now: int) -> int:
-        """Returns the time until which duplicates of the request are recognized."""
+        """Returns the time until which duplicates are recognized, in tenths of a millisecond."""
         window = request.request_class.deduplication_window
         return request.arrived_at + window if window else now + self.config.effect_retention
 
     def begin_effect(
         self, token: object, cache_key: CacheKey, expires_at: int, now: int
     ) -> bool | None:
-        """Returns whether a request may run, or None if it has to wait for `on_persisted`."""
+        """Records that a request is about to run.
+
+        Args:
+            token: identifies the request in the call of `on_persisted`.
+            cache_key: the key under which duplicates find the request.
+            expires_at: the time until which duplicates are recognized.
+            now: the current time.
+
+        Returns:
+            Whether the request may run, or None if it has to wait for `on_persisted`.
+        """
         begun = self.effect_log.begin(cache_key, expires_at)
         if begun.update is not None:
             self._put(begun.update, now, PendingEffect(token, cache_key))
@@ -242,9 +262,9 @@
 
     def persist_learned_state(self, controller: Controller, now: int) -> None:
         """Persists the controller's learned state every `PERSIST_INTERVAL`."""
-        if self.store is None or now < self._next_persist:
+        if self.store is None or now < self._next_persist_at:
             return
-        self._next_persist = now + learned_state.PERSIST_INTERVAL
+        self._next_persist_at = now + learned_state.PERSIST_INTERVAL
         retention = learned_state.RETENTION_HALF_LIVES * self.config.learned_half_life
         update = learned_state.encode_learned_state(
             controller.learned_state(), self.request_classes, now + retention
@@ -252,7 +272,10 @@
         self._put(update, now)
 
     def restore_learned_state(self, controller: Controller, now: int) -> None:
-        """Restores the recovered learned state once, into a newly created controller."""
+        """Restores the recovered learned state, if any, into a newly created controller.
+
+        Only the first call has an effect.
+        """
         if self.learned is None:
             return
         recovered, self.learned = self.learned, None
@@ -261,15 +284,15 @@
     def update_damping_and_sites(
         self, bgp: BgpIntegration | None, sites: SiteFailoverIntegration | None, now: int
     ) -> None:
-        """Restores the recovered flap penalty and site state once, and persists the current ones.
+        """Persists flap damping and the failure history of sites; at first restores earlier ones.
 
-        Both are persisted as often as learned state; the flap penalty is also persisted whenever
-        the announcement changes. This method must be called before `persist_learned_state`, which
-        advances `_next_persist`.
+        Both are persisted as often as learned state; flap damping is also persisted when this node
+        starts or stops announcing services. This method must be called before
+        `persist_learned_state`, which advances `_next_persist_at`.
         """
         if self.store is None:
             return
-        is_due = now >= self._next_persist
+        is_due = now >= self._next_persist_at
         if bgp is not None:
             for update in self.subsystems.update_damping(bgp, now, is_due):
                 self._put(update, now)
--- a/lilacwalk/server/integrations/retry_storms.py
+++ b/lilacwalk/server/integrations/retry_storms.py
@@ -20,8 +20,8 @@
 from lilacwalk.server.integrations.status_query import answer_show
 
 log = logging.getLogger(__name__)
-# Gives the damper a random sequence of its own, so that the controller's random draws are the same
-# with and without a storms block.
+# Combined with the seed by XOR, so that the damper gets a random sequence of its own, and the
+# controller's random draws are the same with and without a storms block.
 SEED_MASK = 0x5703
 FINGERPRINT_BYTES = 8  # collisions are rare: about ten thousand fingerprints are held at once
 
@@ -47,7 +47,7 @@
         event_queue: EventQueue,
         now: int,
     ) -> None:
-        """Creates the damper and the admin socket.
+        """Creates the damper and the admin socket; times are in tenths of a millisecond.
 
         Raises:
             OSError: the admin socket cannot be created.
@@ -74,7 +74,7 @@
     def evaluate_request(
         self, incoming: IncomingRequest, deadline: int, is_duplicate: bool, now: int
     ) -> Rejection | None:
-        """Returns the rejection of a request, or None if the controller decides on it."""
+        """Returns the rejection of a request, or None if the damper does not reject it."""
         attempt = Attempt(
             fingerprint=fingerprint(incoming.class_name, incoming.tenant_name, incoming.body),
             request_class=incoming.class_name,
@@ -86,7 +86,7 @@
         return self.damper.evaluate_request(attempt, now)
 
     def request_completed(self, entry: InFlightRequest) -> None:
-        """Counts a request that was completed."""
+        """Reports a completed request to the damper."""
         tenant = entry.request.tenant
         tenant_name = tenant.name if tenant is not None else ""
         self.damper.request_completed(
@@ -98,10 +98,14 @@
         return self.damper.spread_retry_after(request.client, retry_after, now)
 
     def evaluate(self, controller: Controller, now: int, load_multiplier: float) -> None:
-        """Passes the queue delay to the damper and logs changes of its stage."""
+        """Passes the queue delay to the damper and logs changes of its stage.
+
+        `load_multiplier` is the ratio of all members of the fleet, present and dead, to the present
+        ones, to which the clients of dead members move.
+        """
         self._now = now
-        # If no request is running there is no queue delay. The expected execution times must not
-        # count then, because they may have been learned while the executor was stalled.
+        # If no request is running, the queue delay is 0. Expected execution times must not be used
+        # then, because they may have been learned while the executor was stalled.
         queue_delay = _queue_delay(controller) if controller.running else 0
         self.damper.tick(now, queue_delay, load_multiplier)
         for change in self.damper.changes:
--- a/lilacwalk/server/integrations/site_failover.py
+++ b/lilacwalk/server/integrations/site_failover.py
@@ -38,9 +38,10 @@
 from lilacwalk.server.integrations.site_failover_report import describe_plan, describe_site
 
 log = logging.getLogger(__name__)
-# Probe intervals that a start waits for other members; all of them may be down.
+# Number of probe intervals for which a starting node waits for other members. It is limited because
+# all of them may be down.
 MAX_JOIN_WAIT_INTERVALS = 10
-MAX_LOGGED_MEMBERS = 8
+MAX_LOGGED_MEMBERS = 8  # number of members named in a log line
 
 
 def unix_milliseconds() -> int:
@@ -49,7 +50,10 @@
 
 
 class SiteFailoverIntegration:
-    """Owns the failover planner. All methods but the constructor run in the membership thread."""
+    """Owns the failover planner. All methods but the constructor run in the membership thread.
+
+    Times are in tenths of a millisecond, except those of operator commands.
+    """
 
     def __init__(
         self,
@@ -97,7 +101,8 @@
         self._apply_commands(planner, membership, now)
         conclusion = membership.conclusion(now)
         self.conclusion = conclusion.verdict
-        # If this node is in the majority even without the suspected members, it need not wait.
+        # If this node is in the majority even if all suspected members are lost, the plan need not
+        # wait until the suspicions have been confirmed or refuted.
         effective_verdict = HEALTHY_VIEW if conclusion.firm else conclusion.verdict
         node_plan = planner.evaluate(_node_views(membership), effective_verdict, now)
         self._check_agreement(membership, now)
@@ -109,7 +114,7 @@
         self._update_traffic_plan(planner, membership, now)
 
     def describe(self, now: int) -> dict:
-        """Returns the sites' recovery stages, the shares and the plan for the admin socket."""
+        """Returns this node's view of the sites and the plan, for the admin socket."""
         planner = self.planner
         if planner is None:
             return {"error": "the failover plan has not been evaluated yet"}
@@ -145,9 +150,10 @@
             planner.restore_failure_history(history, age, now)
 
     def _apply_commands(self, planner: FailoverPlanner, membership: Membership, now: int) -> None:
-        """Applies operator commands, on whichever member they were issued.
+        """Applies the operator commands that the metadata of the known members contain.
 
-        A command is over when no member's metadata contains it any more.
+        Each command applies on all members, whichever of them it was issued on. It ends when no
+        member's metadata contains it any more.
         """
         unix_now = unix_milliseconds()
         gossiped = (
@@ -175,6 +181,10 @@
         self.commands = commands
 
     def _check_agreement(self, membership: Membership, now: int) -> None:
+        """Compares the fingerprint of this node's sites block with those of the other members.
+
+        Gossips the own fingerprint, and logs changes of the members whose block differs.
+        """
         published = _own_metadata(membership).operator_commands
         with_fingerprint = put_fingerprint(published, self.fingerprint)
         if with_fingerprint != published:
@@ -227,8 +237,8 @@
         """Decides on the service mode of this node's own site.
 
         After a start, the mode is `none` until other members have reported whether the site is
-        recovering, for at most `MAX_JOIN_WAIT_INTERVALS`: a cold site must not take all its load at
-        once.
+        recovering, because a cold site must not take all its load at once. This wait is limited by
+        `MAX_JOIN_WAIT_INTERVALS`.
         """
         if self.started_at is None:
             self.started_at = now
@@ -268,7 +278,13 @@
 def answer_admin_query(
     words: list[str], host: FleetHost, site_failover: SiteFailoverIntegration
 ) -> object:
-    """Answers a query on the admin socket: `sites` or `sites hold|drain|release SITE SECONDS`."""
+    """Answers a query on the admin socket: `sites` or `sites hold|drain|release SITE SECONDS`.
+
+    The second form issues an operator command, which this node's metadata gossips.
+
+    Returns:
+        The result of `SiteFailoverIntegration.describe`, or a dict with an `error`.
+    """
     if words == ["sites"]:
         return host.query(lambda _membership, now: site_failover.describe(now))
     if len(words) != 4 or words[1] not in VERBS or not words[3].isdecimal():
--- a/lilacwalk/server/integrations/site_failover_hooks.py
+++ b/lilacwalk/server/integrations/site_failover_hooks.py
@@ -8,17 +8,17 @@
 
 
 class FailoverSitesListener(Protocol):
-    """Called in the membership thread when the failed sites that this node serves change."""
+    """Called in the membership thread when the failed sites whose load this node takes change."""
 
     def __call__(self, sites: tuple[str, ...], /) -> None:
-        """Handles the new list of failed sites whose load this node takes."""
+        """Handles the names of all failed sites whose load this node takes now."""
 
 
 class OwnServiceModeListener(Protocol):
     """Called in the membership thread when the service mode of this node's own site changes."""
 
     def __call__(self, mode: str, /) -> None:
-        """Handles the new mode: `whole`, `part` or `none` of the site announces its services."""
+        """Handles the new mode, `whole`, `part` or `none`: which nodes announce its services."""
 
 
 class TrafficPlanListener(Protocol):
--- a/lilacwalk/server/integrations/site_failover_report.py
+++ b/lilacwalk/server/integrations/site_failover_report.py
@@ -7,7 +7,7 @@
 
 
 def describe_site(planner: FailoverPlanner, name: str, now: int) -> dict:
-    """Returns the recovery stage, share and failover nodes of a site."""
+    """Returns the report on the site `name`: its recovery, status and failover nodes."""
     recovery = planner.recoveries[name]
     status = planner.node_plan.site_status.get(name)
     return {
@@ -27,7 +27,10 @@
 
 
 def describe_plan(node_plan: NodePlan) -> dict | None:
-    """Returns the shares, utilisation and rejections of the plan; None if there is no plan."""
+    """Returns the report on the failover plan: shares, utilisation and rejections by class.
+
+    Returns None if there is no plan.
+    """
     plan = node_plan.plan
     if plan is None:
         return None
--- a/lilacwalk/server/integrations/store_opener.py
+++ b/lilacwalk/server/integrations/store_opener.py
@@ -1,4 +1,4 @@
-"""Opens the store in a thread of its own, because a slow disk may block for any time."""
+"""Opens the store in a thread of its own, because a slow disk may block without limit."""
 
 from __future__ import annotations
 
@@ -18,23 +18,27 @@
 log = logging.getLogger(__name__)
 RETRY_DELAY = 5.0  # seconds; a full or missing disk is seldom available again sooner
 MAX_SEGMENT_BYTES = 16_000_000
-SEGMENTS_PER_STORE = 8
-SNAPSHOT_LOG_DIVISOR = 4  # a snapshot is due after log writes of a quarter of the store's size
+SEGMENTS_PER_STORE = 8  # minimum number of segments if the store has its maximum size
+# A snapshot is due when a quarter of the store's maximum size has been written to the log.
+SNAPSHOT_LOG_DIVISOR = 4
 
 
 class OpenFailedCallback(Protocol):
     """Called when the store could not be opened."""
 
     def __call__(self, reason: str, is_permanent: bool, /) -> None:
-        """Handles the failure in the event loop; if `is_permanent`, opening is not retried."""
+        """Handles the failure, in the event loop's thread.
+
+        If `is_permanent` is true, opening is not retried.
+        """
         ...
 
 
 class StoreOpener:
-    """Opens the store, with retries on disk errors. Owns the thread `storage-opening`.
+    """Opens the store, with retries after disk errors. Owns the thread `storage-opening`.
 
-    The callbacks `on_opened` and `on_failed` run in the event loop, the others in the store's
-    thread.
+    The callbacks `on_opened` and `on_failed` run in the event loop's thread, the others in the
+    store's thread.
     """
 
     def __init__(
@@ -48,7 +52,7 @@
         on_persisted: PersistedCallback,
         on_mode_change: ModeCallback,
     ) -> None:
-        """`node`: the node name with which the directory is claimed."""
+        """Creates the thread; `node` is the name with which this node claims the directory."""
         self._config = config
         self._node = node
         self._event_queue = event_queue
--- a/lilacwalk/server/integrations/subsystem_state.py
+++ b/lilacwalk/server/integrations/subsystem_state.py
@@ -18,8 +18,9 @@
 
 log = logging.getLogger(__name__)
 SECOND = 10_000  # tenths of a ms
-BGP_RESTORE_TIME = SECOND // 2  # for the speaker's thread to apply restored damping
+BGP_RESTORE_TIME = SECOND // 2  # time in which the speaker's thread applies restored damping
 ROW_KEY = b"standing"
+# The failure history of sites, by site: see `FailoverPlanner.failure_history`.
 SiteRows = dict[str, tuple[int, int]]
 Value = TypeVar("Value")
 
@@ -48,7 +49,8 @@
 ) -> RecoveredRow[Value] | None:
     """Returns the only row of a table; None if it is missing, expired or unreadable.
 
-    A row with a time in the future (the clock was set back) counts as written now.
+    A row whose time is in the future, because the clock was set back, counts as written now.
+    `unix_now` is in tenths of a ms.
     """
     for row in rows:
         if row.table == table and row.key == ROW_KEY:
@@ -75,7 +77,7 @@
     """
 
     def __init__(self, retention: int) -> None:
-        """`retention`: tenths of a ms for which a row is valid."""
+        """`retention` is the time in tenths of a ms for which a row is valid."""
         self.recovered_damping: RecoveredRow[DampingRow] | None = None
         self.recovered_sites: RecoveredRow[SiteRows] | None = None
         self._retention = retention
@@ -88,7 +90,11 @@
         self.recovered_sites = decode_row(rows, Table.SITES, SiteRows, unix_now)
 
     def update_damping(self, bgp: BgpIntegration, now: int, is_due: bool) -> list[RowUpdate]:
-        """Restores recovered damping once; returns a row to write if it changed or one is due."""
+        """Restores recovered damping, if any, and returns the rows to write.
+
+        A row is to be written if it is due, or if this node has started or stopped announcing
+        services.
+        """
         if self.recovered_damping is not None:
             self._restore_damping(bgp, self.recovered_damping, now)
             self.recovered_damping = None
@@ -114,13 +120,14 @@
                 "was_announced": damping.announced,
             }
         )
-        # Until then the row on disk stays valid, because the speaker may still lack its values.
+        # Before this time no row is written, because the speaker may not have applied the restored
+        # values yet; the row on disk is still valid.
         self._persist_damping_from = now + BGP_RESTORE_TIME
 
     def update_sites(
         self, sites: SiteFailoverIntegration, now: int, is_due: bool
     ) -> list[RowUpdate]:
-        """Restores the recovered failure history once; returns a row to write if one is due."""
+        """Restores the recovered failure history, if any, and returns the row to write if due."""
         recovered = self.recovered_sites
         if recovered is not None:
             self.recovered_sites = None
--- a/lilacwalk/server/operator_config.py
+++ b/lilacwalk/server/operator_config.py
@@ -25,7 +25,7 @@
 
 
 class NoOperatorConfig:
-    """Used without an operator's file: all subsystems are disabled."""
+    """The `OperatorConfig` of a server without an operator's file: no subsystem is enabled."""
 
     announce = None
     edge = None
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -16,18 +16,21 @@
 
 
 class ConfigurationError(LilacwalkError):
-    """The configuration is invalid; the message is a single line for the operator."""
+    """The configuration is invalid or cannot be applied; the message is for the operator.
+
+    The message is a single line, except that of an `OperatorFileError`.
+    """
 
 
 class OperatorFileError(ConfigurationError):
-    """The operator's own file is invalid.
+    """The operator's file, which configures the optional subsystems, is invalid.
 
-    The message needs no prefix: it has a line for each error, with file, line and word.
+    The message has a line for each error, with file, line and word, and is printed without prefix.
     """
 
 
 class ConfigurationFileError(ConfigurationError):
-    """The file cannot be read or parsed."""
+    """The process configuration cannot be read or parsed."""
 
     def __init__(self, path: str, problem: str) -> None:
         """`problem` describes the error without the path."""
@@ -40,7 +43,7 @@
     """A value in the configuration is missing or invalid."""
 
     def __init__(self, problem: str) -> None:
-        """`problem` gives the value and the expected form."""
+        """`problem` names the value and states what is wrong with it."""
         super().__init__(f"configuration: {problem}")
         self.problem = problem
 
@@ -49,7 +52,7 @@
     """An address in the configuration is not `host:port` with a numeric IPv4 host."""
 
     def __init__(self, name: str, value: object) -> None:
-        """`name` is the key in the file."""
+        """`name` is the key of the address in the file, `value` the value found there."""
         super().__init__(f"{name}={value}: expected host:port with a numeric IPv4 host")
         self.name = name
         self.value = value
@@ -86,7 +89,10 @@
 def decode_address(config: dict, name: str) -> Address:
     """Decodes the address under `name`: `host:port` with a numeric IPv4 host.
 
-    Host names are not accepted, because resolving them would block.
+    Host names are not accepted, because resolving them would block the event loop.
+
+    Returns:
+        The host and the port.
 
     Raises:
         InvalidAddressError: The address is missing or has another form.
--- a/lilacwalk/server/reload.py
+++ b/lilacwalk/server/reload.py
@@ -24,8 +24,13 @@
     """Applies the operator's file and the addresses of the executor, dependency and registry.
 
     Other changes to the process configuration take effect at the next start. If the process
-    configuration or the operator's file is invalid, the error is logged and no address changes; of
-    the operator's file, the blocks before an unusable one still apply.
+    configuration or the operator's file is invalid, the error is logged and no address changes. If
+    a block of a valid operator's file cannot be used, the blocks before it have been applied.
+
+    Args:
+        event_loop: The event loop, in whose thread this function is called.
+        path: The path of the process configuration.
+        read_operator_config: Reads the operator's file; None if there is none.
     """
     try:
         new_addresses = decode_addresses(read_configuration(path))
--- a/lilacwalk/server/request_lifecycle.py
+++ b/lilacwalk/server/request_lifecycle.py
@@ -53,7 +53,7 @@
 
     @property
     def now(self) -> int:
-        """The time of the current iteration."""
+        """The Unix time of the current iteration, in tenths of a millisecond."""
         return self._event_loop.now
 
     @property
@@ -68,7 +68,10 @@
 
     @property
     def close_idle_after(self) -> int:
-        """Idle time after which connections are closed; if 0, the frontend uses its own limit."""
+        """Idle time after which connections are closed, in tenths of a millisecond.
+
+        If it is 0, the frontend uses its own limit.
+        """
         return self._event_loop.decision_applier.close_idle_after
 
     def connection_opened(self) -> None:
@@ -85,16 +88,16 @@
         )
 
     def client_gone(self, entry: InFlightRequest) -> None:
-        """Detaches the client of a request, which has disconnected or withdrawn the request."""
+        """Handles that the client of a request has disconnected or withdrawn the request."""
         self.in_flight.detach_client(entry)
         self._event_loop.controller_events.append(ClientGone(entry.request))
-        if not entry.request.was_dispatched:  # no end of an execution will release it
+        if not entry.request.was_dispatched:  # otherwise released when its execution ends
             self.release_request(entry, None)
 
     # Submit
 
     def submit(self, client: ClientConnection, tag: int, incoming: IncomingRequest) -> str:
-        """Accepts a request, or responds at once if the controller need not decide.
+        """Accepts a request, or responds at once if the controller need not decide on it.
 
         The frontend has checked that the tag is free and that the client's number of open requests
         is within its limit.
@@ -113,8 +116,8 @@
         submission = self._screening.prepare(client, incoming, request_class, tenant)
         if self._screening.has_different_body(submission):
             # A duplicate has the same body as the original request. This request only has the same
-            # key and must not get the original's result. Until the original has finished, its key
-            # may still be released, so this request is rejected and can be retried.
+            # key and must not get the original's result. It is rejected, so that it can be retried,
+            # until the original has finished, because the original's key may still be released.
             if submission.original.state is not RequestState.FINISHED:
                 client.frontend.send_response(client, tag, FinalResponse(FinalStatus.REJECTED))
                 return ""
@@ -193,7 +196,10 @@
         self._subsystems.response_sent(entry, status)
 
     def respond_to_duplicate(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Ends a duplicate with the result of the original request, which is None if unknown."""
+        """Responds to a duplicate with the result of the original request, and removes it.
+
+        If `result` is None, the result is unknown and the response is that the request failed.
+        """
         entry.awaits_result_of = None
         if result is None:
             self.respond(entry, FinalStatus.FAILED)
@@ -205,12 +211,18 @@
         self.in_flight.remove(entry)
 
     def release_key(self, entry: InFlightRequest) -> None:
-        """Removes the key of a request that never ran: the key's next request is no duplicate."""
+        """Removes the key of a request that was never executed.
+
+        The next request with the same key then does not count as a duplicate.
+        """
         if entry.cache_key is not None:
             self.result_cache.remove(entry.cache_key, entry.request)
 
     def release_request(self, entry: InFlightRequest, result: bytes | None) -> None:
-        """Removes a request that has been executed or never will be; duplicates get its result."""
+        """Removes a request that has been executed or will not be, and answers its duplicates.
+
+        `result` is the result that duplicates get; None if it is unknown.
+        """
         self.in_flight.remove(entry)
         if entry.cache_key is None:
             return
--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -1,4 +1,4 @@
-"""Decides on requests ahead of the controller: duplicates, capacity limits, load shedding."""
+"""Screens requests before the controller: duplicates, capacity limits and load shedding."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     request_class: RequestClass
     tenant: Tenant | None
     body: bytes
-    arrived_at: int  # by this process's clock
+    arrived_at: int  # by the clock of this process
     deadline: int
     cache_key: CacheKey | None  # the key by which duplicates are found in the result cache
     original: Request | None  # the request that this one duplicates; None: not a duplicate
@@ -59,7 +59,7 @@
         request_class: RequestClass,
         tenant: Tenant | None,
     ) -> Submission:
-        """Looks up the original request of a valid request and computes its deadline."""
+        """Finds the original request, if any, of a valid request, and computes the deadline."""
         now = self._event_loop.now
         arrived_at = min(incoming.arrived_at + self._event_loop.clock.offset, now)
         timeout = request_class.timeout if incoming.timeout is None else incoming.timeout
@@ -92,7 +92,7 @@
             kind = CacheKeyKind.SUBJECT
             text = incoming.subject
         elif not is_idempotent and self._subsystems.persistence is not None:
-            kind = CacheKeyKind.REQUEST_ID  # a client resends the id after a lost connection
+            kind = CacheKeyKind.REQUEST_ID  # a client that lost its connection retries with the id
             text = incoming.id
         else:
             return None, None
@@ -104,7 +104,7 @@
         return cache_key, cached.request if cached is not None else None
 
     def has_different_body(self, submission: Submission) -> bool:
-        """Whether the request's idempotency key was used before with another body."""
+        """Whether an earlier request had the same idempotency key but another body."""
         cache_key = submission.cache_key
         return (
             cache_key is not None
@@ -160,9 +160,9 @@
     def _may_duplicate_evicted_request(self, submission: Submission) -> bool:
         """Whether the request may duplicate one whose key is no longer found.
 
-        The request may be such a duplicate if it was read so late that keys valid at its arrival
-        have been evicted, or if it arrived just after the deduplication window, which a client may
-        measure from a later moment than this server does.
+        That is the case if the request was read so late that keys valid at its arrival have been
+        evicted, or if it arrived just after the end of the deduplication window, because the client
+        may measure the window from a later time than this server does.
         """
         if submission.request_class.effect is not Effect.DEDUPLICATED:
             return False
--- a/lilacwalk/server/startup.py
+++ b/lilacwalk/server/startup.py
@@ -32,10 +32,11 @@
 
 log = logging.getLogger(__name__)
 
-# The call stacks of reader and writer threads are shallow, and Python frames are on the heap.
+# A small stack suffices: reader and writer threads have shallow call stacks, and Python allocates
+# its frames on the heap.
 THREAD_STACK_BYTES = 131_072
 SWITCH_INTERVAL = 0.001  # seconds; short, because most threads run only briefly at a time
-SUBSYSTEM_STOP_TIMEOUT = 0.05  # seconds; after a drain a subsystem has nothing left to send
+SUBSYSTEM_STOP_TIMEOUT = 0.05  # seconds; short, because after a drain nothing is left to send
 EXIT_FAILURE = 1
 EXIT_CONFIGURATION_ERROR = 2
 
@@ -48,7 +49,7 @@
     Args:
         config: The process configuration.
         event_queue: The queue through which other threads pass events to the event loop.
-        **other_limits: Limits that replace those of the configuration.
+        **other_limits: Values by name that replace those of the `Limits` from the configuration.
 
     Raises:
         ConfigurationError: A value is invalid, or the address to listen on is in use.
@@ -81,17 +82,18 @@
 
     Args:
         path: The path of the process configuration.
-        read_operator_config: Called at start and at each SIGHUP.
+        read_operator_config: Reads the operator's file, at start and at each SIGHUP; None if there
+            is none.
 
     Returns:
-        The exit code.
+        The exit code: 0 after a drain, else EXIT_FAILURE or EXIT_CONFIGURATION_ERROR.
     """
     threading.stack_size(THREAD_STACK_BYTES)
     sys.setswitchinterval(SWITCH_INTERVAL)
     event_queue = EventQueue()
-    # The handlers are set before the files are read and the listener opens. A signal during the
-    # start waits in the queue: after SIGHUP the files are read again, and after SIGTERM requests
-    # that have been accepted still get a response.
+    # The handlers are set before the files are read and the listener is opened. The effect of a
+    # signal that arrives during the start is queued until the event loop runs: the files are then
+    # read again, or the drain starts, in which accepted requests still get a response.
     signal.signal(
         signal.SIGHUP,
         lambda *_: event_queue.post(
@@ -131,10 +133,10 @@
 
 
 def check(path: str) -> int:
-    """Reads a configuration as `serve` does, without opening a socket, and prints a summary.
+    """Checks a process configuration without opening a socket, and prints a summary of it.
 
     Returns:
-        The exit code.
+        The exit code: 0 if the configuration is valid, else EXIT_CONFIGURATION_ERROR.
     """
     try:
         config = read_configuration(path)
--- a/lilacwalk/server/subsystem_factories.py
+++ b/lilacwalk/server/subsystem_factories.py
@@ -1,7 +1,8 @@
 """Creates the optional subsystems, each from its block of the operator's file.
 
-Their modules are imported here, only if their block is present. If a subsystem cannot start, its
-factory raises `ConfigurationError`, and the subsystem leaves no socket open.
+The modules of a subsystem are imported only if its block is present. If a subsystem cannot start,
+its factory raises `ConfigurationError`, and no socket of the subsystem remains open.
+`create_membership` raises errors of its own, which its caller converts.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
     """A system call that a subsystem needs at its start failed, such as opening a socket."""
 
     def __init__(self, failure: str, cause: OSError) -> None:
-        """`failure` says what failed, such as "cannot start the store"."""
+        """`failure` states what failed, such as "cannot start the store"."""
         super().__init__(f"{failure}: {cause.strerror or cause}")
         self.failure = failure
 
@@ -45,7 +46,7 @@
     """A subsystem rejects its block, or a package that it needs is not installed."""
 
     def __init__(self, subsystem: str, cause: Exception, hint: str = "") -> None:
-        """`hint` says how to fix the problem."""
+        """`hint` follows the message of `cause` and states how to fix the problem."""
         super().__init__(f"{subsystem}: {cause}{hint}")
         self.subsystem = subsystem
 
@@ -75,7 +76,11 @@
     config: StorageConfig,
     on_opened: Callable[[list[RecoveredEffect]], None],
 ) -> PersistenceIntegration:
-    """Creates the store; `on_opened` gets the effects that earlier incarnations recorded."""
+    """Creates the integration of the store.
+
+    `on_opened` is called with the effects that earlier incarnations recorded, once the store has
+    been read or cannot be opened.
+    """
     from lilacwalk.server.integrations.persistence import PersistenceIntegration
 
     with start_errors("cannot start the store"):
@@ -94,7 +99,11 @@
     config: EdgeConfig,
     persist_sessions: Callable[[dict[bytes, bytes | None]], None] | None,
 ) -> DeviceFrontend:
-    """Creates the frontend for devices; `persist_sessions` stores their sessions."""
+    """Creates the frontend for devices.
+
+    `persist_sessions` persists sessions by device id, or removes those with the value None; if it
+    is None, sessions are not persisted.
+    """
     try:
         from lilacwalk.edge.device_service import DeviceRequestClass
         from lilacwalk.frontends.devices import DeviceFrontend, EdgeError
@@ -102,14 +111,14 @@
         hint = ": install the packages in requirements-edge.txt"
         raise SubsystemConfigError("edge", error, hint) from error
     server = event_loop.server
-    groups = {
+    device_classes = {
         each.name: DeviceRequestClass(each.effect, each.timeout) for each in server.request_classes
     }
     try:
         return DeviceFrontend(
             event_loop.requests,
             config,
-            groups,
+            device_classes,
             event_loop.registry.name,
             server.seed,
             event_loop.event_queue,
@@ -123,7 +132,7 @@
 def create_failover_traffic(
     event_loop: EventLoop, config: FailoverConfig, own_site: str
 ) -> FailoverTrafficIntegration:
-    """Creates the listeners for the traffic of failed sites."""
+    """Creates the integration that receives the traffic of failed sites, with its listeners."""
     from lilacwalk.server.integrations.failover_traffic import FailoverTrafficIntegration
 
     with start_errors("cannot listen for failover traffic"):
@@ -141,7 +150,7 @@
 def create_site_failover(
     event_loop: EventLoop, subsystems: Subsystems, config: FailoverConfig
 ) -> SiteFailoverIntegration:
-    """Creates the failover planner, which runs in the membership thread."""
+    """Creates the integration of the failover planner, which runs in the membership thread."""
     from lilacwalk.server.integrations.site_failover import SiteFailoverIntegration
 
     post = event_loop.event_queue.post
@@ -183,10 +192,10 @@
 def create_bgp(
     event_loop: EventLoop, config: BgpConfig, on_withdrawn: Callable[[bool], None]
 ) -> BgpIntegration:
-    """Creates the BGP speaker.
+    """Creates the integration of the BGP speaker.
 
-    `on_withdrawn` is called with whether the announcements are withdrawn because this node is
-    unhealthy.
+    `on_withdrawn` is called when the announcements change; its argument is true if they are
+    withdrawn because this node is unhealthy.
     """
     from lilacwalk.server.integrations.bgp import BgpIntegration
 
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -94,7 +94,7 @@
     # Calls from the event loop
 
     def report_node_state(self) -> None:
-        """Passes the state of this node to BGP and the membership after each iteration."""
+        """Passes the state of this node to BGP and the membership; called in each iteration."""
         if self.bgp is None and self.membership is None:
             return
         event_loop = self._event_loop
@@ -151,7 +151,10 @@
             self.failover_traffic.request_completed()
 
     def restore_learned_state(self, controller: Controller) -> None:
-        """Restores the learned state of an earlier incarnation, if the store has been read."""
+        """Restores the learned state of an earlier incarnation, if the store contained any.
+
+        Has no effect while the store has not been read.
+        """
         if self.persistence is not None:
             self.persistence.restore_learned_state(controller, self._event_loop.now)
 
@@ -184,7 +187,10 @@
             self.persistence.start()
 
     def _store_opened(self, recovered_effects: list[RecoveredEffect]) -> None:
-        """Restores the state of earlier incarnations; it is empty if the store failed to open."""
+        """Restores the state of earlier incarnations, which is empty if the store did not open.
+
+        The learned state is restored only into a controller that started less than a second ago.
+        """
         event_loop = self._event_loop
         event_loop.requests.effect_gate.restore(recovered_effects)
         controller = event_loop.controller
@@ -198,7 +204,10 @@
     # Edge
 
     def _apply_edge(self, config: EdgeConfig | None) -> None:
-        """Starts the edge, or reloads its certificates and limits; it ends with the process."""
+        """Starts the frontend for devices, or reloads its certificates and limits.
+
+        Once started, it runs until the process ends.
+        """
         if self.devices is not None:
             if config is None:
                 log.warning(
@@ -218,7 +227,10 @@
             raise ConfigurationError(str(error)) from error
 
     def _start_devices(self, config: EdgeConfig) -> None:
-        """Starts the frontend for devices; with a store, after earlier sessions have been read."""
+        """Creates the frontend for devices and starts it.
+
+        If there is a store, it starts only after the store's sessions have been read.
+        """
         persist_sessions = None
         if self.persistence is not None:
             persist_sessions = self.persistence.persist_sessions
@@ -285,7 +297,10 @@
             self.failover_traffic.clear_traffic_plan()
 
     def _apply_failover_traffic(self, config: FailoverConfig, own_site: str) -> None:
-        """Opens the listeners once; they stay open for a block that is removed and added again."""
+        """Opens the listeners for failover traffic, or applies a changed block to them.
+
+        They remain open if the block is removed, and are used again if it is added again.
+        """
         if self.failover_traffic is not None:
             self.failover_traffic.reconfigure(config)
             return
@@ -327,7 +342,7 @@
             self.bgp.set_withdrawal_allowed(may_withdraw)
 
     def set_failover_sites(self, sites: tuple[str, ...]) -> None:
-        """Sets the failed sites whose services this node also announces, from the failover plan."""
+        """Sets the failed sites whose services this node announces too, by the failover plan."""
         self.failover_sites = sites
         if self.bgp is None:
             return
@@ -339,7 +354,10 @@
         self.bgp.announce_failover_prefixes(prefixes)
 
     def set_own_service_mode(self, mode: str) -> None:
-        """Sets how many nodes of this site announce its own services, from the failover plan."""
+        """Sets how many nodes of this site announce its own services, by the failover plan.
+
+        `mode` is `whole`, `part` or `none`.
+        """
         self.own_service_mode = mode
         if self.bgp is not None:
             self.bgp.set_own_service_mode(mode)
