--- a/lilacwalk/limits.py
+++ b/lilacwalk/limits.py
@@ -117,11 +117,13 @@
 
     # Other times.
 
-    #: Time for which idempotency keys are stored after the end of the deduplication window.
+    #: Time after the end of the deduplication window in which a request with the same idempotency
+    #: key is not executed, because it may still be a duplicate.
     deduplication_window_slack: int = SECOND // 20
     #: Interval between reports to the service registry, which lists a server for 3 s after each.
+    #: Expired cache entries are evicted at the same interval.
     report_interval: int = 3 * SECOND // 10
-    #: Interval between checks for idle connections and expired cache entries.
+    #: Interval between checks for idle connections and between evaluations by the subsystems.
     housekeeping_interval: int = SECOND // 20
     #: Time at the end of a drain that is reserved for sending the last responses.
     drain_flush_margin: int = 3 * SECOND // 10
--- a/lilacwalk/overload/connection_policy.py
+++ b/lilacwalk/overload/connection_policy.py
@@ -50,7 +50,10 @@
         self._overhead_sum += max(0.0, run_queue - self._load.running)
 
     def update(self) -> None:
-        """Updates the idle time, once each control period, and passes any change to the sink."""
+        """Decides whether idle connections are closed, and after which idle time.
+
+        To be called once each control period. Passes the decision to the sink if it has changed.
+        """
         newest_share = self._overhead_sum / max(1.0, self._run_queue_sum)
         self._overhead_share += OVERHEAD_WEIGHT * (newest_share - self._overhead_share)
         self._run_queue_sum = 0.0
--- a/lilacwalk/overload/dependency_limiter.py
+++ b/lilacwalk/overload/dependency_limiter.py
@@ -54,7 +54,7 @@
         self.measured_calls = 0  # number of calls in the two means
         self.limit = self._full_limit()  # maximum mean number of calls in progress
         self.is_congested = False
-        self.next_call_at = context.now
+        self.next_call_at = context.now  # earliest time of the next call
         self._last_call_at = context.now
 
     def _full_limit(self) -> float:
--- a/lilacwalk/overload/events.py
+++ b/lilacwalk/overload/events.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """A stop of the server was requested; the process is killed at `stop_at`."""
+    """A stop of the server was requested; all requests must be answered by `stop_at`."""
 
     stop_at: int
 
--- a/lilacwalk/overload/latency_estimator.py
+++ b/lilacwalk/overload/latency_estimator.py
@@ -69,7 +69,7 @@
             self._hint_ratio += EXECUTION_TIME_WEIGHT * (ratio - self._hint_ratio)
 
     def record_response(self, request: Request, now: int) -> None:
-        """Adds the latency ratio T of a request that is answered or, as too late, ended now."""
+        """Adds the latency ratio T of a request that is answered or ended as too late at `now`."""
         objective = max(1, request.objective_deadline - request.arrived_at)
         self.ratio_sum += (now - request.arrived_at - request.dependency_wait) / objective
         self.ratio_count += 1
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -56,14 +56,18 @@
             self._load.last_progress_at += pause
 
     def record_progress(self) -> bool:
-        """Records that an execution made progress; returns whether a stall has ended by that."""
+        """Records that an execution made progress; returns whether this ended a stall."""
         self._load.last_progress_at = self._context.now
         ends_stall = self.stalled
         self.stalled = False
         return ends_stall
 
     def detects_new_stall(self) -> bool:
-        """Updates `stalled`; returns whether a stall was detected that was not known before."""
+        """Checks for a stall and sets `stalled` if there is one.
+
+        Returns:
+            Whether this call detected a new stall.
+        """
         load = self._load
         if self.stalled or not self._executor_link_is_up or not load.running:
             return False
--- a/lilacwalk/server/__init__.py
+++ b/lilacwalk/server/__init__.py
@@ -1,7 +1,8 @@
 """The app server: startup, the event loop and its components, reload, drain and exit.
 
 `startup` builds the `EventLoop`, which owns one object for each concern: `RequestLifecycle`,
-`ExecutorSession`, `DependencyCalls`, `Subsystems` and `Drain`. The optional subsystems are in
-`integrations` and are imported only if the operator's file configures them. The controller in
-`lilacwalk.overload` makes all decisions on requests.
+`ExecutorSession`, `DependencyCalls`, `DecisionApplier`, `Subsystems` and `Drain`. The optional
+subsystems are in `integrations` and are imported only if the operator's file configures them. The
+controller in `lilacwalk.overload` decides on all requests to which `RequestScreening` does not
+respond before.
 """
--- a/lilacwalk/server/decision_applier.py
+++ b/lilacwalk/server/decision_applier.py
@@ -16,8 +16,9 @@
 
 
 class DecisionApplier:
-    """The controller's `DecisionSink` in the app server; every decision is applied at once.
+    """The controller's `DecisionSink` in the app server.
 
+    Every decision is applied at once, except that a dispatch may wait for an effect record.
     If a client disconnects while an event of its request is in the batch, the controller may decide
     on a request that is no longer in flight; such a decision is ignored.
 
@@ -87,7 +88,7 @@
     def coalesce(self, request: Request) -> None:
         """Responds to a duplicate with the original's result, now or when the original ends.
 
-        If the original has ended and its result is not known, the response is that it failed.
+        If the original has ended and its result is not known, responds that the duplicate failed.
         """
         entry = self._in_flight.get(request)
         if entry is None:
--- a/lilacwalk/server/dependency_calls.py
+++ b/lilacwalk/server/dependency_calls.py
@@ -72,7 +72,7 @@
     def abandon(self, entry: InFlightRequest) -> None:
         """Abandons the call, if any, of an execution that has ended.
 
-        The controller gets no event of this call; it gets the end of the execution.
+        The controller receives no event for the call, only the end of the execution.
         """
         if entry.call is not None:
             self.client.abandon(entry.call)
--- a/lilacwalk/server/effect_gate.py
+++ b/lilacwalk/server/effect_gate.py
@@ -32,7 +32,7 @@
         self._requests = requests
 
     @property
-    def can_record(self) -> bool:
+    def accepts_effects(self) -> bool:
         """Whether requests that are not idempotent may be accepted.
 
         They may be accepted if no store is configured, if their records can be written, or if the
--- a/lilacwalk/server/event_loop.py
+++ b/lilacwalk/server/event_loop.py
@@ -210,6 +210,7 @@
         self.dependency_calls.close_idle_connections()
 
     def _report_to_registry(self) -> None:
+        """Reports to the service registry if a report is due; also evicts expired cache entries."""
         applier = self.decision_applier
         if self.now >= applier.next_report_at:
             applier.next_report_at = self.now + self.limits.report_interval
--- a/lilacwalk/server/integrations/failover_traffic.py
+++ b/lilacwalk/server/integrations/failover_traffic.py
@@ -27,8 +27,8 @@
 from lilacwalk.protocols.proxy_listener import ProxyListener
 
 log = logging.getLogger(__name__)
-# Failover listeners together get at most this fraction (a quarter) of the limits on connections and
-# on requests in flight.
+# All failover listeners together may use this part (a quarter) of the limits on connections and on
+# requests in flight: the limits are divided by this number.
 FAILOVER_LIMIT_DIVISOR = 4
 # Combined with the server's seed by XOR, so that `LocalPriority` gets a random sequence of its own,
 # different from the controller's.
--- a/lilacwalk/server/integrations/learned_state.py
+++ b/lilacwalk/server/integrations/learned_state.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 SECOND = 10_000  # tenths of a ms
 PERSIST_INTERVAL = 5 * SECOND  # a killed process loses at most the changes of this time
-RETENTION_HALF_LIVES = 10  # a row expires after this number of half-lives: its weight is then tiny
+RETENTION_HALF_LIVES = 10  # a row expires after this many half-lives, as its weight is negligible
 # Weight of a row with a time in the future, whose age is unknown because the clock was set back.
 SET_BACK_CLOCK_WEIGHT = 0.5
 ROW_KEY = b"controller"
--- a/lilacwalk/server/integrations/persistence.py
+++ b/lilacwalk/server/integrations/persistence.py
@@ -284,7 +284,7 @@
     def update_damping_and_sites(
         self, bgp: BgpIntegration | None, sites: SiteFailoverIntegration | None, now: int
     ) -> None:
-        """Persists flap damping and the failure history of sites; at first restores earlier ones.
+        """Restores recovered flap damping and site failure history once, and persists current ones.
 
         Both are persisted as often as learned state; flap damping is also persisted when this node
         starts or stops announcing services. This method must be called before
--- a/lilacwalk/server/integrations/site_failover.py
+++ b/lilacwalk/server/integrations/site_failover.py
@@ -183,7 +183,7 @@
     def _check_agreement(self, membership: Membership, now: int) -> None:
         """Compares the fingerprint of this node's sites block with those of the other members.
 
-        Gossips the own fingerprint, and logs changes of the members whose block differs.
+        Gossips this node's fingerprint, and logs a change in which members have a different block.
         """
         published = _own_metadata(membership).operator_commands
         with_fingerprint = put_fingerprint(published, self.fingerprint)
--- a/lilacwalk/server/integrations/site_failover_hooks.py
+++ b/lilacwalk/server/integrations/site_failover_hooks.py
@@ -18,7 +18,10 @@
     """Called in the membership thread when the service mode of this node's own site changes."""
 
     def __call__(self, mode: str, /) -> None:
-        """Handles the new mode, `whole`, `part` or `none`: which nodes announce its services."""
+        """Handles the new mode: `whole`, `part` or `none`.
+
+        The mode states how many nodes of the site announce the site's own services.
+        """
 
 
 class TrafficPlanListener(Protocol):
--- a/lilacwalk/server/request_lifecycle.py
+++ b/lilacwalk/server/request_lifecycle.py
@@ -88,7 +88,7 @@
         )
 
     def client_gone(self, entry: InFlightRequest) -> None:
-        """Handles that the client of a request has disconnected or withdrawn the request."""
+        """Handles a request whose client has disconnected or withdrawn it."""
         self.in_flight.detach_client(entry)
         self._event_loop.controller_events.append(ClientGone(entry.request))
         if not entry.request.was_dispatched:  # otherwise released when its execution ends
@@ -198,7 +198,7 @@
     def respond_to_duplicate(self, entry: InFlightRequest, result: bytes | None) -> None:
         """Responds to a duplicate with the result of the original request, and removes it.
 
-        If `result` is None, the result is unknown and the response is that the request failed.
+        If `result` is None, the result is unknown, and the response is that the duplicate failed.
         """
         entry.awaits_result_of = None
         if result is None:
--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -79,7 +79,10 @@
     def _find_original(
         self, request_class: RequestClass, incoming: IncomingRequest, arrived_at: int
     ) -> tuple[CacheKey | None, Request | None]:
-        """Returns the cache key of the request and the original request found under it."""
+        """Returns the cache key of the request and the original request found under it.
+
+        Both are None if duplicates of the request cannot be detected.
+        """
         is_idempotent = request_class.effect is Effect.IDEMPOTENT
         if (
             request_class.effect is Effect.DEDUPLICATED
@@ -122,7 +125,7 @@
         if submission.original is None and not is_idempotent:
             if self._may_duplicate_evicted_request(submission):
                 return FinalResponse(FinalStatus.FAILED)
-            if not self._requests.effect_gate.can_record:
+            if not self._requests.effect_gate.accepts_effects:
                 retry_after = self._event_loop.server.max_retry_after
                 return FinalResponse(FinalStatus.REJECTED, retry_after=retry_after)
         return self._shed(submission)
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -30,8 +30,8 @@
 
 log = logging.getLogger(__name__)
 
-# Values of the service mode, which says how many nodes of a site announce the site's own services.
-# The failover plan sets the mode while the site recovers.
+# Values of the service mode: how many nodes of a site announce the site's own services. The
+# failover plan sets the mode while the site recovers.
 ALL_NODES = "whole"
 NO_NODES = "none"
 
