--- a/lilacwalk/server/integrations/persistence.py
+++ b/lilacwalk/server/integrations/persistence.py
@@ -112,7 +112,7 @@
         self.subsystems = SubsystemState(config.damping_retention)
         self.recovered_sessions: dict[bytes, bytes] = {}
         self._next_persist_at = 0
-        self._unpersisted_report = ReportThrottle()
+        self._unpersisted_throttle = ReportThrottle()
         self._opener = StoreOpener(
             config,
             node,
@@ -221,7 +221,7 @@
                 return True
 
     def _report_unpersisted(self) -> None:
-        if count := self._unpersisted_report.count_and_check():
+        if count := self._unpersisted_throttle.count_and_check():
             state = self.effect_log.state
             log.warning({"event": "effects_unpersisted", "count": count, "state": state})
 
