--- a/lilacwalk/server/request_screening.py
+++ b/lilacwalk/server/request_screening.py
@@ -1,4 +1,4 @@
-"""Decides on requests ahead of the controller: duplicates, capacity limits, load shedding."""
+"""Screens requests before the controller: duplicates, capacity limits and load shedding."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     request_class: RequestClass
     tenant: Tenant | None
     body: bytes
-    arrived_at: int  # by this process's clock
+    arrived_at: int  # by the clock of this process
     deadline: int
     cache_key: CacheKey | None  # the key by which duplicates are found in the result cache
     original: Request | None  # the request that this one duplicates; None: not a duplicate
@@ -59,7 +59,7 @@
         request_class: RequestClass,
         tenant: Tenant | None,
     ) -> Submission:
-        """Looks up the original request of a valid request and computes its deadline."""
+        """Finds the original request, if any, of a valid request, and computes the deadline."""
         now = self._event_loop.now
         arrived_at = min(incoming.arrived_at + self._event_loop.clock.offset, now)
         timeout = request_class.timeout if incoming.timeout is None else incoming.timeout
@@ -79,7 +79,10 @@
     def _find_original(
         self, request_class: RequestClass, incoming: IncomingRequest, arrived_at: int
     ) -> tuple[CacheKey | None, Request | None]:
-        """Returns the cache key of the request and the original request found under it."""
+        """Returns the cache key of the request and the original request found under it.
+
+        Both are None if duplicates of the request cannot be detected.
+        """
         is_idempotent = request_class.effect is Effect.IDEMPOTENT
         if (
             request_class.effect is Effect.DEDUPLICATED
@@ -92,7 +95,7 @@
             kind = CacheKeyKind.SUBJECT
             text = incoming.subject
         elif not is_idempotent and self._subsystems.persistence is not None:
-            kind = CacheKeyKind.REQUEST_ID  # a client resends the id after a lost connection
+            kind = CacheKeyKind.REQUEST_ID  # a client that lost its connection retries with the id
             text = incoming.id
         else:
             return None, None
@@ -104,7 +107,7 @@
         return cache_key, cached.request if cached is not None else None
 
     def has_different_body(self, submission: Submission) -> bool:
-        """Whether the request's idempotency key was used before with another body."""
+        """Whether an earlier request had the same idempotency key but another body."""
         cache_key = submission.cache_key
         return (
             cache_key is not None
@@ -122,7 +125,7 @@
         if submission.original is None and not is_idempotent:
             if self._may_duplicate_evicted_request(submission):
                 return FinalResponse(FinalStatus.FAILED)
-            if not self._requests.effect_gate.can_record:
+            if not self._requests.effect_gate.accepts_effects:
                 retry_after = self._event_loop.server.max_retry_after
                 return FinalResponse(FinalStatus.REJECTED, retry_after=retry_after)
         return self._shed(submission)
@@ -160,9 +163,9 @@
     def _may_duplicate_evicted_request(self, submission: Submission) -> bool:
         """Whether the request may duplicate one whose key is no longer found.
 
-        The request may be such a duplicate if it was read so late that keys valid at its arrival
-        have been evicted, or if it arrived just after the deduplication window, which a client may
-        measure from a later moment than this server does.
+        That is the case if the request was read so late that keys valid at its arrival have been
+        evicted, or if it arrived just after the end of the deduplication window, because the client
+        may measure the window from a later time than this server does.
         """
         if submission.request_class.effect is not Effect.DEDUPLICATED:
             return False
