--- a/lilacwalk/bgp/admin.py
+++ b/lilacwalk/bgp/admin.py
@@ -9,14 +9,19 @@
 
 
 def answer_query(line: str, state: SpeakerState) -> object:
-    """Answers one query line; the result is sent as JSON."""
+    """Returns the answer to one query line, to be sent as JSON.
+
+    The answer to an invalid query is a dict with the key `error`.
+    """
     words = line.split()
     if words == ["show"]:
         return state.status()
     if len(words) == 2 and words[0] == "received":
         addresses = [address for address, peer in state.peers.items() if peer.name == words[1]]
         return (
-            state.received_routes(addresses[0]) if addresses else {"error": f"no peer {words[1]}"}
+            state.received_routes(addresses[0])
+            if addresses
+            else {"error": f"no peer named {words[1]}"}
         )
     if len(words) == 2 and words[0] == "route":
         try:
--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -10,12 +10,12 @@
 leaving                graceful shutdown community, then withdrawn; then the listener may close
 gone                   withdrawn
 
-With a `last-resort` block, a sick node (not one that is standing still) is announced at that level
-instead of being withdrawn. If fleet membership does not allow a withdrawal for bad health, the node
-stays at less wanted.
+If the configuration has a `last-resort` block, a sick node (not one that is standing still) is
+announced as last resort instead of being withdrawn. If fleet membership does not allow a withdrawal
+for bad health, the level stays at less wanted.
 
-Damping never delays a withdrawal. An announcement must meet every condition first, as announcing a
-node that cannot serve is the one step that can do harm.
+Damping never delays a withdrawal. The level is raised only when every condition is met, as
+announcing a node that cannot serve is the one step that can do harm.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Level(IntEnum):
-    """How the services are announced, least preferred first."""
+    """How the services are announced, least preferred first; NONE means not at all."""
 
     NONE = 0
     LAST_RESORT = 1
@@ -65,27 +65,29 @@
 
     level: Level
     reason: str
-    # When to decide again if no input changes before; None if only an input can change the decision.
+    # Time of the next decision, in tenths of a millisecond, if no input changes before then; None if
+    # only an input can change the decision.
     next_check: int | None
 
 
 class AnnouncementPolicy:
-    """The announcement level of one node over time."""
+    """Decides the announcement level of one node; times are in tenths of a millisecond."""
 
     def __init__(self, config: BgpConfig, now: int) -> None:
         self.config = config
         self.node_status, self.status_since = NodeStatus.COLD, now
         self.level, self.reason = Level.NONE, "cold"
         self.penalty = Penalty(config.damping)
-        self.unhealthy_since: int | None = None  # kept until recovered for `well-after`
+        # Start of the unhealthy period, which ends when the node has been ready for `well-after`.
+        self.unhealthy_since: int | None = None
         # The last resort applies only to a node that has been ready since it started.
         self.was_ready = False
         self.leaving_since: int | None = None
-        # Highest level of a ready node; lowered during the site's recovery.
+        # Maximum level of a ready node; lowered while its site recovers from a failover.
         self.level_cap = Level.NORMAL
         # Whether an unhealthy node may be withdrawn; stays True without fleet membership.
         self.withdrawal_allowed = True
-        self.withdraw_at = 0
+        self.withdraw_at = 0  # time of the withdrawal in a drain
         self.level_changes = 0
 
     # Inputs
@@ -93,7 +95,7 @@
     def set_node_status(self, status: NodeStatus, now: int) -> None:
         """Applies the node's status; an unchanged status has no effect.
 
-        After LEAVING only GONE is accepted.
+        After LEAVING only GONE is accepted, and after GONE nothing.
         """
         if (
             status is self.node_status
@@ -113,23 +115,23 @@
             NodeStatus.COLD,
             NodeStatus.WARMING,
         ):
-            # The node has restarted: only the flap penalty is kept.
+            # The node has restarted: of its history only the flap penalty is kept.
             self.unhealthy_since, self.was_ready = None, False
         if (
             previous is NodeStatus.READY
             and self.level is Level.NONE
             and status is not NodeStatus.GONE
         ):
-            # The node was not announced, so `decide` counts no flap. It is counted here, as the node
-            # must prove to be stable by staying ready.
+            # The node stopped being ready before it was announced, so `decide` counts no flap. One
+            # is counted here, as only a node that stays ready is stable.
             self.penalty.add(FLAP, now)
 
     def leave(self, now: int, listener_closes_by: int | None) -> None:
         """Starts a drain.
 
         The withdrawal is sent `propagation` before `listener_closes_by` at the latest, so that it
-        has spread before the listener closes. If time is short, the graceful shutdown phase is
-        shortened, not the propagation time.
+        has propagated before the listener closes. If time is short, the graceful shutdown
+        phase is shortened, not the propagation time. None as `listener_closes_by` sets no limit.
         """
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE):
             return
@@ -158,7 +160,10 @@
             self.status_since = now
 
     def reconfigure(self, config: BgpConfig, now: int) -> None:
-        """Applies a reloaded configuration; a drain under way and the penalty keep their times."""
+        """Applies a reloaded configuration.
+
+        A drain in progress keeps its times; the penalty keeps its value, up to the new ceiling.
+        """
         self.config = config
         self.penalty.reconfigure(config.damping, now)
 
@@ -178,8 +183,9 @@
     ) -> None:
         """Restores the flap penalty of an earlier process.
 
-        If the earlier process ended while its routes were announced, its peers saw a flap that the
-        process could not count. The penalty of that flap is added here.
+        `penalty` and `suppressed` are the state that was saved `age` tenths of a millisecond ago.
+        If the earlier process ended while its routes were announced (`announced`), its peers saw a
+        flap that the process could not count. The penalty of that flap is added here.
         """
         self.penalty.restore(penalty, suppressed, age, now)
         if announced:
@@ -188,7 +194,7 @@
     # Evaluation
 
     def decide(self, now: int) -> Decision:
-        """Evaluates the level at `now`, counts flaps and returns the decision."""
+        """Decides the level at `now`; a lowered level adds to the flap penalty."""
         level, reason, next_check = self._evaluate(now)
         if level != self.level:
             self._count_flap(level, now)
@@ -198,13 +204,14 @@
         return Decision(level, reason, next_check)
 
     def _count_flap(self, level: Level, now: int) -> None:
-        """Adds a lowered level to the penalty, except during a drain, which is planned."""
+        """Adds a flap to the penalty if the level is lowered, except in a drain, which is planned."""
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE) or level > self.level:
             return
         is_full_withdrawal = level is Level.NONE and self.level is Level.NORMAL
         self.penalty.add(FLAP if is_full_withdrawal else CHANGE, now)
 
     def _evaluate(self, now: int) -> tuple[Level, str, int | None]:
+        """Returns the level, the reason and the time of the next decision; see `Decision`."""
         if self.node_status is NodeStatus.GONE:
             return Level.NONE, "gone", None
         if self.node_status is NodeStatus.LEAVING:
@@ -315,8 +322,10 @@
 
 
 def next_hop(config: BgpConfig, service: Service, peer: Peer) -> str:
-    """Returns the first next hop of the service's address family: its own, the peer's or the global
-    one.
+    """Returns the next hop with which a service is announced to a peer.
+
+    This is the first one of the service's address family among the next hops of the service, of the
+    peer and of the `announce` block.
 
     Raises:
         ValueError: None of them has the service's address family.
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -12,13 +12,17 @@
 
 from lilacwalk.bgp.errors import BgpError, Code, UpdateFault
 
+# Attribute flags.
 OPTIONAL, TRANSITIVE, PARTIAL, EXTENDED_LENGTH = 0x80, 0x40, 0x20, 0x10
 AS_TRANS = 23_456  # RFC 6793: replaces an AS number that does not fit in two octets
+# Types of AS path segments (RFC 4271 section 4.3, RFC 5065 section 3).
 SET, SEQUENCE, CONFED_SEQUENCE, CONFED_SET = 1, 2, 3, 4
-GRACEFUL_SHUTDOWN = 0xFFFF0000  # RFC 8326
+GRACEFUL_SHUTDOWN = 0xFFFF0000  # community (RFC 8326)
 
 
 class Type(IntEnum):
+    """Type codes of path attributes."""
+
     ORIGIN = 1
     AS_PATH = 2
     NEXT_HOP = 3
@@ -38,8 +42,8 @@
     ONLY_TO_CUSTOMER = 35
 
 
-WELL_KNOWN = TRANSITIVE
-FLAGS = {  # required optional and transitive flags of each attribute type
+WELL_KNOWN = TRANSITIVE  # flags of a well-known attribute
+FLAGS = {  # required values of the optional and transitive flags of each attribute type
     Type.ORIGIN: WELL_KNOWN,
     Type.AS_PATH: WELL_KNOWN,
     Type.NEXT_HOP: WELL_KNOWN,
@@ -78,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A malformed attribute of an UPDATE that does not end the session."""
+    """The fault of a malformed attribute, for which the session is not reset."""
 
     severity: Severity
-    kind: int
+    kind: int  # type code of the attribute; 0 if its header is truncated
     text: str
 
 
@@ -89,16 +93,16 @@
 class Attributes:
     """The path attributes of a route."""
 
-    origin: int = 0
+    origin: int = 0  # 0 IGP, 1 EGP, 2 INCOMPLETE
     as_path: Path = ()
     next_hop: bytes = b""  # 4 or 16 bytes; for IPv6 the global address
     med: int | None = None
     local_pref: int | None = None
-    atomic: bool = False
-    aggregator: tuple[int, bytes] | None = None
+    atomic: bool = False  # whether ATOMIC_AGGREGATE is present
+    aggregator: tuple[int, bytes] | None = None  # AS number and IPv4 address
     communities: tuple[int, ...] = ()
-    large: tuple[tuple[int, int, int], ...] = ()
-    extended: bytes = b""
+    large: tuple[tuple[int, int, int], ...] = ()  # large communities
+    extended: bytes = b""  # encoded extended communities
     only_to_customer: int | None = None
     # Unrecognized transitive attributes as (flags, type, value).
     others: tuple[tuple[int, int, bytes], ...] = ()
@@ -118,6 +122,7 @@
         return None
 
     def in_path(self, number: int) -> bool:
+        """Returns whether an AS number occurs in the AS path."""
         return any(number in numbers for _, numbers in self.as_path)
 
 
@@ -125,13 +130,16 @@
 class ParsedAttributes:
     """The attributes of one UPDATE while it is parsed."""
 
-    values: dict[str, object] = field(default_factory=dict)
+    values: dict[str, object] = field(default_factory=dict)  # by field name of `Attributes`
     faults: list[Fault] = field(default_factory=list)
-    reach: tuple[int, int, bytes, bytes] | None = None  # afi, safi, next hop, prefixes
+    # MP_REACH_NLRI: AFI, SAFI, next hop, encoded prefixes.
+    reach: tuple[int, int, bytes, bytes] | None = None
+    # MP_UNREACH_NLRI: AFI, SAFI, encoded prefixes.
     unreach: tuple[int, int, bytes] | None = None
-    seen: set[int] = field(default_factory=set)
+    seen: set[int] = field(default_factory=set)  # type codes that occurred
 
     def fault(self, severity: Severity, kind: int, text: str) -> None:
+        """Records a fault of the attribute with the type code `kind`."""
         self.faults.append(Fault(severity, kind, text))
 
     @property
@@ -141,7 +149,7 @@
 
 
 class MalformedAttributeError(Exception):
-    """An attribute's value is malformed."""
+    """An attribute's value is malformed; `severity` says how the attribute is handled."""
 
     def __init__(self, text: str, severity: Severity = Severity.WITHDRAW) -> None:
         super().__init__(text)
@@ -151,10 +159,15 @@
 def parse_attributes(data: bytes, as4: bool, internal: bool) -> ParsedAttributes:
     """Parses all path attributes of one UPDATE.
 
+    Args:
+        data: The encoded attributes.
+        as4: Whether AS numbers have four octets on this session (RFC 6793).
+        internal: Whether the peer has our AS number.
+
     Raises:
-        BgpError: The session must end: an unknown attribute is flagged as well-known, MP_REACH_NLRI or
-            MP_UNREACH_NLRI occurs twice, or one of them is malformed, so that the affected routes are
-            unknown (RFC 7606 sections 3g and 5.3).
+        BgpError: The session must end: an unknown attribute is flagged as well-known, MP_REACH_NLRI
+            or MP_UNREACH_NLRI occurs twice, or one of them cannot be parsed, so that the affected
+            routes are unknown (RFC 7606 sections 3g and 5.3).
     """
     parsed, offset = ParsedAttributes(), 0
     while offset < len(data):
@@ -208,7 +221,20 @@
     as4: bool,
     internal: bool,
 ) -> None:
-    """Checks the flags of one attribute and stores its value; a fault is recorded in `parsed`."""
+    """Checks the flags of one attribute and stores its value; a fault is recorded in `parsed`.
+
+    Args:
+        parsed: Receives the value or the fault.
+        flags: The attribute flags.
+        kind: The type code.
+        value: The value without the attribute's header.
+        raw: The whole attribute, to be returned in a NOTIFICATION.
+        as4: Whether AS numbers have four octets on this session.
+        internal: Whether the peer has our AS number.
+
+    Raises:
+        BgpError: The session must end; see `parse_attributes`.
+    """
     expected = FLAGS.get(kind)  # type: ignore[call-overload]
     if expected is None:
         if not flags & OPTIONAL:
@@ -230,8 +256,8 @@
         )
         return
     if flags & (OPTIONAL | TRANSITIVE) != expected:
-        # The prefixes of MP_REACH_NLRI and MP_UNREACH_NLRI can still be read, so the routes are
-        # treated as withdrawn.
+        # MP_REACH_NLRI and MP_UNREACH_NLRI are parsed nevertheless, as their prefixes are needed to
+        # treat the routes as withdrawn.
         if kind in (
             Type.MP_REACH,
             Type.MP_UNREACH,
@@ -257,6 +283,7 @@
 
 
 def check_size(value: bytes, *sizes: int, severity: Severity = Severity.WITHDRAW) -> None:
+    """Raises MalformedAttributeError unless the value has one of the sizes in bytes."""
     if len(value) not in sizes:
         raise MalformedAttributeError(
             f"{len(value)} bytes, expected {' or '.join(map(str, sizes))}", severity
@@ -271,6 +298,11 @@
 
 
 def parse_path(value: bytes, size: int) -> Path:
+    """Parses an AS path whose AS numbers have `size` bytes.
+
+    Raises:
+        MalformedAttributeError: The path is malformed.
+    """
     segments, offset = [], 0
     while offset < len(value):
         if len(value) < offset + 2:
@@ -317,9 +349,11 @@
 
 
 def check_next_hop(value: bytes) -> bytes:
-    """Checks that a next hop can be a host address.
+    """Returns the next hop if it can be the address of a host.
 
-    Otherwise the route is unusable, but the session continues (RFC 4271 section 6.3).
+    Raises:
+        MalformedAttributeError: It cannot; the route is unusable, but the session continues (RFC
+            4271 section 6.3).
     """
     if (
         not any(value)
@@ -333,6 +367,8 @@
 
 
 def number_parser(name: str, kind: Type, severity: Severity = Severity.WITHDRAW):
+    """Returns a parser that stores a four-octet integer as the field `name`."""
+
     def parser(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
         check_size(value, 4, severity=severity)
         parsed.values[name] = int.from_bytes(value, "big")
@@ -358,12 +394,13 @@
 
 def parse_as4_aggregator(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
     if as4:
-        return
+        return  # ignored on a session with four-octet AS numbers (RFC 6793 section 4.1)
     check_size(value, 8, severity=Severity.DISCARD)
     parsed.values["as4_aggregator"] = int.from_bytes(value[:4], "big"), value[4:]
 
 
 def check_multiple(value: bytes, size: int) -> None:
+    """Raises MalformedAttributeError unless the value consists of one or more items of `size` bytes."""
     if not value or len(value) % size:
         raise MalformedAttributeError(f"{len(value)} bytes, expected a positive multiple of {size}")
 
@@ -385,13 +422,14 @@
 
 
 def parse_only_to_customer(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
-    check_size(value, 4)  # RFC 9234 section 5: otherwise treat-as-withdraw
+    check_size(value, 4)  # any other size means treat-as-withdraw (RFC 9234 section 5)
     parsed.values["only_to_customer"] = int.from_bytes(value, "big")
 
 
 def parse_unused(parsed: ParsedAttributes, value: bytes, as4: bool) -> None:
-    """Checks the size only; these attributes of internal peers matter to route reflectors, which
-    this speaker is not.
+    """Checks the size of ORIGINATOR_ID or CLUSTER_LIST and drops the value.
+
+    Only route reflectors use these attributes of internal peers, and this speaker is not one.
     """
     check_multiple(value, 4)
 
@@ -445,11 +483,11 @@
 
 
 def merge_four_octet_attributes(parsed: ParsedAttributes) -> None:
-    """Reconstructs AS path and aggregator from a peer without four-octet AS numbers (RFC 6793
-    section 4.2.3).
+    """Reconstructs the AS path and aggregator received from a peer without four-octet AS numbers
+    (RFC 6793 section 4.2.3).
 
-    AS4_PATH and AS4_AGGREGATOR, set by other speakers on the way, replace the parts that AS_TRANS
-    stands for.
+    Such a peer passes on AS4_PATH and AS4_AGGREGATOR, which speakers before it have added. They
+    replace the aggregator and the part of the AS path in which AS_TRANS stands for other numbers.
     """
     as4_path, as_path = parsed.values.pop("as4_path", None), parsed.values.get("as_path")
     as4_aggregator = parsed.values.pop("as4_aggregator", None)
@@ -464,6 +502,7 @@
     path_length, as4_length = as_path_length(as_path), as_path_length(as4_path)  # type: ignore[arg-type]
     if path_length < as4_length:
         return
+    # AS4_PATH lacks the leading AS numbers, which speakers without four-octet support have prepended.
     missing, head = path_length - as4_length, []
     for kind, numbers in as_path:  # type: ignore[attr-defined]
         if missing <= 0:
@@ -478,18 +517,24 @@
 
 
 def as_path_length(path: Path) -> int:
+    """Returns the length of an AS path as defined at `Attributes.path_length`."""
     return sum(
         1 if kind == SET else len(numbers) for kind, numbers in path if kind in (SET, SEQUENCE)
     )
 
 
 def encode_attribute(flags: int, kind: int, value: bytes) -> bytes:
+    """Returns an attribute with its header; a value above 255 bytes sets the extended length flag."""
     if len(value) > 255:
         return struct.pack("!BBH", flags | EXTENDED_LENGTH, kind, len(value)) + value
     return struct.pack("!BBB", flags, kind, len(value)) + value
 
 
 def encode_path(path: Path, size: int) -> bytes:
+    """Encodes an AS path with AS numbers of `size` bytes.
+
+    An AS number that does not fit in two bytes is replaced by AS_TRANS.
+    """
     max_numbers = 255  # the segment's count field is one octet
     pieces = []
     for kind, numbers in path:
@@ -504,9 +549,14 @@
 
 
 def encode(attributes: Attributes, as4: bool, internal: bool, with_next_hop: bool) -> bytes:
-    """Encodes attributes in the order of their type codes (RFC 4271 appendix F.3).
-
-    An IPv6 next hop is carried in MP_REACH_NLRI and left out here.
+    """Encodes attributes in the order of their type codes (RFC 4271 appendix F.3), the unrecognized
+    ones last.
+
+    Args:
+        attributes: The attributes.
+        as4: Whether AS numbers have four octets on this session.
+        internal: Whether the peer has our AS number, so that it receives LOCAL_PREF.
+        with_next_hop: Whether to encode NEXT_HOP; False if MP_REACH_NLRI carries the next hop.
     """
     parts = [
         encode_attribute(WELL_KNOWN, Type.ORIGIN, bytes((attributes.origin,))),
@@ -526,8 +576,8 @@
         parts.append(encode_attribute(WELL_KNOWN, Type.ATOMIC_AGGREGATE, b""))
     if attributes.aggregator is not None:
         asn, address = attributes.aggregator
-        narrow = asn if asn < 65_536 else AS_TRANS
-        value = struct.pack("!I", asn) if as4 else struct.pack("!H", narrow)
+        two_octet_asn = asn if asn < 65_536 else AS_TRANS
+        value = struct.pack("!I", asn) if as4 else struct.pack("!H", two_octet_asn)
         parts.append(encode_attribute(OPTIONAL | TRANSITIVE, Type.AGGREGATOR, value + address))
     if attributes.communities:
         value = struct.pack(f"!{len(attributes.communities)}I", *attributes.communities)
@@ -536,8 +586,8 @@
         parts.append(
             encode_attribute(OPTIONAL | TRANSITIVE, Type.EXTENDED_COMMUNITIES, attributes.extended)
         )
-    wide = any(each > 65_535 for _, numbers in attributes.as_path for each in numbers)
-    if not as4 and wide:
+    has_four_octet_asn = any(each > 65_535 for _, numbers in attributes.as_path for each in numbers)
+    if not as4 and has_four_octet_asn:
         parts.append(
             encode_attribute(
                 OPTIONAL | TRANSITIVE, Type.AS4_PATH, encode_path(attributes.as_path, 4)
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -8,10 +8,11 @@
 from lilacwalk.bgp.errors import BgpError, Code, OpenFault
 from lilacwalk.bgp.prefixes import UNICAST, Afi
 
+# Capability codes.
 MULTIPROTOCOL, REFRESH, EXTENDED_MESSAGES, ROLE = 1, 2, 6, 9
 GRACEFUL_RESTART, FOUR_OCTET_AS, ENHANCED_REFRESH = 64, 65, 70
 RESTARTED, NOTIFICATION = 0x8, 0x4  # restart flags: RFC 4724 section 3, RFC 8538 section 2
-FORWARDING = 0x80  # flag of a family: forwarding state was preserved
+FORWARDING = 0x80  # flag of an address family: forwarding state was preserved
 ROLES = {"provider": 0, "rs": 1, "rs-client": 2, "customer": 3, "peer": 4}  # RFC 9234 section 4.1
 COMPATIBLE_ROLES = {0: 3, 3: 0, 1: 2, 2: 1, 4: 4}  # role -> role that the other side must have
 
@@ -20,8 +21,8 @@
 class GracefulRestart:
     """The graceful restart capability (RFC 4724 section 3)."""
 
-    time: int  # seconds, 0 to 4095
-    restarted: bool = False
+    time: int  # restart time in seconds, 0 to 4095
+    restarted: bool = False  # whether the sender of the capability has just restarted
     # RFC 8538: graceful restart also after a NOTIFICATION or hold timer expiry.
     notification: bool = False
     families: tuple[tuple[int, int, bool], ...] = ()  # (AFI, SAFI, forwarding state preserved)
@@ -31,17 +32,17 @@
 class Capabilities:
     """The capabilities that one side advertises."""
 
-    families: tuple[tuple[int, int], ...] = ()
-    as4: int | None = None
-    refresh: bool = False
-    enhanced_refresh: bool = False
-    extended: bool = False
-    role: int | None = None
+    families: tuple[tuple[int, int], ...] = ()  # (AFI, SAFI)
+    as4: int | None = None  # AS number of the four-octet AS number capability (RFC 6793)
+    refresh: bool = False  # RFC 2918
+    enhanced_refresh: bool = False  # RFC 7313
+    extended: bool = False  # messages of up to 65,535 bytes (RFC 8654)
+    role: int | None = None  # code of `ROLES`
     restart: GracefulRestart | None = None
-    unknown: tuple[tuple[int, bytes], ...] = field(default=(), compare=False)
+    unknown: tuple[tuple[int, bytes], ...] = field(default=(), compare=False)  # (code, value)
 
     def encode(self) -> bytes:
-        """Encodes the capabilities as the value of an optional parameter."""
+        """Returns the value of the OPEN parameter that carries the capabilities."""
         parts = [(MULTIPROTOCOL, struct.pack("!HBB", afi, 0, safi)) for afi, safi in self.families]
         if self.refresh:
             parts.append((REFRESH, b""))
@@ -70,9 +71,9 @@
 
 
 def decode(data: bytes) -> Capabilities:
-    """Parses a capabilities parameter.
+    """Parses the value of a capabilities parameter.
 
-    A repeated capability counts once; of several values the last applies (RFC 5492 section 4). A
+    If a capability is repeated with different values, the last one applies (RFC 5492 section 4). A
     known capability whose value has the wrong length is treated as unknown, as the session is still
     useful without it.
 
@@ -128,25 +129,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NegotiatedCapabilities:
-    """The capabilities usable on a session, and those of the peer that apply one-sidedly."""
+    """The capabilities that both sides support, and what the peer alone has advertised."""
 
-    families: tuple[int, ...] = (Afi.IPV4,)
+    families: tuple[int, ...] = (Afi.IPV4,)  # AFIs, unicast only
     as4: bool = False
     refresh: bool = False
     enhanced_refresh: bool = False
     extended: bool = False  # RFC 8654: we may send messages of up to 65,535 bytes
     role: int | None = None  # the peer's role
-    restart: GracefulRestart | None = None  # the peer's capability
+    restart: GracefulRestart | None = None  # the peer's; None if we do not support it
 
     @classmethod
     def between(
         cls, ours: Capabilities, theirs: Capabilities, our_role_strict: bool = False
     ) -> NegotiatedCapabilities:
-        """Negotiates the capabilities of two sides.
+        """Returns the result of the negotiation of our capabilities and the peer's.
 
         Raises:
-            BgpError: The roles are incompatible, or ours is strict and the peer sent none (RFC 9234
-                section 4.2).
+            BgpError: The roles are incompatible, or the peer sent none although `our_role_strict`
+                requires one (RFC 9234 section 4.2).
         """
         if ours.role is not None and (theirs.role is not None or our_role_strict):
             if theirs.role is None or COMPATIBLE_ROLES.get(theirs.role) != ours.role:
--- a/lilacwalk/bgp/config.py
+++ b/lilacwalk/bgp/config.py
@@ -1,7 +1,8 @@
 """The `announce` block of the operator's file as frozen records, validated by `operator/`.
 
-Times are in tenths of a millisecond. A field's `unit` names the notation of its value. `ARGUMENTS`
-are the words after a block's keyword, in order; `INLINE` are the keyword-value pairs after those.
+Times are in tenths of a millisecond. A field's `unit` names the notation of its value in the file.
+`ARGUMENTS` are the words after a block's keyword, in order; `INLINE` are the keyword-value pairs
+after those.
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
 
 
 def unit(name: str, **limits) -> Meta:
+    """Returns field metadata with the notation `name` and msgspec's limits of the value."""
     return Meta(extra={"unit": name}, **limits)
 
 
@@ -25,8 +27,8 @@
 Number = Annotated[int, Meta(ge=0, le=4_294_967_295)]
 Community = Annotated[int, unit("community")]
 Address = Annotated[str, unit("address")]
-# How often our AS number is prepended; routers may reject longer paths.
-Repeats = Annotated[int, Meta(ge=0, le=20)]
+# Number of times that our AS number is prepended; routers may reject longer paths.
+PrependCount = Annotated[int, Meta(ge=0, le=20)]
 
 
 class Service(Struct, frozen=True, kw_only=True):
@@ -40,8 +42,10 @@
 
 
 class Damping(Struct, frozen=True, kw_only=True):
-    """Flap damping of our own announcements (RFC 2439 section 4.2); the defaults are the example of
-    the operators' page.
+    """Flap damping of our own announcements (RFC 2439 section 4.2).
+
+    The defaults are those of the example in the operators' documentation. Suppression starts when
+    the penalty reaches `suppress` and ends when it has decayed to `reuse`, after at most `longest`.
     """
 
     half_life: Annotated[int, unit("duration", ge=SECOND // 10, le=3600 * SECOND)] = 5 * SECOND
@@ -50,6 +54,7 @@
     longest: Annotated[int, unit("duration", ge=SECOND // 10, le=24 * 3600 * SECOND)] = 30 * SECOND
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid keywords, each with what is expected."""
         found = []
         if self.reuse >= self.suppress:
             found.append(("reuse", f"less than suppress, which is {self.suppress}"))
@@ -70,26 +75,29 @@
     withdraw_after: Time = 2 * SECOND
     well_after: Time = SECOND
     med: Number = 1_000
-    prepend: Repeats = 3
+    prepend: PrependCount = 3
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid keywords, each with what is expected."""
         if self.withdraw_after < self.less_wanted_after:
             return [("withdraw-after", "at least less-wanted-after")]
         return []
 
 
 class LastResort(Struct, frozen=True, kw_only=True):
-    """Announcement of a sick node in place of a withdrawal; every other node must be preferred to
-    it.
+    """Settings for announcing a sick node instead of withdrawing it, so that every other node is
+    preferred to it.
     """
 
     med: Number = 4_294_967_295
-    prepend: Repeats = 10
+    prepend: PrependCount = 10
 
 
 class Restart(Struct, frozen=True, kw_only=True):
-    """Settings of graceful restart (RFC 4724): peers keep our routes for `time`, we keep theirs for
-    at most `stale`.
+    """Settings of graceful restart (RFC 4724).
+
+    After a lost session, peers retain our routes for `time`, and we retain theirs for at most
+    `stale`.
     """
 
     time: Annotated[int, unit("duration", ge=SECOND, le=4095 * SECOND)] = 10 * SECOND
@@ -106,6 +114,7 @@
     le: Annotated[int, Meta(ge=0, le=128)] | None = None
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid keywords, each with what is expected."""
         assert isinstance(self.prefix, Prefix)
         width = WIDTH[self.prefix.afi]
         low = self.prefix.length if self.ge is None else self.ge
@@ -121,20 +130,20 @@
     """A prefix list; the first matching entry decides."""
 
     ARGUMENTS: ClassVar = ("name",)
-    # Keywords of the entries, whose order matters, and whether an entry permits.
+    # Keywords of the entries, each with whether the entry permits; the order of entries matters.
     ORDERED: ClassVar = {
         "permit": True,
         "deny": False,
     }
     name: str
-    lines: tuple[tuple[bool, Match], ...] = ()
+    lines: tuple[tuple[bool, Match], ...] = ()  # entries with whether they permit
 
 
 class Term(Struct, frozen=True, kw_only=True):
     """One term of a policy.
 
-    All stated conditions must match; an absent condition matches everything. The changes are then
-    applied and the verdict is returned.
+    The term applies to a route that meets the conditions `prefix_list` to `longest_path`; an absent
+    condition is met by every route. The other fields say how an accepted route is changed.
     """
 
     ARGUMENTS: ClassVar = ("verdict",)
@@ -142,16 +151,16 @@
     prefix_list: str | None = None
     community: Community | None = None
     as_in_path: Asn | None = None
-    longest_path: Annotated[int, Meta(ge=0, le=255)] | None = None
+    longest_path: Annotated[int, Meta(ge=0, le=255)] | None = None  # maximum AS path length
     set_local_preference: Number | None = None
     set_med: Number | None = None
-    prepend: Repeats = 0
+    prepend: PrependCount = 0
     add_communities: Annotated[tuple[Community, ...], unit("words")] = ()
     remove_communities: Annotated[tuple[Community, ...], unit("words")] = ()
 
 
 class Policy(Struct, frozen=True, kw_only=True):
-    """A policy: terms in order."""
+    """A policy; the first term that applies to a route decides."""
 
     ARGUMENTS: ClassVar = ("name",)
     name: str
@@ -179,6 +188,7 @@
     local_address: Address | None = None  # source address of connections to this peer
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid keywords, each with what is expected."""
         found = hold_faults(self.hold_time)
         if self.strict_role and self.role is None:
             found.append(("strict-role", "a role in the same block"))
@@ -214,6 +224,7 @@
     peer: tuple[Peer, ...] = ()
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the invalid keywords, each with what is expected."""
         found = hold_faults(self.hold_time)
         for kind, names in (
             ("service", [each.prefix for each in self.service]),
@@ -258,7 +269,7 @@
 
 
 def hold_faults(time: int | None) -> list[tuple[str, str]]:
-    """Returns the errors of a hold time.
+    """Returns the error of a hold time in the form of `faults`, or an empty list if it is valid.
 
     RFC 4271 section 4.2 allows zero or at least three seconds; the message field holds whole
     seconds.
--- a/lilacwalk/bgp/damping.py
+++ b/lilacwalk/bgp/damping.py
@@ -6,7 +6,8 @@
 
 from lilacwalk.bgp.config import Damping
 
-# RFC 2439 section 4.2: an attribute change counts half as much as a withdrawal.
+# Penalties of a withdrawal and of an attribute change, which counts half as much (RFC 2439 section
+# 4.2).
 FLAP, CHANGE = (
     1_000,
     500,
@@ -14,10 +15,10 @@
 
 
 class Penalty:
-    """Flap penalty with exponential decay.
+    """Flap penalty with exponential decay; times are in tenths of a millisecond.
 
-    The decay is computed exactly from the time passed, so the value at a given time depends only on
-    the flaps and not on how often it is read.
+    The decay is computed exactly from the time passed, so the penalty at a given time depends only
+    on the flaps and not on how often it is read.
     """
 
     def __init__(self, config: Damping) -> None:
@@ -37,7 +38,7 @@
         return self.value * 2.0 ** (-max(0, now - self.updated_at) / self.config.half_life)
 
     def add(self, amount: int, now: int) -> None:
-        """Adds a flap; suppression starts when the penalty reaches `suppress`."""
+        """Adds the penalty `amount` of a flap; suppression starts at `suppress`."""
         self.value = min(self.ceiling, self.value_at(now) + amount)
         self.updated_at = max(now, self.updated_at)
         if self.value >= self.config.suppress:
@@ -58,7 +59,10 @@
         )
 
     def restore(self, value: float, suppressed: bool, age: int, now: int) -> None:
-        """Adds the penalty that an earlier process had `age` ago, decayed since then."""
+        """Adds the penalty `value` that an earlier process had `age` ago, decayed since then.
+
+        `suppressed` says whether that process suppressed announcements.
+        """
         restored = max(0.0, value) * 2.0 ** (-max(0, age) / self.config.half_life)
         self.value, self.updated_at = min(self.ceiling, self.value_at(now) + restored), now
         self.suppressed = self.suppressed or suppressed and self.value > self.config.reuse
--- a/lilacwalk/bgp/errors.py
+++ b/lilacwalk/bgp/errors.py
@@ -8,6 +8,8 @@
 
 
 class Code(IntEnum):
+    """Error codes."""
+
     HEADER = 1
     OPEN = 2
     UPDATE = 3
@@ -19,12 +21,16 @@
 
 
 class Header(IntEnum):
+    """Subcodes of Message Header Error."""
+
     NOT_SYNCHRONIZED = 1
     BAD_LENGTH = 2
     BAD_TYPE = 3
 
 
 class OpenFault(IntEnum):
+    """Subcodes of OPEN Message Error."""
+
     VERSION = 1
     PEER_AS = 2
     ROUTER_ID = 3
@@ -35,6 +41,8 @@
 
 
 class UpdateFault(IntEnum):
+    """Subcodes of UPDATE Message Error."""
+
     ATTRIBUTE_LIST = 1
     UNKNOWN_WELL_KNOWN = 2
     MISSING_WELL_KNOWN = 3
@@ -67,7 +75,8 @@
     Code.UPDATE: UpdateFault,
     Code.CEASE: Cease,
 }
-# Subcodes by the state in which an unexpected message was received (RFC 6608 section 3).
+# Subcodes of Finite State Machine Error, by the state in which an unexpected message was received
+# (RFC 6608 section 3).
 UNEXPECTED_IN = {"OPEN_SENT": 1, "OPEN_CONFIRM": 2, "ESTABLISHED": 3}
 
 
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -102,8 +102,8 @@
 class Stream:
     """Splits a byte stream into messages.
 
-    Buffers at most one message of up to `max_size` bytes. After a `BgpError` (invalid header) the
-    stream cannot be used any more.
+    Buffers at most one message of up to `max_size` bytes, in `rest`. After a `BgpError` the stream
+    cannot be used any more.
     """
 
     __slots__ = ("rest", "max_size")
@@ -112,7 +112,11 @@
         self.rest, self.max_size = b"", max_size
 
     def feed(self, chunk: bytes) -> Iterator[tuple[int, bytes]]:
-        """Yields the type and body of each complete message."""
+        """Yields the type and body of each message that the chunk completes.
+
+        Raises:
+            BgpError: A message header is invalid.
+        """
         data, offset = self.rest + chunk if self.rest else chunk, 0
         try:
             while len(data) - offset >= HEADER_SIZE:
@@ -169,7 +173,7 @@
     Args:
         kind: The message type.
         body: The message without its header.
-        agreed: The negotiated capabilities, which determine the encoding of an UPDATE.
+        negotiated: The negotiated capabilities, which determine the encoding of an UPDATE.
         internal: Whether the peer has our AS number.
 
     Raises:
@@ -201,6 +205,11 @@
 
 
 def decode_open(body: bytes) -> Open:
+    """Decodes the body of an OPEN message.
+
+    Raises:
+        BgpError: The message is malformed, or has an unacceptable value (RFC 4271 section 6.2).
+    """
     if len(body) < 10:
         raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
     version, asn, hold, router_id, parameters_size = struct.unpack("!BHHIB", body[:10])
@@ -212,7 +221,7 @@
             f"version {version}, expected {VERSION}",
         )
     parameters, parameter_header_size = body[10:], 2
-    # RFC 9072: the parameters and their total have two-octet lengths.
+    # RFC 9072: each parameter's length and the total length have two octets.
     if parameters_size == EXTENDED_PARAMETERS and parameters[:1] == b"\xff":
         if len(parameters) < 3:
             raise BgpError(
@@ -271,6 +280,11 @@
 
 
 def decode_update(body: bytes, negotiated: NegotiatedCapabilities, internal: bool) -> Update:
+    """Decodes the body of an UPDATE message; for the arguments see `decode`.
+
+    Raises:
+        BgpError: The message is malformed in a way that RFC 7606 answers with a session reset.
+    """
     if len(body) < 4:
         raise BgpError(Code.HEADER, Header.BAD_LENGTH, struct.pack("!H", HEADER_SIZE + len(body)))
     withdrawn_size = int.from_bytes(body[:2], "big")
@@ -312,7 +326,7 @@
         check_mandatory(parsed, bool(announced), internal)
     if parsed.severity >= Severity.WITHDRAW:
         if not (announced or mp_reached) and (withdrawn or parsed.seen - {Type.MP_UNREACH}):
-            # RFC 7606 section 5.2: the routes to treat as withdrawn are unknown
+            # The routes to treat as withdrawn are unknown (RFC 7606 section 5.2).
             worst = max(parsed.faults, key=lambda each: each.severity)
             raise BgpError(
                 Code.UPDATE,
@@ -338,8 +352,9 @@
 def check_mandatory(
     parsed: path_attributes.ParsedAttributes, has_ipv4_nlri: bool, internal: bool
 ) -> None:
-    """Records missing mandatory attributes; their routes are treated as withdrawn (RFC 7606 section
-    3d).
+    """Records missing mandatory attributes as faults.
+
+    The routes of the UPDATE are then treated as withdrawn (RFC 7606 section 3d).
     """
     mandatory = [Type.ORIGIN, Type.AS_PATH]
     if has_ipv4_nlri:
@@ -352,7 +367,11 @@
 
 
 def decode_prefixes(data: bytes, afi: Afi) -> list[Prefix]:
-    """Decodes NLRI; a syntax error ends the session."""
+    """Decodes the prefixes of an NLRI field.
+
+    Raises:
+        BgpError: A prefix is malformed; the session ends.
+    """
     try:
         return prefix_codec.decode(data, afi)
     except ValueError as error:
@@ -360,6 +379,11 @@
 
 
 def encode(message: Message) -> bytes:
+    """Encodes a message other than UPDATE, with its header.
+
+    Raises:
+        TypeError: The message is an `Update`.
+    """
     if isinstance(message, Open):
         return encode_open(message)
     if isinstance(message, Notification):
@@ -402,7 +426,7 @@
 
 
 def pack_prefixes(prefixes: list[Prefix], room: int) -> Iterator[bytes]:
-    """Encodes prefixes into pieces of at most `room` bytes."""
+    """Yields the prefixes encoded as NLRI, in pieces of at most `room` bytes."""
     piece = bytearray()
     for each in prefixes:
         raw = prefix_codec.encode(each)
@@ -421,8 +445,14 @@
     internal: bool,
     max_size: int = MAX_SIZE,
 ) -> Iterator[bytes]:
-    """Yields the UPDATE messages, as few as possible, that announce prefixes of one family with
-    shared attributes.
+    """Yields as few UPDATE messages as possible that announce prefixes with shared attributes.
+
+    Args:
+        prefixes: At least one prefix, all of one address family.
+        attributes: The attributes of all prefixes.
+        as4: Whether AS numbers have four octets on the session.
+        internal: Whether the peer has our AS number.
+        max_size: Maximum size of a message in bytes.
     """
     uses_next_hop_attribute = prefixes[0].afi == Afi.IPV4 and len(attributes.next_hop) == 4
     encoded_attributes = path_attributes.encode(attributes, as4, internal, uses_next_hop_attribute)
@@ -450,11 +480,15 @@
 
 
 def withdrawals(prefixes: list[Prefix], max_size: int = MAX_SIZE) -> Iterator[bytes]:
-    """Yields the UPDATE messages that withdraw prefixes of one family."""
+    """Yields the UPDATE messages of up to `max_size` bytes that withdraw prefixes.
+
+    `prefixes` has at least one prefix, all of one address family.
+    """
     if prefixes[0].afi == Afi.IPV4:
         for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4):
             yield frame(UPDATE, struct.pack("!H", len(piece)) + piece + b"\0\0")
         return
+    # The MP_UNREACH_NLRI attribute has 7 bytes before its prefixes.
     for piece in pack_prefixes(prefixes, max_size - HEADER_SIZE - 4 - 7):
         value = struct.pack("!HB", prefixes[0].afi, UNICAST) + piece
         unreach = (
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -1,8 +1,8 @@
-"""State of one peer: its connections (two may exist for a moment), Adj-RIB-In and Adj-RIB-Out.
+"""State of one peer: its connections (two during a collision), Adj-RIB-In and Adj-RIB-Out.
 
 No I/O: methods take connection events and received messages; `take_actions` returns what the host
 must do. A connection is represented by a `Link` with a number assigned here; the host maps numbers
-to sockets.
+to sockets. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     """An action for the host; `value` depends on the kind."""
 
     kind: ActionKind
-    link: int
+    link: int  # number of the link; 0 for LOG
     value: object = None
 
 
@@ -55,7 +55,8 @@
 
     session: Session
     number: int = 0
-    inbound: bool = False
+    inbound: bool = False  # whether the peer opened the connection
+    # Received messages, UPDATEs, withdrawn prefixes that were present, and malformed attributes.
     counts: dict[str, int] = field(
         default_factory=lambda: dict.fromkeys(("received", "updates", "withdrawn", "faults"), 0)
     )
@@ -94,7 +95,7 @@
         self.policy = PeerPolicy(config, peer)
         self.adj_rib_in = AdjRibIn(peer.max_prefixes)
         self.adj_rib_out: dict[Prefix, Attributes] = {}  # announced on the established session
-        self.routes: dict[Prefix, Attributes] = {}
+        self.routes: dict[Prefix, Attributes] = {}  # to announce, before the export policy
         self.actions: list[Action] = []
         self.primary = self._new_link(now, peer.mode == "passive")
         self.secondary: Link | None = None  # a connection accepted while `primary` has one
@@ -103,9 +104,10 @@
         self.stale_until = 0  # time at which stale routes are dropped; 0 if there are none
         self.stale_families: tuple[Afi, ...] = ()
         self.last_end: SessionEnd | None = None
-        self.ups = self.downs = 0
-        self.end_of_rib_received: set[int] = set()
-        self.refresh_sent_at: dict[Afi, int] = {}  # time of the last refresh sent to the peer
+        self.ups = self.downs = 0  # sessions established, and those that have ended since
+        self.end_of_rib_received: set[int] = set()  # AFIs
+        # By family: time of the last answer to a refresh request, and time of the next answer.
+        self.refresh_sent_at: dict[Afi, int] = {}
         self.refresh_due: dict[Afi, int] = {}
 
     def _new_link(self, now: int, passive: bool) -> Link:
@@ -126,9 +128,9 @@
     def _capabilities(self) -> Capabilities:
         """Returns the capabilities to advertise.
 
-        They are built for each OPEN, as its statement about a restart must be true when it is sent.
-        A node that does not serve claims no preserved forwarding state; its peer then drops routes
-        kept from before the restart at once (RFC 4724 section 4.2).
+        They are built for each OPEN, as its graceful restart capability must be true when it is
+        sent. A node that does not serve claims no preserved forwarding state; its peer then drops
+        the routes from before the restart at once (RFC 4724 section 4.2).
         """
         restart = None
         if (restart_config := self.config.graceful_restart) is not None:
@@ -162,7 +164,7 @@
         return [self.primary] + ([self.secondary] if self.secondary is not None else [])
 
     def find_link(self, number: int) -> Link | None:
-        """Returns the link with this connection number, or None if it is no longer in use."""
+        """Returns the link with this number, or None if the number is no longer in use."""
         return next((each for each in self.links() if each.number == number and number), None)
 
     def take_actions(self) -> list[Action]:
@@ -173,7 +175,7 @@
     # Start and stop
 
     def start(self, now: int) -> None:
-        """Starts connecting or, if passive, waiting for the peer."""
+        """Starts connecting or, in mode passive, waiting for a connection from the peer."""
         passive = self.peer.mode == "passive"
         self._execute(
             self.primary,
@@ -186,8 +188,9 @@
     def stop(self, now: int, subcode: int = Cease.SHUTDOWN, text: str = "") -> None:
         """Ends all connections with a Cease notification.
 
-        If both sides support RFC 8538, the peer would treat a plain Cease as a restart and keep our
-        routes. It is therefore sent inside a hard reset (RFC 8538 section 3.1).
+        If both sides support RFC 8538, the peer would treat a plain Cease as a restart and retain
+        our routes. The Cease is therefore sent inside a hard reset (RFC 8538 section 3.1). `text`
+        is the shutdown communication.
         """
         self.stopped = True
         for each in self.links():
@@ -223,10 +226,11 @@
     def accepted(self, now: int) -> int:
         """Accepts a connection that the peer opened.
 
+        Connections are rejected in Idle after a failure (RFC 4271 section 8.2.2). A second
+        connection is accepted, and the collision is resolved when its OPEN has been received.
+
         Returns:
-            The new link's number; 0 if the connection is rejected. None is accepted in Idle after a
-            failure (RFC 4271 section 8.2.2). A second connection waits for its OPEN, after which the collision is
-            resolved.
+            The link's number; 0 if the connection is rejected.
         """
         if self.stopped or self.peer.mode == "active":
             return 0
@@ -298,8 +302,8 @@
 
         The connection opened by the side with the higher BGP identifier is kept; with equal
         identifiers the AS number decides (RFC 6286 section 2.3). An established session is kept,
-        unless the peer has advertised graceful restart: then the new connection shows that it has
-        restarted (RFC 4724 section 5).
+        unless the peer has advertised graceful restart: then the new connection shows that the peer
+        has restarted (RFC 4724 section 5).
         """
         other = next((each for each in self.links() if each is not link and each.number), None)
         try:
@@ -336,6 +340,7 @@
     # Actions of a session
 
     def _execute(self, link: Link, now: int, actions: list[tuple[SessionAction, object]]) -> None:
+        """Carries out the actions of a session; those with I/O become actions for the host."""
         for action, value in actions:
             if action is SessionAction.CONNECT:
                 link.number, link.inbound = next(self.link_numbers), False
@@ -416,11 +421,12 @@
             link.session.timers.clear()
 
     def _retain_or_drop_routes(self, link: Link, ended: SessionEnd, now: int) -> None:
-        """Keeps the peer's routes as stale, or drops them (RFC 4724 section 4.2, RFC 8538 section
+        """Retains the peer's routes as stale, or drops them (RFC 4724 section 4.2, RFC 8538 section
         4).
 
-        They are kept for the peer's restart time if it advertised graceful restart and the session
-        broke, or ended for a reason that both sides treat as a restart.
+        They are retained if the peer advertised graceful restart and the connection broke, or the
+        session ended for a reason that both sides treat as a restart. The retention time is the
+        peer's restart time, at most the configured `stale`.
         """
         restart_config = self.config.graceful_restart
         peer_restart = (
@@ -457,6 +463,7 @@
         self.stale_until = now + min(peer_restart.time * SECOND, restart_config.stale)
 
     def _drop_stale(self, families: Iterable[Afi], cause: str) -> None:
+        """Drops the stale routes of the families; these are all routes if there is no session."""
         dropped = 0
         for afi in tuple(families):
             drop = (
@@ -477,12 +484,12 @@
         counts["faults"] += len(update.faults)
         # Logged at the 1st, 2nd, 4th, 8th ... fault.
         if update.faults and counts["faults"] & (counts["faults"] - 1) == 0:
-            worst = update.faults[0]
+            first_fault = update.faults[0]
             self._log(
                 event="bgp_fault",
                 count=counts["faults"],
-                detail=f"attribute {worst.kind}: {worst.text}",
-                handled=worst.severity.name.lower(),
+                detail=f"attribute {first_fault.kind}: {first_fault.text}",
+                handled=first_fault.severity.name.lower(),
             )
         if update.end_of_rib is not None:
             self.end_of_rib_received.add(update.end_of_rib)
@@ -507,7 +514,7 @@
         """Handles ROUTE-REFRESH (RFC 2918, 7313).
 
         Requests are answered at most once per `MIN_REFRESH_INTERVAL`; otherwise each request of 23
-        bytes would cost a full table.
+        bytes would make us send all routes of the family.
         """
         if request.safi != UNICAST or request.afi not in link.session.negotiated.families:
             return
@@ -523,7 +530,10 @@
             self.adj_rib_in.end_refresh(afi)
 
     def _send_due_refreshes(self, link: Link, now: int) -> None:
-        """Sends all routes of a family, between refresh markers if both sides support RFC 7313."""
+        """Sends all routes of each family whose refresh is due.
+
+        They are sent between refresh markers if both sides support RFC 7313.
+        """
         enhanced = link.session.negotiated.enhanced_refresh
         for afi in [afi for afi, due in self.refresh_due.items() if due <= now]:
             del self.refresh_due[afi]
@@ -538,8 +548,9 @@
                 self._send(link, messages.encode(Refresh(afi, UNICAST, 2)))
 
     def request_refresh(self) -> None:
-        """Requests the peer's routes again after a change of the import policy, without a new
-        session (RFC 2918).
+        """Sends a ROUTE-REFRESH for each family if both sides support it (RFC 2918).
+
+        Called after a change of the import policy, which thus needs no new session.
         """
         if self.established_link is not None and self.established_link.session.negotiated.refresh:
             for afi in self.established_link.session.negotiated.families:
@@ -548,12 +559,16 @@
     # Announcements
 
     def set_routes(self, routes: dict[Prefix, Attributes]) -> None:
-        """Sets all routes to announce; differences are sent at once, withdrawals first."""
+        """Replaces the routes to announce, which the export policy has yet to filter.
+
+        On an established session, differences are sent at once, withdrawals first.
+        """
         self.routes = routes
         if self.established_link is not None:
             self._send_changes(self.established_link)
 
     def _send_changes(self, link: Link) -> None:
+        """Sends the differences between the exported routes and Adj-RIB-Out, withdrawals first."""
         families = link.session.negotiated.families
         exports: dict[Prefix, Attributes] = {}
         for prefix, attributes in self.routes.items():
@@ -601,7 +616,10 @@
     # Reconfiguration
 
     def reconfigure(self, config: BgpConfig, peer: Peer) -> bool:
-        """Applies changes that need no new session; returns False if one is needed."""
+        """Applies a reloaded configuration; returns False if it requires a new session.
+
+        In that case nothing is changed.
+        """
         peer_fields = (
             "as_",
             "mode",
--- a/lilacwalk/bgp/policy.py
+++ b/lilacwalk/bgp/policy.py
@@ -1,7 +1,7 @@
 """Import and export policy of a peer.
 
-Prefix lists and policies of the operator's file are compiled once. The built-in rules always apply:
-AS loops, BGP roles, and the default deny of RFC 8212.
+Prefix lists and policies of the operator's file are compiled once. The built-in rules on AS loops
+and BGP roles and the default deny of RFC 8212 always apply.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from lilacwalk.bgp.trie import Trie
 
 LARGE_COMMUNITY_FLAG = 1 << 96  # marks a large community in the integers of the operator's file
-MAX_AS_NUMBERS = 255  # AS numbers in a path; longer paths are refused as implausible
+MAX_AS_NUMBERS = 255  # in an AS path; routes with longer paths are refused as implausible
 
 
 class CompiledPrefixList:
     """A prefix list; the first matching entry decides, and no match means deny.
 
-    Entries are kept in a trie, so that a lookup in a list of thousands visits only the entries that
+    Entries are stored in a trie, so that a lookup in a list of thousands visits only the entries that
     cover the prefix.
     """
 
@@ -37,6 +37,7 @@
             entries.append((index, permit, entry))
 
     def permits(self, prefix: Prefix) -> bool:
+        """Returns whether the first entry that matches the prefix permits it."""
         best = None
         for _, entries in self.tries[prefix.afi].covering(prefix.bits, prefix.length):
             for index, permit, entry in entries:
@@ -59,18 +60,24 @@
 
 
 def has_community(attributes: Attributes, community: int) -> bool:
+    """Returns whether a route carries a community, given as in the operator's configuration."""
     if community >= LARGE_COMMUNITY_FLAG:
         return split_large_community(community) in attributes.large
     return community in attributes.communities
 
 
 def split_large_community(community: int) -> tuple[int, int, int]:
+    """Returns the three 32-bit fields of a large community."""
     return community >> 64 & 0xFFFFFFFF, community >> 32 & 0xFFFFFFFF, community & 0xFFFFFFFF
 
 
 def with_communities(
     attributes: Attributes, add: tuple[int, ...], remove: tuple[int, ...] = ()
 ) -> Attributes:
+    """Returns the attributes without the communities `remove` and then with the communities `add`.
+
+    A large community is marked by `LARGE_COMMUNITY_FLAG`.
+    """
     standard = [each for each in attributes.communities if each not in remove]
     removed_large = [split_large_community(each) for each in remove if each >= LARGE_COMMUNITY_FLAG]
     large_values = [each for each in attributes.large if each not in removed_large]
@@ -86,6 +93,7 @@
 
 
 def prepended(path: Path, number: int, times: int) -> Path:
+    """Returns the AS path with an AS number prepended `times` times."""
     if not times:
         return path
     head = (number,) * times
@@ -104,13 +112,13 @@
         ]
 
     def apply(self, prefix: Prefix, attributes: Attributes) -> Attributes | None:
-        """Returns the attributes as changed by the first term whose conditions all match.
+        """Returns the attributes as changed by the first term that applies to the route.
 
-        Returns None if that term rejects, or if no term matches.
+        Returns None if that term rejects the route, or if no term applies.
         """
         for term, prefix_list in self.terms:
             if self._matches(term, prefix_list, prefix, attributes):
-                return self._apply_sets(term, attributes) if term.verdict == "accept" else None
+                return self._apply_changes(term, attributes) if term.verdict == "accept" else None
         return None
 
     @staticmethod
@@ -124,7 +132,7 @@
             and (term.longest_path is None or attributes.path_length <= term.longest_path)
         )
 
-    def _apply_sets(self, term: Term, attributes: Attributes) -> Attributes:
+    def _apply_changes(self, term: Term, attributes: Attributes) -> Attributes:
         if term.add_communities or term.remove_communities:
             attributes = with_communities(attributes, term.add_communities, term.remove_communities)
         if term.set_med is not None:
@@ -168,8 +176,8 @@
             return Refused("the path does not begin with the peer's AS")
         if sum(len(numbers) for _, numbers in attributes.as_path) > MAX_AS_NUMBERS:
             return Refused(f"more than {MAX_AS_NUMBERS} AS numbers in the path")
-        attributes, leak = self._check_only_to_customer(attributes)
-        if leak:
+        attributes, is_leak = self._check_only_to_customer(attributes)
+        if is_leak:
             return Refused("a route leak according to its Only-to-Customer attribute")
         if self.import_policy is None:
             return attributes if self.internal else Refused("no import policy")
@@ -183,16 +191,17 @@
         Returns the attributes, with Only-to-Customer added if it is required and missing, and
         whether the route is a leak.
         """
-        role, mark = self.peer.role, attributes.only_to_customer
+        # `role` is our own role towards the peer.
+        role, customer_as = self.peer.role, attributes.only_to_customer
         if role is None or self.internal:
             return attributes, False
-        # A marked route from a customer or RS client (our role is provider or rs) is a leak, and so
-        # is a route from a peer that another AS has marked.
-        if mark is not None:
+        # A route with the attribute is a leak if it comes from a customer or RS client (our role is
+        # provider or rs), or from a lateral peer with another AS number than the peer's.
+        if customer_as is not None:
             return attributes, role in (
                 "provider",
                 "rs",
-            ) or role == "peer" and mark != self.peer.as_
+            ) or role == "peer" and customer_as != self.peer.as_
         if role in ("customer", "peer", "rs-client"):
             return replace(attributes, only_to_customer=self.peer.as_), False
         return attributes, False
@@ -201,8 +210,8 @@
         """Applies the export policy to one of our services.
 
         Returns the attributes to announce, or None if the policy rejects the service. A service in
-        the operator's file counts as the explicit export that RFC 8212 requires; a policy can only
-        narrow it.
+        the operator's file counts as the explicit export policy that RFC 8212 requires; the peer's
+        policy can only restrict it.
         """
         if self.export_policy is not None:
             accepted = self.export_policy.apply(prefix, attributes)
@@ -217,5 +226,5 @@
 
 
 def role_code(peer: Peer) -> int | None:
-    """Returns the code of RFC 9234 for the configured role."""
+    """Returns the code of our configured role (RFC 9234 section 4.1); None if there is none."""
     return None if peer.role is None else ROLES[peer.role]
--- a/lilacwalk/bgp/prefixes.py
+++ b/lilacwalk/bgp/prefixes.py
@@ -17,8 +17,10 @@
 
 
 class Prefix(NamedTuple):
-    """An address prefix; `bits` is the network address over the family's full width with host bits
-    zero.
+    """An address prefix.
+
+    `bits` is the network address as an integer of the address family's full width, with all host
+    bits zero.
     """
 
     afi: Afi
@@ -63,6 +65,7 @@
 
 
 def address_text(raw: bytes) -> str:
+    """Returns the textual form of an address of 4 or 16 bytes."""
     return str(ipaddress.ip_address(raw))
 
 
--- a/lilacwalk/bgp/readiness.py
+++ b/lilacwalk/bgp/readiness.py
@@ -10,8 +10,9 @@
 class Facts(NamedTuple):
     """The facts that determine the node's status."""
 
-    booted: bool  # the executor has been connected since this process started
-    warm_at: int  # time at which the warm-up after a cold start ends; 0 if there is none
+    booted: bool  # the executor has been connected at least once since this process started
+    # Time at which the warm-up after a cold start ends, in tenths of a millisecond; 0 without one.
+    warm_at: int
     linked: bool  # the executor is connected and its pending messages have been read
     healthy: bool  # according to the overload controller
     leaving: bool
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -1,10 +1,11 @@
 """Routes received from one peer (its Adj-RIB-In, RFC 4271 section 3.2): one trie per address
 family, limited in size.
 
-Prefixes that arrived with the same attributes share one `Route`, so that a prefix costs only its
-trie node. Each route carries the number of the session that brought it. Routes of an older session
-are stale until the current session announces them again or its End-of-RIB removes them (RFC 4724
-section 4.2); a restart of the peer therefore marks no routes one by one.
+Prefixes announced together with the same attributes share one `Route`, so that a prefix costs only
+its trie node. Each route carries the number of the session in which it was announced. Routes of an
+older session are stale until they are announced again in the current session, or removed at its
+End-of-RIB (RFC 4724 section 4.2). A restart of the peer thus makes all routes stale without
+visiting them.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 @dataclass(eq=False, slots=True)
 class Route:
-    """A received route, shared by the prefixes that arrived with the same attributes."""
+    """A received route, shared by the prefixes that were announced together."""
 
     attributes: Attributes
-    session: int  # number of the peer's session that announced it
+    session: int  # number of the peer's session in which it was announced
 
 
 class PrefixLimitError(Exception):
@@ -41,7 +42,7 @@
         self.max_prefixes = max_prefixes
         self.tries: dict[Afi, Trie[Route]] = {afi: Trie(afi) for afi in Afi}
         self.session = 0  # number of the current session; a route refresh counts as a session
-        # Session number under which each refresh under way stores routes.
+        # Session number of the route refresh in progress, by family.
         self.refresh_sessions: dict[Afi, int] = {}
 
     def __len__(self) -> int:
@@ -56,8 +57,8 @@
         """Stores the prefixes with their attributes.
 
         Raises:
-            PrefixLimitError: Prefixes stored before the limit was reached stay; they are dropped with the
-                session.
+            PrefixLimitError: There are more than `max_prefixes`. Those stored before remain until
+                the session ends.
         """
         route = Route(attributes, self.session)
         for prefix in prefixes:
@@ -76,7 +77,7 @@
         )
 
     def stale(self, afi: Afi) -> int:
-        """Returns the number of stale routes of a family."""
+        """Returns the number of stale prefixes of a family."""
         return sum(route.session != self.session for _, route in self.tries[afi].walk())
 
     def drop_stale(self, afi: Afi) -> int:
@@ -111,7 +112,7 @@
     def evaluate(
         self, policy: PeerPolicy, afi: Afi
     ) -> Iterator[tuple[Prefix, Attributes | Refused]]:
-        """Yields all routes of a family in order, each with the result of the import policy."""
+        """Yields the prefixes of a family in order, each with the result of the import policy."""
         for prefix, route in self.tries[afi].walk():
             yield prefix, policy.import_route(prefix, route.attributes)
 
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -5,14 +5,14 @@
 
 Deviations from the RFC:
 
-- A NOTIFICATION is never answered with another one, not even in OpenSent. The table of section
-  8.2.2 would; section 6.4 forbids it.
+- A NOTIFICATION is never answered with another one, not even in OpenSent. Section 8.2.2 requires
+  an answer there; section 6.4 forbids it.
 - A malformed header in Established is reported with its own error code, not as a finite state
   machine error.
 - With a hold time of zero, OpenConfirm keeps the long hold timer of OpenSent, so that a peer that
   never confirms does not occupy the connection forever.
-- If the peer does not read, the session ends after twice the hold time (RFC 9687), not only after
-  eight minutes, as until then the peer may keep a route that we have withdrawn.
+- If the peer does not read, the session ends after twice the hold time, even if that is less than
+  the eight minutes of RFC 9687, as until then the peer may use a route that we have withdrawn.
 """
 
 from __future__ import annotations
@@ -31,13 +31,15 @@
 OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
 # Timers run for a random 75 to 100 % of their configured time (RFC 4271 section 10).
 MIN_JITTER = 0.75
-# Upper bound of the doubled idle hold time. RFC 4271 sets none; after two minutes an operator
-# would look again.
+# Upper bound of the doubled idle hold time. RFC 4271 sets none; two minutes is about the time after
+# which an operator checks the peer again.
 MAX_IDLE_HOLD = 120 * SECOND
 KEEPALIVES_PER_HOLD_TIME = 3  # as suggested by RFC 4271 section 10
 
 
 class State(IntEnum):
+    """States of the finite state machine (RFC 4271 section 8.2.2)."""
+
     IDLE = 0
     CONNECT = 1
     ACTIVE = 2
@@ -80,6 +82,8 @@
 
 
 class Timer(Enum):
+    """Timers of a session (RFC 4271 section 8)."""
+
     CONNECT_RETRY = auto()
     HOLD = auto()
     KEEPALIVE = auto()
@@ -100,13 +104,13 @@
 class SessionAction(Enum):
     """An action that the owner of a session must carry out; some come with a value."""
 
-    CONNECT = auto()
-    SEND = auto()  # value: the bytes
-    CLOSE = auto()
-    UP = auto()  # value: the peer's Open
-    DOWN = auto()  # value: a SessionEnd
-    ROUTES = auto()  # value: an Update
-    REFRESH = auto()  # value: a Refresh
+    CONNECT = auto()  # open a connection
+    SEND = auto()  # send a message; value: the bytes
+    CLOSE = auto()  # close the connection
+    UP = auto()  # the session is established; value: the peer's Open
+    DOWN = auto()  # the session has ended or failed to become established; value: a SessionEnd
+    ROUTES = auto()  # store received routes; value: an Update
+    REFRESH = auto()  # handle a ROUTE-REFRESH; value: a Refresh
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,29 +118,30 @@
     """Why a session ended."""
 
     reason: str
-    by_peer: bool = False
+    by_peer: bool = False  # whether the peer sent a NOTIFICATION or the connection failed
     received: Notification | None = None  # from the peer
     sent: tuple[int, int] | None = None  # code and subcode that we sent
-    was_up: bool = False
+    was_up: bool = False  # whether the session was established
 
 
 @dataclass(frozen=True, slots=True)
 class SessionConfig:
-    """Settings of both ends of a session, given when it is created."""
+    """Settings of a session: our AS number and identifier, the peer's AS number, and timers."""
 
     asn: int
     router_id: str
     peer_as: int
-    hold: int  # `hold` to `delay_open` are in tenths of a millisecond
+    hold: int  # hold time to offer; `hold` to `delay_open` are in tenths of a millisecond
     connect_retry: int
     idle_hold: int
     delay_open: int
-    passive: bool
-    strict_role: bool = False
+    passive: bool  # whether to wait for connections instead of opening one
+    strict_role: bool = False  # whether the peer must advertise a role (RFC 9234)
 
 
 E, S = Event, State
-# Step methods in order, and the next state. The next state is None if a step determines it.
+# Step methods in order, without their leading underscore, and the next state. It is None if a step
+# returns the next state, or if the state does not change.
 Row = tuple[tuple[str, ...], State | None]
 
 STAY: Row = ((), None)
@@ -154,7 +159,7 @@
 
 
 def state_rows(*lines: tuple[Iterable[Event], Row], others: Row) -> dict[Event, Row]:
-    """Returns the table of one state; events that are not listed get the row `others`."""
+    """Returns the rows of one state by event; events that are not listed get the row `others`."""
     table = dict.fromkeys(Event, others)
     for events, row in lines:
         for event in events:
@@ -170,7 +175,7 @@
     E.AUTOMATIC_START_DAMPED,
     E.AUTOMATIC_START_DAMPED_PASSIVE,
 )
-# Events of connections that are not yet assigned to this session.
+# Events of connections that are not yet assigned to a session.
 TCP_REQUESTED = (
     E.TCP_VALID,
     E.TCP_INVALID,
@@ -295,12 +300,14 @@
         self.actions: list[tuple[SessionAction, object]] = []
         self.error: BgpError | None = None  # sent by `_send_notification`
         self.cease_subcode, self.cease_data = int(Cease.SHUTDOWN), b""  # sent by `_send_cease`
-        self.last_message: object = None
+        self.last_message: object = None  # the last message received
         self.cause = ""
+        # Code and subcode of the NOTIFICATION that ended the session.
         self.sent_codes: tuple[int, int] | None = None
 
     @property
     def internal(self) -> bool:
+        """Whether the peer has our AS number."""
         return self.config.asn == self.config.peer_as
 
     # Inputs
@@ -328,8 +335,9 @@
         return self._take_actions()
 
     def received(self, kind: int, body: bytes, now: int) -> list[tuple[SessionAction, object]]:
-        """Decodes one complete message, handles the event that it stands for, and returns the
-        actions.
+        """Decodes the body of one message of type `kind`, and handles the event of its receipt.
+
+        Returns the actions to carry out.
         """
         try:
             message = messages.decode(kind, body, self.negotiated, self.internal)
@@ -343,9 +351,9 @@
                 E.OPEN_WITH_DELAY if Timer.DELAY_OPEN in self.timers else E.OPEN, now, "open"
             )
         elif isinstance(message, Notification):
-            version = (message.code, message.subcode) == (Code.OPEN, OpenFault.VERSION)
+            is_version_error = (message.code, message.subcode) == (Code.OPEN, OpenFault.VERSION)
             self._handle(
-                E.VERSION_ERROR if version else E.NOTIFICATION,
+                E.VERSION_ERROR if is_version_error else E.NOTIFICATION,
                 now,
                 "peer sent " + reason(message.code, message.subcode),
             )
@@ -356,15 +364,16 @@
         elif self.state is S.ESTABLISHED:  # RFC 2918 defines no event; handled like an UPDATE
             self.now = now
             self._restart_hold()
-            if self.negotiated.refresh:  # a refresh is ignored if not negotiated
+            if self.negotiated.refresh:  # otherwise the message is ignored
                 self.actions.append((SessionAction.REFRESH, message))
         else:
             self._handle(E.UPDATE, now, "refresh")
         return self._take_actions()
 
     def decode_failed(self, error: BgpError, now: int) -> list[tuple[SessionAction, object]]:
-        """Handles a message that cannot be decoded or that must end the session; returns the
-        actions.
+        """Ends the session because a received message is malformed or unacceptable.
+
+        Returns the actions to carry out.
         """
         events = {Code.HEADER: E.HEADER_ERROR, Code.OPEN: E.OPEN_ERROR}
         self.error = error
@@ -372,12 +381,12 @@
         return self._take_actions()
 
     def flushed(self, now: int) -> None:
-        """Restarts the send hold timer, as the operating system has accepted all sent bytes."""
+        """Restarts the send hold timer after the operating system has accepted all sent bytes."""
         if Timer.SEND_HOLD in self.timers:
             self._start_send_hold_at(now)
 
     def tick(self, now: int) -> list[tuple[SessionAction, object]]:
-        """Handles all expired timers in the order of their times; returns the actions."""
+        """Handles all expired timers in the order of their times; returns the actions to carry out."""
         while expired := [
             (time, timer.value, timer) for timer, time in self.timers.items() if time <= now
         ]:
@@ -404,9 +413,10 @@
     # State table
 
     def _handle(self, event: Event, now: int, cause: str) -> None:
+        """Executes the row of `TABLE` for the event; `cause` is for logs if the session ends."""
         self.now, self.cause = now, cause
         if self.state is S.IDLE and Timer.IDLE_HOLD in self.timers and event in START_EVENTS[1:]:
-            return  # DampPeerOscillations: only ManualStart ends the wait
+            return  # DampPeerOscillations: of the start events, only ManualStart ends the wait
         steps, next_state = TABLE[self.state][event]
         previous = self.state
         for step in steps:
@@ -457,8 +467,10 @@
         self.timers[Timer.HOLD] = self.now + OPEN_HOLD_TIME
 
     def _restart_hold(self) -> None:
-        """Restarts the hold timer; without a negotiated hold time, stops the long one of
-        OpenConfirm.
+        """Restarts the hold timer.
+
+        With a negotiated hold time of zero, the timer is only stopped, as OpenConfirm has started
+        it with the long time.
         """
         self.timers.pop(Timer.HOLD, None)
         if self.hold_time:
@@ -506,6 +518,7 @@
         self.damped = True
 
     def _leave_idle(self) -> State | None:
+        """Handles IdleHoldTimer expiry by an automatic start; returns the next state."""
         self.damped = False
         passive = self.config.passive
         event = E.AUTOMATIC_START_DAMPED_PASSIVE if passive else E.AUTOMATIC_START_DAMPED
@@ -515,7 +528,10 @@
         return next_state
 
     def _retry_connection(self) -> State:
-        """Handles ConnectRetryTimer expiry in Active; a passive session keeps listening."""
+        """Handles ConnectRetryTimer expiry in Active; returns the next state.
+
+        A passive session continues to wait for the peer.
+        """
         self._start_connect_retry()
         if self.config.passive:
             return S.ACTIVE
@@ -526,8 +542,8 @@
         """Handles a failed connection attempt; returns the next state.
 
         With the DelayOpenTimer running, the next state is Active, as in RFC 4271. Otherwise it is
-        Idle, where the next attempt waits for the connect retry time. The idle hold time does not
-        grow, as a missing answer is not an oscillation that a longer wait would damp.
+        Idle, where the next attempt waits for the connect retry time. This time does not grow with
+        each failure, as a failed attempt is not an oscillation that a longer wait would damp.
         """
         if Timer.DELAY_OPEN in self.timers:
             self._stop_timers()
@@ -540,6 +556,7 @@
         return S.IDLE
 
     def _connection_opened(self) -> State:
+        """Sends an OPEN, or starts the DelayOpenTimer if configured; returns the next state."""
         self._stop_timers()
         if self.config.delay_open:
             self.timers[Timer.DELAY_OPEN] = self.now + self.config.delay_open
@@ -562,6 +579,7 @@
         self._send(Keepalive())
 
     def _negotiate(self) -> None:
+        """Applies the received OPEN: capabilities, hold time and the timers that depend on it."""
         opened = self.last_message
         assert isinstance(opened, Open)
         self.peer_open = opened
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -1,9 +1,9 @@
 """I/O of the speaker: sockets, threads and the clock.
 
 One thread owns `SpeakerState` and never blocks on a socket. Each connection has a reader thread on
-a blocking socket that splits the bytes into messages and posts them to the speaker's queue. Sent
-data goes through bounded send buffers. Time is monotonic: BGP does not need the date, and a change
-of the wall clock must not end sessions.
+a blocking socket; it splits the bytes into messages and posts them to the speaker's queue. Data to
+send passes through bounded send buffers. Time is monotonic: BGP does not need the date, and a
+change of the wall clock must not end sessions.
 """
 
 from __future__ import annotations
@@ -36,20 +36,23 @@
     send_buffer: int = 4_000_000  # maximum unsent bytes per peer: two refreshes of 100,000 prefixes
     read_bytes: int = 16_384  # bytes per read: four messages of 4,096 bytes
     batch: int = 64  # maximum number of messages per queue item
-    queued_batches: int = 2  # queue items per connection; a peer that floods delays only itself
+    # Queue items with messages per connection; a peer that sends faster delays only itself.
+    queued_batches: int = 2
     # Queue items handled between two timer checks: about 1,000 messages or 50 ms.
     items_per_iteration: int = 16
     # Time-out of a connection attempt in seconds; covers one lost SYN. A shorter connect retry time
     # ends the attempt earlier.
     connect: float = 2.0
     close_timeout: float = 1.0  # seconds for the peer to read a notification and close
-    backlog: int = 64
+    backlog: int = 64  # connections that the listener holds until they are accepted
     stack: int = 131_072
 
 
 class Connection:
-    """A connection and its reader thread. All methods but the reader's loop run in the speaker's
-    thread.
+    """A connection and its reader thread.
+
+    The constructor, `start` and `close` run in the speaker's thread, the other methods in the
+    reader's.
     """
 
     def __init__(
@@ -61,17 +64,33 @@
         remote_address: tuple[str, int] | None = None,
         local_address: str | None = None,
     ) -> None:
+        """Creates a connection without starting its reader.
+
+        Args:
+            speaker: The speaker that owns the connection.
+            number: Number of the connection's link.
+            peer: Configured address of the peer.
+            sock: The socket of an accepted connection; None if the reader has to connect.
+            remote_address: Address to connect to; None for an accepted connection.
+            local_address: Source address of a connection to open, if one is configured.
+        """
         self.speaker, self.number, self.peer, self.sock = speaker, number, peer, sock
         self.remote_address, self.local_address = remote_address, local_address
         self.send_buffer = (
             SendBuffer(sock, speaker.bounds.send_buffer, "bgp") if sock is not None else None
         )
+        # One item per batch that the reader may post before the speaker has handled earlier ones.
         self.batch_permits: SimpleQueue[None] = SimpleQueue()
         for _ in range(speaker.bounds.queued_batches):
             self.batch_permits.put(None)
         self.closing = threading.Event()
 
     def start(self) -> None:
+        """Starts the reader thread.
+
+        Raises:
+            RuntimeError: The thread cannot be started.
+        """
         threading.Thread(target=self._run, name="bgp-reader", daemon=True).start()
 
     def _run(self) -> None:
@@ -92,6 +111,7 @@
             self.speaker.inbox.put((self.speaker.on_lost, self, cause))
 
     def _connect(self) -> bool:
+        """Opens the connection and posts the result; returns whether it succeeded."""
         family = socket.AF_INET6 if ":" in self.remote_address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         self.sock = sock  # set before connecting, so that an abandoned attempt can be closed
@@ -111,6 +131,12 @@
         return True
 
     def _read(self) -> None:
+        """Posts received messages in batches until the connection ends.
+
+        Raises:
+            BgpError: A message header is invalid.
+            OSError: The connection failed.
+        """
         bounds, stream = self.speaker.bounds, Stream(messages.MAX_EXTENDED_SIZE)
         while chunk := self.sock.recv(bounds.read_bytes):
             if self.closing.is_set():
@@ -128,14 +154,15 @@
         return None
 
     def _post_batch(self, batch: list[tuple[int, bytes]]) -> None:
+        """Posts a batch once fewer than `queued_batches` of this connection are unhandled."""
         self.batch_permits.get()
         self.speaker.inbox.put((self.speaker.on_messages, self, batch))
 
     def _discard_input(self) -> None:
         """Reads and drops further input for up to `close_timeout`.
 
-        Unread input at the close would make the operating system send a reset, which could discard
-        our last message before the peer reads it.
+        If input is unread when the socket is closed, the operating system sends a reset, which
+        could discard our last message before the peer reads it.
         """
         until = time.monotonic() + self.speaker.bounds.close_timeout
         try:
@@ -146,9 +173,10 @@
             pass
 
     def close(self) -> None:
-        """Closes after all sent data; the reader ends the connection.
+        """Ends the sending direction; the reader thread then reports the end of the connection.
 
-        If the peer does not read, unsent data is discarded.
+        If the operating system has not accepted all data, as the peer does not read, the unsent
+        data is discarded and the connection is reset. An attempt to connect is aborted.
         """
         self.closing.set()
         self.batch_permits.put(None)
@@ -170,7 +198,8 @@
 
     `on_withdrawal_sent` is called in the speaker's thread once a drain's withdrawals have been
     sent, with the time in tenths of a millisecond for which the listener must stay open from then
-    on. `on_level_change` is called in that thread when the announcement level changes.
+    on. `on_level_change` is called in that thread when the announcement level changes. `clock`
+    returns nanoseconds.
     """
 
     def __init__(
@@ -192,8 +221,9 @@
         self.connections: dict[int, Connection] = {}
         # Connections closed by us whose reader is still running.
         self.closing_connections: dict[Connection, None] = {}
+        # Connections whose sent data the operating system has not been seen to accept in full.
         self.unflushed: dict[Connection, None] = {}
-        self.withdrawal_reported = False
+        self.withdrawal_reported = False  # whether `on_withdrawal_sent` has been called
         self.on_level_change, self.level = (
             on_level_change,
             Level.NONE,
@@ -218,20 +248,23 @@
         if self.listener is not None:
             threading.Thread(target=self._accept, name="bgp-listener", daemon=True).start()
 
-    def set_node_status(self, state: NodeStatus) -> None:
-        """Reports the node's status."""
-        self.inbox.put((self._set_node_status, state))
+    def set_node_status(self, status: NodeStatus) -> None:
+        """Sets the node's status, on which the announcement level depends."""
+        self.inbox.put((self._set_node_status, status))
 
     def set_level_cap(self, level_cap: Level) -> None:
-        """Limits the level of the node's own services."""
+        """Limits the announcement level of the ready node."""
         self.inbox.put((self._set_level_cap, level_cap))
 
     def set_failover_services(self, services: tuple[Service, ...]) -> None:
-        """Sets the services of other sites to announce; an empty tuple ends that."""
+        """Sets the services of other sites to announce; an empty tuple withdraws them."""
         self.inbox.put((self._set_failover_services, services))
 
     def restore_penalty(self, penalty: float, suppressed: bool, announced: bool, age: int) -> None:
-        """Restores the flap penalty that an earlier process had `age` tenths of a millisecond ago."""
+        """Restores the flap penalty that an earlier process had `age` tenths of a millisecond ago.
+
+        `announced` says whether that process ended while its routes were announced.
+        """
         self.inbox.put((self._restore_penalty, penalty, suppressed, announced, age))
 
     def set_withdrawal_allowed(self, withdrawal_allowed: bool) -> None:
@@ -249,7 +282,10 @@
         self.inbox.put((self._reload, config))
 
     def end(self, timeout: float = 2.0) -> None:
-        """Withdraws all routes, ends every session and the speaker's thread."""
+        """Withdraws all routes, and ends every session and the speaker's thread.
+
+        Waits for the end of the thread for at most `timeout` seconds.
+        """
         self.inbox.put((self._end,))
         if threading.current_thread() is not self.thread:
             self.thread.join(timeout)
@@ -292,7 +328,7 @@
         try:
             handler, *arguments = self.inbox.get(timeout=wait / SECOND)
             handler(*arguments)
-            # The number is limited, so that a long queue does not delay the timers.
+            # The number of items is limited, so that a long queue does not delay the timers.
             for _ in range(self.bounds.items_per_iteration):
                 if self.state.ended:
                     break
@@ -355,7 +391,7 @@
                 self._abort(connection)
 
     def _abort(self, connection: Connection) -> None:
-        """Closes a connection at once and drops its queued messages, as the peer does not read."""
+        """Resets a connection whose send buffer is full, as the peer does not read."""
         del self.connections[connection.number]
         self.unflushed.pop(connection, None)
         self.closing_connections[connection] = None
@@ -374,7 +410,7 @@
             self.inbox.put((self.on_lost, connection, "cannot start a reader thread"))
 
     def _await_closes(self) -> None:
-        """Waits until every peer has closed or `close_timeout` has passed."""
+        """Waits for the end of every connection, for at most `close_timeout`."""
         until = time.monotonic() + self.bounds.close_timeout
         while (self.connections or self.closing_connections) and (
             left := until - time.monotonic()
@@ -389,8 +425,8 @@
             if connection.sock is not None:
                 shut_down_socket(connection.sock)
 
-    def _set_node_status(self, state: NodeStatus) -> None:
-        self.state.set_node_status(state, self.now())
+    def _set_node_status(self, status: NodeStatus) -> None:
+        self.state.set_node_status(status, self.now())
 
     def _set_level_cap(self, level_cap: Level) -> None:
         self.state.set_level_cap(level_cap, self.now())
@@ -471,7 +507,10 @@
         self._start_connection(connection)
 
     def _reject(self, sock: socket.socket) -> None:
-        """Rejects a connection (RFC 4486) without starting a thread for it."""
+        """Sends a Cease with subcode Connection Rejected (RFC 4486), and closes the connection.
+
+        No thread is started for it.
+        """
         try:
             sock.send(encode_notification(Code.CEASE, Cease.REJECTED), socket.MSG_DONTWAIT)
         except OSError:
@@ -482,8 +521,8 @@
     def _accept(self) -> None:
         """Accepts connections, in a thread of its own.
 
-        It waits until the speaker's thread has handled each connection, so that connections cannot
-        fill the queue.
+        The next connection is accepted only when the speaker's thread has handled the previous one,
+        so that connections cannot fill the queue.
         """
         try:
             while not self.ended.is_set():
@@ -492,8 +531,7 @@
                 except OSError as error:
                     if not self.ended.is_set():
                         log.warning({"event": "accept_failed", "detail": str(error)})
-                        # Avoids a busy loop, for example without free
-                        # file descriptors.
+                        # Avoids a busy loop, for example if no file descriptor is free.
                         self.ended.wait(0.05)
                     continue
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -1,7 +1,7 @@
-"""The whole speaker without sockets: node status in, actions for the host out.
+"""The whole speaker without I/O: combines the peers and the announcement policy.
 
-Each handler takes the time, which never decreases. `take_actions` returns what the host must do, in
-order.
+Each handler takes the time in tenths of a millisecond, which never decreases. `take_actions`
+returns what the host must do, in order.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from lilacwalk.bgp.policy import Refused
 from lilacwalk.bgp.prefixes import Afi, Prefix
 
-# A `tick` later than this means that the process stalled and has unread messages.
+# A `tick` delayed by more than this means that the process stalled and has unread messages.
 STALL_THRESHOLD = SECOND
-CATCH_UP_TIME = SECOND // 2  # after a stall, for the readers to deliver messages from their sockets
+CATCH_UP_TIME = SECOND // 2  # after a stall, for the readers to deliver the unread messages
 MAX_ROUTES_SHOWN = 1_000  # routes in one answer; a peer can have millions
 
 
@@ -46,11 +46,12 @@
         self.ended = False
 
     def start(self, now: int) -> None:
+        """Adds and starts the configured peers."""
         for peer in self.config.peer:
-            self._add(peer, now)
+            self._add_peer(peer, now)
         self._apply_decision(now)
 
-    def _add(self, peer: Peer, now: int) -> None:
+    def _add_peer(self, peer: Peer, now: int) -> None:
         peer_state = PeerState(
             self.config, peer, self.link_numbers, self.rng, now, self._restart_claims
         )
@@ -95,7 +96,7 @@
         """Sets the services of other sites to announce.
 
         They are announced as less wanted while this node is healthy. When the other site recovers,
-        its own announcement is thus preferred at once, however late the withdrawal here.
+        its own announcement is thus preferred at once, however late this node withdraws.
         """
         self._advance_clock(now)
         if services == self.failover_services:
@@ -146,8 +147,7 @@
     def accepted(self, host: str, now: int) -> tuple[int, tuple[str, int]] | None:
         """Accepts a connection from `host`.
 
-        Returns the new link's number and the peer's address, or None if no peer may connect from
-        there.
+        Returns the link's number and the peer's address, or None if the connection is rejected.
         """
         self._advance_clock(now)
         for address, peer in self.peers.items():
@@ -196,8 +196,8 @@
     def tick(self, now: int) -> None:
         """Handles all expired timers.
 
-        After a stall of the process, no peer is declared dead for messages that could not be read
-        meanwhile, and the `ready-for` period starts anew.
+        After a stall of the process, the hold timers are postponed, as messages of the peers may
+        not have been read yet, and the `ready-for` period starts anew.
         """
         self._advance_clock(now)
         if now - self.next_tick_due > STALL_THRESHOLD:
@@ -245,7 +245,7 @@
                 self.actions += peer.take_actions()
 
     def _service_routes(self, peer: Peer) -> dict[Prefix, Attributes]:
-        """Returns all routes to announce to a peer, before its export policy."""
+        """Returns all routes to announce to a peer; its export policy has not been applied."""
         level = self.announcement_policy.level
         if level is Level.NONE:
             return {}
@@ -270,10 +270,13 @@
     # Reconfiguration
 
     def reconfigure(self, config: BgpConfig, now: int) -> list[str]:
-        """Applies a reloaded file; returns the names of what changed.
+        """Applies a reloaded configuration.
 
-        Sessions are kept unless settings negotiated in their OPEN changed. Removed services are
-        withdrawn at once.
+        A session continues unless its peer was removed or a setting that needs a new session
+        changed. Removed services are withdrawn at once.
+
+        Returns:
+            `peer-NAME` of each added, removed or restarted peer, and `services` if these changed.
         """
         self._advance_clock(now)
         changed = []
@@ -285,8 +288,7 @@
             if new is None or not peer.reconfigure(config, new):
                 subcode = Cease.DECONFIGURED if new is None else Cease.OTHER_CHANGE
                 changed.append(f"peer-{peer.name}")
-                # Explicit withdrawal, as the peer may keep routes when a session
-                # ends.
+                # Explicit withdrawal, as the peer may retain routes when a session ends.
                 peer.set_routes({})
                 peer.stop(now, subcode)
                 self.actions += peer.take_actions()
@@ -295,7 +297,7 @@
             if address not in self.peers:
                 if f"peer-{new.name}" not in changed:
                     changed.append(f"peer-{new.name}")
-                self._add(new, now)
+                self._add_peer(new, now)
         if previous.service != config.service:
             changed.append("services")
         self.decision = self.announcement_policy.decide(now)
@@ -324,7 +326,10 @@
         }
 
     def received_routes(self, address: tuple[str, int]) -> list[dict[str, object]]:
-        """Returns the routes received from a peer in order, with the reason if a route is not used."""
+        """Returns the routes received from a peer in order, with the reason if one is refused.
+
+        At most `MAX_ROUTES_SHOWN` are returned, and none for an unknown address.
+        """
         peer, rows = self.peers.get(address), []
         for afi in Afi if peer is not None else ():
             for prefix, evaluated in peer.adj_rib_in.evaluate(peer.policy, afi):
@@ -346,7 +351,10 @@
         return rows
 
     def usable_routes(self, prefix: Prefix) -> list[dict[str, object]]:
-        """Returns the longest matching route to the prefix from each peer that has a usable one."""
+        """Returns, for each peer, the longest matching route that its import policy accepts.
+
+        Peers without such a route are left out.
+        """
         rows = []
         for peer in self.peers.values():
             if (found := peer.adj_rib_in.longest_usable(peer.policy, prefix)) is not None:
--- a/lilacwalk/bgp/trie.py
+++ b/lilacwalk/bgp/trie.py
@@ -25,9 +25,9 @@
 class Node:
     """A prefix or a fork.
 
-    `shift` is the number of bits after the prefix, `head` the prefix's own bits: a key lies under
-    the node if `key >> shift == head`. `branch_bit` is the position of the bit that selects the
-    child.
+    `shift` is the number of host bits, and `head` the network bits: an address lies under the node
+    if `address >> shift == head`. `branch_bit` is the position of the bit that selects the child
+    `zero` or `one`, counted from the lowest bit.
     """
 
     __slots__ = ("head", "shift", "branch_bit", "value", "zero", "one")
@@ -40,11 +40,14 @@
         self.one: Node | None = None
 
 
-BRANCH = object()  # the value of a fork
+BRANCH = object()  # the value of a fork, which is not a prefix of the table
 
 
 class Trie(Generic[V]):
-    """A map from prefixes to values."""
+    """A map from prefixes to values.
+
+    Prefixes are given by `bits` and `length`, as in `Prefix`.
+    """
 
     def __init__(self, afi: Afi) -> None:
         self.afi, self.width = afi, WIDTH[afi]
@@ -55,7 +58,7 @@
         return self.count
 
     def set(self, bits: int, length: int, value: V) -> V | None:
-        """Stores a value; returns the previous one."""
+        """Stores the value of a prefix; returns the previous value, or None."""
         shift, parent, side, node = self.width - length, None, 0, self.root
         while node is not None and node.shift > shift and bits >> node.shift == node.head:
             parent, side = node, bits >> node.branch_bit & 1
@@ -113,11 +116,15 @@
         return node
 
     def get(self, bits: int, length: int) -> V | None:
+        """Returns the value of exactly this prefix, or None."""
         node = self._find(bits, length)
         return None if node is None else node.value  # type: ignore[return-value]
 
     def drop(self, bits: int, length: int) -> V | None:
-        """Removes a prefix and returns its value; a fork left with one child is removed too."""
+        """Removes a prefix and returns its value, or None if it is not in the table.
+
+        A fork left with one child is removed too.
+        """
         parent, side, node = None, 0, self.root
         # The parent of `parent`, and the side on which `parent` is attached.
         grandparent, parent_side = (
@@ -154,7 +161,7 @@
         return Prefix(self.afi, node.head << node.shift, self.width - node.shift)
 
     def covering(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """Yields all prefixes that cover this one, including itself, shortest first."""
+        """Yields all stored prefixes that cover this one, including itself, shortest first."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift >= shift and bits >> node.shift == node.head:
             if node.value is not BRANCH:
@@ -162,7 +169,10 @@
             node = node.one if bits >> node.branch_bit & 1 else node.zero
 
     def longest(self, bits: int, length: int | None = None) -> tuple[Prefix, V] | None:
-        """Returns the longest prefix that covers this address, or this prefix if `length` is given."""
+        """Returns the longest stored prefix that covers an address, with its value, or None.
+
+        With `length`, it must cover the prefix of this length instead.
+        """
         best, node = None, self.root
         least = 0 if length is None else self.width - length
         while node is not None and bits >> node.shift == node.head and node.shift >= least:
@@ -172,7 +182,7 @@
         return None if best is None else (self._prefix(best), best.value)  # type: ignore[return-value]
 
     def covered(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """Yields all prefixes covered by this one, including itself, in order."""
+        """Yields all stored prefixes covered by this one, including itself, in order."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift > shift:
             node = node.one if bits >> node.branch_bit & 1 else node.zero
