--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -65,8 +65,8 @@
 
     level: Level
     reason: str
-    # Time of the next decision, in tenths of a millisecond, if no input changes before then; None if
-    # only an input can change the decision.
+    # Time of the next decision (tenths of a ms) if no input changes before then; None if only an
+    # input can change the decision.
     next_check: int | None
 
 
@@ -204,7 +204,7 @@
         return Decision(level, reason, next_check)
 
     def _count_flap(self, level: Level, now: int) -> None:
-        """Adds a flap to the penalty if the level is lowered, except in a drain, which is planned."""
+        """Adds a flap to the penalty if the level is lowered, except in a planned drain."""
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE) or level > self.level:
             return
         is_full_withdrawal = level is Level.NONE and self.level is Level.NORMAL
@@ -283,8 +283,8 @@
     policy.
 
     A lowered level is expressed by a higher MED, AS path prepending and the graceful shutdown
-    community (RFC 8326). The MED is compared within one neighbouring AS, the AS path also beyond
-    that AS, and the community makes every router that supports it assign its lowest local preference.
+    community (RFC 8326). Routers compare the MED within one neighbouring AS only, but the AS path
+    also beyond it. A router that supports the community assigns its lowest local preference.
     """
     internal = config.as_ == peer.as_
     attributes = Attributes(
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -400,7 +400,7 @@
 
 
 def check_multiple(value: bytes, size: int) -> None:
-    """Raises MalformedAttributeError unless the value consists of one or more items of `size` bytes."""
+    """Raises MalformedAttributeError unless the value has one or more items of `size` bytes."""
     if not value or len(value) % size:
         raise MalformedAttributeError(f"{len(value)} bytes, expected a positive multiple of {size}")
 
@@ -494,7 +494,7 @@
     aggregator = parsed.values.get("aggregator")
     if aggregator is not None and as4_aggregator is not None:
         if aggregator[0] != AS_TRANS:  # type: ignore[index]
-            # The last aggregator lacks four-octet support, so both AS4 attributes are older than it.
+            # A speaker without four-octet support aggregated last: both AS4 attributes are outdated.
             return
         parsed.values["aggregator"] = as4_aggregator
     if as4_path is None or as_path is None:
@@ -502,7 +502,7 @@
     path_length, as4_length = as_path_length(as_path), as_path_length(as4_path)  # type: ignore[arg-type]
     if path_length < as4_length:
         return
-    # AS4_PATH lacks the leading AS numbers, which speakers without four-octet support have prepended.
+    # AS4_PATH lacks the leading AS numbers, as speakers without four-octet support prepended them.
     missing, head = path_length - as4_length, []
     for kind, numbers in as_path:  # type: ignore[attr-defined]
         if missing <= 0:
@@ -524,7 +524,7 @@
 
 
 def encode_attribute(flags: int, kind: int, value: bytes) -> bytes:
-    """Returns an attribute with its header; a value above 255 bytes sets the extended length flag."""
+    """Returns an attribute with its header, of extended length for a value above 255 bytes."""
     if len(value) > 255:
         return struct.pack("!BBH", flags | EXTENDED_LENGTH, kind, len(value)) + value
     return struct.pack("!BBB", flags, kind, len(value)) + value
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -156,7 +156,8 @@
                     OpenFault.ROLE_MISMATCH,
                     text=f"peer's role {theirs.role}, expected {COMPATIBLE_ROLES.get(ours.role)} for our role {ours.role}",
                 )
-        # Without a multiprotocol capability the peer supports IPv4 unicast only (RFC 4760 section 8).
+        # Without a multiprotocol capability, the peer supports only IPv4 unicast (RFC 4760 section
+        # 8).
         peer_families = (
             [afi for afi, safi in theirs.families if safi == UNICAST]
             if theirs.families
--- a/lilacwalk/bgp/damping.py
+++ b/lilacwalk/bgp/damping.py
@@ -51,7 +51,7 @@
         return self.suppressed
 
     def reuse_at(self) -> int:
-        """Returns the time at which the penalty will have decayed to `reuse` if no flap is added."""
+        """Returns the time at which the penalty has decayed to `reuse` if no flap is added."""
         if self.value <= self.config.reuse:
             return self.updated_at
         return self.updated_at + math.ceil(
--- a/lilacwalk/bgp/errors.py
+++ b/lilacwalk/bgp/errors.py
@@ -91,7 +91,7 @@
 
 
 def reason(code: int, subcode: int) -> str:
-    """Returns the code and subcode as `code/subcode`, by name if they are known, else as numbers."""
+    """Returns `code/subcode`, each by its name if it is known and otherwise as a number."""
     try:
         name = Code(code).name.lower()
     except ValueError:
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -82,8 +82,8 @@
             link_numbers: Source of link numbers, shared by all peers.
             rng: For timer jitter.
             now: The time in tenths of a millisecond.
-            restart_claims: Returns what an OPEN may state about graceful restart: whether this process
-                has just started, and whether the node serves.
+            restart_claims: Returns what the graceful restart capability may state: whether this
+                process has just started, and whether the node serves.
         """
         self.config, self.peer, self.link_numbers, self.rng, self.restart_claims = (
             config,
--- a/lilacwalk/bgp/policy.py
+++ b/lilacwalk/bgp/policy.py
@@ -21,8 +21,8 @@
 class CompiledPrefixList:
     """A prefix list; the first matching entry decides, and no match means deny.
 
-    Entries are stored in a trie, so that a lookup in a list of thousands visits only the entries that
-    cover the prefix.
+    Entries are stored in a trie, so that a lookup in a list of thousands visits only the entries
+    that cover the prefix.
     """
 
     def __init__(self, config: PrefixList) -> None:
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -119,7 +119,7 @@
     def longest_usable(
         self, policy: PeerPolicy, prefix: Prefix
     ) -> tuple[Prefix, Attributes] | None:
-        """Returns the longest matching route for `prefix` that the import policy accepts, or None."""
+        """Returns the longest route covering `prefix` that the import policy accepts, or None."""
         best = None
         for found, route in self.tries[prefix.afi].covering(prefix.bits, prefix.length):
             result = policy.import_route(found, route.attributes)
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -293,7 +293,7 @@
         self.failures = 0  # ConnectRetryCounter since the last stable session
         self.negotiated = NegotiatedCapabilities()
         self.peer_open: Open | None = None
-        # The negotiated hold time in tenths of a millisecond; 0 disables the hold, keepalive and send
+        # Negotiated hold time in tenths of a millisecond; 0 disables the hold, keepalive and send
         # hold timers.
         self.hold_time = 0
         self.up_since = 0
@@ -386,7 +386,10 @@
             self._start_send_hold_at(now)
 
     def tick(self, now: int) -> list[tuple[SessionAction, object]]:
-        """Handles all expired timers in the order of their times; returns the actions to carry out."""
+        """Handles all expired timers in the order of their times.
+
+        Returns the actions to carry out.
+        """
         while expired := [
             (time, timer.value, timer) for timer, time in self.timers.items() if time <= now
         ]:
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -61,8 +61,9 @@
         self.actions += peer_state.take_actions()
 
     def _restart_claims(self) -> tuple[bool, bool]:
-        """Returns what an OPEN may state about graceful restart: whether this process has just
-        started, and whether the node serves.
+        """Returns what the graceful restart capability of an OPEN may state.
+
+        This is whether the process has just started, and whether the node is announced.
         """
         restart_config = self.config.graceful_restart
         restarted = restart_config is not None and self.now - self.started_at < restart_config.time
--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -17,7 +17,7 @@
 
 ACK_TIMEOUT, ACK_RANDOM_FACTOR, MAX_RETRANSMIT = 2.0, 1.5, 4  # RFC 7252 section 4.8, in seconds
 BLOCK_BYTES = 1_024
-MAX_BLOCKWISE_ATTEMPTS = 3  # transfers of a body whose blocks the server has lost
+MAX_BLOCKWISE_ATTEMPTS = 3  # attempts to transfer a body if the server has lost its blocks
 
 
 class CoapDevice:
@@ -30,7 +30,7 @@
         self.sock = socket.socket(family, socket.SOCK_DGRAM)
         self.sock.connect(address)
         self.message_id = self.rng.getrandbits(16)
-        self.echo = b""
+        self.echo = b""  # the last echo value received; empty before the first
         self.datagrams_sent = 0  # including retransmissions
         self.answered: dict[int, int] = {}  # acknowledgements of separate responses, by message id
 
@@ -110,6 +110,10 @@
         deadline: float,
         no_response_expected: bool,
     ) -> Message | None:
+        """Sends a body in one message or in blocks.
+
+        Returns the response to the last block, or the first response that ends the transfer early.
+        """
         if len(body) <= BLOCK_BYTES:
             return self._request_with_echo(
                 base_options, body, confirmable, deadline, no_response_expected
@@ -132,6 +136,11 @@
 
     @staticmethod
     def _outcome(reply: Message, body: bytes) -> Outcome:
+        """Returns the outcome that a response reports; `body` is the whole payload.
+
+        Raises:
+            ValueError: The edge rejected the request.
+        """
         come_back = reply.number(Option.MAX_AGE, 0) * 1000
         if reply.code in (messages.CHANGED, messages.CONTENT):
             return Outcome(0, body, 0)
@@ -151,7 +160,10 @@
         deadline: float,
         no_response_expected: bool,
     ) -> Message | None:
-        """Sends one message and returns the response, repeating it with the echo value if required."""
+        """Sends one request message and returns the response, or None if none is expected.
+
+        If the edge requires an echo value, the request is sent again with that value.
+        """
         for _ in range(2):
             echo = [(Option.ECHO, self.echo)] if self.echo else []
             reply = self._transmit(
@@ -178,6 +190,14 @@
         deadline: float,
         no_response_expected: bool,
     ) -> Message | None:
+        """Sends one request message, retransmitting it until it is acknowledged or answered.
+
+        Returns the response, or None if none is expected.
+
+        Raises:
+            TimeoutError: There is no response by `deadline` or after the last retransmission.
+            ValueError: The edge rejected the message with RST.
+        """
         self.message_id = self.message_id + 1 & 0xFFFF
         token = self.rng.randbytes(4)
         kind = Type.CON if confirmable else Type.NON
@@ -213,6 +233,7 @@
         raise TimeoutError("no response from the edge within the timeout")
 
     def _receive(self, left: float) -> Message | None:
+        """Returns the next message, or None if none or an invalid one arrives in `left` seconds."""
         self.sock.settimeout(left)
         try:
             return messages.decode(self.sock.recv(65_536))
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -36,15 +36,20 @@
         """Starts the thread that connects to the edge."""
         self.address, self.tls, self.server_name = address, tls, server_name
         self.session, self.rng = ClientSession(token, has_stable_numbers), random.Random(seed)
+        # Guards all state; notified when outcomes or the connection change.
         self.changed = threading.Condition()
         self.sock: socket.socket | None = None
         self.is_stopped = False
-        self.connections = 0
+        self.connections = 0  # number of connections opened
         self.thread = threading.Thread(target=self._run, name="device", daemon=True)
         self.thread.start()
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
-        """Sends a request and returns its number; `wait` is its timeout in milliseconds."""
+        """Sends a request, now or once connected, and returns its number.
+
+        `wait` is its timeout in milliseconds, or 0 for that of the request class; `more` are
+        further fields of `Ask`.
+        """
         with self.changed:
             number = self.session.ask(group, body, wait, **more)
             self._write()
@@ -55,7 +60,7 @@
 
         Raises:
             TimeoutError: There is no outcome yet.
-            ConnectionRefusedError: The edge refuses this device permanently.
+            ConnectionRefusedError: The edge refuses this device permanently, or `end` was called.
         """
         with self.changed:
             session = self.session
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -42,9 +42,9 @@
             has_stable_numbers,
             first_number,
         )
-        self.session = b""
-        self.got = 0
-        self.window = 1
+        self.session = b""  # token of the session; empty before the first Welcome frame
+        self.got = 0  # sequence number up to which all answers have been received
+        self.window = 1  # requests that the session may have in flight
         self.unanswered: dict[int, Ask] = {}  # in ascending order of request numbers
         self.sent_on_connection: set[int] = set()  # requests sent on the current connection
         self.sent_before: set[int] = set()  # requests sent on any connection
@@ -72,9 +72,10 @@
         )
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
-        """Sends a request and returns its number.
+        """Adds a request, which is sent as soon as possible, and returns its number.
 
-        `wait` is the timeout in milliseconds from now, or 0 for the timeout of the request class.
+        `wait` is the timeout in milliseconds from when the request is sent, or 0 for the timeout of
+        the request class. `more` are further fields of `Ask`.
         """
         number, self.next_number = self.next_number, self.next_number + 1
         self.unanswered[number] = Ask(number, group, body, wait, self.got, **more)
@@ -87,6 +88,7 @@
             self._queue_frame(frames.Cancel(number))
 
     def _send_requests(self) -> None:
+        """Sends the requests not yet sent on this connection, as far as the window permits."""
         if self.welcome is None:
             return
         for number, ask in self.unanswered.items():
@@ -98,7 +100,7 @@
                 self.sent_before.add(number)
 
     def frame_received(self, frame: frames.Frame) -> None:
-        """Handles a frame."""
+        """Handles a frame that the edge sent."""
         if isinstance(frame, Welcome):
             if not frame.resumed:
                 self.got = 0  # the new session counts answers from the start
--- a/lilacwalk/edge/coap/address_validation.py
+++ b/lilacwalk/edge/coap/address_validation.py
@@ -26,9 +26,10 @@
         Args:
             secret: Key of the MACs.
             echo_lifetime: Time for which an echo value is accepted, in tenths of a millisecond.
-            validation_lifetime: Time for which an address remains validated.
-            max_validated: Maximum number of remembered addresses; others have to validate
-                again.
+            validation_lifetime: Time for which an address remains validated, in tenths of a
+                millisecond.
+            max_validated: Maximum number of validated addresses; beyond it, those validated first
+                have to be validated again.
         """
         self.secret, self.echo_lifetime, self.validation_lifetime, self.max_validated = (
             secret,
@@ -47,7 +48,7 @@
         return hmac.digest(self.secret, timestamp + repr(address).encode(), "sha256")[:MAC_BYTES]
 
     def validate(self, address: tuple, echo: bytes | None, now: int) -> bool:
-        """Whether the address is validated, or becomes so by this echo value."""
+        """Returns whether the address has been validated before or is by this echo value."""
         valid_until = self.validated_until.get(address)
         if valid_until is not None and now < valid_until:
             return True
--- a/lilacwalk/edge/coap/blocks.py
+++ b/lilacwalk/edge/coap/blocks.py
@@ -1,7 +1,7 @@
 """Block-wise transfer (RFC 7959): assembles requests from Block1, and splits answers by Block2.
 
-Bodies are told apart by endpoint and Request-Tag (RFC 9175), bounded in number and bytes, and
-dropped after a timeout without a new block.
+Partial bodies are distinguished by endpoint, request class, queries and Request-Tag (RFC 9175).
+They are bounded in number and bytes, and dropped after a timeout without a new block.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 class BlockError(Exception):
     """A block cannot be used.
 
-    `incomplete` is true if a block is missing, so that the device has to start again, and false if
-    the body is too large.
+    `incomplete` is true if a block is missing, so that the device has to send the body again from
+    the first block, and false if the body is too large.
     """
 
     def __init__(self, incomplete: bool) -> None:
@@ -32,7 +32,7 @@
     """The value of a Block1 or Block2 option."""
 
     number: int
-    more: bool
+    more: bool  # whether further blocks follow
     size: int  # bytes
 
     @classmethod
@@ -59,7 +59,7 @@
     """The blocks of a body received so far."""
 
     data: bytes
-    last_block_at: int
+    last_block_at: int  # time at which the last block was received
 
 
 class BlockAssembler:
@@ -87,13 +87,13 @@
     def add(
         self, key: tuple[Hashable, ...], block: Block, payload: bytes, now: int
     ) -> bytes | None:
-        """Adds a block, and returns the whole body after its last block, otherwise None.
+        """Adds a block of the body `key`; returns the whole body after the last block, else None.
 
-        A duplicate block changes nothing; a block out of order drops the body (RFC 7959 section
-        2.5).
+        The first block starts the body anew. A duplicate block only restarts the timeout. A block
+        after a missing one drops the body (RFC 7959 section 2.5).
 
         Raises:
-            BlockError: A block is missing, or the body is too large.
+            BlockError: A block is missing or has the wrong size, or the body is too large.
         """
         if block.more and len(payload) != block.size:
             raise BlockError(True)
@@ -144,10 +144,10 @@
 def select_block(
     body: bytes, requested: Block | None, max_block_bytes: int
 ) -> tuple[Block | None, bytes] | None:
-    """Returns the requested block of an answer with its Block2 value.
+    """Returns the Block2 value and the bytes of the requested block of an answer.
 
-    The value is None if the body fits in one message. Returns None if the requested block is beyond
-    the end of the body.
+    If no block is requested, the first one is returned; its Block2 value is None if the body fits
+    in one message. Returns None if the requested block is beyond the end of the body.
     """
     size = min(requested.size if requested is not None else max_block_bytes, max_block_bytes)
     number = requested.number if requested is not None else 0
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -53,13 +53,15 @@
     return code_class << 5 | detail
 
 
+# Codes of messages (RFC 7252 section 12.1, RFC 7959, 8132 and 8516).
 EMPTY, POST, FETCH = 0, code(0, 2), code(0, 5)
 CHANGED, CONTENT, CONTINUE = code(2, 4), code(2, 5), code(2, 31)
 BAD_REQUEST, UNAUTHORIZED, BAD_OPTION, NOT_FOUND = code(4, 0), code(4, 1), code(4, 2), code(4, 4)
 NOT_ALLOWED, INCOMPLETE, TOO_LARGE, TOO_MANY = code(4, 5), code(4, 8), code(4, 13), code(4, 29)
 INTERNAL, UNAVAILABLE, TIMEOUT = code(5, 0), code(5, 3), code(5, 4)
+# Options that may occur more than once in a message.
 REPEATABLE = {Option.URI_PATH, Option.URI_QUERY, Option.ECHO, Option.REQUEST_TAG}
-OPTION_LENGTHS = {
+OPTION_LENGTHS = {  # minimum and maximum length of the value in bytes
     Option.URI_HOST: (1, 255),
     Option.OBSERVE: (0, 3),
     Option.URI_PORT: (0, 2),
@@ -111,7 +113,7 @@
         return [value for number, value in self.options if number == option]
 
     def number(self, option: int, default: int) -> int:
-        """Returns the integer value of an option, or the default without one."""
+        """Returns the integer value of the first option with this number, or the default."""
         value = self.first(option)
         return default if value is None else int.from_bytes(value, "big")
 
@@ -173,7 +175,11 @@
 def decode_extended(
     data: bytes, offset: int, value: int, reject_mid: int | None
 ) -> tuple[int, int]:
-    """Decodes an option's delta or length, and returns it with the next offset."""
+    """Decodes an option's delta or length with its extension (RFC 7252 section 3.1).
+
+    `value` is the four-bit value, `offset` the position of the extension. Returns the decoded value
+    and the offset after the extension.
+    """
     if value < 13:
         return value, offset
     extension_length = value - 12
@@ -213,10 +219,10 @@
 
 
 def unknown_critical(message: Message) -> int | None:
-    """Returns the first critical option that is unknown, malformed or repeated, or None.
+    """Returns the number of the first unknown, malformed or wrongly repeated critical option.
 
-    Such options make a request invalid; elective ones are ignored (RFC 7252 sections 5.4.1 to
-    5.4.5).
+    Returns None if there is none. Such an option makes a request invalid; elective options of this
+    kind are ignored (RFC 7252 sections 5.4.1 to 5.4.5).
     """
     seen = set()
     for number, value in message.options:
@@ -224,6 +230,7 @@
             number in OPTION_LENGTHS
             and OPTION_LENGTHS[Option(number)][0] <= len(value) <= OPTION_LENGTHS[Option(number)][1]
         )
+        # Critical options have odd numbers (RFC 7252 section 5.4.6).
         if number & 1 and (not is_valid or number in seen and number not in REPEATABLE):
             return number
         seen.add(number)
--- a/lilacwalk/edge/coap/reliability.py
+++ b/lilacwalk/edge/coap/reliability.py
@@ -1,6 +1,6 @@
 """The message layer of CoAP without its socket (RFC 7252 section 4).
 
-Duplicates get the reply of the first copy, confirmable messages are retransmitted until they are
+A duplicate gets the reply to the first copy, confirmable messages are retransmitted until they are
 acknowledged, and each endpoint has at most one confirmable message outstanding.
 
 The retransmission timeout follows CoCoA: strong estimates come from messages that were sent once,
@@ -15,7 +15,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-SECOND = 10_000  # tenths of a ms
+SECOND = 10_000  # all times are in tenths of a ms
 ACK_TIMEOUT, ACK_RANDOM, MAX_RETRANSMIT = 2 * SECOND, 1.5, 4  # RFC 7252 section 4.8
 EXCHANGE_LIFETIME, NON_LIFETIME = 247 * SECOND, 145 * SECOND  # section 4.8.2
 MIN_TIMEOUT, MAX_TIMEOUT = SECOND // 10, 32 * SECOND
@@ -56,7 +56,7 @@
         self.timeout, self.updated_at = float(ACK_TIMEOUT), now
 
     def record_acknowledgement(self, time: int, transmissions: int, now: int) -> None:
-        """Records the time between the first transmission and the acknowledgement.
+        """Records the time between a message's first transmission and its acknowledgement.
 
         Samples with more than three transmissions are ignored, since it is unknown which copy was
         acknowledged.
@@ -71,29 +71,35 @@
         self.updated_at = now
 
     def initial(self, now: int, rng: random.Random) -> int:
-        """Returns the randomized timeout of a first transmission."""
+        """Returns the randomized timeout of a message's first transmission.
+
+        An estimate older than `ESTIMATE_LIFETIME` first moves halfway to the default.
+        """
         if now - self.updated_at > ESTIMATE_LIFETIME:
             self.timeout = (self.timeout + ACK_TIMEOUT) / 2
             self.updated_at = now
         return int(self.timeout * rng.uniform(1.0, ACK_RANDOM))
 
     @staticmethod
-    def backoff(first: int) -> float:
-        """Returns CoCoA's variable back-off factor: short timeouts grow faster, long ones slower."""
-        return 3.0 if first < SECOND else 1.5 if first > 3 * SECOND else 2.0
+    def backoff(timeout: int) -> float:
+        """Returns CoCoA's variable back-off factor, by which a retransmission extends the timeout.
+
+        Short timeouts grow faster, long ones slower.
+        """
+        return 3.0 if timeout < SECOND else 1.5 if timeout > 3 * SECOND else 2.0
 
 
 @dataclass(eq=False, slots=True)
 class OutgoingMessage:
     """A confirmable message that awaits its acknowledgement."""
 
-    mid: int
+    mid: int  # message id
     data: bytes
-    context: object
+    context: object  # returned to the caller when the message is acknowledged or given up
     transmissions: int = 0
     first_sent_at: int = 0
-    timeout: int = 0
-    due: int = 0
+    timeout: int = 0  # time until the next retransmission
+    due: int = 0  # time of the next retransmission
 
 
 @dataclass(eq=False, slots=True)
@@ -101,10 +107,10 @@
     """State of a remote endpoint."""
 
     timeout: RetransmissionTimeout
-    next_mid: int
+    last_mid: int  # the last message id that was assigned
     in_flight: OutgoingMessage | None = None
-    queue: deque = field(default_factory=deque)
-    seen: int = 0
+    queue: deque = field(default_factory=deque)  # messages that wait while one is in flight
+    last_used_at: int = 0
 
 
 class Reliability:
@@ -118,7 +124,7 @@
         Args:
             max_endpoints: Maximum number of endpoints with state.
             max_messages: Maximum number of message ids remembered for duplicate detection;
-                `evicted_early` counts those evicted within their lifetime.
+                `evicted_early` counts those evicted within `NON_LIFETIME`.
             max_queued: Maximum number of messages that wait for one endpoint.
             rng: Source of random message ids and timeouts.
         """
@@ -129,11 +135,16 @@
             rng,
         )
         self.endpoints: OrderedDict[Hashable, Endpoint] = OrderedDict()
+        # Time of receipt and reply of each message, by address and message id, oldest first.
         self.seen: OrderedDict[tuple[Hashable, int], tuple[int, bytes | None]] = OrderedDict()
         self.evicted_early = 0
 
     def endpoint(self, address: Hashable, now: int) -> Endpoint:
-        """Returns the state of an endpoint, and evicts idle endpoints beyond the limit."""
+        """Returns the state of an endpoint, created if there is none.
+
+        Beyond the limit, endpoints without a message in flight are evicted, the one unused for
+        longest first.
+        """
         endpoint = self.endpoints.get(address)
         if endpoint is None:
             endpoint = self.endpoints[address] = Endpoint(
@@ -152,24 +163,25 @@
                     break
                 del self.endpoints[idle]
         self.endpoints.move_to_end(address)
-        endpoint.seen = now
+        endpoint.last_used_at = now
         return endpoint
 
     def next_message_id(self, address: Hashable, now: int) -> int:
         """Returns a new message id for an endpoint."""
         endpoint = self.endpoint(address, now)
-        endpoint.next_mid = endpoint.next_mid + 1 & 0xFFFF
-        return endpoint.next_mid
+        endpoint.last_mid = endpoint.last_mid + 1 & 0xFFFF
+        return endpoint.last_mid
 
     # Incoming messages
 
     def check_duplicate(
         self, address: Hashable, mid: int, confirmable: bool, now: int
     ) -> tuple[bool, bytes | None]:
-        """Records a message, and returns whether it is a duplicate and the reply to the first copy.
+        """Records a message; returns whether it is a duplicate, and the reply to the first copy.
 
-        A message is a duplicate if one with the same id was received less than `EXCHANGE_LIFETIME`
-        ago, or `NON_LIFETIME` if it is non-confirmable. The reply is None if none has been sent.
+        A message is a duplicate if one with the same id was received from the same address less
+        than `EXCHANGE_LIFETIME` ago, or `NON_LIFETIME` if it is non-confirmable. The reply is None
+        if none has been sent.
         """
         lifetime = EXCHANGE_LIFETIME if confirmable else NON_LIFETIME
         row = self.seen.get((address, mid))
@@ -183,7 +195,7 @@
         return False, None
 
     def record_reply(self, address: Hashable, mid: int, data: bytes) -> None:
-        """Records the reply that duplicates of a message get."""
+        """Records the reply to a received message, to be sent again for its duplicates."""
         row = self.seen.get((address, mid))
         if row is not None:
             self.seen[address, mid] = row[0], data
@@ -193,10 +205,11 @@
     def send(
         self, address: Hashable, mid: int, data: bytes, context: object, now: int
     ) -> bytes | None:
-        """Returns the bytes to send now, or None if the message has to wait.
+        """Starts a confirmable message; returns the bytes to send now, or None if it has to wait.
 
-        A message waits while another one is outstanding (NSTART is 1). If the queue is full, its
-        oldest message is dropped.
+        A message waits while another one to the same endpoint is outstanding (NSTART is 1). If the
+        queue is full, its oldest message is dropped. `context` identifies the message to the
+        caller.
         """
         endpoint = self.endpoint(address, now)
         message = OutgoingMessage(mid, data, context)
@@ -208,6 +221,7 @@
         return self._start(endpoint, message, now)
 
     def _start(self, endpoint: Endpoint, message: OutgoingMessage, now: int) -> bytes:
+        """Makes a message the one in flight, and returns its bytes."""
         endpoint.in_flight = message
         message.transmissions, message.first_sent_at = 1, now
         message.timeout = endpoint.timeout.initial(now, self.rng)
@@ -217,10 +231,10 @@
     def acknowledge(
         self, address: Hashable, mid: int, now: int
     ) -> tuple[object | None, bytes | None]:
-        """Handles an ACK or RST.
+        """Handles a received ACK or RST.
 
-        Returns the context of the message that it is for, or None if there is none, and the bytes
-        to send next, if any.
+        Returns the context of the acknowledged message, or None if none is outstanding with this
+        id, and the bytes of the next message to send, if any.
         """
         endpoint = self.endpoints.get(address)
         if endpoint is None or endpoint.in_flight is None or endpoint.in_flight.mid != mid:
@@ -233,6 +247,7 @@
         return message.context, self._send_next(endpoint, now)
 
     def _send_next(self, endpoint: Endpoint, now: int) -> bytes | None:
+        """Returns the bytes of the next queued message, if any, which is then in flight."""
         return self._start(endpoint, endpoint.queue.popleft(), now) if endpoint.queue else None
 
     def due(self) -> int | None:
@@ -243,10 +258,11 @@
         )
 
     def tick(self, now: int) -> list[tuple[Hashable, bytes | None, object | None]]:
-        """Returns the messages to retransmit or give up, as (address, data, context).
+        """Handles due retransmissions; returns rows (address, data to send, context).
 
-        The context is that of a message without an acknowledgement after all retransmissions,
-        otherwise None. The data is None if there is nothing to send.
+        If a message is still not acknowledged after all retransmissions, it is given up: the
+        context is that message's, and the data is the next message or None. Otherwise the data is
+        the message to retransmit, and the context is None.
         """
         rows: list[tuple[Hashable, bytes | None, object | None]] = []
         for address, endpoint in list(self.endpoints.items()):
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -1,16 +1,16 @@
-"""Requests over CoAP without the socket: handles datagrams, and collects actions for the host.
+"""The CoAP service, without I/O: handles datagrams, and collects actions for the host.
 
-POST /x/GROUP?w=MS&k=KEY&s=SUBJECT&c=CUSTOMER, with the body as payload and the
-device's token as option 65001
+Request: POST /x/GROUP?w=MS&k=KEY&s=SUBJECT&c=CUSTOMER, with the body as payload and the device's
+token as option 65001. Responses:
 
 2.04 completed, the result as payload       4.29 denied, with Max-Age as retry delay (RFC 8516)
 5.03 denied while draining, with Max-Age    5.00 terminated; 4.xx invalid request
 
 An answer that is available within `PIGGYBACK_DELAY` is sent with the acknowledgement, a later one
-as a separate response (RFC 7252 section 5.2.2). A retransmission gets the same reply. A device that
-repeats a request with another message id is recognised as on the device link
-(`duplicate_detector`). A source that has not returned its echo value gets only that value, in a
-reply no larger than its request, and leaves no state.
+as a separate response (RFC 7252 section 5.2.2). A retransmission gets the same reply. A repeated
+request with another message id is recognised as on the device link (`duplicate_detector`). A source
+that has not returned its echo value gets only that value, in a reply no larger than its request,
+and leaves no state.
 """
 
 from __future__ import annotations
@@ -39,10 +39,11 @@
 from lilacwalk.overload.model import Effect
 
 SECOND = 10_000
-# A tenth of the first retransmission timeout, so that no device retransmits meanwhile.
+# A tenth of ACK_TIMEOUT, so that no device retransmits its request before the reply is sent.
 PIGGYBACK_DELAY = SECOND // 5
 BLOCK_BYTES = 1_024
-# A stalled link may delay an echo; a device's address changes with its network.
+# Echo values live long because a stalled link may delay them. Validations expire because a device's
+# address changes with its network.
 ECHO_LIFETIME, VALIDATION_LIFETIME = 60 * SECOND, 600 * SECOND
 BLOCK_TIMEOUT = 30 * SECOND  # a partial body without a new block for this time is dropped
 MAX_PARTIAL_BODIES = 256  # bodies being assembled at once
@@ -61,13 +62,15 @@
     effect: Effect
     body_key: tuple  # identifies the request when further blocks of its answer are requested
     is_acknowledged: bool = False  # whether an empty acknowledgement was sent
-    is_finished: bool = False
+    is_finished: bool = False  # whether the answer, `word` and `body`, is set
     word: int = 0
     body: bytes = b""
+    # Duplicates, which get the same answer.
     followers: list[Request] = field(default_factory=list)
 
     @property
     def size(self) -> int:
+        """Memory of the request and its answer in bytes."""
         return len(self.body) + REQUEST_OVERHEAD_BYTES
 
 
@@ -102,13 +105,15 @@
         self.open: dict[Request, None] = {}
         # Timers of requests without an answer; an empty acknowledgement is sent on expiry.
         self.ack_timers = Wheel(now)
+        # Answered requests and their size, oldest first, by whether their effect is idempotent.
         self.kept_answers: dict[bool, OrderedDict[Request, int]] = {
             True: OrderedDict(),
             False: OrderedDict(),
         }
-        self.by_body_key: dict[tuple, Request] = {}
+        self.by_body_key: dict[tuple, Request] = {}  # answered requests
         self.kept_bytes = 0
         self.actions: list[Action] = []
+        # While draining: time after which devices should retry elsewhere.
         self.drain_retry_delay: int | None = None
         self.is_closing = False
         self.next_check_at = now + SECOND
@@ -127,7 +132,7 @@
     # Datagrams
 
     def datagram_received(self, address: tuple, data: bytes, now: int) -> None:
-        """Handles a datagram."""
+        """Handles a datagram received from `address`."""
         try:
             message = messages.decode(data)
         except MessageError as error:
@@ -149,7 +154,7 @@
     def _process_acknowledgement(self, address: tuple, message: Message, now: int) -> None:
         request, data = self.reliability.acknowledge(address, message.mid, now)
         if isinstance(request, Request) and message.type is Type.ACK:
-            # An equal request after the acknowledgement is intended, and not a duplicate.
+            # The device has the answer, so an equal request from now on is a new one.
             self.duplicate_detector.remove(request, 1)
             self._drop_answer(request)
         if data is not None:
@@ -231,7 +236,7 @@
         )
 
     def _parse_query(self, message: Message) -> dict:
-        """Returns the fields that the query states.
+        """Returns the fields of `Ask` that the Uri-Query options set.
 
         Raises:
             ValueError: A query is unknown or invalid.
@@ -251,7 +256,11 @@
     def _assemble_body(
         self, address: tuple, message: Message, body_key: tuple, now: int
     ) -> bytes | None:
-        """Returns the whole body, or None if the message was a block and has been answered."""
+        """Returns the whole body of a request.
+
+        Returns None if the message has been answered, as further blocks are to follow or the body
+        cannot be used.
+        """
         raw = message.first(Option.BLOCK1)
         if raw is None:
             if len(message.payload) > self.config.body:
@@ -280,6 +289,7 @@
     def _submit(
         self, address: tuple, message: Message, ask: Ask, device: bytes, body_key: tuple, now: int
     ) -> None:
+        """Submits a request to the event loop, or answers it without execution."""
         request_class = self.request_classes[ask.group]
         request = Request(address, message, device, request_class.effect, body_key)
         self.counts["asked"] += 1
@@ -325,7 +335,10 @@
     def send_answer(
         self, request: Request, word: int, body: bytes, come_back: int, now: int
     ) -> None:
-        """Completes a request and its duplicates; called with the event loop's response."""
+        """Completes a request and its duplicates with the event loop's response.
+
+        `come_back` is in tenths of a millisecond.
+        """
         if request not in self.open:
             return
         del self.open[request]
@@ -335,6 +348,7 @@
         request.followers.clear()
 
     def _complete(self, request: Request, word: int, body: bytes, come_back: int, now: int) -> None:
+        """Stores the answer to a request, and sends its first or requested block."""
         self.ack_timers.cancel(request)
         self.counts["answered"] += 1
         request.is_finished, request.word, request.body = True, word, body
@@ -354,11 +368,13 @@
 
     @staticmethod
     def _max_age(time: int) -> tuple:
+        """Returns a Max-Age option of at least 1 s; `time` is in tenths of a ms and rounded up."""
         return ((Option.MAX_AGE, uint(max(1, -(-time // SECOND)))),)
 
     def _respond(
         self, request: Request, code: int, options: tuple, payload: bytes, now: int
     ) -> None:
+        """Sends a response, piggybacked if the request has not been acknowledged, else separate."""
         message, address = request.message, request.address
         unwanted_classes = message.number(Option.NO_RESPONSE, 0)
         if unwanted_classes >> ((code >> 5) - 1) & 1:  # No-Response (RFC 7967) excludes this class
@@ -382,6 +398,7 @@
             self._send_datagram(address, next_data)
 
     def _acknowledge(self, request: Request) -> None:
+        """Sends an empty acknowledgement."""
         request.is_acknowledged = True
         data = messages.encode(Message(Type.ACK, messages.EMPTY, request.message.mid))
         self.reliability.record_reply(request.address, request.message.mid, data)
@@ -390,7 +407,7 @@
     def _send_block(
         self, address: tuple, message: Message, body_key: tuple, requested_block: Block, now: int
     ) -> None:
-        """Sends a later block of an answer."""
+        """Answers a request for a later block of a kept answer."""
         request = self.by_body_key.get(body_key)
         selected = (
             select_block(request.body, requested_block, BLOCK_BYTES)
@@ -415,7 +432,7 @@
         options: tuple = (),
         payload: bytes = b"",
     ) -> None:
-        """Answers a request that is not submitted, in the acknowledgement if it is confirmable."""
+        """Answers a request message that is not submitted to the event loop."""
         data = self._reply(
             message, code, options, payload, self.reliability.next_message_id(address, now)
         )
@@ -426,6 +443,7 @@
     def _reply(
         message: Message, code: int, options: tuple, payload: bytes = b"", mid: int = 0
     ) -> bytes:
+        """Encodes a piggybacked response, or a non-confirmable one to a non-confirmable message."""
         is_confirmable = message.type is Type.CON
         return messages.encode(
             Message(
@@ -441,10 +459,10 @@
     # Kept answers
 
     def _keep_answer(self, request: Request) -> None:
-        """Keeps an answer for duplicates and further blocks.
+        """Stores an answer for duplicates and requests for further blocks.
 
-        Beyond the limit, answers of idempotent requests are dropped first, since they can be made
-        again.
+        Beyond the limit, answers to idempotent requests are dropped first, since these requests can
+        be executed again.
         """
         self.kept_answers[request.effect is Effect.IDEMPOTENT][request] = request.size
         self.by_body_key[request.body_key] = request
@@ -454,6 +472,7 @@
             self._drop_answer(next(iter(candidates)))
 
     def _drop_answer(self, request: Request) -> None:
+        """Drops the stored answer to a request, if there is one, and its fingerprint."""
         size = self.kept_answers[request.effect is Effect.IDEMPOTENT].pop(request, None)
         if size is None:
             return
@@ -465,7 +484,7 @@
     # Time
 
     def due(self) -> int:
-        """Returns the time of the next call of `tick`."""
+        """Returns the time at which `tick` must be called next."""
         times = [self.next_check_at]
         for each in (self.ack_timers.due(), self.reliability.due()):
             if each is not None:
@@ -481,7 +500,7 @@
         for address, data, lost in self.reliability.tick(now):
             if data is not None:
                 self._send_datagram(address, data)
-            # The answer of a lost response is kept in case the device repeats the request.
+            # The answer remains stored, in case the device repeats the request.
             self.counts["lost"] += lost is not None
         if now >= self.next_check_at:
             self.next_check_at = now + SECOND
@@ -489,7 +508,10 @@
             self.duplicate_detector.remove_expired(now)
 
     def start_draining(self, come_back: int) -> None:
-        """Answers denied requests as unavailable from now on."""
+        """Makes denied requests get 5.03 instead of 4.29 from now on.
+
+        `come_back` is the time after which devices should retry, in tenths of a millisecond.
+        """
         self.drain_retry_delay = come_back
 
     @property
--- a/lilacwalk/edge/config.py
+++ b/lilacwalk/edge/config.py
@@ -14,6 +14,7 @@
 
 
 def unit(name: str, **limits) -> Meta:
+    """Returns field metadata with the notation `name` and msgspec's limits of the value."""
     return Meta(extra={"unit": name}, **limits)
 
 
@@ -29,7 +30,7 @@
     key: str
     # File of the certificate authority that signs the devices' certificates.
     authority: str | None = None
-    mutual: bool = False
+    mutual: bool = False  # whether each device must present a certificate
 
     def faults(self) -> list[tuple[str, str]]:
         """Returns the invalid fields, each with what is expected."""
@@ -50,15 +51,16 @@
     connections: Count = 2_000
     sessions: Count = 4_000
     sessions_each: Annotated[int, Meta(ge=1, le=64)] = 4  # limit per device
+    # Maximum number of requests in flight, including those over CoAP.
     in_hand: Count = 500
     window: Annotated[int, Meta(ge=1, le=256)] = 16  # requests that one session may have in flight
-    body: Size = 2_048  # maximum size of a request body; the same limit applies to proxies
+    body: Size = 2_048  # maximum size of a request body; requests of proxies have the same limit
     kept: Size = 4_000_000  # bytes of unacknowledged answers of all sessions together
     kept_each: Size = 131_072  # bytes of unacknowledged answers of one session
     buffer: Size = 32_768  # unsent bytes on one connection; further answers wait in the session
     session_time: Time = 600 * SECOND  # a session without a connection is removed after this time
-    repeat_window: Time = 60 * SECOND
-    heartbeat: Time = 30 * SECOND
+    repeat_window: Time = 60 * SECOND  # time for which a request is compared with later ones
+    heartbeat: Time = 30 * SECOND  # maximum time between probes of an idle link
     # Time from the start of a connection until its HELLO frame has been received.
     hello: Time = 5 * SECOND
     frame_time: Time = 60 * SECOND  # time from the first byte of a frame to its last
@@ -68,7 +70,7 @@
     estimates: bool = True
     # Whether to detect duplicate requests across sessions, without relying on idempotency keys.
     repeats: bool = True
-    resume: bool = True
+    resume: bool = True  # whether a session can be resumed on another connection
 
     def faults(self) -> list[tuple[str, str]]:
         """Returns the invalid fields, each with what is expected."""
--- a/lilacwalk/edge/connection_limiter.py
+++ b/lilacwalk/edge/connection_limiter.py
@@ -13,21 +13,25 @@
 
 
 class ConnectionLimiter:
-    """Counts the connections of each source, and tracks unidentified connections by age."""
+    """Counts the connections of each source, and tracks the unidentified ones.
+
+    A connection is unidentified until its HELLO frame has been received. Times are in tenths of a
+    millisecond.
+    """
 
     def __init__(self, max_per_source: int, max_unidentified: int, seed: int, now: int) -> None:
         """Creates a limiter.
 
         Args:
             max_per_source: Maximum decayed count of connections from one source.
-            max_unidentified: Maximum number of connections without a HELLO frame.
+            max_unidentified: Maximum number of unidentified connections.
             seed: Secret seed of the sketch.
             now: The current time.
         """
         self.max_per_source, self.max_unidentified = max_per_source, max_unidentified
         self.sketch = Sketch(seed, HALF_LIFE, now)
         self.unidentified: dict[int, int] = {}  # time of acceptance by connection, oldest first
-        self.rejected = 0
+        self.rejected = 0  # number of rejected connections
 
     @staticmethod
     def source(address: bytes) -> bytes:
@@ -49,7 +53,7 @@
     def oldest_excess(self) -> int | None:
         """Returns the oldest unidentified connection if there are too many, otherwise None.
 
-        Closing it makes room, so a flood of connections without a HELLO frame displaces itself.
+        The caller closes it, so that a flood of unidentified connections displaces itself.
         """
         return (
             next(iter(self.unidentified))
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -1,6 +1,7 @@
-"""The service for devices without its sockets: handles connections, sessions and frames.
+"""The service for devices, without I/O: handles connections, sessions and frames.
 
-Times are in tenths of a millisecond of a monotonic clock; a device's own clock is never used.
+Times are Unix times in tenths of a millisecond, from a clock that never decreases; a device's own
+clock is never used.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
     """The properties of a request class that the edge uses."""
 
     effect: Effect
-    timeout: int
+    timeout: int  # tenths of a ms
 
 
 class ActionType(Enum):
@@ -60,20 +61,20 @@
     DATAGRAM = auto()  # send bytes to a UDP address
     CLOSE = auto()  # close a connection after all bytes have been sent
     SUBMIT = auto()  # submit a request to the event loop
-    CLIENT_GONE = auto()  # no client waits for the request any more
-    LOG = auto()
+    CLIENT_GONE = auto()  # no client waits for the answer to a request any more
+    LOG = auto()  # log the fields in `payload`
     PERSIST = auto()  # write encoded sessions by identifier; None deletes the session
     RECOVER = auto()  # resolve a request that was in flight when the previous process ended
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """An action for the host to perform."""
+    """An action for the host to perform; `payload` depends on the type."""
 
     type: ActionType
     connection: int = 0
     session: Session | None = None
-    number: int = 0
+    number: int = 0  # request number
     payload: object = None
 
 
@@ -85,7 +86,7 @@
     tenant: str
     timeout: int  # tenths of a ms from `arrived_at`, less the expected delivery time of the answer
     arrived_at: int
-    is_retry: bool
+    is_retry: bool  # whether the device may have sent the request before
 
 
 @dataclass(eq=False, slots=True)
@@ -94,7 +95,7 @@
 
     number: int
     identity: bytes  # device name from the certificate; empty if the device must present a token
-    last_received_at: int
+    last_received_at: int  # time at which bytes were last received
     session: Session | None = None
     unsent_bytes: int = 0
     frame_progress: FrameProgress = field(default_factory=FrameProgress)
@@ -188,7 +189,11 @@
     # Connections
 
     def connection_opened(self, number: int, address: bytes, identity: bytes, now: int) -> bool:
-        """Handles a new connection, and returns whether it is accepted."""
+        """Handles a new connection, and returns whether it is accepted.
+
+        `address` is the packed IP address of the device, `identity` its name in a verified
+        certificate, or empty.
+        """
         reason = self.connection_limiter.admit(number, address, now)
         if reason or self.is_closing or len(self.connections) >= self.config.connections:
             self.connection_limiter.identified(number)
@@ -200,7 +205,7 @@
         return True
 
     def connection_closed(self, number: int, now: int) -> None:
-        """Handles the end of a connection; its session remains."""
+        """Handles the end of a connection; its session remains if sessions can be resumed."""
         connection = self.connections.pop(number, None)
         self.connection_limiter.identified(number)
         if connection is None or connection.session is None:
@@ -225,19 +230,22 @@
             connection.frame_progress.add_bytes(size, frame_count, is_partial, now)
 
     def bytes_sent(self, number: int, size: int, now: int) -> None:
-        """Records that the operating system accepted bytes; sends further answers if there is room."""
+        """Records that the operating system has accepted `size` bytes.
+
+        Sends further answers if there is room.
+        """
         if (connection := self.connections.get(number)) is not None:
             connection.unsent_bytes -= size
             if connection.session is not None:
                 self._send_pending_answers(connection.session, now)
 
     def reject_invalid_frame(self, number: int, reason: str, now: int) -> None:
-        """Refuses a connection that sent an invalid frame."""
+        """Sends the reason and closes a connection that sent an invalid frame."""
         if (connection := self.connections.get(number)) is not None:
             self._refuse(connection, reason)
 
     def _refuse(self, connection: Connection, reason: str, come_back: int = 0) -> None:
-        """Sends a reason and closes the connection after it."""
+        """Sends a Refused frame and closes the connection; `come_back` is in tenths of a ms."""
         if not connection.is_closing:
             self._send(connection, frames.encode(Refused(reason, come_back // 10)))
             self._close(connection)
@@ -254,7 +262,7 @@
     # Frames
 
     def frame_received(self, number: int, frame: frames.Frame, now: int) -> None:
-        """Handles a frame."""
+        """Handles a frame that the device sent on connection `number`."""
         connection = self.connections.get(number)
         if connection is None or connection.is_closing:
             return
@@ -287,7 +295,7 @@
             self._refuse(connection, "a frame that only this side sends")
 
     def _hello(self, connection: Connection, hello: Hello, now: int) -> None:
-        """Opens or resumes the session of a connection."""
+        """Handles a HELLO frame: opens or resumes a session, or refuses the connection."""
         if connection.session is not None:
             self._refuse(connection, "a second HELLO")
             return
@@ -334,7 +342,7 @@
                 )
             ),
         )
-        # Only an echo shows the round trip, since the device sends its next request at any time.
+        # Only the echo of a ping shows the round trip, since the device sends requests at any time.
         self._send(connection, frames.encode(Ping(now, 0)))
         if self.drain_retry_delay is not None:
             self._send_leaving(connection, session)
@@ -364,8 +372,11 @@
     def _process_acknowledgement(
         self, session: Session, upto: int, now: int, resumed: bool = False
     ) -> None:
-        """Removes the answers that the device has acknowledged, and sends further ones."""
-        if resumed:  # these answers were sent on the previous connection
+        """Removes the answers up to sequence number `upto`, and sends further ones.
+
+        `resumed` says whether the acknowledgement is that of the HELLO frame of a resumed session.
+        """
+        if resumed:  # the acknowledged answers were sent on an earlier connection
             for pending in session.unacknowledged.values():
                 if pending.answer.order <= min(upto, session.last_order):
                     pending.sent_at = now
@@ -380,7 +391,7 @@
     # Requests
 
     def _submit(self, connection: Connection, session: Session, ask: Ask, now: int) -> None:
-        """Handles a request."""
+        """Submits a request to the event loop, or answers it without execution."""
         status = session.classify(ask)
         if (
             status is RequestStatus.ACKNOWLEDGED
@@ -396,7 +407,7 @@
             or session.unacknowledged_bytes >= self.config.kept_each
             or self.session_table.is_full
         ):
-            # The window is exceeded, or unacknowledged answers reach the session's or the total limit.
+            # The window is exceeded, or the unacknowledged answers have reached a limit of bytes.
             session.highest_number = max(session.highest_number, ask.number)
             self._answer_without_execution(session, ask.number, effect, DENIED, now, SECOND)
             return
@@ -437,7 +448,10 @@
     def _handle_duplicate(
         self, session: Session, ask: Ask, fingerprint: int, effect: Effect, now: int
     ) -> bool:
-        """Answers a request that duplicates an earlier one; returns False if it does not."""
+        """Answers a duplicate with the answer to the first request, now or once there is one.
+
+        Returns False if the request has to be handled as a new one.
+        """
         earlier = self.duplicate_detector.find(fingerprint, session, effect, now)
         if earlier is None:
             return False
@@ -460,13 +474,14 @@
     def _answer_without_execution(
         self, session: Session, number: int, effect: Effect, word: int, now: int, come_back: int = 0
     ) -> None:
+        """Answers a request that is not submitted; `come_back` is in tenths of a millisecond."""
         session.open_request(number, effect, now)
         self._queue_answer(session, number, word, b"", come_back, now)
 
     def send_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int, now: int
     ) -> None:
-        """Completes a request and its duplicates; called with the event loop's response.
+        """Completes a request and its duplicates with the event loop's response.
 
         `come_back` is in tenths of a millisecond.
         """
@@ -483,6 +498,7 @@
     def _queue_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int, now: int
     ) -> None:
+        """Adds the answer to the session, and sends it if the connection has room."""
         pending = session.answer(number, word, body, come_back // 10)
         if pending is None:
             return
@@ -497,7 +513,7 @@
         open_request = session.open.get(number)
         if open_request is None:
             return
-        if open_request.followers:  # its duplicates still wait for the answer
+        if open_request.followers:
             return
         del session.open[number]
         self._mark_unpersisted(session)
@@ -516,9 +532,10 @@
             self._send(connection, frames.encode(pending.answer))
 
     def _on_session_removed(self, session: Session, reason: str) -> None:
-        """Cancels the requests of a removed session.
+        """Releases the state of a removed session and closes its connection.
 
-        Their answers cannot be delivered any more.
+        The requests in flight are cancelled, since their answers cannot be delivered any more,
+        except those with duplicates in other sessions.
         """
         if self.persists_sessions:
             self.unpersisted_sessions[session.ident] = None
@@ -530,7 +547,8 @@
         for pending in session.unacknowledged.values():
             if reason == CLOSED_BY_DEVICE or pending.effect is Effect.IDEMPOTENT:
                 self.duplicate_detector.remove(session, pending.answer.number)
-        # Other fingerprints remain, so that a request is not executed again because its answer is lost.
+        # The other fingerprints remain, so that a request is not executed again only because its
+        # answer is lost.
         session.unacknowledged.clear()
         session.by_number.clear()
         if session.device not in self.session_table.by_device:
@@ -543,7 +561,7 @@
     # Time
 
     def due(self) -> int:
-        """Returns the time of the next call of `tick`."""
+        """Returns the time at which `tick` must be called next."""
         wheel = self.session_table.wheel.due()
         return self.next_check_at if wheel is None else min(wheel, self.next_check_at)
 
@@ -570,7 +588,7 @@
                 if now - connection.last_received_at > MAX_MISSED_HEARTBEATS * max(
                     interval, self.config.heartbeat
                 ):
-                    # Without a reason, since the device would not receive it.
+                    # No Refused frame is sent, since the device would not receive it.
                     self._close(connection)
                 elif (
                     now - connection.last_received_at > interval
@@ -581,7 +599,10 @@
     # Drain
 
     def start_draining(self, come_back: int) -> None:
-        """Tells the devices when to reconnect and how many requests are still answered here."""
+        """Sends each connected device a Leaving frame.
+
+        `come_back` is the time after which devices should reconnect, in tenths of a millisecond.
+        """
         self.drain_retry_delay = come_back
         for connection in self.connections.values():
             if connection.session is not None and not connection.is_closing:
@@ -594,12 +615,12 @@
         )
 
     def stop_accepting(self) -> None:
-        """Closes idle connections now and the others after their last answer."""
+        """Rejects new connections, and closes idle ones; `close_idle` closes the others later."""
         self.is_closing = True
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes the connections whose requests have all been answered."""
+        """Closes the connections without a session, and those whose answers have all been sent."""
         for connection in list(self.connections.values()):
             session = connection.session
             if not connection.is_closing and (
--- a/lilacwalk/edge/duplicate_detector.py
+++ b/lilacwalk/edge/duplicate_detector.py
@@ -38,7 +38,11 @@
     """A bounded table of request fingerprints, oldest first."""
 
     def __init__(self, max_entries: int, window: int, seed: int) -> None:
-        """Creates an empty table of at most `max_entries` requests, each kept for `window`."""
+        """Creates an empty table of at most `max_entries` requests.
+
+        A request is kept for `window`, in tenths of a millisecond. `seed` is that of the
+        fingerprints.
+        """
         self.max_entries, self.window, self.seed = max_entries, window, seed & (1 << 64) - 1
         self.entries: OrderedDict[int, SeenRequest] = OrderedDict()
         # Fingerprints by session and request number.
@@ -63,14 +67,17 @@
     def find(
         self, fingerprint: int, session: object, effect: Effect, now: int
     ) -> SeenRequest | None:
-        """Returns the request that this one duplicates, or None."""
+        """Returns the earlier request that a request with this fingerprint duplicates, or None.
+
+        `session` and `effect` are those of the later request.
+        """
         entry = self.entries.get(fingerprint)
         if entry is None or entry.session is session or now - entry.received_at > self.window:
             return None
         if entry.outcome == DENIED:  # the request was not executed, and the device may retry it
             return None
         if entry.outcome == TERMINATED and effect is Effect.IDEMPOTENT:
-            return None
+            return None  # the request may safely be executed again
         self.duplicates += 1
         return entry
 
--- a/lilacwalk/edge/frames.py
+++ b/lilacwalk/edge/frames.py
@@ -43,10 +43,10 @@
     group: str
     body: bytes
     wait: int  # timeout in ms from when the frame is sent; 0 for the timeout of the request class
-    got: int
+    got: int  # sequence number up to which all answers have been received
     customer: str = ""
     subject: str = ""
-    key: str = ""
+    key: str = ""  # idempotency key
     again: bool = False  # whether the request may have been sent before
     work: int = 0  # expected execution time in ms
     hold: int = 0  # memory reserved in KB
@@ -64,7 +64,7 @@
     """Requests an echo of the stamp, and acknowledges answers."""
 
     stamp: int
-    got: int
+    got: int  # sequence number up to which all answers have been received
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,8 +83,8 @@
 class Welcome:
     """Accepts a HELLO frame."""
 
-    session: bytes
-    resumed: bool
+    session: bytes  # token of the session
+    resumed: bool  # whether the session of the HELLO frame was resumed
     asked: int  # highest request number received in this session
     heartbeat: int  # ms
     window: int  # requests that the session may have in flight
@@ -95,11 +95,11 @@
 class Answer:
     """The answer to a request."""
 
-    order: int  # sequence number of the answer in its session; `got` acknowledges answers up to one
+    order: int  # sequence number of the answer in its session, which the device acknowledges
     number: int  # number of the answered request
     word: int  # 0 completed, 1 denied, 2 terminated
     body: bytes = b""
-    come_back: int = 0  # ms
+    come_back: int = 0  # delay in ms after which a denied request may be retried
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
 class Leaving:
     """The server drains; the device should reconnect after `come_back`."""
 
-    come_back: int  # ms
+    come_back: int  # delay in ms
     open: int  # requests that this server will still answer
 
 
@@ -122,7 +122,7 @@
     """The connection is rejected, and closed after this frame."""
 
     reason: str
-    come_back: int = 0
+    come_back: int = 0  # delay in ms before the device reconnects; 0 if none is stated
 
 
 KINDS = {
@@ -139,6 +139,7 @@
     21: Refused,
 }
 NUMBERS = {kind: number for number, kind in KINDS.items()}
+# Types and default values of the fields, by the number of the frame kind.
 FIELD_TYPES = {
     each: [kind.__annotations__[name] for name in kind.__slots__] for each, kind in KINDS.items()
 }
@@ -159,8 +160,8 @@
     """Checks the structure of one CBOR item without building it.
 
     Raises:
-        FrameError: There is more than one item, or too many, too deep or truncated ones, or a
-            tag, float or indefinite length.
+        FrameError: The data is not exactly one item, is truncated, has too many or too deeply
+            nested items, or has a tag, float or indefinite length.
     """
     at, remaining, items = 0, [1], 0  # number of items left, by depth
     while remaining:
@@ -212,6 +213,7 @@
         raise FrameError("no frame of a known kind")
     kind, values = array[0], array[1:]
     types, defaults = FIELD_TYPES[kind], DEFAULTS[kind]
+    # Fields without a default value are required; their default is a sentinel.
     min_values = sum(not isinstance(each, int | str | bytes) for each in defaults)
     if not min_values <= len(values) <= len(types):
         raise FrameError(f"{KINDS[kind].__name__} with {len(values)} values")
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -55,7 +55,8 @@
         raise EdgeError(f"secrets {path}: {getattr(error, 'strerror', None) or error}") from None
     if not secrets or any(len(each) < MIN_SECRET_BYTES for each in secrets):
         raise EdgeError(
-            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal digits or more, got {len(secrets)} lines of {[2 * len(each) for each in secrets]} digits"
+            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal "
+            f"digits or more, got {len(secrets)} lines of {[2 * len(each) for each in secrets]} digits"
         )
     if os.stat(path).st_mode & 0o077:
         raise EdgeError(f"secrets {path}: others than its owner may read it")
@@ -85,7 +86,7 @@
 
 
 def common_name(peer: dict | None) -> bytes:
-    """Returns the common name of a verified certificate."""
+    """Returns the common name of the peer's verified certificate, or empty if there is none."""
     for part in (peer or {}).get("subject", ()):
         for name, text in part:
             if name == "commonName":
@@ -99,16 +100,16 @@
 
     number: int
     sock: socket.socket
-    address: bytes
+    address: bytes  # packed IP address of the device
     stream: Stream
-    is_handshaking: bool
-    queue: deque
-    is_closing: bool = False
-    events: int = 0
+    is_handshaking: bool  # whether the TLS handshake is in progress
+    queue: deque  # data to send
+    is_closing: bool = False  # whether the socket is closed after the queued data
+    events: int = 0  # events for which the selector waits
 
 
 class EdgeHost:
-    """Runs the edge's thread, and passes requests to handlers."""
+    """Runs the edge's thread, and passes requests to the callbacks."""
 
     def __init__(
         self,
@@ -129,10 +130,11 @@
             request_classes: The request classes by name.
             node: Name of this server.
             seed: Seed of random choices.
-            clock: The clock of the edge's thread.
+            clock: Clock of the edge's thread: Unix time in tenths of a millisecond that never
+                decreases.
             on_request: Called in the edge's thread with each request.
-            on_client_gone: Called in the edge's thread if no client waits for a request any
-                more.
+            on_client_gone: Called in the edge's thread if no client waits for the answer to a
+                request any more.
             persist_sessions: Persists encoded sessions by identifier, called in the edge's
                 thread, or None if sessions end with the process.
             on_recovered_request: Called with each request that was in flight when the previous
@@ -162,7 +164,9 @@
         self.invalid_frame_throttle = ReportThrottle()
         self.has_stopped = threading.Event()
         self.is_ending = False
-        self.is_idle = False  # listener closed, no connection left; read by the event loop's thread
+        # Whether `stop_accepting` was called and no connection or CoAP request is left; read by the
+        # event loop's thread.
+        self.is_idle = False
         self.listener = listen(config.listen, BACKLOG)
         self.coap = self.datagram_socket = None
         if config.coap is not None:
@@ -229,7 +233,7 @@
     def send_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int
     ) -> None:
-        """Queues the answer to a request."""
+        """Queues the answer to a request; `come_back` is in tenths of a millisecond."""
         self.post(self._send_answer, session, number, word, body, come_back)
 
     def _send_answer(
@@ -273,18 +277,25 @@
             self.coap.config = config
 
     def start_draining(self, come_back: int) -> None:
-        """Tells the devices to reconnect elsewhere."""
+        """Announces the drain to devices; must be posted to the edge's thread.
+
+        `come_back` is the time after which devices should reconnect, in tenths of a millisecond.
+        """
         self.service.start_draining(come_back)
         if self.coap is not None:
             self.coap.start_draining(come_back)
 
     def stop_accepting(self) -> None:
-        """Closes idle connections, and rejects new connections and requests."""
+        """Closes idle connections, and rejects new connections and CoAP requests.
+
+        Must be posted to the edge's thread.
+        """
         self.service.stop_accepting()
         if self.coap is not None:
             self.coap.is_closing = True
 
     def _is_idle(self) -> bool:
+        """Whether no request is accepted and none is left to answer."""
         return (
             self.service.is_closing
             and self.service.is_idle
@@ -349,7 +360,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an ICMP error for an earlier answer
+                continue  # an ICMP error for a datagram sent earlier
             self.coap.datagram_received(address, data, self.clock())
 
     def _accept(self) -> None:
@@ -402,6 +413,7 @@
             self._close_socket(device_socket)
 
     def _continue_handshake(self, device_socket: DeviceSocket) -> bool:
+        """Continues the TLS handshake, and returns whether it is complete."""
         try:
             device_socket.sock.do_handshake()
         except ssl.SSLWantReadError:
@@ -417,9 +429,9 @@
         return True
 
     def _read(self, device_socket: DeviceSocket) -> None:
-        """Reads until the TLS layer holds no more data.
+        """Reads a chunk and, with TLS, all data that the TLS layer has buffered.
 
-        The selector does not report data that the TLS layer has buffered.
+        The selector does not report buffered data.
         """
         while device_socket.number in self.device_sockets:
             chunk = device_socket.sock.recv(READ_BYTES)
@@ -476,7 +488,7 @@
             self.selector.modify(device_socket.sock, events, device_socket)
 
     def _shut_down_after_sending(self, device_socket: DeviceSocket) -> None:
-        """Ends the sending direction after the last frame, and closes the socket."""
+        """Shuts down the sending direction and closes the socket, after all data has been sent."""
         try:
             device_socket.sock.shutdown(socket.SHUT_WR)
         except OSError:
--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -17,7 +17,7 @@
 
 
 class Link:
-    """Moving estimates for one device's link."""
+    """Moving averages of the properties of one device's link."""
 
     __slots__ = ("deviation", "is_measured", "loss_ratio", "mean_round_trip", "throughput")
 
@@ -52,7 +52,8 @@
     def record_delivery(self, size: int, duration: int) -> None:
         """Records that `size` bytes were acknowledged `duration` after they were sent.
 
-        Small answers are ignored, since their time shows the round trip and not the throughput.
+        `duration` is in tenths of a millisecond. Small answers are ignored, since their time shows
+        the round trip and not the throughput.
         """
         if size >= 1_000 and duration > self.mean_round_trip:
             throughput = size * 1_000 / max(1.0, duration - self.mean_round_trip / 2)
@@ -62,9 +63,10 @@
         """Returns the expected time until an answer of this size is delivered, in tenths of a
         millisecond.
 
-        This is half a round trip, the transmission time, and another round trip for the share that
-        is lost and sent again. No deviation is added: an estimate that is too low makes an answer
-        late now and then, one that is too high rejects requests that could have been answered.
+        This is half a round trip, the transmission time, and a further round trip for the share of
+        answers that is lost and sent again. No deviation is added: an estimate that is too low
+        makes an answer late now and then, one that is too high rejects requests that could have
+        been answered.
         """
         one_delivery = self.mean_round_trip / 2 + size * 1_000 / max(1.0, self.throughput)
         return int(
@@ -72,10 +74,10 @@
         )
 
     def heartbeat_interval(self, max_interval: int) -> int:
-        """Returns the time between probes of an idle link.
+        """Returns the time between probes of an idle link, in tenths of a millisecond.
 
-        It detects a stall within a few round trips, but is never less than a tenth of
-        `max_interval`, so that the radio of an unreachable device is not kept awake.
+        It is a multiple of the round trip, so that a stall is detected early, but at least a tenth
+        of `max_interval`, so that probes do not keep the radio of an unreachable device awake.
         """
         return int(
             max(
--- a/lilacwalk/edge/rates.py
+++ b/lilacwalk/edge/rates.py
@@ -15,12 +15,16 @@
 
 
 class FrameProgress:
-    """Progress of the frame that a connection is receiving."""
+    """Progress of the frame that a connection is receiving.
+
+    Times are in tenths of a millisecond; `active_seconds` is the number of seconds in which bytes
+    of the frame were received.
+    """
 
     __slots__ = ("active_seconds", "last_active_second", "received_bytes", "started_at")
 
     def __init__(self) -> None:
-        """Creates a record without a frame in progress."""
+        """Creates the state without a frame in progress."""
         self.started_at = 0  # 0 if no frame is in progress
         self.active_seconds = self.last_active_second = self.received_bytes = 0
 
@@ -45,10 +49,10 @@
             self.started_at = 0
 
     def is_too_slow(self, min_rate: int, max_duration: int, now: int) -> bool:
-        """Whether the frame took longer than `max_duration`, or arrives below the minimum rate.
+        """Whether the frame takes longer than `max_duration`, or arrives below the minimum rate.
 
-        `min_rate` is in bytes per second, averaged over the seconds in which any arrived. The
-        minimum rises linearly and has doubled after `DOUBLING_SECONDS`.
+        `min_rate` is in bytes per second. The rate is averaged over the seconds in which bytes
+        arrived. The minimum rises linearly and has doubled after `DOUBLING_SECONDS`.
         """
         if not self.started_at:
             return False
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -85,14 +85,14 @@
         self.device_window = 1  # unacknowledged answers that the device can hold
         self.highest_number = 0  # highest request number received
         self.open: dict[int, OpenRequest] = {}
-        # By answer order.
+        # By sequence number of the answer (`Answer.order`).
         self.unacknowledged: OrderedDict[int, UnacknowledgedAnswer] = OrderedDict()
-        self.by_number: dict[int, int] = {}
+        self.by_number: dict[int, int] = {}  # answer order by request number
         self.last_order = 0  # sequence number of the last answer
-        self.acknowledged_order = 0
+        self.acknowledged_order = 0  # sequence number of the last acknowledged answer
         self.unacknowledged_bytes = 0
-        self.connection: int | None = None
-        self.disconnected_at = now
+        self.connection: int | None = None  # number of the current connection
+        self.disconnected_at = now  # initially the time of creation
 
     def classify(self, ask: Ask) -> RequestStatus:
         """Classifies a received request; a new one raises the highest number.
@@ -124,7 +124,7 @@
     def answer(
         self, number: int, word: int, body: bytes, come_back: int
     ) -> UnacknowledgedAnswer | None:
-        """Completes a request with an answer that awaits acknowledgement.
+        """Completes a request with an answer that awaits acknowledgement; `come_back` is in ms.
 
         Returns None if no request with this number is in flight.
         """
@@ -197,8 +197,8 @@
         """Rank of the loss if the session is evicted; lower ranks are evicted first.
 
         The loss is highest if a non-idempotent effect may remain unknown to the device, and lower
-        if only work has to be repeated. Among equals, the session that was disconnected last is
-        kept.
+        if only work has to be repeated. Of equal sessions, the one that was disconnected first is
+        evicted first.
         """
         effects = [pending.effect for pending in self.unacknowledged.values()] + [
             each.effect for each in self.open.values()
--- a/lilacwalk/edge/session_codec.py
+++ b/lilacwalk/edge/session_codec.py
@@ -1,4 +1,4 @@
-"""Encodes a session for the store, and decodes it.
+"""Encodes sessions for the persistent store, and decodes them.
 
 One stored row holds the whole session, so that it is never restored in part: the requests in flight
 and the unacknowledged answers. After a restart, requests in flight are answered with their stored
@@ -17,8 +17,8 @@
 EFFECTS = list(Effect)
 # Added to the sequence number of the last answer when a session is restored. Answers sent after the
 # last write of the session are lost in a crash; the device would ignore a new answer with the same
-# number as a duplicate. The increment exceeds the number of answers that a window can produce between
-# two writes.
+# number as a duplicate. The increment exceeds the number of answers that a window can produce
+# between two writes.
 ORDER_INCREMENT = 1_024
 
 
--- a/lilacwalk/edge/sessions.py
+++ b/lilacwalk/edge/sessions.py
@@ -13,7 +13,7 @@
 
 
 class SessionTable:
-    """Sessions by identifier and by device."""
+    """Sessions by identifier and by device; times are in tenths of a millisecond."""
 
     def __init__(
         self,
@@ -78,8 +78,9 @@
         return True
 
     def _evict(self, candidates, reason: str) -> bool:
-        """Removes the session with the lowest cost that has neither a connection nor requests in
-        flight.
+        """Removes the candidate with the lowest eviction cost, and returns whether there was one.
+
+        Sessions with a connection or with requests in flight are never evicted.
         """
         idle = [each for each in candidates if each.connection is None and not each.open]
         if not idle:
@@ -100,9 +101,10 @@
         self.on_removed(session, reason)
 
     def add_bytes(self, session: Session, size: int) -> None:
-        """Records the size of a new answer, or a negative size for acknowledged ones.
+        """Adds the size of a new answer of the session, or a negative size for acknowledged ones.
 
-        Beyond the limit, other disconnected sessions are removed in order of their eviction cost.
+        Beyond the limit, other disconnected sessions with answers are removed in order of their
+        eviction cost.
         """
         self.unacknowledged_bytes += size
         if self.unacknowledged_bytes <= self.max_bytes:
--- a/lilacwalk/edge/sketch.py
+++ b/lilacwalk/edge/sketch.py
@@ -15,7 +15,7 @@
 
 
 class Sketch:
-    """Decayed counts by key."""
+    """Decayed counts by key; times are in tenths of a millisecond."""
 
     def __init__(self, seed: int, half_life: int, now: int, columns: int = COLUMNS) -> None:
         """Creates an empty sketch; `half_life` is in tenths of a millisecond."""
@@ -44,9 +44,9 @@
                 self.scale = 1.0
 
     def add(self, key: bytes, now: int, amount: float = 1.0) -> float:
-        """Adds to a key's count and returns the new count.
+        """Adds `amount` to a key's count and returns the new count.
 
-        Only the lowest of its counters are raised (conservative update).
+        Of the key's counters, only those below the new count are raised (conservative update).
         """
         self._decay(now)
         key_columns = self._columns(key)
--- a/lilacwalk/edge/timer_wheel.py
+++ b/lilacwalk/edge/timer_wheel.py
@@ -36,11 +36,12 @@
         return len(self.slots_by_name)
 
     def schedule(self, name: Hashable, due: int) -> None:
-        """Sets or moves a timer."""
+        """Sets or moves the timer `name` to the time `due`."""
         self.cancel(name)
         self._insert(name, max(self.next_tick, -(-due // self.slot_duration)))
 
     def _insert(self, name: Hashable, tick: int) -> None:
+        """Adds a timer that expires with slot `tick`."""
         remaining, index = tick - self.next_tick, 0
         while remaining >= SLOTS_PER_LEVEL ** (index + 1) and index < LEVELS - 1:
             index += 1
@@ -81,7 +82,7 @@
     def expire(self, now: int) -> Iterator[Hashable]:
         """Yields the timers whose slot has ended, in order of slots.
 
-        Timers may be scheduled meanwhile.
+        The caller may schedule timers during the iteration.
         """
         last = now // self.slot_duration
         while self.next_tick <= last:
--- a/lilacwalk/edge/tokens.py
+++ b/lilacwalk/edge/tokens.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 MAC_BYTES = 16  # 128 bits cannot be guessed before a token expires
-MIN_SECRET_BYTES = 32  # a shorter secret is likely a password, and `check` rejects it
-DEVICE, SESSION = b"d", b"s"
+MIN_SECRET_BYTES = 32  # a shorter secret is likely a password, and `host.read_secrets` rejects it
+DEVICE, SESSION = b"d", b"s"  # kinds of tokens
 
 
 class TokenError(Exception):
@@ -38,8 +38,8 @@
     def __init__(self, secrets: list[bytes], scope_name: bytes) -> None:
         """Creates a signer with these secrets.
 
-        `scope_name` is included in the MAC of session tokens, so that a session token of another
-        node is rejected.
+        The first one signs, and all verify. `scope_name` is included in the MAC of session tokens,
+        so that a session token of another node is rejected.
         """
         if not secrets:
             raise ValueError("at least one secret is required to sign tokens, got none")
@@ -52,7 +52,7 @@
         ]
 
     def make(self, kind: bytes, name: bytes, expires_at: int) -> bytes:
-        """Returns a token that expires at a Unix time in seconds."""
+        """Returns a token of a kind for a name; `expires_at` is a Unix time in seconds."""
         body = struct.pack("!QB", expires_at, len(name)) + name
         return body + self._mac(self.secrets[0], kind, body)
 
