--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -233,6 +233,7 @@
         return self._evaluate_unhealthy(now)
 
     def _evaluate_ready(self, now: int) -> tuple[Level, str, int | None]:
+        """Returns the same as `_evaluate`, for a ready node."""
         if self.unhealthy_since is not None:
             recovered_at = self.status_since + self.config.sick.well_after
             if now < recovered_at:
@@ -253,6 +254,7 @@
         return Level.NORMAL, "ready", None
 
     def _evaluate_unhealthy(self, now: int) -> tuple[Level, str, int | None]:
+        """Returns the same as `_evaluate`, for a sick node or one that is standing still."""
         assert self.unhealthy_since is not None
         sick, status = self.config.sick, self.node_status.value
         if self.level is Level.NONE:
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -494,7 +494,7 @@
     aggregator = parsed.values.get("aggregator")
     if aggregator is not None and as4_aggregator is not None:
         if aggregator[0] != AS_TRANS:  # type: ignore[index]
-            # A speaker without four-octet support aggregated last: both AS4 attributes are outdated.
+            # A speaker without four-octet support aggregated last; the AS4 attributes are outdated.
             return
         parsed.values["aggregator"] = as4_aggregator
     if as4_path is None or as_path is None:
--- a/lilacwalk/bgp/config.py
+++ b/lilacwalk/bgp/config.py
@@ -173,11 +173,14 @@
     ARGUMENTS: ClassVar = ("address",)
     address: Annotated[tuple[str, int], unit("endpoint")]
     as_: Annotated[int, Meta(ge=1, le=4_294_967_295, extra={"keyword": "as"})]
+    # Whether we open the connection (active), the peer does (passive), or either side.
     mode: Annotated[str, Meta(pattern="^(active|passive|both)$")] = "active"
     connect_retry: Annotated[int, unit("duration", ge=SECOND // 100, le=3600 * SECOND)] = 5 * SECOND
     hold_time: Annotated[int, unit("duration", ge=0, le=65_535 * SECOND)] | None = None
     delay_open: Time = 0
+    # Idle hold time after a failure; it doubles with each further one.
     idle_hold: Annotated[int, unit("duration", ge=SECOND // 100, le=3600 * SECOND)] = SECOND
+    # Received prefixes of both address families; beyond the limit, the session is ended.
     max_prefixes: Annotated[int, Meta(ge=1, le=4_000_000)] = 1_000
     import_: Annotated[str | None, Meta(extra={"keyword": "import"})] = None
     export: str | None = None
@@ -210,7 +213,7 @@
     listen: Annotated[tuple[str, int], unit("endpoint")] | None = None
     socket: str | None = None  # path of the admin socket, used by `lilacwalk bgp`
     service: tuple[Service, ...] = ()
-    ready_for: Time = SECOND // 5
+    ready_for: Time = SECOND // 5  # time for which a node must be ready before it is announced
     hold_time: Annotated[int, unit("duration", ge=0, le=65_535 * SECOND)] = 9 * SECOND
     graceful_shutdown: Time = SECOND // 10  # time at lower preference before a drain's withdrawal
     propagation: Time = 3 * SECOND // 10  # between the withdrawal and the closing of the listener
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -111,6 +111,7 @@
         self.refresh_due: dict[Afi, int] = {}
 
     def _new_link(self, now: int, passive: bool) -> Link:
+        """Returns a link without a connection."""
         peer, config = self.peer, self.config
         session_config = SessionConfig(
             config.as_,
@@ -332,9 +333,11 @@
 
     @staticmethod
     def _collision_rank(router_id: str, asn: int) -> tuple[int, int]:
+        """Returns the BGP identifier and the AS number; the higher pair wins a collision."""
         return int(ipaddress.IPv4Address(router_id)), asn
 
     def _close_collided(self, link: Link, now: int) -> None:
+        """Closes the connection that lost a collision."""
         self._execute(link, now, link.session.cease(Event.COLLISION_DUMP, now, Cease.COLLISION))
 
     # Actions of a session
@@ -370,6 +373,7 @@
         )
 
     def _session_established(self, link: Link, now: int) -> None:
+        """Drops the stale routes that the peer has not preserved, and announces our routes."""
         self.established_link, self.adj_rib_out, self.ups = link, {}, self.ups + 1
         self.end_of_rib_received.clear()
         self.refresh_sent_at.clear()
@@ -400,6 +404,7 @@
             self._send(link, messages.end_of_rib(afi))
 
     def _session_ended(self, link: Link, ended: SessionEnd, now: int) -> None:
+        """Logs the end, retains or drops the peer's routes, and updates the links."""
         self.last_end = ended
         if link is self.established_link:
             self.established_link, self.adj_rib_out, self.downs = None, {}, self.downs + 1
@@ -479,6 +484,7 @@
             self._log(event="bgp_stale_dropped", count=dropped, reason=cause)
 
     def _handle_update(self, link: Link, update: Update, now: int) -> None:
+        """Applies an UPDATE to Adj-RIB-In; ends the session if it exceeds the prefix limit."""
         counts = link.counts
         counts["updates"] += 1
         counts["faults"] += len(update.faults)
@@ -592,6 +598,7 @@
         self.adj_rib_out = exports
 
     def _send_announcements(self, link: Link, routes: dict[Prefix, Attributes]) -> None:
+        """Sends UPDATEs that announce the routes, grouped by family and attributes."""
         groups: dict[tuple[Afi, Attributes], list[Prefix]] = {}
         for prefix in sorted(routes):
             groups.setdefault((prefix.afi, routes[prefix]), []).append(prefix)
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -29,7 +29,8 @@
 
 SECOND = 10_000  # in tenths of a millisecond
 OPEN_HOLD_TIME = 240 * SECOND  # RFC 4271 section 8.2.2: four minutes until an OPEN is received
-# Timers run for a random 75 to 100 % of their configured time (RFC 4271 section 10).
+# The connect retry, keepalive and idle hold timers run for a random 75 to 100 % of their configured
+# time (RFC 4271 section 10).
 MIN_JITTER = 0.75
 # Upper bound of the doubled idle hold time. RFC 4271 sets none; two minutes is about the time after
 # which an operator checks the peer again.
@@ -467,6 +468,7 @@
         self.timers.pop(Timer.DELAY_OPEN, None)
 
     def _start_open_hold(self) -> None:
+        """Starts the hold timer with the time for receiving an OPEN."""
         self.timers[Timer.HOLD] = self.now + OPEN_HOLD_TIME
 
     def _restart_hold(self) -> None:
@@ -502,6 +504,10 @@
         self.failures = 0
 
     def _count_failure(self) -> None:
+        """Counts a failure.
+
+        The count starts anew after a session that was established for longer than its hold time.
+        """
         was_stable = self.state is S.ESTABLISHED and self.now - self.up_since > max(
             self.hold_time, SECOND
         )
@@ -604,6 +610,7 @@
         self.actions.append((SessionAction.ROUTES, self.last_message))
 
     def _send_notification(self) -> None:
+        """Sends the NOTIFICATION of the error that ends the session, if there is one."""
         if self.error is not None:
             self._send_closing_notification(
                 Notification(self.error.code, self.error.subcode, self.error.data)
@@ -615,6 +622,7 @@
         )
 
     def _send_state_machine_error(self) -> None:
+        """Sends a Finite State Machine Error for an unexpected message."""
         self._send_closing_notification(
             Notification(Code.STATE_MACHINE, UNEXPECTED_IN.get(self.state.name, 0))
         )
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -94,6 +94,7 @@
         threading.Thread(target=self._run, name="bgp-reader", daemon=True).start()
 
     def _run(self) -> None:
+        """Runs the reader thread: connects if necessary, reads, and posts the end."""
         cause = "closed by the peer"
         try:
             if self.remote_address is not None and not self._connect():
@@ -323,6 +324,7 @@
                 shut_down_socket(self.listener)
 
     def _run_iteration(self) -> None:
+        """Handles queued items, or waits for one until the next timer; then handles timers."""
         due = self.state.next_due()
         wait = SECOND if due is None else min(SECOND, max(0, due - self.now()))
         try:
@@ -344,6 +346,10 @@
                 self.state.flushed(connection.peer, connection.number, self.now())
 
     def _perform_actions(self) -> None:
+        """Performs all actions of the state.
+
+        Then reports a changed level, and the withdrawal in a drain.
+        """
         while actions := self.state.take_actions():
             for action in actions:
                 self._perform(action)
@@ -465,6 +471,7 @@
     # Posted by the connections' threads
 
     def on_connected(self, connection: Connection) -> None:
+        """Handles a connection that its reader has opened."""
         connection.send_buffer = SendBuffer(connection.sock, self.bounds.send_buffer, "bgp")
         if self.connections.get(connection.number) is not connection:
             connection.close()
@@ -472,6 +479,7 @@
         self.state.connected(connection.peer, connection.number, self.now())
 
     def on_messages(self, connection: Connection, batch: list[tuple[int, bytes]]) -> None:
+        """Handles received messages, given by type and body."""
         connection.batch_permits.put(None)
         for kind, body in batch:
             if self.connections.get(connection.number) is not connection:
@@ -483,10 +491,12 @@
                 self._perform_actions()
 
     def on_decode_failure(self, connection: Connection, error: BgpError) -> None:
+        """Handles an invalid message header."""
         if self.connections.get(connection.number) is connection:
             self.state.decode_failed(connection.peer, connection.number, error, self.now())
 
     def on_lost(self, connection: Connection, cause: str) -> None:
+        """Handles the end of a connection, and closes its socket."""
         self.closing_connections.pop(connection, None)
         self.unflushed.pop(connection, None)
         if connection.send_buffer is not None:
@@ -498,6 +508,7 @@
             self.state.connection_lost(connection.peer, connection.number, self.now(), cause)
 
     def _handle_accepted(self, sock: socket.socket, host: str) -> None:
+        """Starts a connection accepted from `host`, or rejects it."""
         accepted = self.state.accepted(host, self.now())
         if accepted is None:
             self._reject(sock)
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -52,6 +52,7 @@
         self._apply_decision(now)
 
     def _add_peer(self, peer: Peer, now: int) -> None:
+        """Creates the state of a configured peer and starts it."""
         peer_state = PeerState(
             self.config, peer, self.link_numbers, self.rng, now, self._restart_claims
         )
@@ -72,11 +73,13 @@
     # Node status
 
     def set_node_status(self, status: NodeStatus, now: int) -> None:
+        """Applies the node's status; see `AnnouncementPolicy.set_node_status`."""
         self._advance_clock(now)
         self.announcement_policy.set_node_status(status, now)
         self._apply_decision(now)
 
     def set_withdrawal_allowed(self, withdrawal_allowed: bool, now: int) -> None:
+        """Sets whether fleet membership allows a withdrawal for bad health."""
         self._advance_clock(now)
         self.announcement_policy.set_withdrawal_allowed(withdrawal_allowed)
         self._apply_decision(now)
@@ -84,11 +87,13 @@
     def restore_penalty(
         self, penalty: float, suppressed: bool, announced: bool, age: int, now: int
     ) -> None:
+        """Restores the flap penalty; see `AnnouncementPolicy.restore_penalty`."""
         self._advance_clock(now)
         self.announcement_policy.restore_penalty(penalty, suppressed, announced, age, now)
         self._apply_decision(now)
 
     def set_level_cap(self, level_cap: Level, now: int) -> None:
+        """Limits the level of a ready node while its site recovers from a failover."""
         self._advance_clock(now)
         self.announcement_policy.set_level_cap(level_cap)
         self._apply_decision(now)
@@ -110,6 +115,7 @@
             self.actions += peer.take_actions()
 
     def leave(self, now: int, listener_closes_by: int | None) -> None:
+        """Starts a drain; see `AnnouncementPolicy.leave`."""
         self._advance_clock(now)
         self.announcement_policy.leave(now, listener_closes_by)
         self._apply_decision(now)
@@ -138,6 +144,7 @@
     # Connections
 
     def connected(self, address: tuple[str, int], link: int, now: int) -> None:
+        """Handles the connection that the host has opened for a link of the peer at `address`."""
         self._advance_clock(now)
         if (peer := self._peer_of_link(address, link)) is not None:
             peer.connected(link, now)
@@ -160,24 +167,28 @@
     def message(
         self, address: tuple[str, int], link: int, kind: int, body: bytes, now: int
     ) -> None:
+        """Handles a received message of type `kind`."""
         self._advance_clock(now)
         if (peer := self._peer_of_link(address, link)) is not None:
             peer.message(link, kind, body, now)
             self.actions += peer.take_actions()
 
     def decode_failed(self, address: tuple[str, int], link: int, error: BgpError, now: int) -> None:
+        """Handles received bytes that are not a valid message."""
         self._advance_clock(now)
         if (peer := self._peer_of_link(address, link)) is not None:
             peer.decode_failed(link, error, now)
             self.actions += peer.take_actions()
 
     def connection_lost(self, address: tuple[str, int], link: int, now: int, cause: str) -> None:
+        """Handles the end of a link's connection, or a failed attempt to connect."""
         self._advance_clock(now)
         if (peer := self._peer_of_link(address, link)) is not None:
             peer.connection_lost(link, now, cause)
             self.actions += peer.take_actions()
 
     def flushed(self, address: tuple[str, int], link: int, now: int) -> None:
+        """Handles the report that the operating system has accepted all bytes sent on a link."""
         if (peer := self._peer_of_link(address, link)) is not None:
             peer.flushed(link, now)
 
@@ -192,6 +203,7 @@
     # Time
 
     def _advance_clock(self, now: int) -> None:
+        """Sets the current time, which never decreases."""
         self.now = max(self.now, now)
 
     def tick(self, now: int) -> None:
@@ -265,6 +277,7 @@
         return routes  # type: ignore[return-value]
 
     def take_actions(self) -> list[Action]:
+        """Returns the pending actions and clears them."""
         actions, self.actions = self.actions, []
         return actions
 
--- a/lilacwalk/bgp/trie.py
+++ b/lilacwalk/bgp/trie.py
@@ -2,7 +2,7 @@
 
 Supports the longest match of an address, all prefixes that cover a prefix, all that a prefix
 covers, and iteration in address order, each without visiting the rest of the table. A prefix costs
-one node of four slots, plus at most one node for each fork. A lookup visits one node per fork on
+one node of six slots, plus at most one node for a fork. A lookup visits one node per fork on
 its path, about log2 of the table's size regardless of prefix lengths.
 
 A dict finds an exact prefix faster, but needs one lookup per length for a longest match and cannot
@@ -88,6 +88,7 @@
         return None
 
     def _attach(self, parent: Node | None, side: int, node: Node | None) -> None:
+        """Makes `node` the child of `parent` on side 0 or 1, or the root if there is no parent."""
         if parent is None:
             self.root = node
         elif side:
@@ -97,12 +98,14 @@
 
     @staticmethod
     def _attach_child(parent: Node, node: Node) -> None:
+        """Makes `node` the child of `parent` on the side that its bits select."""
         if node.head >> (parent.branch_bit - node.shift) & 1:
             parent.one = node
         else:
             parent.zero = node
 
     def _find(self, bits: int, length: int) -> Node | None:
+        """Returns the node of exactly this prefix, or None."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift > shift:
             node = node.one if bits >> node.branch_bit & 1 else node.zero
--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -149,7 +149,8 @@
         if reply.code >> 5 == 5:
             return Outcome(2, b"", 0)
         raise ValueError(
-            f"{reply.code >> 5}.{reply.code & 31:02d} {body.decode('utf-8', 'replace')}"
+            f"the edge rejected the request: {reply.code >> 5}.{reply.code & 31:02d} "
+            f"{body.decode('utf-8', 'replace')}"
         )
 
     def _request_with_echo(
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -1,7 +1,7 @@
 """A device's connection: one thread reads, the threads of callers write.
 
-It reconnects by itself after a randomized delay that doubles, so that many devices do not reconnect
-at the same time.
+A lost connection is opened again after a randomized delay, which doubles with each failure, so that
+many devices do not reconnect at the same time.
 """
 
 from __future__ import annotations
@@ -33,7 +33,11 @@
         has_stable_numbers: bool = False,
         seed: int = 0,
     ) -> None:
-        """Starts the thread that connects to the edge."""
+        """Starts the thread that connects to the edge.
+
+        `has_stable_numbers` says whether the device's request numbers outlive its sessions. A token
+        is not needed if `tls` has a certificate of the device.
+        """
         self.address, self.tls, self.server_name = address, tls, server_name
         self.session, self.rng = ClientSession(token, has_stable_numbers), random.Random(seed)
         # Guards all state; notified when outcomes or the connection change.
@@ -70,7 +74,9 @@
                 raise TimeoutError(f"no answer to request {number} within {timeout} s")
             if number not in session.outcomes:
                 raise ConnectionRefusedError(
-                    session.refused.reason if session.refused else "closed"
+                    session.refused.reason
+                    if session.refused
+                    else f"the device was ended before request {number} was answered"
                 )
             return session.outcomes[number]
 
@@ -92,6 +98,7 @@
         self.thread.join(2.0)
 
     def _write(self) -> None:
+        """Sends the session's output; the caller holds `changed`."""
         data = self.session.take_output()
         if data and self.sock is not None:
             try:
@@ -100,6 +107,7 @@
                 pass  # the reading thread detects the loss and reconnects
 
     def _run(self) -> None:
+        """Connects and reads until the device is stopped or permanently refused."""
         delay = MIN_RECONNECT_DELAY
         while not self.is_stopped:
             try:
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -35,7 +35,8 @@
     ) -> None:
         """Creates a session that is not connected.
 
-        `first_number` is the next number of a device whose numbers outlive its sessions.
+        `has_stable_numbers` says whether the device's request numbers outlive its sessions; the
+        first request then has the number `first_number`.
         """
         self.token, self.has_stable_numbers, self.next_number = (
             token,
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -119,10 +119,12 @@
 
     @property
     def is_request(self) -> bool:
+        """Whether the code is that of a request (class 0, not empty)."""
         return 0 < self.code < 32
 
     @property
     def is_response(self) -> bool:
+        """Whether the code is that of a response (classes 2 to 5)."""
         return 64 <= self.code < 192
 
 
--- a/lilacwalk/edge/coap/reliability.py
+++ b/lilacwalk/edge/coap/reliability.py
@@ -1,7 +1,7 @@
 """The message layer of CoAP without its socket (RFC 7252 section 4).
 
-A duplicate gets the reply to the first copy, confirmable messages are retransmitted until they are
-acknowledged, and each endpoint has at most one confirmable message outstanding.
+A duplicate gets the reply to the first copy. Confirmable messages are retransmitted until they are
+acknowledged, and at most one per endpoint is outstanding.
 
 The retransmission timeout follows CoCoA: strong estimates come from messages that were sent once,
 weak ones from retransmitted messages, whose acknowledgement may belong to any copy. Both are
@@ -20,7 +20,7 @@
 EXCHANGE_LIFETIME, NON_LIFETIME = 247 * SECOND, 145 * SECOND  # section 4.8.2
 MIN_TIMEOUT, MAX_TIMEOUT = SECOND // 10, 32 * SECOND
 STRONG_WEIGHT, WEAK_WEIGHT = 0.5, 0.25  # CoCoA's weights of a new estimate in the timeout
-# CoCoA: after this time without a sample, a timeout moves back to the default.
+# CoCoA: after this time without a sample, a timeout moves back towards the default.
 ESTIMATE_LIFETIME = 16 * SECOND
 
 
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -152,6 +152,7 @@
             )
 
     def _process_acknowledgement(self, address: tuple, message: Message, now: int) -> None:
+        """Handles an ACK or RST for a separate response."""
         request, data = self.reliability.acknowledge(address, message.mid, now)
         if isinstance(request, Request) and message.type is Type.ACK:
             # The device has the answer, so an equal request from now on is a new one.
@@ -161,6 +162,7 @@
             self._send_datagram(address, data)
 
     def _process_request(self, address: tuple, message: Message, size: int, now: int) -> None:
+        """Validates the source and answers a duplicate or invalid request; passes on the others."""
         if not self.address_validator.validate(address, message.first(Option.ECHO), now):
             self.counts["unproven"] += 1
             reply = self._reply(
@@ -202,6 +204,7 @@
             self._process_post(address, message, path[1], now)
 
     def _process_post(self, address: tuple, message: Message, class_name: str, now: int) -> None:
+        """Submits a POST request of a request class, or answers it if it is not to be executed."""
         try:
             device = self.tokens.check(
                 DEVICE, message.first(Option.DEVICE) or b"", now // SECOND
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -42,7 +42,8 @@
 DUPLICATE_ENTRIES_PER_SESSION = 8
 CHECK_INTERVAL = SECOND  # time between checks for slow, idle and unidentified connections
 CLOSED_BY_DEVICE = "said goodbye"  # reason of the removal of a session
-MAX_MISSED_HEARTBEATS = 3  # intervals without received bytes after which a connection is closed
+# A connection is closed after this number of `heartbeat` times without received bytes.
+MAX_MISSED_HEARTBEATS = 3
 SESSION_TOKEN_SECONDS = 7 * 24 * 3600  # sessions expire long before their tokens
 
 
@@ -251,6 +252,7 @@
             self._close(connection)
 
     def _close(self, connection: Connection) -> None:
+        """Closes a connection once all its data has been sent."""
         connection.is_closing = True
         self.connection_limiter.identified(connection.number)
         self.actions.append(Action(ActionType.CLOSE, connection.number))
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -32,7 +32,8 @@
 MAX_FRAME_BYTES = 65_536  # largest frame that a client accepts; results have at most 4 KiB
 READ_BYTES = 16_384
 MAX_DATAGRAMS_PER_ITERATION = 256  # processing them takes about 10 ms
-MAX_ACCEPTS_PER_ITERATION = 64  # bounds the time for which a flood of connections delays the others
+# Limits the time for which a flood of new connections delays the existing ones.
+MAX_ACCEPTS_PER_ITERATION = 64
 BACKLOG = 1_024
 
 
@@ -200,6 +201,7 @@
 
     @staticmethod
     def _bind(address: tuple[str, int]) -> socket.socket:
+        """Returns a non-blocking UDP socket bound to the address."""
         sock = socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
         )
@@ -258,7 +260,9 @@
         self.is_ending = True
 
     def reload(self, config: EdgeConfig) -> None:
-        """Applies new certificates and secrets to new connections and tokens; sessions remain.
+        """Applies a reloaded configuration; sessions remain.
+
+        New certificates apply to new connections; new secrets sign and verify tokens from now on.
 
         Raises:
             EdgeError: The new configuration is invalid; the old one remains in effect.
@@ -326,6 +330,7 @@
             self.selector.close()
 
     def _run_iteration(self) -> None:
+        """Waits for socket events, queued calls or timers, and handles them."""
         due = self.service.due() if self.coap is None else min(self.service.due(), self.coap.due())
         wait = max(0, due - self.clock()) / SECOND
         for key, events in self.selector.select(min(wait, 1.0)):
@@ -354,6 +359,7 @@
             pass
 
     def _receive_datagrams(self) -> None:
+        """Passes waiting datagrams to the CoAP service."""
         for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
                 data, address = self.datagram_socket.recvfrom(READ_BYTES)
@@ -364,6 +370,7 @@
             self.coap.datagram_received(address, data, self.clock())
 
     def _accept(self) -> None:
+        """Accepts waiting connections."""
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, (host, *_) = self.listener.accept()
@@ -398,6 +405,7 @@
             self.selector.register(sock, device_socket.events, device_socket)
 
     def _on_socket_ready(self, device_socket: DeviceSocket, events: int) -> None:
+        """Continues the TLS handshake, or writes and reads; closes the socket on an error."""
         if device_socket.number not in self.device_sockets:
             return
         try:
@@ -448,6 +456,7 @@
                 return
 
     def _process_received(self, device_socket: DeviceSocket, chunk: bytes) -> None:
+        """Passes the frames that the chunk completes to the service."""
         now, before = self.clock(), device_socket.stream.frame_count
         try:
             for frame in device_socket.stream.feed(chunk):
@@ -465,6 +474,7 @@
         )
 
     def _write(self, device_socket: DeviceSocket) -> None:
+        """Sends queued data, and waits for the socket to be writable if some is left."""
         while device_socket.queue:
             data = device_socket.queue[0]
             try:
@@ -483,6 +493,7 @@
             self._set_events(device_socket, selectors.EVENT_READ)
 
     def _set_events(self, device_socket: DeviceSocket, events: int) -> None:
+        """Sets the events for which the selector waits."""
         if device_socket.events != events and device_socket.number in self.device_sockets:
             device_socket.events = events
             self.selector.modify(device_socket.sock, events, device_socket)
@@ -496,6 +507,7 @@
         self._close_socket(device_socket)
 
     def _close_socket(self, device_socket: DeviceSocket) -> None:
+        """Closes the socket at once, and reports the end of the connection to the service."""
         if self.device_sockets.pop(device_socket.number, None) is None:
             return
         self.selector.unregister(device_socket.sock)
@@ -503,6 +515,7 @@
         self.service.connection_closed(device_socket.number, self.clock())
 
     def _perform_actions(self) -> None:
+        """Performs the actions of both services until there are none."""
         while actions := self.service.take_actions() + (
             self.coap.take_actions() if self.coap is not None else []
         ):
@@ -517,6 +530,7 @@
                         self._close_socket(device_socket)
 
     def _perform_action(self, action: Action, pending_writes: dict[DeviceSocket, None]) -> None:
+        """Performs an action; sockets that have to be written are added to `pending_writes`."""
         if action.type is ActionType.PERSIST:
             self.persist_sessions(action.payload)
         elif action.type is ActionType.RECOVER:
--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -10,7 +10,7 @@
 MAX_ROUND_TRIP = 100_000
 INITIAL_THROUGHPUT = 2_000.0  # bytes per 100 ms; 20 KB/s is a poor link
 MEAN_WEIGHT, DEVIATION_WEIGHT = 1 / 8, 1 / 4  # RFC 6298 section 2
-# Mean deviations added to the round trip for heartbeats, not for delivery times.
+# Number of mean deviations added to the round trip for heartbeats; delivery times include none.
 HEARTBEAT_DEVIATIONS = 2
 STALL_FACTOR = 3  # multiple of the mean round trip; longer samples are stalls and are clipped to it
 LOSS_WEIGHT = 1 / 16
