--- a/lilacwalk/bgp/trie.py
+++ b/lilacwalk/bgp/trie.py
@@ -2,7 +2,7 @@
 
 Supports the longest match of an address, all prefixes that cover a prefix, all that a prefix
 covers, and iteration in address order, each without visiting the rest of the table. A prefix costs
-one node of four slots, plus at most one node for each fork. A lookup visits one node per fork on
+one node of six slots, plus at most one node for a fork. A lookup visits one node per fork on
 its path, about log2 of the table's size regardless of prefix lengths.
 
 A dict finds an exact prefix faster, but needs one lookup per length for a longest match and cannot
@@ -25,9 +25,9 @@
 class Node:
     """A prefix or a fork.
 
-    `shift` is the number of bits after the prefix, `head` the prefix's own bits: a key lies under
-    the node if `key >> shift == head`. `branch_bit` is the position of the bit that selects the
-    child.
+    `shift` is the number of host bits, and `head` the network bits: an address lies under the node
+    if `address >> shift == head`. `branch_bit` is the position of the bit that selects the child
+    `zero` or `one`, counted from the lowest bit.
     """
 
     __slots__ = ("head", "shift", "branch_bit", "value", "zero", "one")
@@ -40,11 +40,14 @@
         self.one: Node | None = None
 
 
-BRANCH = object()  # the value of a fork
+BRANCH = object()  # the value of a fork, which is not a prefix of the table
 
 
 class Trie(Generic[V]):
-    """A map from prefixes to values."""
+    """A map from prefixes to values.
+
+    Prefixes are given by `bits` and `length`, as in `Prefix`.
+    """
 
     def __init__(self, afi: Afi) -> None:
         self.afi, self.width = afi, WIDTH[afi]
@@ -55,7 +58,7 @@
         return self.count
 
     def set(self, bits: int, length: int, value: V) -> V | None:
-        """Stores a value; returns the previous one."""
+        """Stores the value of a prefix; returns the previous value, or None."""
         shift, parent, side, node = self.width - length, None, 0, self.root
         while node is not None and node.shift > shift and bits >> node.shift == node.head:
             parent, side = node, bits >> node.branch_bit & 1
@@ -85,6 +88,7 @@
         return None
 
     def _attach(self, parent: Node | None, side: int, node: Node | None) -> None:
+        """Makes `node` the child of `parent` on side 0 or 1, or the root if there is no parent."""
         if parent is None:
             self.root = node
         elif side:
@@ -94,12 +98,14 @@
 
     @staticmethod
     def _attach_child(parent: Node, node: Node) -> None:
+        """Makes `node` the child of `parent` on the side that its bits select."""
         if node.head >> (parent.branch_bit - node.shift) & 1:
             parent.one = node
         else:
             parent.zero = node
 
     def _find(self, bits: int, length: int) -> Node | None:
+        """Returns the node of exactly this prefix, or None."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift > shift:
             node = node.one if bits >> node.branch_bit & 1 else node.zero
@@ -113,11 +119,15 @@
         return node
 
     def get(self, bits: int, length: int) -> V | None:
+        """Returns the value of exactly this prefix, or None."""
         node = self._find(bits, length)
         return None if node is None else node.value  # type: ignore[return-value]
 
     def drop(self, bits: int, length: int) -> V | None:
-        """Removes a prefix and returns its value; a fork left with one child is removed too."""
+        """Removes a prefix and returns its value, or None if it is not in the table.
+
+        A fork left with one child is removed too.
+        """
         parent, side, node = None, 0, self.root
         # The parent of `parent`, and the side on which `parent` is attached.
         grandparent, parent_side = (
@@ -154,7 +164,7 @@
         return Prefix(self.afi, node.head << node.shift, self.width - node.shift)
 
     def covering(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """Yields all prefixes that cover this one, including itself, shortest first."""
+        """Yields all stored prefixes that cover this one, including itself, shortest first."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift >= shift and bits >> node.shift == node.head:
             if node.value is not BRANCH:
@@ -162,7 +172,10 @@
             node = node.one if bits >> node.branch_bit & 1 else node.zero
 
     def longest(self, bits: int, length: int | None = None) -> tuple[Prefix, V] | None:
-        """Returns the longest prefix that covers this address, or this prefix if `length` is given."""
+        """Returns the longest stored prefix that covers an address, with its value, or None.
+
+        With `length`, it must cover the prefix of this length instead.
+        """
         best, node = None, self.root
         least = 0 if length is None else self.width - length
         while node is not None and bits >> node.shift == node.head and node.shift >= least:
@@ -172,7 +185,7 @@
         return None if best is None else (self._prefix(best), best.value)  # type: ignore[return-value]
 
     def covered(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """Yields all prefixes covered by this one, including itself, in order."""
+        """Yields all stored prefixes covered by this one, including itself, in order."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift > shift:
             node = node.one if bits >> node.branch_bit & 1 else node.zero
--- a/lilacwalk/edge/client/device.py
+++ b/lilacwalk/edge/client/device.py
@@ -1,7 +1,7 @@
 """A device's connection: one thread reads, the threads of callers write.
 
-It reconnects by itself after a randomized delay that doubles, so that many devices do not reconnect
-at the same time.
+A lost connection is opened again after a randomized delay, which doubles with each failure, so that
+many devices do not reconnect at the same time.
 """
 
 from __future__ import annotations
@@ -33,18 +33,27 @@
         has_stable_numbers: bool = False,
         seed: int = 0,
     ) -> None:
-        """Starts the thread that connects to the edge."""
+        """Starts the thread that connects to the edge.
+
+        `has_stable_numbers` says whether the device's request numbers outlive its sessions. A token
+        is not needed if `tls` has a certificate of the device.
+        """
         self.address, self.tls, self.server_name = address, tls, server_name
         self.session, self.rng = ClientSession(token, has_stable_numbers), random.Random(seed)
+        # Guards all state; notified when outcomes or the connection change.
         self.changed = threading.Condition()
         self.sock: socket.socket | None = None
         self.is_stopped = False
-        self.connections = 0
+        self.connections = 0  # number of connections opened
         self.thread = threading.Thread(target=self._run, name="device", daemon=True)
         self.thread.start()
 
     def ask(self, group: str, body: bytes, wait: int = 0, **more) -> int:
-        """Sends a request and returns its number; `wait` is its timeout in milliseconds."""
+        """Sends a request, now or once connected, and returns its number.
+
+        `wait` is its timeout in milliseconds, or 0 for that of the request class; `more` are
+        further fields of `Ask`.
+        """
         with self.changed:
             number = self.session.ask(group, body, wait, **more)
             self._write()
@@ -55,7 +64,7 @@
 
         Raises:
             TimeoutError: There is no outcome yet.
-            ConnectionRefusedError: The edge refuses this device permanently.
+            ConnectionRefusedError: The edge refuses this device permanently, or `end` was called.
         """
         with self.changed:
             session = self.session
@@ -65,7 +74,9 @@
                 raise TimeoutError(f"no answer to request {number} within {timeout} s")
             if number not in session.outcomes:
                 raise ConnectionRefusedError(
-                    session.refused.reason if session.refused else "closed"
+                    session.refused.reason
+                    if session.refused
+                    else f"the device was ended before request {number} was answered"
                 )
             return session.outcomes[number]
 
@@ -87,6 +98,7 @@
         self.thread.join(2.0)
 
     def _write(self) -> None:
+        """Sends the session's output; the caller holds `changed`."""
         data = self.session.take_output()
         if data and self.sock is not None:
             try:
@@ -95,6 +107,7 @@
                 pass  # the reading thread detects the loss and reconnects
 
     def _run(self) -> None:
+        """Connects and reads until the device is stopped or permanently refused."""
         delay = MIN_RECONNECT_DELAY
         while not self.is_stopped:
             try:
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -32,7 +32,8 @@
 MAX_FRAME_BYTES = 65_536  # largest frame that a client accepts; results have at most 4 KiB
 READ_BYTES = 16_384
 MAX_DATAGRAMS_PER_ITERATION = 256  # processing them takes about 10 ms
-MAX_ACCEPTS_PER_ITERATION = 64  # bounds the time for which a flood of connections delays the others
+# Limits the time for which a flood of new connections delays the existing ones.
+MAX_ACCEPTS_PER_ITERATION = 64
 BACKLOG = 1_024
 
 
@@ -55,7 +56,8 @@
         raise EdgeError(f"secrets {path}: {getattr(error, 'strerror', None) or error}") from None
     if not secrets or any(len(each) < MIN_SECRET_BYTES for each in secrets):
         raise EdgeError(
-            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal digits or more, got {len(secrets)} lines of {[2 * len(each) for each in secrets]} digits"
+            f"secrets {path}: expected one or more lines, each of {2 * MIN_SECRET_BYTES} hexadecimal "
+            f"digits or more, got {len(secrets)} lines of {[2 * len(each) for each in secrets]} digits"
         )
     if os.stat(path).st_mode & 0o077:
         raise EdgeError(f"secrets {path}: others than its owner may read it")
@@ -85,7 +87,7 @@
 
 
 def common_name(peer: dict | None) -> bytes:
-    """Returns the common name of a verified certificate."""
+    """Returns the common name of the peer's verified certificate, or empty if there is none."""
     for part in (peer or {}).get("subject", ()):
         for name, text in part:
             if name == "commonName":
@@ -99,16 +101,16 @@
 
     number: int
     sock: socket.socket
-    address: bytes
+    address: bytes  # packed IP address of the device
     stream: Stream
-    is_handshaking: bool
-    queue: deque
-    is_closing: bool = False
-    events: int = 0
+    is_handshaking: bool  # whether the TLS handshake is in progress
+    queue: deque  # data to send
+    is_closing: bool = False  # whether the socket is closed after the queued data
+    events: int = 0  # events for which the selector waits
 
 
 class EdgeHost:
-    """Runs the edge's thread, and passes requests to handlers."""
+    """Runs the edge's thread, and passes requests to the callbacks."""
 
     def __init__(
         self,
@@ -129,10 +131,11 @@
             request_classes: The request classes by name.
             node: Name of this server.
             seed: Seed of random choices.
-            clock: The clock of the edge's thread.
+            clock: Clock of the edge's thread: Unix time in tenths of a millisecond that never
+                decreases.
             on_request: Called in the edge's thread with each request.
-            on_client_gone: Called in the edge's thread if no client waits for a request any
-                more.
+            on_client_gone: Called in the edge's thread if no client waits for the answer to a
+                request any more.
             persist_sessions: Persists encoded sessions by identifier, called in the edge's
                 thread, or None if sessions end with the process.
             on_recovered_request: Called with each request that was in flight when the previous
@@ -162,7 +165,9 @@
         self.invalid_frame_throttle = ReportThrottle()
         self.has_stopped = threading.Event()
         self.is_ending = False
-        self.is_idle = False  # listener closed, no connection left; read by the event loop's thread
+        # Whether `stop_accepting` was called and no connection or CoAP request is left; read by the
+        # event loop's thread.
+        self.is_idle = False
         self.listener = listen(config.listen, BACKLOG)
         self.coap = self.datagram_socket = None
         if config.coap is not None:
@@ -196,6 +201,7 @@
 
     @staticmethod
     def _bind(address: tuple[str, int]) -> socket.socket:
+        """Returns a non-blocking UDP socket bound to the address."""
         sock = socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
         )
@@ -229,7 +235,7 @@
     def send_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int
     ) -> None:
-        """Queues the answer to a request."""
+        """Queues the answer to a request; `come_back` is in tenths of a millisecond."""
         self.post(self._send_answer, session, number, word, body, come_back)
 
     def _send_answer(
@@ -254,7 +260,9 @@
         self.is_ending = True
 
     def reload(self, config: EdgeConfig) -> None:
-        """Applies new certificates and secrets to new connections and tokens; sessions remain.
+        """Applies a reloaded configuration; sessions remain.
+
+        New certificates apply to new connections; new secrets sign and verify tokens from now on.
 
         Raises:
             EdgeError: The new configuration is invalid; the old one remains in effect.
@@ -273,18 +281,25 @@
             self.coap.config = config
 
     def start_draining(self, come_back: int) -> None:
-        """Tells the devices to reconnect elsewhere."""
+        """Announces the drain to devices; must be posted to the edge's thread.
+
+        `come_back` is the time after which devices should reconnect, in tenths of a millisecond.
+        """
         self.service.start_draining(come_back)
         if self.coap is not None:
             self.coap.start_draining(come_back)
 
     def stop_accepting(self) -> None:
-        """Closes idle connections, and rejects new connections and requests."""
+        """Closes idle connections, and rejects new connections and CoAP requests.
+
+        Must be posted to the edge's thread.
+        """
         self.service.stop_accepting()
         if self.coap is not None:
             self.coap.is_closing = True
 
     def _is_idle(self) -> bool:
+        """Whether no request is accepted and none is left to answer."""
         return (
             self.service.is_closing
             and self.service.is_idle
@@ -315,6 +330,7 @@
             self.selector.close()
 
     def _run_iteration(self) -> None:
+        """Waits for socket events, queued calls or timers, and handles them."""
         due = self.service.due() if self.coap is None else min(self.service.due(), self.coap.due())
         wait = max(0, due - self.clock()) / SECOND
         for key, events in self.selector.select(min(wait, 1.0)):
@@ -343,16 +359,18 @@
             pass
 
     def _receive_datagrams(self) -> None:
+        """Passes waiting datagrams to the CoAP service."""
         for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             try:
                 data, address = self.datagram_socket.recvfrom(READ_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an ICMP error for an earlier answer
+                continue  # an ICMP error for a datagram sent earlier
             self.coap.datagram_received(address, data, self.clock())
 
     def _accept(self) -> None:
+        """Accepts waiting connections."""
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, (host, *_) = self.listener.accept()
@@ -387,6 +405,7 @@
             self.selector.register(sock, device_socket.events, device_socket)
 
     def _on_socket_ready(self, device_socket: DeviceSocket, events: int) -> None:
+        """Continues the TLS handshake, or writes and reads; closes the socket on an error."""
         if device_socket.number not in self.device_sockets:
             return
         try:
@@ -402,6 +421,7 @@
             self._close_socket(device_socket)
 
     def _continue_handshake(self, device_socket: DeviceSocket) -> bool:
+        """Continues the TLS handshake, and returns whether it is complete."""
         try:
             device_socket.sock.do_handshake()
         except ssl.SSLWantReadError:
@@ -417,9 +437,9 @@
         return True
 
     def _read(self, device_socket: DeviceSocket) -> None:
-        """Reads until the TLS layer holds no more data.
+        """Reads a chunk and, with TLS, all data that the TLS layer has buffered.
 
-        The selector does not report data that the TLS layer has buffered.
+        The selector does not report buffered data.
         """
         while device_socket.number in self.device_sockets:
             chunk = device_socket.sock.recv(READ_BYTES)
@@ -436,6 +456,7 @@
                 return
 
     def _process_received(self, device_socket: DeviceSocket, chunk: bytes) -> None:
+        """Passes the frames that the chunk completes to the service."""
         now, before = self.clock(), device_socket.stream.frame_count
         try:
             for frame in device_socket.stream.feed(chunk):
@@ -453,6 +474,7 @@
         )
 
     def _write(self, device_socket: DeviceSocket) -> None:
+        """Sends queued data, and waits for the socket to be writable if some is left."""
         while device_socket.queue:
             data = device_socket.queue[0]
             try:
@@ -471,12 +493,13 @@
             self._set_events(device_socket, selectors.EVENT_READ)
 
     def _set_events(self, device_socket: DeviceSocket, events: int) -> None:
+        """Sets the events for which the selector waits."""
         if device_socket.events != events and device_socket.number in self.device_sockets:
             device_socket.events = events
             self.selector.modify(device_socket.sock, events, device_socket)
 
     def _shut_down_after_sending(self, device_socket: DeviceSocket) -> None:
-        """Ends the sending direction after the last frame, and closes the socket."""
+        """Shuts down the sending direction and closes the socket, after all data has been sent."""
         try:
             device_socket.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -484,6 +507,7 @@
         self._close_socket(device_socket)
 
     def _close_socket(self, device_socket: DeviceSocket) -> None:
+        """Closes the socket at once, and reports the end of the connection to the service."""
         if self.device_sockets.pop(device_socket.number, None) is None:
             return
         self.selector.unregister(device_socket.sock)
@@ -491,6 +515,7 @@
         self.service.connection_closed(device_socket.number, self.clock())
 
     def _perform_actions(self) -> None:
+        """Performs the actions of both services until there are none."""
         while actions := self.service.take_actions() + (
             self.coap.take_actions() if self.coap is not None else []
         ):
@@ -505,6 +530,7 @@
                         self._close_socket(device_socket)
 
     def _perform_action(self, action: Action, pending_writes: dict[DeviceSocket, None]) -> None:
+        """Performs an action; sockets that have to be written are added to `pending_writes`."""
         if action.type is ActionType.PERSIST:
             self.persist_sessions(action.payload)
         elif action.type is ActionType.RECOVER:
