--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.bgp.conftest import announce_config, peer_block
-from tests.conftest import PATIENCE, ROOT, Site, plain
+from tests.conftest import PEER_TIMEOUT_SECONDS, ROOT, Site, plain
 
 SERVICE = "192.0.2.10/32"
 
@@ -29,7 +29,7 @@
     yield make
     for each in sites:
         if each.event_loop.subsystems.bgp is not None:
-            each.event_loop.subsystems.bgp.end(PATIENCE)
+            each.event_loop.subsystems.bgp.end(PEER_TIMEOUT_SECONDS)
         each.end()
 
 
@@ -85,7 +85,7 @@
     assert asker.answer()[1] == "done"
     assert late.answer()[1] == "closing"
     withdrawn = router.wait_count("withdrawn").at
-    site.thread.join(PATIENCE)
+    site.thread.join(PEER_TIMEOUT_SECONDS)
     assert router.wait_count("notification").message.subcode == 2
     assert router.wait_count("notification").at - withdrawn > 0.05  # the propagation time
     assert not site.thread.is_alive()
@@ -100,7 +100,7 @@
     router.wait_held(SERVICE)
     router.drop()
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    site.thread.join(PATIENCE)
+    site.thread.join(PEER_TIMEOUT_SECONDS)
     assert not site.thread.is_alive() and not router.held
 
 
@@ -121,7 +121,7 @@
     site.kernel.tell(f"REAP 1 {ident} success 1 2", b"ok")
     assert asker.answer()[1] == "done"
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    site.thread.join(PATIENCE)
+    site.thread.join(PEER_TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
 
 
@@ -190,7 +190,7 @@
         router.wait_held("192.0.2.11/32")
         site.process.send_signal(signal.SIGTERM)
         router.wait_held()
-        assert site.process.wait(PATIENCE) == 0
+        assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
         assert router.wait_count("notification").message.subcode == 2
     finally:
         site.end()
@@ -202,7 +202,7 @@
     operator_file = tmp_path / "own.conf"
     operator_file.write_text("announce {\n as wrong\n ready-for 3\n}\n")
     site = spawn(Site(tmp_path), operator_file)
-    _, output = site.process.communicate(timeout=PATIENCE)
+    _, output = site.process.communicate(timeout=PEER_TIMEOUT_SECONDS)
     site.end()
     assert site.process.returncode == 2
     assert (
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,8 +19,9 @@
 from lilacwalk.server.startup import build
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 10.0  # seconds after which a peer that receives nothing fails the test
-# Latency objectives and stall detection take longer than PATIENCE, so that they affect no test.
+PEER_TIMEOUT_SECONDS = 10.0  # a peer that receives nothing for this long fails its test
+# Latency objectives and stall detection take longer than PEER_TIMEOUT_SECONDS, so that they affect
+# no test.
 SETTINGS = {
     "classes": [
         {
@@ -75,11 +76,11 @@
 
 
 class MessagePeer:
-    """One end of a connection; reads complete messages, each within PATIENCE."""
+    """One end of a connection; reads complete messages, each within PEER_TIMEOUT_SECONDS."""
 
     def __init__(self, sock, parser):
         self.sock, self.parser, self.read = sock, parser, []
-        sock.settimeout(PATIENCE)
+        sock.settimeout(PEER_TIMEOUT_SECONDS)
 
     def next(self):
         while not self.read:
@@ -98,7 +99,9 @@
     idents = count(1 << 32)  # above the ids that tests choose themselves
 
     def __init__(self, address):
-        super().__init__(socket.create_connection(address, PATIENCE), RespParser(8, 65536, 65536))
+        super().__init__(
+            socket.create_connection(address, PEER_TIMEOUT_SECONDS), RespParser(8, 65536, 65536)
+        )
 
     @staticmethod
     def message(tag, group="read", body=b"hello", **fields):
@@ -133,7 +136,7 @@
     """The executor's end of its link, or the dependency's end of a connection."""
 
     def __init__(self, listener, bodies):
-        listener.settimeout(PATIENCE)
+        listener.settimeout(PEER_TIMEOUT_SECONDS)
         super().__init__(
             listener.accept()[0], LineParser(lambda words: words[0] in bodies, 512, 65536)
         )
@@ -143,7 +146,7 @@
 
     def expect(self, verb):
         """Returns the next message with this verb; answers gauge requests and ignores the rest."""
-        give_up = time.monotonic() + PATIENCE
+        give_up = time.monotonic() + PEER_TIMEOUT_SECONDS
         while (message := self.next()) is not None:
             words, body = message
             assert time.monotonic() < give_up, f"no {verb} came"
@@ -171,13 +174,13 @@
     def together(self, *acts):
         """Has one event loop iteration process the items that the functions add, in this order."""
         held, go_on = threading.Event(), threading.Event()
-        self.post(lambda: (held.set(), go_on.wait(PATIENCE)))
-        assert held.wait(PATIENCE)
+        self.post(lambda: (held.set(), go_on.wait(PEER_TIMEOUT_SECONDS)))
+        assert held.wait(PEER_TIMEOUT_SECONDS)
         while self.came.acquire(blocking=False):
             pass
         for act in acts:
             act()
-            assert self.came.acquire(timeout=PATIENCE)
+            assert self.came.acquire(timeout=PEER_TIMEOUT_SECONDS)
         go_on.set()
 
 
@@ -188,7 +191,7 @@
         )
         self.catalog = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.catalog.bind(("127.0.0.1", 0))
-        self.catalog.settimeout(PATIENCE)
+        self.catalog.settimeout(PEER_TIMEOUT_SECONDS)
         where = {
             name: plain(each.getsockname())
             for name, each in (
@@ -271,7 +274,7 @@
             self.process.kill()
         if self.thread is not None and self.thread.is_alive():
             self.event_loop.event_queue.post(setattr, self.event_loop, "has_ended", True)
-            self.thread.join(PATIENCE)
+            self.thread.join(PEER_TIMEOUT_SECONDS)
             for part in self.parts:  # otherwise one could connect to the ports of another test
                 part.close()
         for sock in (*self.moved, self.catalog):
--- a/tests/deploy/test_run_line.py
+++ b/tests/deploy/test_run_line.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.conftest import PATIENCE, Site
+from tests.conftest import PEER_TIMEOUT_SECONDS, Site
 
 # A start imports 127 modules that are not ours; a tenth more may come. Ours are held by name: a
 # package may be split, but a subsystem that is off must not be imported.
@@ -49,7 +49,7 @@
     site.handed["limits"] = {"sockets": 512, "memory_mb": 80.0, "cores": 1.0}
     site.spawn()
     site.kernel = site.link()
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + PEER_TIMEOUT_SECONDS
     while True:
         try:
             site.asker = site.router()
@@ -64,7 +64,7 @@
     assert site.catalog.recv(100) == b"alive n1 passing"
     yield site
     site.end()
-    site.process.wait(PATIENCE)
+    site.process.wait(PEER_TIMEOUT_SECONDS)
     site.process.stderr.close()
 
 
@@ -155,7 +155,7 @@
     site = make_site(stop_ms=1000).spawn()
     site.link()
     site.process.terminate()
-    lines = site.process.communicate(timeout=PATIENCE)[1].splitlines()
+    lines = site.process.communicate(timeout=PEER_TIMEOUT_SECONDS)[1].splitlines()
     loaded = [line.split("|")[2].strip() for line in lines if line.startswith("import time:")][1:]
     assert "lilacwalk.server.event_loop" in loaded
     heavy = {
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -13,7 +13,7 @@
 from lilacwalk.protocols.resp import encode_array
 from lilacwalk.server import startup
 from tests.conftest import (
-    PATIENCE,
+    PEER_TIMEOUT_SECONDS,
     SETTINGS,
     control_clock,
     execute_request,
@@ -80,8 +80,8 @@
     site.kernel, proxy = site.link(), site.router()
     proxy.say(b"PROBE", b"1")
     assert proxy.answer()[:2] == (1, "healthy")
-    silent = [socket.create_connection(site.address, PATIENCE) for _ in range(40)]
-    silent[0].settimeout(PATIENCE)
+    silent = [socket.create_connection(site.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
+    silent[0].settimeout(PEER_TIMEOUT_SECONDS)
     assert silent[0].recv(10) == b""
     assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
 
@@ -89,7 +89,7 @@
 def test_a_proxy_with_a_request_is_served_during_a_flood_of_connections(make_site):
     site = make_site(limits={"connections": 12, "connection_high_water": 8}).start()
     site.kernel = site.link()
-    flood = [socket.create_connection(site.address, PATIENCE) for _ in range(40)]
+    flood = [socket.create_connection(site.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
     assert execute_request(site, site.router(), 1, 1)[2][:2] == (1, "done")
     assert len(flood) == 40
 
@@ -141,13 +141,13 @@
 
     def blocked_decode(parts, max_body_bytes):
         decode_started.set()
-        assert decode_allowed.wait(PATIENCE)
+        assert decode_allowed.wait(PEER_TIMEOUT_SECONDS)
         return decode(parts, max_body_bytes)
 
     monkeypatch.setattr(proxy_connection, "decode_message", blocked_decode)
     sender, other = idle_pair.idle_proxies
     sender.submit(1)
-    assert decode_started.wait(PATIENCE)
+    assert decode_started.wait(PEER_TIMEOUT_SECONDS)
     idle_pair.pass_close_timeout()
     assert other.answer() is None  # closed, so housekeeping has checked both connections
     decode_allowed.set()
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -11,7 +11,7 @@
 from lilacwalk.protocols.dependency_client import DependencyClient
 from lilacwalk.protocols.dependency_connection import DependencyCall
 from tests.conftest import (
-    PATIENCE,
+    PEER_TIMEOUT_SECONDS,
     SETTINGS,
     finish_execution,
     next_dispatched,
@@ -92,12 +92,16 @@
     client, event_queue = make_client(address)
     first, second = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
     client.start_call(first)
-    connection, *result = event_queue.get(timeout=PATIENCE).arguments
+    connection, *result = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
     assert result == [first, Outcome.UNREACHABLE, b""]
     client.call_finished(connection, 0)
     started_at = time.monotonic()
     client.start_call(second)
-    assert event_queue.get(timeout=PATIENCE).arguments[1:] == (second, Outcome.UNREACHABLE, b"")
+    assert event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments[1:] == (
+        second,
+        Outcome.UNREACHABLE,
+        b"",
+    )
     # The second connect is delayed, since the controller retries as soon as a call has failed.
     assert time.monotonic() - started_at > 0.005
     assert client.abandon(second)
@@ -110,16 +114,16 @@
         unsent, sent = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
         assert client.abandon(unsent)
         client.start_call(unsent)
-        connection, *result = event_queue.get(timeout=PATIENCE).arguments
+        connection, *result = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
         assert result == [unsent, Outcome.UNREACHABLE, b""]
         client.call_finished(connection, 0)
         client.start_call(sent)
-        port.settimeout(PATIENCE)
+        port.settimeout(PEER_TIMEOUT_SECONDS)
         sock, _ = port.accept()
         assert sock.recv(100).startswith(b"GET b ")
         assert not client.abandon(sent)
         assert sock.recv(100) == b""
-        assert event_queue.get(timeout=PATIENCE).arguments[1:] == (
+        assert event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments[1:] == (
             sent,
             Outcome.CONNECTION_LOST,
             b"",
@@ -131,7 +135,7 @@
     """If an idle connection breaks, it is unknown whether the peer has received the call."""
     with socket.create_server(("127.0.0.1", 0)) as port:
         client, event_queue = make_client(port.getsockname())
-        port.settimeout(PATIENCE)
+        port.settimeout(PEER_TIMEOUT_SECONDS)
         socks = []
         for request_id, at_most_once in (("a", False), ("b", False), ("c", True)):
             client.start_call(DependencyCall(request_id, 100, b"", at_most_once))
@@ -139,7 +143,7 @@
                 socks.append(port.accept()[0])
             assert socks[-1].recv(100).startswith(b"GET %b " % request_id.encode())
             socks[-1].sendall(b"%b SHED\r\n" % request_id.encode())
-            connection, call, outcome, _ = event_queue.get(timeout=PATIENCE).arguments
+            connection, call, outcome, _ = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
             assert outcome is Outcome.REJECTED
             client.call_finished(connection, 0)
         client.close()
@@ -229,13 +233,13 @@
             proxy.submit(number)
             finish_execution(site, number, next_dispatched(site))
             assert proxy.answer()[:2] == (number, "done")
-        full.settimeout(PATIENCE)
+        full.settimeout(PEER_TIMEOUT_SECONDS)
         accepted, filler_addresses = None, [each.getsockname() for each in fillers]
         while accepted is None:
             sock, peer = full.accept()
             if peer not in filler_addresses:
                 accepted = sock
-        accepted.settimeout(PATIENCE)
+        accepted.settimeout(PEER_TIMEOUT_SECONDS)
         assert accepted.recv(100).startswith(f"GET {request_id} ".encode())
         accepted.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
         assert site.kernel.expect("IODONE")[1] == b"!"
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -9,7 +9,7 @@
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.protocols.resp import encode_array
 from lilacwalk.server import startup
-from tests.conftest import PATIENCE, execute_request
+from tests.conftest import PEER_TIMEOUT_SECONDS, execute_request
 
 
 def test_a_message_truncated_by_a_reset_is_not_executed(site):
@@ -24,15 +24,15 @@
 def test_a_proxy_that_floods_delays_only_itself(make_site):
     event_loop, (listener, *_) = startup.build(make_site().handed, EventQueue())
     listener.start()
-    with socket.create_connection(listener.address, PATIENCE) as flood:
+    with socket.create_connection(listener.address, PEER_TIMEOUT_SECONDS) as flood:
         flood.sendall(b"".join(encode_array(b"PROBE", b"%d" % tag) for tag in range(1, 500)))
-        (connection,) = event_loop.event_queue.get(timeout=PATIENCE).arguments
-        batches = [event_loop.event_queue.get(timeout=PATIENCE) for _ in range(2)]
+        (connection,) = event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
+        batches = [event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS) for _ in range(2)]
         assert [len(batch.arguments[1]) for batch in batches] == [32, 32]
         with pytest.raises(Empty):
             event_loop.event_queue.get(timeout=0.1)
         connection.read_credits.put(None)
-        assert event_loop.event_queue.get(timeout=PATIENCE).arguments[1]
+        assert event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments[1]
     listener.close()
 
 
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -5,7 +5,7 @@
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.protocols.proxy_listener import ProxyListener
 from lilacwalk.server import startup
-from tests.conftest import PATIENCE, ProxyClient, finish_execution, next_dispatched
+from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, finish_execution, next_dispatched
 
 
 def test_requests_in_the_backlog_of_a_closing_listener_are_answered(make_site):
@@ -31,7 +31,7 @@
         finish_execution(site, number, next_dispatched(site))
         assert each.answer()[:2] == (1, "done")
         each.sock.close()
-    site.thread.join(PATIENCE)
+    site.thread.join(PEER_TIMEOUT_SECONDS)
     assert site.event_loop.has_ended
 
 
@@ -49,7 +49,7 @@
     listener.start()
     proxy = ProxyClient(listener.address)
     proxy.submit(1)
-    assert opened.wait(PATIENCE)  # the event loop has not processed the event yet
+    assert opened.wait(PEER_TIMEOUT_SECONDS)  # the event loop has not processed the event yet
     event_loop.drain.start()
     event_loop.drain.close_listeners()
     event_loop.run()
--- a/tests/protocols/test_registry.py
+++ b/tests/protocols/test_registry.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from tests.conftest import PATIENCE, finish_execution, next_dispatched
+from tests.conftest import PEER_TIMEOUT_SECONDS, finish_execution, next_dispatched
 
 
 def test_reports_continue_during_a_drain_with_the_status_critical(make_site):
@@ -28,5 +28,5 @@
         assert proxy.answer()[:2] == (number, "done")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as registry:
         registry.bind(address)
-        registry.settimeout(PATIENCE)
+        registry.settimeout(PEER_TIMEOUT_SECONDS)
         assert registry.recv(100) == b"alive n1 passing"
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -7,7 +7,12 @@
 import pytest
 
 from lilacwalk.protocols.resp import encode_array
-from tests.conftest import PATIENCE, finish_execution, next_dispatched, wait_until_processed
+from tests.conftest import (
+    PEER_TIMEOUT_SECONDS,
+    finish_execution,
+    next_dispatched,
+    wait_until_processed,
+)
 
 
 def test_a_drain_answers_all_received_requests_and_ends_in_time(make_site):
@@ -28,7 +33,7 @@
     assert answers[2] in ("later", "error")
     assert proxy.answer() is None
     assert idle_proxy.answer()[:2] == (0, "closing")
-    assert site.process.wait(PATIENCE) == 0
+    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
     assert time.monotonic() - started_at < 1.5
 
 
@@ -56,7 +61,7 @@
     site.process.send_signal(signal.SIGTERM)
     assert proxy.answer()[:2] == (0, "closing")
     proxy.sock.close()
-    assert site.process.wait(PATIENCE) == 0
+    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
 
 
 def test_a_partial_request_during_a_drain_is_answered_when_it_is_complete(
@@ -78,7 +83,7 @@
     proxy.sock.sendall(request[-40:])
     assert proxy.answer()[:2] == (2, "later")
     assert proxy.answer() is None
-    site.thread.join(PATIENCE)
+    site.thread.join(PEER_TIMEOUT_SECONDS)
     assert site.event_loop.has_ended
 
 
@@ -95,7 +100,7 @@
     assert proxy.answer()[:2] == (0, "closing")
     assert proxy.answer() is None
     proxy.sock.close()
-    assert site.process.wait(PATIENCE) == 0
+    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
 
 
 def send_probes_forever(proxy):
@@ -120,7 +125,7 @@
     assert proxy.answer()[:2] == (0, "closing")
     finish_execution(site, 1, running, b"x" * 4096)
     assert proxy.answer()[1::2] == ("done", b"x" * 4096)
-    assert site.process.wait(PATIENCE) == 0
+    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
     # stop_ms is 1.5 s; with unread responses, the exit of the process may take longer on a busy
     # machine.
     assert time.monotonic() - started_at < (1.5 if reads else 2.0)
@@ -149,7 +154,7 @@
     finish_execution(site, 1, running)
     assert proxy.answer()[:2] == (1, "done")
     proxy.sock.close()
-    assert site.process.wait(PATIENCE) == 0
+    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
     with open(read_end) as log:
         lines = log.read().splitlines()
     assert "event=log_lines_dropped count=2" in lines[0]
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -8,7 +8,7 @@
 
 from tests.conftest import (
     NOTHING_IN_FLIGHT,
-    PATIENCE,
+    PEER_TIMEOUT_SECONDS,
     execute_request,
     finish_execution,
     next_dispatched,
@@ -27,7 +27,7 @@
     with pytest.raises(BlockingIOError):
         site.catalog.recv(100)
     executor.tell("BOOTED booting 10")
-    site.catalog.settimeout(PATIENCE)
+    site.catalog.settimeout(PEER_TIMEOUT_SECONDS)
     assert site.catalog.recv(100) == b"alive n1 passing"
     assert site.event_loop.controller.server.started_cold
 
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -8,7 +8,13 @@
 
 from lilacwalk.server import startup as serve
 from lilacwalk.server.reload import reload_configuration
-from tests.conftest import PATIENCE, finish_execution, next_dispatched, plain, wait_until_processed
+from tests.conftest import (
+    PEER_TIMEOUT_SECONDS,
+    finish_execution,
+    next_dispatched,
+    plain,
+    wait_until_processed,
+)
 
 
 def test_executions_continue_when_a_reload_changes_executor_and_dependency(make_site):
@@ -46,7 +52,7 @@
     assert site.catalog.recv(100) == b"alive n1 passing"
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as catalog:
         catalog.bind(("127.0.0.1", 0))
-        catalog.settimeout(PATIENCE)
+        catalog.settimeout(PEER_TIMEOUT_SECONDS)
         site.handed["directory"] = plain(catalog.getsockname())
         site.move()
         site.event_loop.event_queue.post(reload_configuration, site.event_loop, site.path)
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -8,7 +8,7 @@
 
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.server import startup as serve
-from tests.conftest import PATIENCE, ProxyClient, execute_request
+from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, execute_request
 
 
 def test_a_server_without_a_dependency_serves(make_site):
@@ -77,5 +77,5 @@
     while "click.globals" not in site.process.stderr.readline():  # most modules load after it
         assert site.process.poll() is None
     site.process.send_signal(signal.SIGTERM)
-    assert "Traceback" not in site.process.communicate(timeout=PATIENCE)[1]
+    assert "Traceback" not in site.process.communicate(timeout=PEER_TIMEOUT_SECONDS)[1]
     assert site.process.returncode == 0
