--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.bgp.conftest import announce_config, peer_block
-from tests.conftest import PEER_TIMEOUT_SECONDS, ROOT, Site, plain
+from tests.conftest import PEER_TIMEOUT_SECONDS, ROOT, Site, format_address
 
 SERVICE = "192.0.2.10/32"
 
@@ -75,15 +75,15 @@
     router.wait_held(SERVICE)
     asker = site.router()
     asker.submit(1)
-    ident = site.kernel.expect("SCHED")[0][1]
+    ident = site.kernel.receive("SCHED")[0][1]
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     router.wait_held()
     late = site.router()  # the listener is still open
-    late.say(b"PROBE", b"1", b"x=0")
-    assert late.answer()[1] == "sick"
-    site.kernel.tell(f"REAP 1 {ident} success 1 2", b"ok")
-    assert asker.answer()[1] == "done"
-    assert late.answer()[1] == "closing"
+    late.send(b"PROBE", b"1", b"x=0")
+    assert late.receive_response()[1] == "sick"
+    site.kernel.send(f"REAP 1 {ident} success 1 2", b"ok")
+    assert asker.receive_response()[1] == "done"
+    assert late.receive_response()[1] == "closing"
     withdrawn = router.wait_count("withdrawn").at
     site.thread.join(PEER_TIMEOUT_SECONDS)
     assert router.wait_count("notification").message.subcode == 2
@@ -117,9 +117,9 @@
     router.wait_held()
     asker = site.router()
     asker.submit(1)
-    ident = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"REAP 1 {ident} success 1 2", b"ok")
-    assert asker.answer()[1] == "done"
+    ident = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"REAP 1 {ident} success 1 2", b"ok")
+    assert asker.receive_response()[1] == "done"
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     site.thread.join(PEER_TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
@@ -147,7 +147,7 @@
         site.address = free.getsockname()
     import json
 
-    site.path.write_text(json.dumps(site.handed | {"listen": plain(site.address)}))
+    site.path.write_text(json.dumps(site.handed | {"listen": format_address(site.address)}))
     site.process = subprocess.Popen(
         [
             sys.executable,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -79,24 +79,26 @@
     """One end of a connection; reads complete messages, each within PEER_TIMEOUT_SECONDS."""
 
     def __init__(self, sock, parser):
-        self.sock, self.parser, self.read = sock, parser, []
+        self.sock, self.parser, self.pending_messages = sock, parser, []
         sock.settimeout(PEER_TIMEOUT_SECONDS)
 
-    def next(self):
-        while not self.read:
+    def receive_message(self):
+        """Returns the next message; None if the peer closed the connection."""
+        while not self.pending_messages:
             chunk = self.sock.recv(65536)
             if not chunk:
                 return None
-            self.read.extend(self.parser.feed(chunk))
-        return self.read.pop(0)
+            self.pending_messages.extend(self.parser.feed(chunk))
+        return self.pending_messages.pop(0)
 
     def reset(self):
+        """Closes the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class ProxyClient(MessagePeer):
-    idents = count(1 << 32)  # above the ids that tests choose themselves
+    request_ids = count(1 << 32)  # above the ids that tests choose themselves
 
     def __init__(self, address):
         super().__init__(
@@ -104,9 +106,10 @@
         )
 
     @staticmethod
-    def message(tag, group="read", body=b"hello", **fields):
+    def encode_submit(tag, class_name="read", body=b"hello", **fields):
+        """Returns an encoded SUBMIT message; a field given as None is left out."""
         fields = {
-            "i": f"{next(ProxyClient.idents):016x}",
+            "i": f"{next(ProxyClient.request_ids):016x}",
             "s": int(time.time() * 1000),
             "t": "acme",
             "d": 50000,
@@ -114,50 +117,55 @@
             "p": "0.5",
         } | fields
         text = ",".join(f"{name}={value}" for name, value in fields.items() if value is not None)
-        return encode_array(b"SUBMIT", b"%d" % tag, group.encode(), text.encode(), body)
+        return encode_array(b"SUBMIT", b"%d" % tag, class_name.encode(), text.encode(), body)
 
-    def submit(self, tag, group="read", body=b"hello", **fields):
-        self.sock.sendall(self.message(tag, group, body, **fields))
+    def submit(self, tag, class_name="read", body=b"hello", **fields):
+        self.sock.sendall(self.encode_submit(tag, class_name, body, **fields))
 
-    def say(self, *parts):
+    def send(self, *parts):
         self.sock.sendall(encode_array(*parts))
 
-    def answer(self):
-        """Returns (tag, word, fields, body) of the next response; None if the connection ended."""
-        parts = self.next()
+    def receive_response(self):
+        """Returns tag, status, fields and body of the next response; None if the server closed."""
+        parts = self.receive_message()
         if parts is None:
             return None
-        tag, word, fields, body = [bytes(part) for part in [*parts, b"", b""][:4]]
+        tag, status, fields, body = [bytes(part) for part in [*parts, b"", b""][:4]]
         pairs = dict(pair.split("=") for pair in fields.decode().split(",") if pair)
-        return int(tag), word.decode(), pairs, body
+        return int(tag), status.decode(), pairs, body
 
 
 class LinePeer(MessagePeer):
     """The executor's end of its link, or the dependency's end of a connection."""
 
-    def __init__(self, listener, bodies):
+    def __init__(self, listener, verbs_with_body):
         listener.settimeout(PEER_TIMEOUT_SECONDS)
         super().__init__(
-            listener.accept()[0], LineParser(lambda words: words[0] in bodies, 512, 65536)
+            listener.accept()[0], LineParser(lambda words: words[0] in verbs_with_body, 512, 65536)
         )
 
-    def tell(self, line, body=None):
+    def send(self, line, body=None):
         self.sock.sendall(line.encode() + b"\r\n" + (body + b"\r\n" if body is not None else b""))
 
-    def expect(self, verb):
-        """Returns the next message with this verb; answers gauge requests and ignores the rest."""
-        give_up = time.monotonic() + PEER_TIMEOUT_SECONDS
-        while (message := self.next()) is not None:
+    def receive(self, verb):
+        """Returns words and body of the next message with this verb; None if the server closed.
+
+        Responds to gauge requests and ignores all other messages before it.
+        """
+        deadline = time.monotonic() + PEER_TIMEOUT_SECONDS
+        while (message := self.receive_message()) is not None:
             words, body = message
-            assert time.monotonic() < give_up, f"no {verb} came"
+            assert (
+                time.monotonic() < deadline
+            ), f"no {verb} received within {PEER_TIMEOUT_SECONDS} s"
             if words[0] == "SYSINFO" and verb != "SYSINFO":
-                self.tell(f"INFO {words[1]} 0.1 0")
+                self.send(f"INFO {words[1]} 0.1 0")
             if words[0] == verb:
                 return words, None if body is None else bytes(body)
         return None
 
 
-def plain(address):
+def format_address(address):
     return f"{address[0]}:{address[1]}"
 
 
@@ -165,23 +173,26 @@
     """Counts the items added to the queue, so that a test can wait for them."""
 
     def __init__(self):
-        self.came = threading.Semaphore(0)
+        self.added_items = threading.Semaphore(0)
 
     def put(self, item):
         super().put(item)
-        self.came.release()
-
-    def together(self, *acts):
-        """Has one event loop iteration process the items that the functions add, in this order."""
-        held, go_on = threading.Event(), threading.Event()
-        self.post(lambda: (held.set(), go_on.wait(PEER_TIMEOUT_SECONDS)))
-        assert held.wait(PEER_TIMEOUT_SECONDS)
-        while self.came.acquire(blocking=False):
+        self.added_items.release()
+
+    def process_in_one_iteration(self, *functions):
+        """Has one event loop iteration process the items that the functions add, in this order.
+
+        The event loop is blocked until each function has led to an item in the queue.
+        """
+        loop_blocked, loop_released = threading.Event(), threading.Event()
+        self.post(lambda: (loop_blocked.set(), loop_released.wait(PEER_TIMEOUT_SECONDS)))
+        assert loop_blocked.wait(PEER_TIMEOUT_SECONDS)
+        while self.added_items.acquire(blocking=False):
             pass
-        for act in acts:
-            act()
-            assert self.came.acquire(timeout=PEER_TIMEOUT_SECONDS)
-        go_on.set()
+        for function in functions:
+            function()
+            assert self.added_items.acquire(timeout=PEER_TIMEOUT_SECONDS)
+        loop_released.set()
 
 
 class Site:
@@ -193,7 +204,7 @@
         self.catalog.bind(("127.0.0.1", 0))
         self.catalog.settimeout(PEER_TIMEOUT_SECONDS)
         where = {
-            name: plain(each.getsockname())
+            name: format_address(each.getsockname())
             for name, each in (
                 ("kernel", self.kernel_port),
                 ("index", self.index_port),
@@ -233,7 +244,7 @@
             (f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}", 0)
         ) as free:
             self.address = free.getsockname()
-        self.path.write_text(json.dumps(self.handed | {"listen": plain(self.address)}))
+        self.path.write_text(json.dumps(self.handed | {"listen": format_address(self.address)}))
         run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.process = subprocess.Popen(
             ["/bin/sh", "-c", run],
@@ -249,18 +260,18 @@
         for name in names:
             port = socket.create_server(("127.0.0.1", 0))
             self.moved.append(port)
-            self.handed[name] = plain(port.getsockname())
+            self.handed[name] = format_address(port.getsockname())
             setattr(self, f"{name}_port", port)
-        self.path.write_text(json.dumps(self.handed | {"listen": plain(self.address)}))
+        self.path.write_text(json.dumps(self.handed | {"listen": format_address(self.address)}))
 
     def link(self, state="steady", ready=True):
         """Accepts a link as the executor and, if `ready`, completes the replay fence."""
         kernel = LinePeer(self.kernel_port, ("SCHED", "IODONE"))
-        kernel.opened = kernel.expect("OPEN")[0]
+        kernel.open_words = kernel.receive("OPEN")[0]
         if ready:
-            kernel.tell(f"BOOTED {state} 5000")
-            words, _ = kernel.expect("SYSINFO")
-            kernel.tell(f"INFO {words[1]} 0.1 0")
+            kernel.send(f"BOOTED {state} 5000")
+            words, _ = kernel.receive("SYSINFO")
+            kernel.send(f"INFO {words[1]} 0.1 0")
         return kernel
 
     def calls(self):
@@ -305,9 +316,9 @@
 def execute_request(site, proxy, tag, event_number, result=b"result", **more):
     """Executes a request; returns the words and body of its dispatch, and its response."""
     proxy.submit(tag, **more)
-    words, body = site.kernel.expect("SCHED")
-    site.kernel.tell(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
-    return words, body, proxy.answer()
+    words, body = site.kernel.receive("SCHED")
+    site.kernel.send(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
+    return words, body, proxy.receive_response()
 
 
 NOTHING_IN_FLIGHT = "in_flight=0 open=0 running=0 calls=0 memory_kb=0"
@@ -316,32 +327,32 @@
 def submit_until_call(site, proxy, tag, event_number):
     """Submits a request whose execution requests a dependency call; returns the request's id."""
     proxy.submit(tag, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ {event_number} {request_id} 1", b"?")
+    request_id = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"IOREQ {event_number} {request_id} 1", b"?")
     return request_id
 
 
 def next_dispatched(site):
     """Returns the id of the next dispatched request."""
-    return site.kernel.expect("SCHED")[0][1]
+    return site.kernel.receive("SCHED")[0][1]
 
 
 def wait_until_processed(proxy):
     """Waits until everything sent earlier is processed and all timers due by then have run."""
-    proxy.say(b"PROBE", b"99")
-    assert proxy.answer()[0] == 99
+    proxy.send(b"PROBE", b"99")
+    assert proxy.receive_response()[0] == 99
 
 
 def finish_execution(site, event_number, request_id, result=b"result"):
     """Reports a successful execution from the executor."""
-    site.kernel.tell(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
+    site.kernel.send(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
 
 
 def request_call(site, event_number, request_id, body=b"?"):
     """Requests a dependency call from an execution; returns the connection that carries it."""
-    site.kernel.tell(f"IOREQ {event_number} {request_id} {len(body)}", body)
+    site.kernel.send(f"IOREQ {event_number} {request_id} {len(body)}", body)
     dependency = site.calls()
-    assert dependency.expect("GET")[1] == body
+    assert dependency.receive("GET")[1] == body
     return dependency
 
 
--- a/tests/deploy/test_run_line.py
+++ b/tests/deploy/test_run_line.py
@@ -57,9 +57,9 @@
         except ConnectionRefusedError:
             assert time.monotonic() < deadline
     site.asker.submit(1)
-    ident = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"REAP 1 {ident} success 1 2", b"ok")
-    assert site.asker.answer()[1] == "done"
+    ident = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"REAP 1 {ident} success 1 2", b"ok")
+    assert site.asker.receive_response()[1] == "done"
     # From here on the socket for reports has its port, too.
     assert site.catalog.recv(100) == b"alive n1 passing"
     yield site
@@ -140,9 +140,9 @@
     running.move("index")
     running.process.send_signal(signal.SIGHUP)
     running.asker.submit(2)
-    ident = running.kernel.expect("SCHED")[0][1]
-    running.kernel.tell(f"REAP 2 {ident} success 1 2", b"ok")
-    assert running.asker.answer()[1] == "done"
+    ident = running.kernel.receive("SCHED")[0][1]
+    running.kernel.send(f"REAP 2 {ident} success 1 2", b"ok")
+    assert running.asker.receive_response()[1] == "done"
     found, others = sockets_of(running.process.pid)
     assert child_processes(running.process.pid) == []
     assert not others
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -30,10 +30,10 @@
 ):
     site = make_site(limits={"message_timeout": 1_000}).start()
     site.kernel, proxy, stuck = site.link(), site.router(), site.router()
-    proxy.say(b"PROBE", b"1")
-    assert proxy.answer()[:2] == (1, "healthy")
+    proxy.send(b"PROBE", b"1")
+    assert proxy.receive_response()[:2] == (1, "healthy")
     stuck.sock.sendall(sent)
-    while stuck.answer() is not None:
+    while stuck.receive_response() is not None:
         pass
     assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
 
@@ -62,11 +62,11 @@
     ).start()
     site.kernel, idle_proxies = site.link(), [site.router() for _ in range(8)]
     for each in idle_proxies:
-        each.say(b"PROBE", b"1")
-        assert each.answer()[:2] == (1, "healthy")
+        each.send(b"PROBE", b"1")
+        assert each.receive_response()[:2] == (1, "healthy")
     new = [site.router() for _ in range(4)]
     for each in idle_proxies[:4]:
-        assert each.answer() is None
+        assert each.receive_response() is None
     for event_number, each in enumerate(new, 1):
         assert execute_request(site, each, 1, event_number)[2][:2] == (1, "done")
 
@@ -78,8 +78,8 @@
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 0}
     ).start()
     site.kernel, proxy = site.link(), site.router()
-    proxy.say(b"PROBE", b"1")
-    assert proxy.answer()[:2] == (1, "healthy")
+    proxy.send(b"PROBE", b"1")
+    assert proxy.receive_response()[:2] == (1, "healthy")
     silent = [socket.create_connection(site.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
     silent[0].settimeout(PEER_TIMEOUT_SECONDS)
     assert silent[0].recv(10) == b""
@@ -100,10 +100,10 @@
     ).start()
     site.kernel, idle, used = site.link(), site.router(), site.router()
     used.submit(1)
-    words, _ = site.kernel.expect("SCHED")
-    assert idle.answer()[:2] == (0, "closing")
-    site.kernel.tell(f"REAP 1 {words[1]} success 1 0", b"")
-    assert used.answer()[:2] == (1, "done")
+    words, _ = site.kernel.receive("SCHED")
+    assert idle.receive_response()[:2] == (0, "closing")
+    site.kernel.send(f"REAP 1 {words[1]} success 1 0", b"")
+    assert used.receive_response()[:2] == (1, "done")
 
 
 @pytest.fixture
@@ -125,7 +125,7 @@
     advance = control_clock(site)
     advance(1.5)
     for each in site.idle_proxies:
-        assert each.answer()[:2] == (0, "closing")
+        assert each.receive_response()[:2] == (0, "closing")
     site.pass_close_timeout = lambda: advance(1.5)
     return site
 
@@ -149,22 +149,25 @@
     sender.submit(1)
     assert decode_started.wait(PEER_TIMEOUT_SECONDS)
     idle_pair.pass_close_timeout()
-    assert other.answer() is None  # closed, so housekeeping has checked both connections
+    assert other.receive_response() is None  # closed, so housekeeping has checked both connections
     decode_allowed.set()
     finish_execution(idle_pair, 1, next_dispatched(idle_pair))
-    assert sender.answer()[:2] == (1, "done")
+    assert sender.receive_response()[:2] == (1, "done")
 
 
 def test_a_partial_request_keeps_its_idle_connection_open_until_it_is_complete(idle_pair):
     sender, other = idle_pair.idle_proxies
-    request = sender.message(2)
+    request = sender.encode_submit(2)
     sender.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
-    assert sender.answer()[:2] == (1, "healthy")  # the partial request has been read as well
+    assert sender.receive_response()[:2] == (
+        1,
+        "healthy",
+    )  # the partial request has been read as well
     idle_pair.pass_close_timeout()
-    assert other.answer() is None  # closed, so housekeeping has checked both connections
+    assert other.receive_response() is None  # closed, so housekeeping has checked both connections
     sender.sock.sendall(request[-40:])
     finish_execution(idle_pair, 1, next_dispatched(idle_pair))
-    assert sender.answer()[:2] == (2, "done")
+    assert sender.receive_response()[:2] == (2, "done")
 
 
 def test_a_request_that_crosses_the_half_close_is_not_executed_and_causes_no_reset(
@@ -173,8 +176,8 @@
     """Closing the socket while the request is unread would reset the connection."""
     sender, other = idle_pair.idle_proxies
     idle_pair.pass_close_timeout()
-    assert sender.answer() is None
-    assert other.answer() is None
+    assert sender.receive_response() is None
+    assert other.receive_response() is None
     sender.submit(1)
     sender.sock.shutdown(socket.SHUT_WR)
     assert sender.sock.recv(1) == b""
@@ -229,17 +232,17 @@
     proxy.submit(1)
     running = next_dispatched(site)
     control_clock(site)(5.0)
-    partial = proxy.message(2)
+    partial = proxy.encode_submit(2)
     proxy.sock.sendall(partial[:20])
     silent = site.router()
     # `silent` was opened after the partial message was sent, so its end shows that the message
     # timeout has expired for both.
-    assert silent.answer() is None
+    assert silent.receive_response() is None
     finish_execution(site, 1, running)
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
     proxy.sock.sendall(partial[20:])
     finish_execution(site, 2, next_dispatched(site))
-    assert proxy.answer()[:2] == (2, "done")
+    assert proxy.receive_response()[:2] == (2, "done")
 
 
 def test_new_proxies_are_served_when_idle_proxies_use_up_the_descriptors(make_site):
@@ -260,12 +263,15 @@
         new.submit(1, "look")
         request_id = next_dispatched(site)
         dependency = request_call(site, 2 * number, request_id)
-        dependency.tell(f"{request_id} HIT 1", b"!")
+        dependency.send(f"{request_id} HIT 1", b"!")
         finish_execution(site, 2 * number + 1, request_id)
-        assert new.answer()[:2] == (1, "done")
+        assert new.receive_response()[:2] == (1, "done")
         dependency.sock.close()
     finish_execution(site, 99, long_request_id)
-    assert first.answer()[:2] == (1, "done")  # a connection in use is never closed to make room
+    assert first.receive_response()[:2] == (
+        1,
+        "done",
+    )  # a connection in use is never closed to make room
     used = len(os.listdir(f"/proc/{site.process.pid}/fd"))
     assert used < 256
     assert len(idle) == 300
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -24,40 +24,40 @@
 def test_a_failed_call_of_an_idempotent_request_is_retried(site, reply):
     proxy = site.router()
     proxy.submit(1, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
     dependency = site.calls()
-    dependency.expect("GET")
-    dependency.tell(f"{request_id} {reply}")
+    dependency.receive("GET")
+    dependency.send(f"{request_id} {reply}")
     retry_connection = site.calls()
-    assert retry_connection.expect("GET")[1] == b"?"
-    retry_connection.tell(f"{request_id} HIT 1", b"!")
-    assert site.kernel.expect("IODONE")[1] == b"!"
+    assert retry_connection.receive("GET")[1] == b"?"
+    retry_connection.send(f"{request_id} HIT 1", b"!")
+    assert site.kernel.receive("IODONE")[1] == b"!"
 
 
 def test_a_call_on_a_connection_that_breaks_is_retried_on_a_new_one(site):
     proxy = site.router()
     proxy.submit(1, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
     dependency = site.calls()
-    dependency.expect("GET")
+    dependency.receive("GET")
     dependency.reset()
     retry_connection = site.calls()
-    retry_connection.expect("GET")
-    retry_connection.tell(f"{request_id} HIT 1", b"!")
-    assert site.kernel.expect("IODONE")[1] == b"!"
+    retry_connection.receive("GET")
+    retry_connection.send(f"{request_id} HIT 1", b"!")
+    assert site.kernel.receive("IODONE")[1] == b"!"
 
 
 def test_a_call_that_takes_too_long_is_abandoned_and_its_request_answered(site):
     proxy = site.router()
     proxy.submit(1, "look", d=2000)
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
     dependency = site.calls()
-    assert dependency.expect("GET")
-    assert dependency.next() is None
-    assert proxy.answer()[0] == 1
+    assert dependency.receive("GET")
+    assert dependency.receive_message() is None
+    assert proxy.receive_response()[0] == 1
 
 
 def test_an_idle_connection_is_closed_and_opened_again_when_needed(make_site):
@@ -65,15 +65,15 @@
     site.kernel, proxy = site.link(), site.router()
     for tag in (1, 2):
         proxy.submit(tag, "look")
-        request_id = site.kernel.expect("SCHED")[0][1]
-        site.kernel.tell(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
+        request_id = site.kernel.receive("SCHED")[0][1]
+        site.kernel.send(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
         dependency = site.calls()
-        dependency.expect("GET")
-        dependency.tell(f"{request_id} HIT 1", b"!")
-        site.kernel.expect("IODONE")
-        site.kernel.tell(f"REAP {2 * tag} {request_id} success 1 0", b"")
-        assert proxy.answer()[:2] == (tag, "done")
-        assert dependency.next() is None
+        dependency.receive("GET")
+        dependency.send(f"{request_id} HIT 1", b"!")
+        site.kernel.receive("IODONE")
+        site.kernel.send(f"REAP {2 * tag} {request_id} success 1 0", b"")
+        assert proxy.receive_response()[:2] == (tag, "done")
+        assert dependency.receive_message() is None
 
 
 def make_client(address):
@@ -173,34 +173,34 @@
     connections = {}
     for _ in range(2):
         connection = site.calls()
-        connections[connection.expect("GET")[0][1]] = connection
+        connections[connection.receive("GET")[0][1]] = connection
     connections[affected_id].sock.sendall(malformed.replace(b"%b", affected_id.encode()))
     retry_connection = site.calls()
-    assert retry_connection.expect("GET")[0][1] == affected_id
-    assert connections[affected_id].next() is None
+    assert retry_connection.receive("GET")[0][1] == affected_id
+    assert connections[affected_id].receive_message() is None
     for connection, request_id in (
         (connections[other_id], other_id),
         (retry_connection, affected_id),
     ):
-        connection.tell(f"{request_id} HIT 1", b"!")
-        assert site.kernel.expect("IODONE") == (["IODONE", request_id, "1"], b"!")
+        connection.send(f"{request_id} HIT 1", b"!")
+        assert site.kernel.receive("IODONE") == (["IODONE", request_id, "1"], b"!")
 
 
 def test_replies_to_other_requests_and_duplicate_replies_are_ignored(site):
     proxy = site.router()
     request_id = submit_until_call(site, proxy, 1, 1)
     dependency = site.calls()
-    dependency.expect("GET")
-    dependency.tell("00000000000000ee HIT 1", b"0")
-    dependency.tell(f"{request_id} HIT 1", b"1")
-    dependency.tell(f"{request_id} HIT 1", b"1")  # a duplicate reply
-    assert site.kernel.expect("IODONE")[1] == b"1"
+    dependency.receive("GET")
+    dependency.send("00000000000000ee HIT 1", b"0")
+    dependency.send(f"{request_id} HIT 1", b"1")
+    dependency.send(f"{request_id} HIT 1", b"1")  # a duplicate reply
+    assert site.kernel.receive("IODONE")[1] == b"1"
     # The duplicate reply to the first call must not be taken for the reply to this one.
-    site.kernel.tell(f"IOREQ 2 {request_id} 1", b"?")
+    site.kernel.send(f"IOREQ 2 {request_id} 1", b"?")
     new = site.calls()
-    new.expect("GET")
-    new.tell(f"{request_id} HIT 1", b"2")
-    assert site.kernel.expect("IODONE")[1] == b"2"
+    new.receive("GET")
+    new.send(f"{request_id} HIT 1", b"2")
+    assert site.kernel.receive("IODONE")[1] == b"2"
 
 
 def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(site):
@@ -208,9 +208,9 @@
     for tag in (1, 2):
         request_id = submit_until_call(site, proxy, tag, tag)
         dependency = site.calls()
-        dependency.expect("GET")
-        dependency.tell(f"{request_id} HIT 1", b"!")
-        assert site.kernel.expect("IODONE")[0][1] == request_id
+        dependency.receive("GET")
+        dependency.send(f"{request_id} HIT 1", b"!")
+        assert site.kernel.receive("IODONE")[0][1] == request_id
         dependency.sock.close()
 
 
@@ -228,11 +228,11 @@
         site.kernel, proxy = site.link(), site.router()
         proxy.submit(1, "look")
         request_id = next_dispatched(site)
-        site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
+        site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
         for number in range(2, 6):
             proxy.submit(number)
             finish_execution(site, number, next_dispatched(site))
-            assert proxy.answer()[:2] == (number, "done")
+            assert proxy.receive_response()[:2] == (number, "done")
         full.settimeout(PEER_TIMEOUT_SECONDS)
         accepted, filler_addresses = None, [each.getsockname() for each in fillers]
         while accepted is None:
@@ -242,9 +242,9 @@
         accepted.settimeout(PEER_TIMEOUT_SECONDS)
         assert accepted.recv(100).startswith(f"GET {request_id} ".encode())
         accepted.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
-        assert site.kernel.expect("IODONE")[1] == b"!"
+        assert site.kernel.receive("IODONE")[1] == b"!"
         finish_execution(site, 6, request_id)
-        assert proxy.answer()[:2] == (1, "done")
+        assert proxy.receive_response()[:2] == (1, "done")
         for each in (*fillers, accepted):
             each.close()
 
@@ -256,12 +256,12 @@
     proxy.submit(1, "look")
     request_id = next_dispatched(site)
     first = request_call(site, 1, request_id, b"1")
-    first.tell(f"{request_id} HIT 1", b"a")
-    assert site.kernel.expect("IODONE")[1] == b"a"
+    first.send(f"{request_id} HIT 1", b"a")
+    assert site.kernel.receive("IODONE")[1] == b"a"
     # A duplicate reply arrives just before the next call is made.
     first.sock.sendall(f"{request_id} ".encode() + second)
     next_connection = request_call(site, 2, request_id, b"2")
-    next_connection.tell(f"{request_id} HIT 1", b"b")
-    assert site.kernel.expect("IODONE")[1] == b"b"
+    next_connection.send(f"{request_id} HIT 1", b"b")
+    assert site.kernel.receive("IODONE")[1] == b"b"
     finish_execution(site, 3, request_id)
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/protocols/test_proxy_codec.py
+++ b/tests/protocols/test_proxy_codec.py
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize(
     "invalid_fields",
     [
-        dict(group="nobody"),
+        dict(class_name="nobody"),
         dict(t="stranger"),
         dict(i="xyz"),
         dict(i=None),
@@ -32,16 +32,16 @@
 def test_a_malformed_request_gets_an_error_on_its_tag(site, invalid_fields):
     proxy = site.router()
     proxy.submit(3, **invalid_fields)
-    assert proxy.answer()[:2] == (3, "error")
+    assert proxy.receive_response()[:2] == (3, "error")
     assert execute_request(site, proxy, 4, 1)[2][:2] == (4, "done")
 
 
 def test_unknown_verbs_and_incomplete_requests_get_errors_and_unknown_withdrawals_no_response(site):
     proxy = site.router()
-    proxy.say(b"WITHDRAW", b"9")
-    proxy.say(b"SING", b"5")
-    proxy.say(b"SUBMIT", b"6", b"read")
-    assert [proxy.answer()[:2] for _ in range(2)] == [(5, "error"), (6, "error")]
+    proxy.send(b"WITHDRAW", b"9")
+    proxy.send(b"SING", b"5")
+    proxy.send(b"SUBMIT", b"6", b"read")
+    assert [proxy.receive_response()[:2] for _ in range(2)] == [(5, "error"), (6, "error")]
 
 
 @pytest.mark.parametrize(
@@ -51,5 +51,5 @@
 def test_a_framing_error_ends_its_connection_and_no_other(site, malformed):
     proxy, other = site.router(), site.router()
     proxy.sock.sendall(malformed)
-    assert proxy.answer() is None
+    assert proxy.receive_response() is None
     assert execute_request(site, other, 1, 1)[2][:2] == (1, "done")
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -14,7 +14,7 @@
 
 def test_a_message_truncated_by_a_reset_is_not_executed(site):
     proxy, other = site.router(), site.router()
-    proxy.sock.sendall(proxy.message(1, i="00000000000000ff")[:-9])
+    proxy.sock.sendall(proxy.encode_submit(1, i="00000000000000ff")[:-9])
     proxy.reset()
     words, _, answer = execute_request(site, other, 1, 1)
     assert words[1] != "00000000000000ff"
@@ -48,7 +48,7 @@
     def send_rejected_requests(proxy):
         for tag, body in enumerate(bodies, 1):
             proxy.submit(tag, "nobody", body)
-            assert proxy.answer()[:2] == (tag, "error")
+            assert proxy.receive_response()[:2] == (tag, "error")
 
     send_rejected_requests(site.router())
     before = int((process / "statm").read_text().split()[1])
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -18,18 +18,18 @@
     for each in waiting_proxies:
         each.submit(1)
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    assert first.answer()[:2] == (
+    assert first.receive_response()[:2] == (
         0,
         "closing",
     )  # the close request is sent after the listener is closed
     finish_execution(site, 1, running)
-    assert first.answer()[:2] == (1, "done")
+    assert first.receive_response()[:2] == (1, "done")
     first.sock.close()
     for number, each in enumerate(waiting_proxies, 2):
-        assert each.answer()[:2] == (0, "closing")
+        assert each.receive_response()[:2] == (0, "closing")
         # The request is executed since it arrived within the drain grace period.
         finish_execution(site, number, next_dispatched(site))
-        assert each.answer()[:2] == (1, "done")
+        assert each.receive_response()[:2] == (1, "done")
         each.sock.close()
     site.thread.join(PEER_TIMEOUT_SECONDS)
     assert site.event_loop.has_ended
@@ -53,6 +53,6 @@
     event_loop.drain.start()
     event_loop.drain.close_listeners()
     event_loop.run()
-    assert proxy.answer()[:2] == (0, "closing")
-    assert proxy.answer()[:2] == (1, "later")
-    assert proxy.answer() is None
+    assert proxy.receive_response()[:2] == (0, "closing")
+    assert proxy.receive_response()[:2] == (1, "later")
+    assert proxy.receive_response() is None
--- a/tests/protocols/test_registry.py
+++ b/tests/protocols/test_registry.py
@@ -25,7 +25,7 @@
     for number in range(1, 4):  # requests do not wait for the registry
         proxy.submit(number)
         finish_execution(site, number, next_dispatched(site))
-        assert proxy.answer()[:2] == (number, "done")
+        assert proxy.receive_response()[:2] == (number, "done")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as registry:
         registry.bind(address)
         registry.settimeout(PEER_TIMEOUT_SECONDS)
--- a/tests/server/test_deduplication.py
+++ b/tests/server/test_deduplication.py
@@ -17,15 +17,15 @@
 def test_a_duplicate_by_key_gets_the_result_of_a_running_or_finished_original(site):
     proxy = site.router()
     proxy.submit(1, "once", k="order-1")
-    request_id = site.kernel.expect("SCHED")[0][1]
+    request_id = site.kernel.receive("SCHED")[0][1]
     proxy.submit(2, "once", k="order-1")
-    proxy.say(b"PROBE", b"3")
-    assert proxy.answer()[0] == 3  # the duplicate has been read
-    site.kernel.tell(f"REAP 1 {request_id} success 1 3", b"one")
-    assert sorted(proxy.answer()[::3] for _ in range(2)) == [(1, b"one"), (2, b"one")]
+    proxy.send(b"PROBE", b"3")
+    assert proxy.receive_response()[0] == 3  # the duplicate has been read
+    site.kernel.send(f"REAP 1 {request_id} success 1 3", b"one")
+    assert sorted(proxy.receive_response()[::3] for _ in range(2)) == [(1, b"one"), (2, b"one")]
     proxy.submit(4, "once", k="order-1")
-    assert proxy.answer()[::3] == (4, b"one")
-    assert execute_request(site, proxy, 5, 2, b"two", group="once", k="order-2")[2][::3] == (
+    assert proxy.receive_response()[::3] == (4, b"one")
+    assert execute_request(site, proxy, 5, 2, b"two", class_name="once", k="order-2")[2][::3] == (
         5,
         b"two",
     )
@@ -37,7 +37,7 @@
     site.kernel, proxy = site.link(), site.router()
     assert execute_request(site, proxy, 1, 1, b"one", o="subject")[2][3] == b"one"
     proxy.submit(2, o="subject")
-    assert proxy.answer()[::3] == (2, b"one")
+    assert proxy.receive_response()[::3] == (2, b"one")
     assert execute_request(site, proxy, 3, 2, b"two", o="other")[2][3] == b"two"
 
 
@@ -52,19 +52,24 @@
     proxy, arrived_at = site.router(), int(time.time() * 1000)
     proxy.submit(1, "once", k="k1", s=arrived_at)
     finish_execution(site, 1, next_dispatched(site))
-    assert proxy.answer()[1] == "done"
+    assert proxy.receive_response()[1] == "done"
     return arrived_at
 
 
 def test_a_request_and_its_duplicate_in_one_read_are_executed_once(site):
     proxy = site.router()
-    proxy.sock.sendall(proxy.message(1, "once", k="k1") + proxy.message(2, "once", k="k1"))
+    proxy.sock.sendall(
+        proxy.encode_submit(1, "once", k="k1") + proxy.encode_submit(2, "once", k="k1")
+    )
     finish_execution(site, 1, next_dispatched(site))
-    assert sorted(proxy.answer()[0:4:3] for _ in range(2)) == [(1, b"result"), (2, b"result")]
+    assert sorted(proxy.receive_response()[0:4:3] for _ in range(2)) == [
+        (1, b"result"),
+        (2, b"result"),
+    ]
     proxy.submit(3)
     # The next dispatch is that of request 3: the duplicate was not dispatched.
     finish_execution(site, 2, next_dispatched(site), b"other")
-    assert proxy.answer()[0:4:3] == (3, b"other")
+    assert proxy.receive_response()[0:4:3] == (3, b"other")
 
 
 def test_duplicates_are_executed_once_if_the_original_is_withdrawn_in_the_same_read(make_site):
@@ -79,15 +84,18 @@
     for tag in (2, 3):
         proxy.submit(tag, "once", k="k1")
         wait_until_processed(proxy)  # the request is queued, as the only core is in use
-    proxy.sock.sendall(encode_array(b"WITHDRAW", b"2") + proxy.message(5, "once", k="k1"))
+    proxy.sock.sendall(encode_array(b"WITHDRAW", b"2") + proxy.encode_submit(5, "once", k="k1"))
     wait_until_processed(proxy)
     finish_execution(site, 1, running)
-    assert proxy.answer()[0] == 1
+    assert proxy.receive_response()[0] == 1
     finish_execution(site, 2, next_dispatched(site))
-    assert sorted(proxy.answer()[0:4:3] for _ in range(2)) == [(3, b"result"), (5, b"result")]
+    assert sorted(proxy.receive_response()[0:4:3] for _ in range(2)) == [
+        (3, b"result"),
+        (5, b"result"),
+    ]
     proxy.submit(7)
     finish_execution(site, 3, next_dispatched(site), b"other")
-    assert proxy.answer()[0:4:3] == (7, b"other")
+    assert proxy.receive_response()[0:4:3] == (7, b"other")
 
 
 def test_a_duplicate_that_arrives_within_the_window_and_is_read_after_it_is_not_executed(
@@ -97,7 +105,7 @@
     advance_clock(60.5)  # the window is 60 s
     proxy = site.router()
     proxy.submit(1, "once", k="k1", s=arrived_at + 59_990)
-    assert proxy.answer()[1::2] == ("done", b"result")
+    assert proxy.receive_response()[1::2] == ("done", b"result")
 
 
 def test_a_possible_duplicate_of_an_evicted_key_fails_and_a_request_after_the_window_is_executed(
@@ -107,10 +115,10 @@
     advance_clock(63.0)
     proxy = site.router()
     proxy.submit(1, "once", k="k1", s=arrived_at + 59_990)
-    assert proxy.answer()[1] == "error"
+    assert proxy.receive_response()[1] == "error"
     proxy.submit(2, "once", k="k1", s=arrived_at + 62_500)
     finish_execution(site, 2, next_dispatched(site), b"again")
-    assert proxy.answer()[1::2] == ("done", b"again")
+    assert proxy.receive_response()[1::2] == ("done", b"again")
 
 
 def test_a_duplicate_just_after_the_window_fails_and_a_later_one_is_executed(site, advance_clock):
@@ -118,10 +126,10 @@
     advance_clock(60.5)
     proxy = site.router()
     proxy.submit(1, "once", k="k1", s=arrived_at + 60_045)
-    assert proxy.answer()[:2] == (1, "error")
+    assert proxy.receive_response()[:2] == (1, "error")
     proxy.submit(2, "once", k="k1", s=arrived_at + 60_060)
     finish_execution(site, 2, next_dispatched(site), b"again")
-    assert proxy.answer()[1::2] == ("done", b"again")
+    assert proxy.receive_response()[1::2] == ("done", b"again")
 
 
 @pytest.mark.parametrize("limits", [{"max_cache_entries": 1}, {"max_in_flight": 1}])
@@ -135,30 +143,32 @@
     proxy.submit(2, "once", k="k1")
     if "max_in_flight" in limits:
         # The original is still running, and the duplicate cannot wait for it within the limit.
-        assert proxy.answer()[:2] == (2, "error")
+        assert proxy.receive_response()[:2] == (2, "error")
     finish_execution(site, 1, first)
-    answers = dict(proxy.answer()[0:2] for _ in range(2 - len(limits.keys() & {"max_in_flight"})))
+    answers = dict(
+        proxy.receive_response()[0:2] for _ in range(2 - len(limits.keys() & {"max_in_flight"}))
+    )
     assert set(answers.values()) == {"done"}
     proxy.submit(3)
     next_dispatched(site)
     proxy.submit(4, "once", k="k1")
-    assert proxy.answer()[0:4:3] == (4, b"result")
+    assert proxy.receive_response()[0:4:3] == (4, b"result")
     proxy.submit(5, "once", k="k2")
-    assert proxy.answer()[:2] == (5, "later")
+    assert proxy.receive_response()[:2] == (5, "later")
 
 
 def test_a_duplicate_of_a_request_that_was_not_executed_is_executed(site):
     proxy = site.router()
     proxy.submit(1, "once", k="k1")
     request_id = next_dispatched(site)
-    proxy.say(b"WITHDRAW", b"1")  # the executor has not begun to execute the request
+    proxy.send(b"WITHDRAW", b"1")  # the executor has not begun to execute the request
     wait_until_processed(proxy)
-    site.event_loop.event_queue.together(
-        lambda: site.kernel.tell(f"REAP 1 {request_id} nothing 0 0", b""),
+    site.event_loop.event_queue.process_in_one_iteration(
+        lambda: site.kernel.send(f"REAP 1 {request_id} nothing 0 0", b""),
         lambda: proxy.submit(2, "once", k="k1"),
     )
     finish_execution(site, 2, next_dispatched(site))
-    assert proxy.answer()[0:4:3] == (2, b"result")
+    assert proxy.receive_response()[0:4:3] == (2, b"result")
 
 
 def test_a_request_with_a_used_key_and_another_body_gets_no_result_and_is_not_executed(site):
@@ -166,20 +176,20 @@
     proxy.submit(1, "once", k="k1")
     first = next_dispatched(site)
     other_proxy.submit(1, "once", b"another body", k="k1")
-    assert other_proxy.answer()[:2] == (1, "later")
+    assert other_proxy.receive_response()[:2] == (1, "later")
     finish_execution(site, 1, first)
-    assert proxy.answer()[0:4:3] == (1, b"result")
+    assert proxy.receive_response()[0:4:3] == (1, b"result")
     other_proxy.submit(2, "once", b"another body", k="k1")
-    assert other_proxy.answer()[:2] == (2, "error")
+    assert other_proxy.receive_response()[:2] == (2, "error")
     proxy.submit(2, "once", k="k1")
-    assert proxy.answer()[0:4:3] == (2, b"result")
+    assert proxy.receive_response()[0:4:3] == (2, b"result")
 
 
 def test_a_rejected_dispatch_releases_its_idempotency_key(site):
     other_proxy, proxy = site.router(), site.router()
     other_proxy.submit(1, "once", b"another body", k="k1")
-    site.kernel.tell(f"EINVAL SCHED {next_dispatched(site)}")
-    assert other_proxy.answer()[:2] == (1, "error")
+    site.kernel.send(f"EINVAL SCHED {next_dispatched(site)}")
+    assert other_proxy.receive_response()[:2] == (1, "error")
     proxy.submit(1, "once", k="k1")
     finish_execution(site, 1, next_dispatched(site))
-    assert proxy.answer()[0:4:3] == (1, b"result")
+    assert proxy.receive_response()[0:4:3] == (1, b"result")
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -21,18 +21,18 @@
     proxy, idle_proxy = site.router(), site.router()
     proxy.submit(1, i="00000000000000aa")
     proxy.submit(2, i="00000000000000bb")
-    executor.expect("SCHED"), executor.expect("SCHED")
+    executor.receive("SCHED"), executor.receive("SCHED")
     started_at = time.monotonic()
     site.process.send_signal(signal.SIGTERM)
     site.process.send_signal(signal.SIGTERM)
     site.process.send_signal(signal.SIGHUP)  # the file has not changed
-    executor.tell("REAP 1 00000000000000aa success 1 1", b"a")
-    answers = {each[0]: each[1] for each in (proxy.answer() for _ in range(3))}
+    executor.send("REAP 1 00000000000000aa success 1 1", b"a")
+    answers = {each[0]: each[1] for each in (proxy.receive_response() for _ in range(3))}
     assert answers[1] == "done"
     assert answers[0] == "closing"
     assert answers[2] in ("later", "error")
-    assert proxy.answer() is None
-    assert idle_proxy.answer()[:2] == (0, "closing")
+    assert proxy.receive_response() is None
+    assert idle_proxy.receive_response()[:2] == (0, "closing")
     assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
     assert time.monotonic() - started_at < 1.5
 
@@ -43,8 +43,8 @@
     proxy, stop_times = site.router(), []
     for tag in (b"1", b"2"):
         site.event_loop.event_queue.post(site.event_loop.drain.start)
-        proxy.say(b"PROBE", tag)
-        while (answer := proxy.answer())[0] != int(tag):
+        proxy.send(b"PROBE", tag)
+        while (answer := proxy.receive_response())[0] != int(tag):
             pass
         stop_times.append(site.event_loop.drain.stop_at)
         assert tag == b"1" or answer[1] == "sick"
@@ -56,10 +56,10 @@
     site = make_site(stop_ms=60_000).spawn()
     site.link()
     proxy = site.router()
-    proxy.say(b"PROBE", b"1")
-    assert proxy.answer()[1] == "healthy"
+    proxy.send(b"PROBE", b"1")
+    assert proxy.receive_response()[1] == "healthy"
     site.process.send_signal(signal.SIGTERM)
-    assert proxy.answer()[:2] == (0, "closing")
+    assert proxy.receive_response()[:2] == (0, "closing")
     proxy.sock.close()
     assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
 
@@ -73,16 +73,16 @@
     site.kernel, (proxy, idle_proxy) = site.link(), [site.router() for _ in range(2)]
     for each in (proxy, idle_proxy):
         wait_until_processed(each)
-    request = proxy.message(2)
+    request = proxy.encode_submit(2)
     proxy.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
-    assert proxy.answer()[:2] == (1, "healthy")
+    assert proxy.receive_response()[:2] == (1, "healthy")
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     for each in (proxy, idle_proxy):
-        assert each.answer()[:2] == (0, "closing")
-    assert idle_proxy.answer() is None
+        assert each.receive_response()[:2] == (0, "closing")
+    assert idle_proxy.receive_response() is None
     proxy.sock.sendall(request[-40:])
-    assert proxy.answer()[:2] == (2, "later")
-    assert proxy.answer() is None
+    assert proxy.receive_response()[:2] == (2, "later")
+    assert proxy.receive_response() is None
     site.thread.join(PEER_TIMEOUT_SECONDS)
     assert site.event_loop.has_ended
 
@@ -92,13 +92,13 @@
     site = make_site().spawn()
     executor = site.link(ready=False)
     if sends_log_line:
-        executor.tell("DMESG 1 starting")  # the executor sends this between OPEN and BOOTED
+        executor.send("DMESG 1 starting")  # the executor sends this between OPEN and BOOTED
     proxy = site.router()
     proxy.submit(1)
-    assert proxy.answer()[:2] == (1, "later")
+    assert proxy.receive_response()[:2] == (1, "later")
     site.process.send_signal(signal.SIGTERM)
-    assert proxy.answer()[:2] == (0, "closing")
-    assert proxy.answer() is None
+    assert proxy.receive_response()[:2] == (0, "closing")
+    assert proxy.receive_response() is None
     proxy.sock.close()
     assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
 
@@ -122,9 +122,9 @@
     proxy.submit(1)
     running, started_at = next_dispatched(site), time.monotonic()
     site.process.send_signal(signal.SIGTERM)
-    assert proxy.answer()[:2] == (0, "closing")
+    assert proxy.receive_response()[:2] == (0, "closing")
     finish_execution(site, 1, running, b"x" * 4096)
-    assert proxy.answer()[1::2] == ("done", b"x" * 4096)
+    assert proxy.receive_response()[1::2] == ("done", b"x" * 4096)
     assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
     # stop_ms is 1.5 s; with unread responses, the exit of the process may take longer on a busy
     # machine.
@@ -150,9 +150,9 @@
     proxy.submit(1)
     running = next_dispatched(site)
     site.process.send_signal(signal.SIGTERM)
-    assert proxy.answer()[:2] == (0, "closing")
+    assert proxy.receive_response()[:2] == (0, "closing")
     finish_execution(site, 1, running)
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
     proxy.sock.close()
     assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
     with open(read_end) as log:
--- a/tests/server/test_event_loop.py
+++ b/tests/server/test_event_loop.py
@@ -53,5 +53,5 @@
     finish_execution(strict, 1, first, b"strict")
     for number, request_id in enumerate(both, 1):
         finish_execution(loose, number, request_id, b"loose")
-    assert {strict.proxy.answer()[3] for _ in range(2)} == {b"strict"}
-    assert {loose.proxy.answer()[3] for _ in range(2)} == {b"loose"}
+    assert {strict.proxy.receive_response()[3] for _ in range(2)} == {b"strict"}
+    assert {loose.proxy.receive_response()[3] for _ in range(2)} == {b"loose"}
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -19,14 +19,14 @@
 def test_probes_are_answered_before_the_executor_is_up_and_registry_reports_after_it(make_site):
     site = make_site().start()
     executor, proxy = site.link(ready=False), site.router()
-    proxy.say(b"PROBE", b"1", b"x=1")
-    assert proxy.answer()[:2] == (1, "healthy")
+    proxy.send(b"PROBE", b"1", b"x=1")
+    assert proxy.receive_response()[:2] == (1, "healthy")
     proxy.submit(2)
-    assert proxy.answer()[:2] == (2, "later")
+    assert proxy.receive_response()[:2] == (2, "later")
     site.catalog.setblocking(False)
     with pytest.raises(BlockingIOError):
         site.catalog.recv(100)
-    executor.tell("BOOTED booting 10")
+    executor.send("BOOTED booting 10")
     site.catalog.settimeout(PEER_TIMEOUT_SECONDS)
     assert site.catalog.recv(100) == b"alive n1 passing"
     assert site.event_loop.controller.server.started_cold
@@ -36,31 +36,31 @@
     proxy = site.router()
     for tag in (1, 2, 3):
         proxy.submit(tag, i=f"{tag:016x}")
-        site.kernel.expect("SCHED")
-    site.kernel.tell(f"REAP 1 {1:016x} success 1 1", b"a")
-    assert proxy.answer()[0] == 1
+        site.kernel.receive("SCHED")
+    site.kernel.send(f"REAP 1 {1:016x} success 1 1", b"a")
+    assert proxy.receive_response()[0] == 1
     site.kernel.reset()
     executor = site.link(ready=False)
-    assert executor.opened == ["OPEN", "1"]
-    executor.tell("BOOTED steady 9000")
-    fence = executor.expect("SYSINFO")[0][1]
-    executor.tell(f"REAP 1 {1:016x} success 1 1", b"a")  # already handled, now replayed
-    executor.tell(f"REAP 2 {2:016x} success 1 1", b"b")
-    executor.tell(f"INFO {fence} 0.5 1")
-    words, body = executor.expect("SCHED")
+    assert executor.open_words == ["OPEN", "1"]
+    executor.send("BOOTED steady 9000")
+    fence = executor.receive("SYSINFO")[0][1]
+    executor.send(f"REAP 1 {1:016x} success 1 1", b"a")  # already handled, now replayed
+    executor.send(f"REAP 2 {2:016x} success 1 1", b"b")
+    executor.send(f"INFO {fence} 0.5 1")
+    words, body = executor.receive("SCHED")
     assert words[1] == f"{3:016x}"
     assert body == b"hello"
-    executor.tell(f"REAP 3 {3:016x} success 1 1", b"c")
-    assert [proxy.answer()[::3] for _ in range(2)] == [(2, b"b"), (3, b"c")]
+    executor.send(f"REAP 3 {3:016x} success 1 1", b"c")
+    assert [proxy.receive_response()[::3] for _ in range(2)] == [(2, b"b"), (3, b"c")]
 
 
 def test_the_controller_timer_uses_the_last_gauges_and_does_not_wait_for_new_ones(site):
     for _ in range(2):
-        words, _ = site.kernel.expect("SYSINFO")
-        site.kernel.tell(f"INFO {words[1]} 0.625 3")
+        words, _ = site.kernel.receive("SYSINFO")
+        site.kernel.send(f"INFO {words[1]} 0.625 3")
     # The executor does not answer these requests, so the timer uses the values reported last.
     for _ in range(3):
-        site.kernel.expect("SYSINFO")
+        site.kernel.receive("SYSINFO")
     assert (
         site.event_loop.controller.parts.load.core_use,
         site.event_loop.controller.parts.load.run_queue,
@@ -73,40 +73,40 @@
 def test_a_resent_call_result_that_is_rejected_does_not_end_the_execution(site):
     proxy = site.router()
     proxy.submit(1, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = site.kernel.receive("SCHED")[0][1]
+    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
     dependency = site.calls()
-    dependency.expect("GET")
-    dependency.tell(f"{request_id} HIT 1", b"!")
-    site.kernel.expect("IODONE")
+    dependency.receive("GET")
+    dependency.send(f"{request_id} HIT 1", b"!")
+    site.kernel.receive("IODONE")
     site.kernel.reset()
     executor = site.link(ready=False)
-    executor.tell("BOOTED steady 9000")
+    executor.send("BOOTED steady 9000")
     # The replay repeats the request for the call, and the server must not make a second call.
-    executor.tell(f"IOREQ 1 {request_id} 1", b"?")
-    assert executor.opened == ["OPEN", "1"]
-    assert executor.expect("IODONE") == (
+    executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    assert executor.open_words == ["OPEN", "1"]
+    assert executor.receive("IODONE") == (
         ["IODONE", request_id, "1"],
         b"!",
     )
-    executor.tell(f"EINVAL IODONE {request_id}")
-    executor.tell(f"REAP 2 {request_id} success 9 1", b"r")
-    assert proxy.answer()[1::2] == ("done", b"r")
+    executor.send(f"EINVAL IODONE {request_id}")
+    executor.send(f"REAP 2 {request_id} success 9 1", b"r")
+    assert proxy.receive_response()[1::2] == ("done", b"r")
     proxy.submit(2, "look")
-    request_id = executor.expect("SCHED")[0][1]
-    executor.tell(f"IOREQ 3 {request_id} 1", b"?")
-    assert dependency.expect("GET")[0][1] == request_id
+    request_id = executor.receive("SCHED")[0][1]
+    executor.send(f"IOREQ 3 {request_id} 1", b"?")
+    assert dependency.receive("GET")[0][1] == request_id
 
 
 def test_a_resent_dispatch_that_is_rejected_ends_the_request(site):
     proxy = site.router()
     proxy.submit(1)
-    words, _ = site.kernel.expect("SCHED")
+    words, _ = site.kernel.receive("SCHED")
     site.kernel.reset()  # the executor's response to the dispatch is lost with the link
     site.kernel = site.link()
-    assert site.kernel.expect("SCHED")[0][1] == words[1]
-    site.kernel.tell(f"EINVAL SCHED {words[1]}")
-    assert proxy.answer()[:2] == (1, "error")
+    assert site.kernel.receive("SCHED")[0][1] == words[1]
+    site.kernel.send(f"EINVAL SCHED {words[1]}")
+    assert proxy.receive_response()[:2] == (1, "error")
     assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
     assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
 
@@ -114,20 +114,20 @@
 def test_commands_decided_without_a_link_are_sent_after_the_replay_fence(site):
     proxy = site.router()
     proxy.submit(1)
-    words, _ = site.kernel.expect("SCHED")
+    words, _ = site.kernel.receive("SCHED")
     site.kernel.reset()
-    proxy.say(b"WITHDRAW", b"1")
+    proxy.send(b"WITHDRAW", b"1")
     executor = site.link()
-    assert [executor.expect(verb)[0][1] for verb in ("SCHED", "PREEMPT")] == [words[1]] * 2
+    assert [executor.receive(verb)[0][1] for verb in ("SCHED", "PREEMPT")] == [words[1]] * 2
 
 
 def test_rejected_dispatches_get_errors_and_few_log_lines(site, caplog):
     proxy = site.router()
     for tag in (1, 3, 4):
         proxy.submit(tag)
-        words, _ = site.kernel.expect("SCHED")
-        site.kernel.tell(f"EINVAL SCHED {words[1]}")
-        assert proxy.answer()[:2] == (tag, "error")
+        words, _ = site.kernel.receive("SCHED")
+        site.kernel.send(f"EINVAL SCHED {words[1]}")
+        assert proxy.receive_response()[:2] == (tag, "error")
     assert (
         len([each for each in caplog.records if "rejected the dispatch" in each.getMessage()]) == 2
     )
@@ -139,12 +139,12 @@
     proxy = site.router()
     proxy.submit(1)
     request_id = next_dispatched(site)
-    words, _ = site.kernel.expect("SYSINFO")
-    site.kernel.tell(f"INFO {words[1]} 0.1 1")
+    words, _ = site.kernel.receive("SYSINFO")
+    site.kernel.send(f"INFO {words[1]} 0.1 1")
     # Events of a link are handled in order: once the end of the execution has been handled, the
     # response to the poll has been handled as well.
     finish_execution(site, event_number, request_id)
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
 
 
 def test_an_acknowledged_dispatch_is_not_resent_after_a_lost_link(site):
@@ -160,7 +160,7 @@
     finish_execution(site, 2, first)
     assert next_dispatched(site) == second
     finish_execution(site, 3, second)
-    assert sorted(proxy.answer()[:2] for _ in range(2)) == [(1, "done"), (2, "done")]
+    assert sorted(proxy.receive_response()[:2] for _ in range(2)) == [(1, "done"), (2, "done")]
     proxy.submit(3)
     assert next_dispatched(site) not in (first, second)
 
@@ -171,26 +171,26 @@
     proxy.submit(1, "look")
     request_id = next_dispatched(site)
     dependency = request_call(site, 1, request_id, b"one")
-    dependency.tell(f"{request_id} HIT 1", b"1")
-    assert site.kernel.expect("IODONE")[1] == b"1"
+    dependency.send(f"{request_id} HIT 1", b"1")
+    assert site.kernel.receive("IODONE")[1] == b"1"
     poll_gauges(site, 2)
     site.kernel.reset()
     site.kernel = site.link()
     # If the first call's result were resent over the new link, the executor would take it as the
     # result of this second call.
     dependency = request_call(site, 3, request_id, b"two")
-    dependency.tell(f"{request_id} HIT 1", b"2")
-    assert site.kernel.expect("IODONE")[1] == b"2"
+    dependency.send(f"{request_id} HIT 1", b"2")
+    assert site.kernel.receive("IODONE")[1] == b"2"
     finish_execution(site, 4, request_id)
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
 
 
 def test_an_invalid_executor_age_closes_the_link_and_a_new_link_works(make_site):
     site = make_site().start()
     executor = site.link(ready=False)
-    executor.tell("BOOTED steady inf")
-    assert executor.next() is None
+    executor.send("BOOTED steady inf")
+    assert executor.receive_message() is None
     site.kernel, proxy = site.link(), site.router()
     proxy.submit(1)
     finish_execution(site, 1, next_dispatched(site))
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -11,8 +11,8 @@
 from tests.conftest import (
     PEER_TIMEOUT_SECONDS,
     finish_execution,
+    format_address,
     next_dispatched,
-    plain,
     wait_until_processed,
 )
 
@@ -22,28 +22,28 @@
     executor = site.link()
     proxy = site.router()
     proxy.submit(1, "look", i="00000000000000aa")
-    executor.expect("SCHED")
-    executor.tell("IOREQ 1 00000000000000aa 1", b"?")
+    executor.receive("SCHED")
+    executor.send("IOREQ 1 00000000000000aa 1", b"?")
     old_dependency = site.calls()
-    old_dependency.expect("GET")
+    old_dependency.receive("GET")
     site.move("kernel", "index")
     site.process.send_signal(signal.SIGHUP)
     executor = site.link()
-    assert executor.opened == ["OPEN", "1"]
+    assert executor.open_words == ["OPEN", "1"]
     # A call in progress gets its result over the old connection.
-    old_dependency.tell("00000000000000aa HIT 1", b"!")
-    assert executor.expect("IODONE") == (["IODONE", "00000000000000aa", "1"], b"!")
-    executor.tell("IOREQ 2 00000000000000aa 1", b"2")
+    old_dependency.send("00000000000000aa HIT 1", b"!")
+    assert executor.receive("IODONE") == (["IODONE", "00000000000000aa", "1"], b"!")
+    executor.send("IOREQ 2 00000000000000aa 1", b"2")
     new_dependency = site.calls()
-    assert new_dependency.expect("GET")[1] == b"2"
+    assert new_dependency.receive("GET")[1] == b"2"
     site.path.write_text("{")
     # The file is incomplete, so that the reload fails and the current configuration stays.
     site.process.send_signal(signal.SIGHUP)
     site.process.send_signal(signal.SIGHUP)
-    new_dependency.tell("00000000000000aa HIT 1", b"!")
-    assert executor.expect("IODONE")
-    executor.tell("REAP 3 00000000000000aa success 9 1", b"r")
-    assert proxy.answer()[1::2] == ("done", b"r")
+    new_dependency.send("00000000000000aa HIT 1", b"!")
+    assert executor.receive("IODONE")
+    executor.send("REAP 3 00000000000000aa success 9 1", b"r")
+    assert proxy.receive_response()[1::2] == ("done", b"r")
 
 
 def test_a_new_registry_gets_a_report_at_once(make_site):
@@ -53,7 +53,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as catalog:
         catalog.bind(("127.0.0.1", 0))
         catalog.settimeout(PEER_TIMEOUT_SECONDS)
-        site.handed["directory"] = plain(catalog.getsockname())
+        site.handed["directory"] = format_address(catalog.getsockname())
         site.move()
         site.event_loop.event_queue.post(reload_configuration, site.event_loop, site.path)
         assert catalog.recv(100) == b"alive n1 passing"
@@ -87,4 +87,4 @@
     wait_until_processed(proxy)
     proxy.submit(1)
     finish_execution(site, 1, next_dispatched(site))
-    assert proxy.answer()[:2] == (1, "done")
+    assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -20,42 +20,45 @@
 def test_a_request_with_a_dependency_call_is_executed_and_answered(site):
     proxy, body_sent = site.router(), bytes(range(256)) * 8
     proxy.submit(7, "look", body_sent, i="00000000000000aa")
-    assert site.kernel.expect("SCHED") == (["SCHED", "00000000000000aa", "look", "2048"], body_sent)
-    site.kernel.tell("IOREQ 1 00000000000000aa 4", b"\r\n\0?")
+    assert site.kernel.receive("SCHED") == (
+        ["SCHED", "00000000000000aa", "look", "2048"],
+        body_sent,
+    )
+    site.kernel.send("IOREQ 1 00000000000000aa 4", b"\r\n\0?")
     dependency = site.calls()
-    words, body = dependency.expect("GET")
+    words, body = dependency.receive("GET")
     assert words[1] == "00000000000000aa"
     assert 0 < int(words[2]) <= 50_000
     assert body == b"\r\n\0?"
-    dependency.tell("00000000000000aa HIT 3", b"\r\n!")
-    assert site.kernel.expect("IODONE") == (["IODONE", "00000000000000aa", "3"], b"\r\n!")
-    site.kernel.tell("REAP 2 00000000000000aa success 12 5", b"\0\r\n\r\n")
-    tag, word, fields, result = proxy.answer()
+    dependency.send("00000000000000aa HIT 3", b"\r\n!")
+    assert site.kernel.receive("IODONE") == (["IODONE", "00000000000000aa", "3"], b"\r\n!")
+    site.kernel.send("REAP 2 00000000000000aa success 12 5", b"\0\r\n\r\n")
+    tag, word, fields, result = proxy.receive_response()
     assert (tag, word, result) == (7, "done", b"\0\r\n\r\n")
     assert float(fields["v"]) > 0
 
 
 def test_responses_may_be_out_of_order_and_requests_may_arrive_byte_by_byte(site):
     proxy = site.router()
-    for byte in proxy.message(1) + proxy.message(2):
+    for byte in proxy.encode_submit(1) + proxy.encode_submit(2):
         proxy.sock.sendall(bytes([byte]))
-    first, second = (site.kernel.expect("SCHED")[0][1] for _ in range(2))
-    site.kernel.tell(f"REAP 1 {second} success 1 1", b"b")
-    site.kernel.tell(f"REAP 2 {first} failure 1 0", b"")
-    assert [proxy.answer()[:2] for _ in range(2)] == [(2, "done"), (1, "error")]
+    first, second = (site.kernel.receive("SCHED")[0][1] for _ in range(2))
+    site.kernel.send(f"REAP 1 {second} success 1 1", b"b")
+    site.kernel.send(f"REAP 2 {first} failure 1 0", b"")
+    assert [proxy.receive_response()[:2] for _ in range(2)] == [(2, "done"), (1, "error")]
 
 
 def test_a_request_past_its_deadline_is_rejected_at_once(site):
     proxy = site.router()
     proxy.submit(1, s=int(time.time() * 1000) - 500, d=400)
     proxy.submit(2, d=-5)
-    assert [proxy.answer()[:2] for _ in range(2)] == [(1, "later"), (2, "later")]
+    assert [proxy.receive_response()[:2] for _ in range(2)] == [(1, "later"), (2, "later")]
 
 
 @pytest.mark.parametrize(
     "withdraw_or_disconnect",
     [
-        lambda proxy: proxy.say(b"WITHDRAW", b"1"),
+        lambda proxy: proxy.send(b"WITHDRAW", b"1"),
         lambda proxy: proxy.reset(),
         lambda proxy: proxy.sock.close(),
     ],
@@ -63,40 +66,40 @@
 def test_a_request_whose_client_is_gone_is_cancelled_and_not_answered(site, withdraw_or_disconnect):
     proxy, other_proxy = site.router(), site.router()
     proxy.submit(1)
-    words, _ = site.kernel.expect("SCHED")
+    words, _ = site.kernel.receive("SCHED")
     withdraw_or_disconnect(proxy)
-    assert site.kernel.expect("PREEMPT")[0][1] == words[1]
-    site.kernel.tell(f"REAP 1 {words[1]} interrupted 5 0", b"")
+    assert site.kernel.receive("PREEMPT")[0][1] == words[1]
+    site.kernel.send(f"REAP 1 {words[1]} interrupted 5 0", b"")
     assert execute_request(site, other_proxy, 1, 2)[2][:2] == (1, "done")
     if proxy.sock.fileno() >= 0:
-        proxy.say(b"PROBE", b"2")
-        assert proxy.answer()[0] == 2
+        proxy.send(b"PROBE", b"2")
+        assert proxy.receive_response()[0] == 2
 
 
 def test_after_every_kind_of_end_nothing_is_counted_as_in_flight(site):
     proxy, disconnecting_proxy = site.router(), site.router()
     for tag, outcome in enumerate(("success", "failure", "interrupted", "nothing"), 1):
         proxy.submit(tag)
-        words, _ = site.kernel.expect("SCHED")
-        site.kernel.tell(f"REAP {tag} {words[1]} {outcome} 1 0", b"")
-        assert proxy.answer()[0] == tag
+        words, _ = site.kernel.receive("SCHED")
+        site.kernel.send(f"REAP {tag} {words[1]} {outcome} 1 0", b"")
+        assert proxy.receive_response()[0] == tag
     # The client withdraws this request during its dependency call.
     withdrawn_id = submit_until_call(site, proxy, 5, 5)
     dependency = site.calls()
-    dependency.expect("GET")
-    proxy.say(b"WITHDRAW", b"5")
-    proxy.say(b"PROBE", b"6")
-    assert proxy.answer()[0] == 6  # the withdrawal has been read
+    dependency.receive("GET")
+    proxy.send(b"WITHDRAW", b"5")
+    proxy.send(b"PROBE", b"6")
+    assert proxy.receive_response()[0] == 6  # the withdrawal has been read
     disconnecting_proxy.submit(1)  # its client disconnects while it is executed
-    words, _ = site.kernel.expect("SCHED")
+    words, _ = site.kernel.receive("SCHED")
     disconnecting_proxy.reset()
-    assert site.kernel.expect("PREEMPT")[0][1] == words[1]
-    site.kernel.tell(f"REAP 6 {words[1]} interrupted 1 0", b"")
-    site.kernel.tell(f"REAP 7 {withdrawn_id} interrupted 1 0", b"")
-    assert dependency.next() is None
+    assert site.kernel.receive("PREEMPT")[0][1] == words[1]
+    site.kernel.send(f"REAP 6 {words[1]} interrupted 1 0", b"")
+    site.kernel.send(f"REAP 7 {withdrawn_id} interrupted 1 0", b"")
+    assert dependency.receive_message() is None
     assert execute_request(site, proxy, 9, 8)[2][:2] == (9, "done")
-    proxy.say(b"PROBE", b"10")
-    assert proxy.answer()[0] == 10
+    proxy.send(b"PROBE", b"10")
+    assert proxy.receive_response()[0] == 10
     assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
 
 
@@ -112,20 +115,20 @@
             self.dependency, self.event_number = request_call(site, 1, self.request_id), 2
 
     def client_withdraws(self):
-        self.proxy.say(b"WITHDRAW", b"1")
+        self.proxy.send(b"WITHDRAW", b"1")
 
     def execution_succeeds(self):
         finish_execution(self.site, self.event_number, self.request_id)
 
     def execution_is_interrupted(self):
-        self.site.kernel.tell(f"REAP {self.event_number} {self.request_id} interrupted 3 0", b"")
+        self.site.kernel.send(f"REAP {self.event_number} {self.request_id} interrupted 3 0", b"")
 
     def dependency_responds(self):
-        self.dependency.tell(f"{self.request_id} HIT 1", b"!")
+        self.dependency.send(f"{self.request_id} HIT 1", b"!")
 
     def expect_abandoned_call(self):
         # The server closes the connection of a call whose execution has ended.
-        assert self.dependency.next() is None
+        assert self.dependency.receive_message() is None
 
     def executor_link_is_lost(self):
         self.site.kernel.sock.shutdown(socket.SHUT_RDWR)
@@ -176,18 +179,18 @@
     )
     events = [getattr(request, name) for name in (first, second)]
     if in_one_iteration:
-        site.event_loop.event_queue.together(*events)
+        site.event_loop.event_queue.process_in_one_iteration(*events)
     else:
-        site.event_loop.event_queue.together(events[0])
+        site.event_loop.event_queue.process_in_one_iteration(events[0])
         if (first, second) == ("execution_is_interrupted", "dependency_responds"):
             request.expect_abandoned_call()  # the dependency can no longer respond
         else:
-            site.event_loop.event_queue.together(events[1])
+            site.event_loop.event_queue.process_in_one_iteration(events[1])
     if site.has_lost_link:
         site.kernel = site.link()
     if not execution_ended & {first, second}:
         outcome = "interrupted 3 0" if during_call else "success 3 1"
-        site.kernel.tell(
+        site.kernel.send(
             f"REAP {request.event_number} {request.request_id} {outcome}",
             b"" if during_call else b"r",
         )
@@ -197,15 +200,15 @@
     while (dispatched_id := next_dispatched(site)) == request.request_id:
         pass
     finish_execution(site, request.event_number + 1, dispatched_id)
-    assert other_proxy.answer()[:2] == (1, "done")
+    assert other_proxy.receive_response()[:2] == (1, "done")
     if "client_disconnects" not in (first, second):
-        request.proxy.say(b"PROBE", b"9")
+        request.proxy.send(b"PROBE", b"9")
         answered_tags = []
-        while (answer := request.proxy.answer())[0] != 9:
+        while (answer := request.proxy.receive_response())[0] != 9:
             answered_tags.append(answer[0])
         assert answered_tags == ([] if first in client_gone else [1]) or (
             second in client_gone and answered_tags in ([], [1])
         )
-    site.event_loop.event_queue.together()
+    site.event_loop.event_queue.process_in_one_iteration()
     wait_until_processed(other_proxy)
     assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -65,7 +65,7 @@
     finally:
         for each, handler in old_handlers.items():
             signal.signal(each, handler)
-    assert [proxies[0].answer()[:2] for _ in range(2)] in (
+    assert [proxies[0].receive_response()[:2] for _ in range(2)] in (
         [(1, "later"), (0, "closing")],
         [(0, "closing"), (1, "later")],
     )
