--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -9,56 +9,57 @@
 import pytest
 
 from tests.bgp.conftest import announce_config, peer_block
-from tests.conftest import PEER_TIMEOUT_SECONDS, ROOT, Site, format_address
+from tests.conftest import PEER_TIMEOUT_SECONDS, ROOT, AppServerHarness, format_address
 
 SERVICE = "192.0.2.10/32"
 
 
 @pytest.fixture
-def make_site(tmp_path):
-    sites = []
-
-    def make(router, more="", **handed):
-        site = Site(tmp_path, **handed).start()
-        sites.append(site)
-        site.event_loop.event_queue.post(
-            site.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address) + more)
+def make_harness(tmp_path):
+    harnesses = []
+
+    def make(router, more="", **process_config):
+        harness = AppServerHarness(tmp_path, **process_config).start()
+        harnesses.append(harness)
+        harness.event_loop.event_queue.post(
+            harness.event_loop.subsystems.apply_bgp,
+            announce_config(peer_block(router.address) + more),
         )
-        return site
+        return harness
 
     yield make
-    for each in sites:
+    for each in harnesses:
         if each.event_loop.subsystems.bgp is not None:
             each.event_loop.subsystems.bgp.end(PEER_TIMEOUT_SECONDS)
         each.end()
 
 
-def test_node_is_announced_only_once_its_executor_is_connected(make_site, make_router):
+def test_node_is_announced_only_once_its_executor_is_connected(make_harness, make_router):
     router = make_router()
-    site = make_site(router)
+    harness = make_harness(router)
     router.wait_count("end_of_rib", 2)
     assert not router.held
-    site.kernel = site.link()
+    harness.executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
 
 
-def test_node_is_announced_after_a_cold_start_only_once_it_has_warmed_up(make_site, make_router):
+def test_node_is_announced_after_a_cold_start_only_once_it_has_warmed_up(make_harness, make_router):
     router = make_router()
     rules = {"rules": {"drain_grace_ms": 100.0, "tip_multiple": 8.0, "warm_up_ms": 6000.0}}
-    site = make_site(router, settings=rules)
-    site.kernel = site.link("booting")  # one second of the warm-up remains
+    harness = make_harness(router, settings=rules)
+    harness.executor = harness.accept_executor_link("booting")  # one second of the warm-up remains
     router.wait_count("end_of_rib", 2)
     up = router.wait_count("up").at
     router.wait_held(SERVICE)
     assert router.wait_count("announced").at - up > 0.5
 
 
-def test_lost_executor_link_lowers_the_preference_then_withdraws(make_site, make_router):
+def test_lost_executor_link_lowers_the_preference_then_withdraws(make_harness, make_router):
     router = make_router()
-    site = make_site(router)
-    link = site.link()
+    harness = make_harness(router)
+    link = harness.accept_executor_link()
     router.wait_held(SERVICE)
-    site.kernel_port.close()
+    harness.executor_listener.close()
     link.sock.close()
     router.wait_held()
     assert (
@@ -67,95 +68,99 @@
 
 
 def test_drain_withdraws_first_and_closes_the_listener_after_the_propagation_time(
-    make_site, make_router
+    make_harness, make_router
 ):
     router = make_router()
-    site = make_site(router, settings={"rules": {"drain_grace_ms": 300.0, "tip_multiple": 8.0}})
-    site.kernel = site.link()
+    harness = make_harness(
+        router, settings={"rules": {"drain_grace_ms": 300.0, "tip_multiple": 8.0}}
+    )
+    harness.executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
-    asker = site.router()
+    asker = harness.connect_proxy()
     asker.submit(1)
-    ident = site.kernel.receive("SCHED")[0][1]
-    site.event_loop.event_queue.post(site.event_loop.drain.start)
+    ident = harness.executor.receive("SCHED")[0][1]
+    harness.event_loop.event_queue.post(harness.event_loop.drain.start)
     router.wait_held()
-    late = site.router()  # the listener is still open
+    late = harness.connect_proxy()  # the listener is still open
     late.send(b"PROBE", b"1", b"x=0")
     assert late.receive_response()[1] == "sick"
-    site.kernel.send(f"REAP 1 {ident} success 1 2", b"ok")
+    harness.executor.send(f"REAP 1 {ident} success 1 2", b"ok")
     assert asker.receive_response()[1] == "done"
     assert late.receive_response()[1] == "closing"
     withdrawn = router.wait_count("withdrawn").at
-    site.thread.join(PEER_TIMEOUT_SECONDS)
+    harness.thread.join(PEER_TIMEOUT_SECONDS)
     assert router.wait_count("notification").message.subcode == 2
     assert router.wait_count("notification").at - withdrawn > 0.05  # the propagation time
-    assert not site.thread.is_alive()
+    assert not harness.thread.is_alive()
 
 
 def test_session_lost_during_a_drain_does_not_delay_the_listeners_close_beyond_the_grace(
-    make_site, make_router
+    make_harness, make_router
 ):
     router = make_router()
-    site = make_site(router)
-    site.kernel = site.link()
+    harness = make_harness(router)
+    harness.executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
     router.drop()
-    site.event_loop.event_queue.post(site.event_loop.drain.start)
-    site.thread.join(PEER_TIMEOUT_SECONDS)
-    assert not site.thread.is_alive() and not router.held
+    harness.event_loop.event_queue.post(harness.event_loop.drain.start)
+    harness.thread.join(PEER_TIMEOUT_SECONDS)
+    assert not harness.thread.is_alive() and not router.held
 
 
-def test_app_server_keeps_serving_after_an_internal_error_of_the_speaker(make_site, make_router):
+def test_app_server_keeps_serving_after_an_internal_error_of_the_speaker(make_harness, make_router):
     router = make_router()
-    site = make_site(router)
-    site.kernel = site.link()
+    harness = make_harness(router)
+    harness.executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
 
     def fail():
         raise RuntimeError("injected by the test")
 
-    site.event_loop.subsystems.bgp.speaker.inbox.put((fail,))
+    harness.event_loop.subsystems.bgp.speaker.inbox.put((fail,))
     router.wait_held()
-    asker = site.router()
+    asker = harness.connect_proxy()
     asker.submit(1)
-    ident = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"REAP 1 {ident} success 1 2", b"ok")
+    ident = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"REAP 1 {ident} success 1 2", b"ok")
     assert asker.receive_response()[1] == "done"
-    site.event_loop.event_queue.post(site.event_loop.drain.start)
-    site.thread.join(PEER_TIMEOUT_SECONDS)
-    assert not site.thread.is_alive()
+    harness.event_loop.event_queue.post(harness.event_loop.drain.start)
+    harness.thread.join(PEER_TIMEOUT_SECONDS)
+    assert not harness.thread.is_alive()
 
 
 def test_reload_with_and_without_an_announce_block_starts_and_ends_the_speaker(
-    make_site, make_router
+    make_harness, make_router
 ):
     router = make_router()
-    site = make_site(router)
-    site.kernel = site.link()
+    harness = make_harness(router)
+    harness.executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
-    site.event_loop.event_queue.post(site.event_loop.subsystems.apply_bgp, None)
+    harness.event_loop.event_queue.post(harness.event_loop.subsystems.apply_bgp, None)
     router.wait_count("notification")
     router.wait_held()
-    site.event_loop.event_queue.post(
-        site.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address))
+    harness.event_loop.event_queue.post(
+        harness.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address))
     )
     router.wait_held(SERVICE)
 
 
-def spawn(site, operator_file):
+def spawn(harness, operator_file):
     """Starts the app server as a process with this operator's file."""
     with socket.create_server(("127.0.0.1", 0)) as free:
-        site.address = free.getsockname()
+        harness.address = free.getsockname()
     import json
 
-    site.path.write_text(json.dumps(site.handed | {"listen": format_address(site.address)}))
-    site.process = subprocess.Popen(
+    harness.config_path.write_text(
+        json.dumps(harness.process_config | {"listen": format_address(harness.address)})
+    )
+    harness.process = subprocess.Popen(
         [
             sys.executable,
             "-m",
             "lilacwalk",
             "serve",
             "--config",
-            str(site.path),
+            str(harness.config_path),
             "--file",
             str(operator_file),
         ],
@@ -163,7 +168,7 @@
         cwd=ROOT,
         text=True,
     )
-    return site
+    return harness
 
 
 def test_app_server_process_announces_reloads_on_sighup_and_withdraws_on_sigterm(
@@ -175,36 +180,36 @@
         " propagation 50ms\n graceful-shutdown 10ms\n%s" + peer_block(router.address) + "}\n"
     )
     operator_file.write_text(text % f" service {SERVICE}\n")
-    site = spawn(Site(tmp_path), operator_file)
+    harness = spawn(AppServerHarness(tmp_path), operator_file)
     try:
-        site.kernel = site.link()
+        harness.executor = harness.accept_executor_link()
         router.wait_held(SERVICE)
         operator_file.write_text("announce {\n as wrong\n}\n")
-        site.process.send_signal(signal.SIGHUP)
-        for line in site.process.stderr:
+        harness.process.send_signal(signal.SIGHUP)
+        for line in harness.process.stderr:
             if "reload_failed" in line:
                 break
         assert "wrong: expected a whole number" in line
         operator_file.write_text(text % " service 192.0.2.11/32\n")
-        site.process.send_signal(signal.SIGHUP)
+        harness.process.send_signal(signal.SIGHUP)
         router.wait_held("192.0.2.11/32")
-        site.process.send_signal(signal.SIGTERM)
+        harness.process.send_signal(signal.SIGTERM)
         router.wait_held()
-        assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
+        assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
         assert router.wait_count("notification").message.subcode == 2
     finally:
-        site.end()
-        site.process.wait()
-        site.process.stderr.close()
+        harness.end()
+        harness.process.wait()
+        harness.process.stderr.close()
 
 
 def test_start_with_an_invalid_file_exits_with_2_and_reports_every_error(tmp_path):
     operator_file = tmp_path / "own.conf"
     operator_file.write_text("announce {\n as wrong\n ready-for 3\n}\n")
-    site = spawn(Site(tmp_path), operator_file)
-    _, output = site.process.communicate(timeout=PEER_TIMEOUT_SECONDS)
-    site.end()
-    assert site.process.returncode == 2
+    harness = spawn(AppServerHarness(tmp_path), operator_file)
+    _, output = harness.process.communicate(timeout=PEER_TIMEOUT_SECONDS)
+    harness.end()
+    assert harness.process.returncode == 2
     assert (
         f"{operator_file}:2: wrong: expected" in output
         and f"{operator_file}:3: 3: expected" in output
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -195,23 +195,33 @@
         loop_released.set()
 
 
-class Site:
-    def __init__(self, tmp_path, limits=None, settings=None, **handed):
-        self.kernel_port, self.index_port = (
+# The attribute of each listener that a test may replace, by the configuration key of its address.
+LISTENER_ATTRIBUTES = {"kernel": "executor_listener", "index": "dependency_listener"}
+
+
+class AppServerHarness:
+    """An app server with its peers: executor, dependency, service registry and proxies.
+
+    `limits` is used only if the server runs in this process. Further keywords replace the values
+    of configuration keys.
+    """
+
+    def __init__(self, tmp_path, limits=None, settings=None, **process_config):
+        self.executor_listener, self.dependency_listener = (
             socket.create_server(("127.0.0.1", 0)) for _ in range(2)
         )
-        self.catalog = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.catalog.bind(("127.0.0.1", 0))
-        self.catalog.settimeout(PEER_TIMEOUT_SECONDS)
-        where = {
-            name: format_address(each.getsockname())
-            for name, each in (
-                ("kernel", self.kernel_port),
-                ("index", self.index_port),
-                ("directory", self.catalog),
+        self.registry = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.registry.bind(("127.0.0.1", 0))
+        self.registry.settimeout(PEER_TIMEOUT_SECONDS)
+        peer_addresses = {
+            key: format_address(sock.getsockname())
+            for key, sock in (
+                ("kernel", self.executor_listener),
+                ("index", self.dependency_listener),
+                ("directory", self.registry),
             )
         }
-        self.handed = (
+        self.process_config = (
             {
                 "name": "n1",
                 "listen": "127.0.0.1:0",
@@ -220,16 +230,18 @@
                 "limits": {"sockets": 512},
                 "settings": SETTINGS | (settings or {}),
             }
-            | where
-            | handed
+            | peer_addresses
+            | process_config
         )
-        self.path = tmp_path / "config.json"
+        self.config_path = tmp_path / "config.json"
         self.limits, self.process, self.thread = limits or {}, None, None
-        self.moved = [self.kernel_port, self.index_port]
+        self.listeners = [self.executor_listener, self.dependency_listener]
 
     def start(self):
         """Starts the server in this process, with the event loop in its own thread."""
-        self.event_loop, self.parts = build(self.handed, ObservedEventQueue(), **self.limits)
+        self.event_loop, self.parts = build(
+            self.process_config, ObservedEventQueue(), **self.limits
+        )
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
         for each in [self.thread, *self.parts]:
             each.start()
@@ -242,42 +254,46 @@
         # connection can take the free port before the server binds it.
         with socket.create_server(
             (f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}", 0)
-        ) as free:
-            self.address = free.getsockname()
-        self.path.write_text(json.dumps(self.handed | {"listen": format_address(self.address)}))
-        run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
+        ) as free_port_socket:
+            self.address = free_port_socket.getsockname()
+        self.config_path.write_text(
+            json.dumps(self.process_config | {"listen": format_address(self.address)})
+        )
+        run_line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.process = subprocess.Popen(
-            ["/bin/sh", "-c", run],
+            ["/bin/sh", "-c", run_line],
             stderr=stderr,
             cwd=ROOT,
             text=True,
-            env=os.environ | {"ROUTER_CONFIG": str(self.path)},
+            env=os.environ | {"ROUTER_CONFIG": str(self.config_path)},
         )
         return self
 
-    def move(self, *names):
-        """Opens new listeners for these peers and updates the configuration and its file."""
-        for name in names:
-            port = socket.create_server(("127.0.0.1", 0))
-            self.moved.append(port)
-            self.handed[name] = format_address(port.getsockname())
-            setattr(self, f"{name}_port", port)
-        self.path.write_text(json.dumps(self.handed | {"listen": format_address(self.address)}))
+    def replace_listeners(self, *keys):
+        """Opens new listeners for the peers with these configuration keys; writes the file."""
+        for key in keys:
+            listener = socket.create_server(("127.0.0.1", 0))
+            self.listeners.append(listener)
+            self.process_config[key] = format_address(listener.getsockname())
+            setattr(self, LISTENER_ATTRIBUTES[key], listener)
+        self.config_path.write_text(
+            json.dumps(self.process_config | {"listen": format_address(self.address)})
+        )
 
-    def link(self, state="steady", ready=True):
+    def accept_executor_link(self, state="steady", ready=True):
         """Accepts a link as the executor and, if `ready`, completes the replay fence."""
-        kernel = LinePeer(self.kernel_port, ("SCHED", "IODONE"))
-        kernel.open_words = kernel.receive("OPEN")[0]
+        executor = LinePeer(self.executor_listener, ("SCHED", "IODONE"))
+        executor.open_words = executor.receive("OPEN")[0]
         if ready:
-            kernel.send(f"BOOTED {state} 5000")
-            words, _ = kernel.receive("SYSINFO")
-            kernel.send(f"INFO {words[1]} 0.1 0")
-        return kernel
+            executor.send(f"BOOTED {state} 5000")
+            words, _ = executor.receive("SYSINFO")
+            executor.send(f"INFO {words[1]} 0.1 0")
+        return executor
 
-    def calls(self):
-        return LinePeer(self.index_port, ("GET",))
+    def accept_dependency_connection(self):
+        return LinePeer(self.dependency_listener, ("GET",))
 
-    def router(self):
+    def connect_proxy(self):
         return ProxyClient(self.address)
 
     def end(self):
@@ -288,53 +304,53 @@
             self.thread.join(PEER_TIMEOUT_SECONDS)
             for part in self.parts:  # otherwise one could connect to the ports of another test
                 part.close()
-        for sock in (*self.moved, self.catalog):
+        for sock in (*self.listeners, self.registry):
             sock.close()
 
 
 @pytest.fixture
-def make_site(tmp_path):
-    sites = []
+def make_harness(tmp_path):
+    harnesses = []
 
-    def make(**more):
-        sites.append(Site(tmp_path, **more))
-        return sites[-1]
+    def make(**options):
+        harnesses.append(AppServerHarness(tmp_path, **options))
+        return harnesses[-1]
 
     yield make
-    for each in sites:
-        each.end()
+    for harness in harnesses:
+        harness.end()
 
 
 @pytest.fixture
-def site(make_site):
+def harness(make_harness):
     """A running server with a connected executor."""
-    running = make_site().start()
-    running.kernel = running.link()
-    return running
+    harness = make_harness().start()
+    harness.executor = harness.accept_executor_link()
+    return harness
 
 
-def execute_request(site, proxy, tag, event_number, result=b"result", **more):
+def execute_request(harness, proxy, tag, event_number, result=b"result", **submit_options):
     """Executes a request; returns the words and body of its dispatch, and its response."""
-    proxy.submit(tag, **more)
-    words, body = site.kernel.receive("SCHED")
-    site.kernel.send(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
+    proxy.submit(tag, **submit_options)
+    words, body = harness.executor.receive("SCHED")
+    harness.executor.send(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
     return words, body, proxy.receive_response()
 
 
 NOTHING_IN_FLIGHT = "in_flight=0 open=0 running=0 calls=0 memory_kb=0"
 
 
-def submit_until_call(site, proxy, tag, event_number):
+def submit_until_dependency_call(harness, proxy, tag, event_number):
     """Submits a request whose execution requests a dependency call; returns the request's id."""
     proxy.submit(tag, "look")
-    request_id = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"IOREQ {event_number} {request_id} 1", b"?")
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ {event_number} {request_id} 1", b"?")
     return request_id
 
 
-def next_dispatched(site):
+def next_dispatched(harness):
     """Returns the id of the next dispatched request."""
-    return site.kernel.receive("SCHED")[0][1]
+    return harness.executor.receive("SCHED")[0][1]
 
 
 def wait_until_processed(proxy):
@@ -343,39 +359,39 @@
     assert proxy.receive_response()[0] == 99
 
 
-def finish_execution(site, event_number, request_id, result=b"result"):
+def finish_execution(harness, event_number, request_id, result=b"result"):
     """Reports a successful execution from the executor."""
-    site.kernel.send(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
+    harness.executor.send(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
 
 
-def request_call(site, event_number, request_id, body=b"?"):
+def request_dependency_call(harness, event_number, request_id, body=b"?"):
     """Requests a dependency call from an execution; returns the connection that carries it."""
-    site.kernel.send(f"IOREQ {event_number} {request_id} {len(body)}", body)
-    dependency = site.calls()
+    harness.executor.send(f"IOREQ {event_number} {request_id} {len(body)}", body)
+    dependency = harness.accept_dependency_connection()
     assert dependency.receive("GET")[1] == body
     return dependency
 
 
-def control_clock(site):
+def control_clock(harness):
     """Returns a function that advances the server's clock, which simulates a process stall."""
-    ahead = [0]
-    site.event_loop.clock = Clock(
-        lambda: time.time_ns() + ahead[0], lambda: time.monotonic_ns() + ahead[0]
+    offset_ns = [0]
+    harness.event_loop.clock = Clock(
+        lambda: time.time_ns() + offset_ns[0], lambda: time.monotonic_ns() + offset_ns[0]
     )
 
-    def move(seconds):
-        ahead[0] += int(seconds * 1e9)
+    def advance(seconds):
+        offset_ns[0] += int(seconds * 1e9)
 
-    return move
+    return advance
 
 
 @pytest.fixture
-def advance_clock(site):
+def advance_clock(harness):
     """Advances the server's clock and waits until the event loop has processed the change."""
-    move = control_clock(site)
+    advance = control_clock(harness)
 
     def advance_clock(seconds):
-        move(seconds)
-        wait_until_processed(site.router())
+        advance(seconds)
+        wait_until_processed(harness.connect_proxy())
 
     return advance_clock
--- a/tests/deploy/test_run_line.py
+++ b/tests/deploy/test_run_line.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.conftest import PEER_TIMEOUT_SECONDS, Site
+from tests.conftest import PEER_TIMEOUT_SECONDS, AppServerHarness
 
 # A start imports 127 modules that are not ours; a tenth more may come. Ours are held by name: a
 # package may be split, but a subsystem that is off must not be imported.
@@ -43,29 +43,29 @@
 
 
 @pytest.fixture
-def running(tmp_path):
+def running_harness(tmp_path):
     """A server started as in the deploy file, with a platform's settings, that has responded."""
-    site = Site(tmp_path)
-    site.handed["limits"] = {"sockets": 512, "memory_mb": 80.0, "cores": 1.0}
-    site.spawn()
-    site.kernel = site.link()
+    harness = AppServerHarness(tmp_path)
+    harness.process_config["limits"] = {"sockets": 512, "memory_mb": 80.0, "cores": 1.0}
+    harness.spawn()
+    harness.executor = harness.accept_executor_link()
     deadline = time.monotonic() + PEER_TIMEOUT_SECONDS
     while True:
         try:
-            site.asker = site.router()
+            harness.proxy = harness.connect_proxy()
             break
         except ConnectionRefusedError:
             assert time.monotonic() < deadline
-    site.asker.submit(1)
-    ident = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"REAP 1 {ident} success 1 2", b"ok")
-    assert site.asker.receive_response()[1] == "done"
+    harness.proxy.submit(1)
+    ident = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"REAP 1 {ident} success 1 2", b"ok")
+    assert harness.proxy.receive_response()[1] == "done"
     # From here on the socket for reports has its port, too.
-    assert site.catalog.recv(100) == b"alive n1 passing"
-    yield site
-    site.end()
-    site.process.wait(PEER_TIMEOUT_SECONDS)
-    site.process.stderr.close()
+    assert harness.registry.recv(100) == b"alive n1 passing"
+    yield harness
+    harness.end()
+    harness.process.wait(PEER_TIMEOUT_SECONDS)
+    harness.process.stderr.close()
 
 
 def child_processes(pid):
@@ -97,32 +97,32 @@
     return found, others
 
 
-def test_the_command_becomes_one_python_process_without_children(running):
-    pid = running.process.pid
+def test_the_command_becomes_one_python_process_without_children(running_harness):
+    pid = running_harness.process.pid
     words = Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")
     assert Path(f"/proc/{pid}/exe").resolve().name.startswith("python")
     assert b"serve" in words
     assert child_processes(pid) == []
 
 
-def test_the_process_is_linked_dynamically_against_the_c_library(running):
-    maps = Path(f"/proc/{running.process.pid}/maps").read_text()
+def test_the_process_is_linked_dynamically_against_the_c_library(running_harness):
+    maps = Path(f"/proc/{running_harness.process.pid}/maps").read_text()
     assert "libc.so" in maps or "libc-" in maps
 
 
-def test_only_the_proxy_port_listens_and_all_sockets_are_tcp_or_udp_over_ipv4(running):
-    found, others = sockets_of(running.process.pid)
+def test_only_the_proxy_port_listens_and_all_sockets_are_tcp_or_udp_over_ipv4(running_harness):
+    found, others = sockets_of(running_harness.process.pid)
     assert not others, "a socket that is neither TCP nor UDP"
     assert {protocol for protocol, *_ in found} <= {"tcp", "udp"}
     listening = [where for protocol, where, state in found if protocol == "tcp" and state == "0A"]
-    assert listening == [running.address]
+    assert listening == [running_harness.address]
     # For reports to the service registry: instances do not speak with each other.
     assert [protocol for protocol, *_ in found].count("udp") == 1
 
 
-def test_a_plain_start_maps_no_optional_library_and_opens_no_file(running):
+def test_a_plain_start_maps_no_optional_library_and_opens_no_file(running_harness):
     """Membership, BGP, edge and store are off: none of their libraries and files is there."""
-    pid = running.process.pid
+    pid = running_harness.process.pid
     maps = Path(f"/proc/{pid}/maps").read_text()
     assert not any(name in maps for name in ("_sqlite3", "lmdb", "cbor2", "_ssl", "liburing"))
     descriptors = Path(f"/proc/{pid}/fd").iterdir()
@@ -135,27 +135,27 @@
     assert open_files == []
 
 
-def test_a_reload_adds_no_process_and_no_socket(running):
-    before, _ = sockets_of(running.process.pid)
-    running.move("index")
-    running.process.send_signal(signal.SIGHUP)
-    running.asker.submit(2)
-    ident = running.kernel.receive("SCHED")[0][1]
-    running.kernel.send(f"REAP 2 {ident} success 1 2", b"ok")
-    assert running.asker.receive_response()[1] == "done"
-    found, others = sockets_of(running.process.pid)
-    assert child_processes(running.process.pid) == []
+def test_a_reload_adds_no_process_and_no_socket(running_harness):
+    before, _ = sockets_of(running_harness.process.pid)
+    running_harness.replace_listeners("index")
+    running_harness.process.send_signal(signal.SIGHUP)
+    running_harness.proxy.submit(2)
+    ident = running_harness.executor.receive("SCHED")[0][1]
+    running_harness.executor.send(f"REAP 2 {ident} success 1 2", b"ok")
+    assert running_harness.proxy.receive_response()[1] == "done"
+    found, others = sockets_of(running_harness.process.pid)
+    assert child_processes(running_harness.process.pid) == []
     assert not others
     assert sorted(state for _, _, state in found) == sorted(state for _, _, state in before)
 
 
-def test_a_plain_start_imports_few_modules(make_site, monkeypatch):
+def test_a_plain_start_imports_few_modules(make_harness, monkeypatch):
     """Imports are most of a start, and restarted instances share the cores. Counted, not timed."""
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
-    site = make_site(stop_ms=1000).spawn()
-    site.link()
-    site.process.terminate()
-    lines = site.process.communicate(timeout=PEER_TIMEOUT_SECONDS)[1].splitlines()
+    harness = make_harness(stop_ms=1000).spawn()
+    harness.accept_executor_link()
+    harness.process.terminate()
+    lines = harness.process.communicate(timeout=PEER_TIMEOUT_SECONDS)[1].splitlines()
     loaded = [line.split("|")[2].strip() for line in lines if line.startswith("import time:")][1:]
     assert "lilacwalk.server.event_loop" in loaded
     heavy = {
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -19,28 +19,32 @@
     execute_request,
     finish_execution,
     next_dispatched,
-    request_call,
+    request_dependency_call,
     wait_until_processed,
 )
 
 
 @pytest.mark.parametrize("sent", [b"", b"*5\r\n$6\r\nSUB", encode_array(b"PROBE", b"1") + b"*"])
 def test_a_connection_without_a_complete_message_is_closed_and_an_idle_proxy_is_not(
-    make_site, sent
+    make_harness, sent
 ):
-    site = make_site(limits={"message_timeout": 1_000}).start()
-    site.kernel, proxy, stuck = site.link(), site.router(), site.router()
+    harness = make_harness(limits={"message_timeout": 1_000}).start()
+    harness.executor, proxy, stuck = (
+        harness.accept_executor_link(),
+        harness.connect_proxy(),
+        harness.connect_proxy(),
+    )
     proxy.send(b"PROBE", b"1")
     assert proxy.receive_response()[:2] == (1, "healthy")
     stuck.sock.sendall(sent)
     while stuck.receive_response() is not None:
         pass
-    assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
+    assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
 
 
-def test_after_a_stall_a_connection_whose_input_may_be_unread_is_not_closed_as_silent(make_site):
+def test_after_a_stall_a_connection_whose_input_may_be_unread_is_not_closed_as_silent(make_harness):
     """During a stall of the event loop, input may have arrived that has not been read yet."""
-    event_loop, _ = startup.build(make_site().handed, EventQueue())
+    event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     server_socket, peer_socket = socket.socketpair()
     connection = Connection(
         server_socket, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
@@ -56,58 +60,65 @@
     assert peer_socket.recv(1) == b""
 
 
-def test_over_the_high_water_mark_idle_connections_are_closed_before_new_ones(make_site):
-    site = make_site(
+def test_over_the_high_water_mark_idle_connections_are_closed_before_new_ones(make_harness):
+    harness = make_harness(
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 600_000}
     ).start()
-    site.kernel, idle_proxies = site.link(), [site.router() for _ in range(8)]
+    harness.executor, idle_proxies = (
+        harness.accept_executor_link(),
+        [harness.connect_proxy() for _ in range(8)],
+    )
     for each in idle_proxies:
         each.send(b"PROBE", b"1")
         assert each.receive_response()[:2] == (1, "healthy")
-    new = [site.router() for _ in range(4)]
+    new = [harness.connect_proxy() for _ in range(4)]
     for each in idle_proxies[:4]:
         assert each.receive_response() is None
     for event_number, each in enumerate(new, 1):
-        assert execute_request(site, each, 1, event_number)[2][:2] == (1, "done")
+        assert execute_request(harness, each, 1, event_number)[2][:2] == (1, "done")
 
 
 def test_over_the_high_water_mark_connections_without_a_message_are_closed_before_idle_proxies(
-    make_site,
+    make_harness,
 ):
-    site = make_site(
+    harness = make_harness(
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 0}
     ).start()
-    site.kernel, proxy = site.link(), site.router()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.send(b"PROBE", b"1")
     assert proxy.receive_response()[:2] == (1, "healthy")
-    silent = [socket.create_connection(site.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
+    silent = [socket.create_connection(harness.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
     silent[0].settimeout(PEER_TIMEOUT_SECONDS)
     assert silent[0].recv(10) == b""
-    assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
+    assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
 
 
-def test_a_proxy_with_a_request_is_served_during_a_flood_of_connections(make_site):
-    site = make_site(limits={"connections": 12, "connection_high_water": 8}).start()
-    site.kernel = site.link()
-    flood = [socket.create_connection(site.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
-    assert execute_request(site, site.router(), 1, 1)[2][:2] == (1, "done")
+def test_a_proxy_with_a_request_is_served_during_a_flood_of_connections(make_harness):
+    harness = make_harness(limits={"connections": 12, "connection_high_water": 8}).start()
+    harness.executor = harness.accept_executor_link()
+    flood = [socket.create_connection(harness.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
+    assert execute_request(harness, harness.connect_proxy(), 1, 1)[2][:2] == (1, "done")
     assert len(flood) == 40
 
 
-def test_a_close_request_is_sent_on_an_idle_connection_but_not_on_one_in_use(make_site):
-    site = make_site(
+def test_a_close_request_is_sent_on_an_idle_connection_but_not_on_one_in_use(make_harness):
+    harness = make_harness(
         settings={"family_info": SETTINGS["family_info"] | {"caller_idle_ms": 100.0}}
     ).start()
-    site.kernel, idle, used = site.link(), site.router(), site.router()
+    harness.executor, idle, used = (
+        harness.accept_executor_link(),
+        harness.connect_proxy(),
+        harness.connect_proxy(),
+    )
     used.submit(1)
-    words, _ = site.kernel.receive("SCHED")
+    words, _ = harness.executor.receive("SCHED")
     assert idle.receive_response()[:2] == (0, "closing")
-    site.kernel.send(f"REAP 1 {words[1]} success 1 0", b"")
+    harness.executor.send(f"REAP 1 {words[1]} success 1 0", b"")
     assert used.receive_response()[:2] == (1, "done")
 
 
 @pytest.fixture
-def idle_pair(make_site):
+def harness_with_idle_proxies(make_harness):
     """A server, and two idle proxies that were requested to close their connections and did not.
 
     `pass_close_timeout` advances the clock until the time for closing has passed.
@@ -118,20 +129,23 @@
         "half_close_linger": 100_000,
         "message_timeout": 100_000,
     }
-    site = make_site(settings={"family_info": info}, limits=limits).start()
-    site.kernel, site.idle_proxies = site.link(), [site.router() for _ in range(2)]
-    for each in site.idle_proxies:
+    harness = make_harness(settings={"family_info": info}, limits=limits).start()
+    harness.executor, harness.idle_proxies = (
+        harness.accept_executor_link(),
+        [harness.connect_proxy() for _ in range(2)],
+    )
+    for each in harness.idle_proxies:
         wait_until_processed(each)
-    advance = control_clock(site)
+    advance = control_clock(harness)
     advance(1.5)
-    for each in site.idle_proxies:
+    for each in harness.idle_proxies:
         assert each.receive_response()[:2] == (0, "closing")
-    site.pass_close_timeout = lambda: advance(1.5)
-    return site
+    harness.pass_close_timeout = lambda: advance(1.5)
+    return harness
 
 
 def test_a_request_being_decoded_keeps_its_idle_connection_open_and_is_answered(
-    idle_pair, monkeypatch
+    harness_with_idle_proxies, monkeypatch
 ):
     decode_started, decode_allowed, decode = (
         threading.Event(),
@@ -145,50 +159,52 @@
         return decode(parts, max_body_bytes)
 
     monkeypatch.setattr(proxy_connection, "decode_message", blocked_decode)
-    sender, other = idle_pair.idle_proxies
+    sender, other = harness_with_idle_proxies.idle_proxies
     sender.submit(1)
     assert decode_started.wait(PEER_TIMEOUT_SECONDS)
-    idle_pair.pass_close_timeout()
+    harness_with_idle_proxies.pass_close_timeout()
     assert other.receive_response() is None  # closed, so housekeeping has checked both connections
     decode_allowed.set()
-    finish_execution(idle_pair, 1, next_dispatched(idle_pair))
+    finish_execution(harness_with_idle_proxies, 1, next_dispatched(harness_with_idle_proxies))
     assert sender.receive_response()[:2] == (1, "done")
 
 
-def test_a_partial_request_keeps_its_idle_connection_open_until_it_is_complete(idle_pair):
-    sender, other = idle_pair.idle_proxies
+def test_a_partial_request_keeps_its_idle_connection_open_until_it_is_complete(
+    harness_with_idle_proxies,
+):
+    sender, other = harness_with_idle_proxies.idle_proxies
     request = sender.encode_submit(2)
     sender.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
     assert sender.receive_response()[:2] == (
         1,
         "healthy",
     )  # the partial request has been read as well
-    idle_pair.pass_close_timeout()
+    harness_with_idle_proxies.pass_close_timeout()
     assert other.receive_response() is None  # closed, so housekeeping has checked both connections
     sender.sock.sendall(request[-40:])
-    finish_execution(idle_pair, 1, next_dispatched(idle_pair))
+    finish_execution(harness_with_idle_proxies, 1, next_dispatched(harness_with_idle_proxies))
     assert sender.receive_response()[:2] == (2, "done")
 
 
 def test_a_request_that_crosses_the_half_close_is_not_executed_and_causes_no_reset(
-    idle_pair,
+    harness_with_idle_proxies,
 ):
     """Closing the socket while the request is unread would reset the connection."""
-    sender, other = idle_pair.idle_proxies
-    idle_pair.pass_close_timeout()
+    sender, other = harness_with_idle_proxies.idle_proxies
+    harness_with_idle_proxies.pass_close_timeout()
     assert sender.receive_response() is None
     assert other.receive_response() is None
     sender.submit(1)
     sender.sock.shutdown(socket.SHUT_WR)
     assert sender.sock.recv(1) == b""
     assert sender.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-    new_proxy = idle_pair.router()
+    new_proxy = harness_with_idle_proxies.connect_proxy()
     new_proxy.submit(1, i="00000000000000ee")
-    assert next_dispatched(idle_pair) == "00000000000000ee"
+    assert next_dispatched(harness_with_idle_proxies) == "00000000000000ee"
 
 
-def test_unread_bytes_keep_an_idle_connection_open(make_site):
-    event_loop, _ = startup.build(make_site().handed, EventQueue())
+def test_unread_bytes_keep_an_idle_connection_open(make_harness):
+    event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     server_socket, peer_socket = socket.socketpair()
     # Its reader thread is not started, so the bytes stay unread.
     connection = Connection(
@@ -207,8 +223,10 @@
     assert peer_socket.recv(1) == b""
 
 
-def test_a_connection_with_an_unsent_response_is_not_closed_to_make_room(make_site):
-    event_loop, _ = startup.build(make_site().handed, EventQueue(), connection_high_water=1)
+def test_a_connection_with_an_unsent_response_is_not_closed_to_make_room(make_harness):
+    event_loop, _ = startup.build(
+        make_harness().process_config, EventQueue(), connection_high_water=1
+    )
     pairs = [socket.socketpair() for _ in range(2)]
     unflushed, silent = (
         Connection(
@@ -226,52 +244,52 @@
     assert b"error" in pairs[0][1].recv(100)
 
 
-def test_a_partial_message_does_not_end_a_connection_with_a_request_in_flight(make_site):
-    site = make_site(limits={"message_timeout": 1_000}).start()
-    site.kernel, proxy = site.link(), site.router()
+def test_a_partial_message_does_not_end_a_connection_with_a_request_in_flight(make_harness):
+    harness = make_harness(limits={"message_timeout": 1_000}).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.submit(1)
-    running = next_dispatched(site)
-    control_clock(site)(5.0)
+    running_id = next_dispatched(harness)
+    control_clock(harness)(5.0)
     partial = proxy.encode_submit(2)
     proxy.sock.sendall(partial[:20])
-    silent = site.router()
+    silent = harness.connect_proxy()
     # `silent` was opened after the partial message was sent, so its end shows that the message
     # timeout has expired for both.
     assert silent.receive_response() is None
-    finish_execution(site, 1, running)
+    finish_execution(harness, 1, running_id)
     assert proxy.receive_response()[:2] == (1, "done")
     proxy.sock.sendall(partial[20:])
-    finish_execution(site, 2, next_dispatched(site))
+    finish_execution(harness, 2, next_dispatched(harness))
     assert proxy.receive_response()[:2] == (2, "done")
 
 
-def test_new_proxies_are_served_when_idle_proxies_use_up_the_descriptors(make_site):
-    site = make_site(limits={"sockets": 256, "memory_mb": 192})
-    site.handed["limits"], site.limits = site.limits, {}
-    site.catalog.close()
-    site.spawn()
-    site.kernel, first = site.link(), site.router()
-    resource.prlimit(site.process.pid, resource.RLIMIT_NOFILE, (256, 256))
+def test_new_proxies_are_served_when_idle_proxies_use_up_the_descriptors(make_harness):
+    harness = make_harness(limits={"sockets": 256, "memory_mb": 192})
+    harness.process_config["limits"], harness.limits = harness.limits, {}
+    harness.registry.close()
+    harness.spawn()
+    harness.executor, first = harness.accept_executor_link(), harness.connect_proxy()
+    resource.prlimit(harness.process.pid, resource.RLIMIT_NOFILE, (256, 256))
     first.submit(1)
-    long_request_id = next_dispatched(site)
+    long_request_id = next_dispatched(harness)
     idle = []
     for _ in range(300):  # over the descriptor limit; each sends a valid message
-        idle.append(site.router())
+        idle.append(harness.connect_proxy())
         idle[-1].sock.sendall(encode_array(b"PROBE", b"1"))
     for number in range(2, 12):
-        new = site.router()
+        new = harness.connect_proxy()
         new.submit(1, "look")
-        request_id = next_dispatched(site)
-        dependency = request_call(site, 2 * number, request_id)
+        request_id = next_dispatched(harness)
+        dependency = request_dependency_call(harness, 2 * number, request_id)
         dependency.send(f"{request_id} HIT 1", b"!")
-        finish_execution(site, 2 * number + 1, request_id)
+        finish_execution(harness, 2 * number + 1, request_id)
         assert new.receive_response()[:2] == (1, "done")
         dependency.sock.close()
-    finish_execution(site, 99, long_request_id)
+    finish_execution(harness, 99, long_request_id)
     assert first.receive_response()[:2] == (
         1,
         "done",
     )  # a connection in use is never closed to make room
-    used = len(os.listdir(f"/proc/{site.process.pid}/fd"))
+    used = len(os.listdir(f"/proc/{harness.process.pid}/fd"))
     assert used < 256
     assert len(idle) == 300
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -9,7 +9,7 @@
 from lilacwalk.commands import lilacwalk as commands
 from lilacwalk.membership.messages import NODE_STATE_NAMES, NodeState
 from lilacwalk.testing.proxy_client import ProxyClient
-from tests.conftest import ROOT, Site
+from tests.conftest import ROOT, AppServerHarness
 from tests.membership.conftest import member_names
 
 TIMEOUT_SECONDS = 15.0  # limit of each wait; exceeding it fails the test
@@ -119,11 +119,11 @@
 
 
 def test_without_a_fleet_block_no_membership_subsystem_or_module_is_loaded(tmp_path):
-    site = Site(tmp_path).start()
-    site.link()
-    assert site.event_loop.subsystems.membership is None
-    assert site.event_loop.subsystems.may_withdraw
-    site.end()
+    harness = AppServerHarness(tmp_path).start()
+    harness.accept_executor_link()
+    assert harness.event_loop.subsystems.membership is None
+    assert harness.event_loop.subsystems.may_withdraw
+    harness.end()
     script = (
         "import sys, lilacwalk.commands.serve;"
         "print([name for name in sys.modules if name.startswith(('lilacwalk.membership', "
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -15,63 +15,63 @@
     SETTINGS,
     finish_execution,
     next_dispatched,
-    request_call,
-    submit_until_call,
+    request_dependency_call,
+    submit_until_dependency_call,
 )
 
 
 @pytest.mark.parametrize("reply", ["SHED", "NOBODY", "BROKEN", "SLOW"])
-def test_a_failed_call_of_an_idempotent_request_is_retried(site, reply):
-    proxy = site.router()
+def test_a_failed_call_of_an_idempotent_request_is_retried(harness, reply):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.send(f"{request_id} {reply}")
-    retry_connection = site.calls()
+    retry_connection = harness.accept_dependency_connection()
     assert retry_connection.receive("GET")[1] == b"?"
     retry_connection.send(f"{request_id} HIT 1", b"!")
-    assert site.kernel.receive("IODONE")[1] == b"!"
+    assert harness.executor.receive("IODONE")[1] == b"!"
 
 
-def test_a_call_on_a_connection_that_breaks_is_retried_on_a_new_one(site):
-    proxy = site.router()
+def test_a_call_on_a_connection_that_breaks_is_retried_on_a_new_one(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.reset()
-    retry_connection = site.calls()
+    retry_connection = harness.accept_dependency_connection()
     retry_connection.receive("GET")
     retry_connection.send(f"{request_id} HIT 1", b"!")
-    assert site.kernel.receive("IODONE")[1] == b"!"
+    assert harness.executor.receive("IODONE")[1] == b"!"
 
 
-def test_a_call_that_takes_too_long_is_abandoned_and_its_request_answered(site):
-    proxy = site.router()
+def test_a_call_that_takes_too_long_is_abandoned_and_its_request_answered(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look", d=2000)
-    request_id = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
     assert dependency.receive("GET")
     assert dependency.receive_message() is None
     assert proxy.receive_response()[0] == 1
 
 
-def test_an_idle_connection_is_closed_and_opened_again_when_needed(make_site):
-    site = make_site(limits={"dependency_idle_timeout": 500}).start()
-    site.kernel, proxy = site.link(), site.router()
+def test_an_idle_connection_is_closed_and_opened_again_when_needed(make_harness):
+    harness = make_harness(limits={"dependency_idle_timeout": 500}).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     for tag in (1, 2):
         proxy.submit(tag, "look")
-        request_id = site.kernel.receive("SCHED")[0][1]
-        site.kernel.send(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
-        dependency = site.calls()
+        request_id = harness.executor.receive("SCHED")[0][1]
+        harness.executor.send(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
+        dependency = harness.accept_dependency_connection()
         dependency.receive("GET")
         dependency.send(f"{request_id} HIT 1", b"!")
-        site.kernel.receive("IODONE")
-        site.kernel.send(f"REAP {2 * tag} {request_id} success 1 0", b"")
+        harness.executor.receive("IODONE")
+        harness.executor.send(f"REAP {2 * tag} {request_id} success 1 0", b"")
         assert proxy.receive_response()[:2] == (tag, "done")
         assert dependency.receive_message() is None
 
@@ -164,18 +164,18 @@
         b"%b WELL\r\n",
     ],
 )
-def test_a_malformed_reply_fails_only_its_call_which_is_retried(site, malformed):
-    proxy = site.router()
+def test_a_malformed_reply_fails_only_its_call_which_is_retried(harness, malformed):
+    proxy = harness.connect_proxy()
     affected_id, other_id = (
-        submit_until_call(site, proxy, 1, 1),
-        submit_until_call(site, proxy, 2, 2),
+        submit_until_dependency_call(harness, proxy, 1, 1),
+        submit_until_dependency_call(harness, proxy, 2, 2),
     )
     connections = {}
     for _ in range(2):
-        connection = site.calls()
+        connection = harness.accept_dependency_connection()
         connections[connection.receive("GET")[0][1]] = connection
     connections[affected_id].sock.sendall(malformed.replace(b"%b", affected_id.encode()))
-    retry_connection = site.calls()
+    retry_connection = harness.accept_dependency_connection()
     assert retry_connection.receive("GET")[0][1] == affected_id
     assert connections[affected_id].receive_message() is None
     for connection, request_id in (
@@ -183,38 +183,38 @@
         (retry_connection, affected_id),
     ):
         connection.send(f"{request_id} HIT 1", b"!")
-        assert site.kernel.receive("IODONE") == (["IODONE", request_id, "1"], b"!")
+        assert harness.executor.receive("IODONE") == (["IODONE", request_id, "1"], b"!")
 
 
-def test_replies_to_other_requests_and_duplicate_replies_are_ignored(site):
-    proxy = site.router()
-    request_id = submit_until_call(site, proxy, 1, 1)
-    dependency = site.calls()
+def test_replies_to_other_requests_and_duplicate_replies_are_ignored(harness):
+    proxy = harness.connect_proxy()
+    request_id = submit_until_dependency_call(harness, proxy, 1, 1)
+    dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.send("00000000000000ee HIT 1", b"0")
     dependency.send(f"{request_id} HIT 1", b"1")
     dependency.send(f"{request_id} HIT 1", b"1")  # a duplicate reply
-    assert site.kernel.receive("IODONE")[1] == b"1"
+    assert harness.executor.receive("IODONE")[1] == b"1"
     # The duplicate reply to the first call must not be taken for the reply to this one.
-    site.kernel.send(f"IOREQ 2 {request_id} 1", b"?")
-    new = site.calls()
+    harness.executor.send(f"IOREQ 2 {request_id} 1", b"?")
+    new = harness.accept_dependency_connection()
     new.receive("GET")
     new.send(f"{request_id} HIT 1", b"2")
-    assert site.kernel.receive("IODONE")[1] == b"2"
+    assert harness.executor.receive("IODONE")[1] == b"2"
 
 
-def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(site):
-    proxy = site.router()
+def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(harness):
+    proxy = harness.connect_proxy()
     for tag in (1, 2):
-        request_id = submit_until_call(site, proxy, tag, tag)
-        dependency = site.calls()
+        request_id = submit_until_dependency_call(harness, proxy, tag, tag)
+        dependency = harness.accept_dependency_connection()
         dependency.receive("GET")
         dependency.send(f"{request_id} HIT 1", b"!")
-        assert site.kernel.receive("IODONE")[0][1] == request_id
+        assert harness.executor.receive("IODONE")[0][1] == request_id
         dependency.sock.close()
 
 
-def test_an_unanswered_connect_delays_no_other_request_and_its_call_is_made_once(make_site):
+def test_an_unanswered_connect_delays_no_other_request_and_its_call_is_made_once(make_harness):
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -224,14 +224,14 @@
         for each in fillers:
             each.setblocking(False)
             each.connect_ex(full.getsockname())
-        site = make_site(index="{}:{}".format(*full.getsockname())).start()
-        site.kernel, proxy = site.link(), site.router()
+        harness = make_harness(index="{}:{}".format(*full.getsockname())).start()
+        harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
         proxy.submit(1, "look")
-        request_id = next_dispatched(site)
-        site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
+        request_id = next_dispatched(harness)
+        harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
         for number in range(2, 6):
             proxy.submit(number)
-            finish_execution(site, number, next_dispatched(site))
+            finish_execution(harness, number, next_dispatched(harness))
             assert proxy.receive_response()[:2] == (number, "done")
         full.settimeout(PEER_TIMEOUT_SECONDS)
         accepted, filler_addresses = None, [each.getsockname() for each in fillers]
@@ -242,26 +242,26 @@
         accepted.settimeout(PEER_TIMEOUT_SECONDS)
         assert accepted.recv(100).startswith(f"GET {request_id} ".encode())
         accepted.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
-        assert site.kernel.receive("IODONE")[1] == b"!"
-        finish_execution(site, 6, request_id)
+        assert harness.executor.receive("IODONE")[1] == b"!"
+        finish_execution(harness, 6, request_id)
         assert proxy.receive_response()[:2] == (1, "done")
         for each in (*fillers, accepted):
             each.close()
 
 
 @pytest.mark.parametrize("second", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
-def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(site, second):
+def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(harness, second):
     """Both calls carry the id of the same request, so their replies cannot be told apart."""
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = next_dispatched(site)
-    first = request_call(site, 1, request_id, b"1")
+    request_id = next_dispatched(harness)
+    first = request_dependency_call(harness, 1, request_id, b"1")
     first.send(f"{request_id} HIT 1", b"a")
-    assert site.kernel.receive("IODONE")[1] == b"a"
+    assert harness.executor.receive("IODONE")[1] == b"a"
     # A duplicate reply arrives just before the next call is made.
     first.sock.sendall(f"{request_id} ".encode() + second)
-    next_connection = request_call(site, 2, request_id, b"2")
+    next_connection = request_dependency_call(harness, 2, request_id, b"2")
     next_connection.send(f"{request_id} HIT 1", b"b")
-    assert site.kernel.receive("IODONE")[1] == b"b"
-    finish_execution(site, 3, request_id)
+    assert harness.executor.receive("IODONE")[1] == b"b"
+    finish_execution(harness, 3, request_id)
     assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/protocols/test_proxy_codec.py
+++ b/tests/protocols/test_proxy_codec.py
@@ -29,15 +29,17 @@
         dict(body=b"x" * 20_000),
     ],
 )
-def test_a_malformed_request_gets_an_error_on_its_tag(site, invalid_fields):
-    proxy = site.router()
+def test_a_malformed_request_gets_an_error_on_its_tag(harness, invalid_fields):
+    proxy = harness.connect_proxy()
     proxy.submit(3, **invalid_fields)
     assert proxy.receive_response()[:2] == (3, "error")
-    assert execute_request(site, proxy, 4, 1)[2][:2] == (4, "done")
+    assert execute_request(harness, proxy, 4, 1)[2][:2] == (4, "done")
 
 
-def test_unknown_verbs_and_incomplete_requests_get_errors_and_unknown_withdrawals_no_response(site):
-    proxy = site.router()
+def test_unknown_verbs_and_incomplete_requests_get_errors_and_unknown_withdrawals_no_response(
+    harness,
+):
+    proxy = harness.connect_proxy()
     proxy.send(b"WITHDRAW", b"9")
     proxy.send(b"SING", b"5")
     proxy.send(b"SUBMIT", b"6", b"read")
@@ -48,8 +50,8 @@
     "malformed",
     [b"GET / HTTP/1.1\r\n\r\n", encode_array(b"PROBE", b"zero"), encode_array(b"PROBE")],
 )
-def test_a_framing_error_ends_its_connection_and_no_other(site, malformed):
-    proxy, other = site.router(), site.router()
+def test_a_framing_error_ends_its_connection_and_no_other(harness, malformed):
+    proxy, other = harness.connect_proxy(), harness.connect_proxy()
     proxy.sock.sendall(malformed)
     assert proxy.receive_response() is None
-    assert execute_request(site, other, 1, 1)[2][:2] == (1, "done")
+    assert execute_request(harness, other, 1, 1)[2][:2] == (1, "done")
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -12,17 +12,17 @@
 from tests.conftest import PEER_TIMEOUT_SECONDS, execute_request
 
 
-def test_a_message_truncated_by_a_reset_is_not_executed(site):
-    proxy, other = site.router(), site.router()
+def test_a_message_truncated_by_a_reset_is_not_executed(harness):
+    proxy, other = harness.connect_proxy(), harness.connect_proxy()
     proxy.sock.sendall(proxy.encode_submit(1, i="00000000000000ff")[:-9])
     proxy.reset()
-    words, _, answer = execute_request(site, other, 1, 1)
+    words, _, answer = execute_request(harness, other, 1, 1)
     assert words[1] != "00000000000000ff"
     assert answer[1] == "done"
 
 
-def test_a_proxy_that_floods_delays_only_itself(make_site):
-    event_loop, (listener, *_) = startup.build(make_site().handed, EventQueue())
+def test_a_proxy_that_floods_delays_only_itself(make_harness):
+    event_loop, (listener, *_) = startup.build(make_harness().process_config, EventQueue())
     listener.start()
     with socket.create_connection(listener.address, PEER_TIMEOUT_SECONDS) as flood:
         flood.sendall(b"".join(encode_array(b"PROBE", b"%d" % tag) for tag in range(1, 500)))
@@ -36,12 +36,12 @@
     listener.close()
 
 
-def test_connection_threads_share_one_heap_and_retain_no_freed_memory(make_site):
+def test_connection_threads_share_one_heap_and_retain_no_freed_memory(make_harness):
     """With the default settings of malloc, each thread has its own heap and its own cache."""
-    site = make_site().spawn()
-    site.link()
+    harness = make_harness().spawn()
+    harness.accept_executor_link()
     process, bodies = (
-        Path(f"/proc/{site.process.pid}"),
+        Path(f"/proc/{harness.process.pid}"),
         [b"x" * size for size in range(600, 2000, 100)],
     )
 
@@ -50,9 +50,9 @@
             proxy.submit(tag, "nobody", body)
             assert proxy.receive_response()[:2] == (tag, "error")
 
-    send_rejected_requests(site.router())
+    send_rejected_requests(harness.connect_proxy())
     before = int((process / "statm").read_text().split()[1])
-    proxies = [site.router() for _ in range(100)]
+    proxies = [harness.connect_proxy() for _ in range(100)]
     for proxy in proxies:
         send_rejected_requests(proxy)
     size, resident = [int(pages) for pages in (process / "statm").read_text().split()[:2]]
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -8,35 +8,37 @@
 from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, finish_execution, next_dispatched
 
 
-def test_requests_in_the_backlog_of_a_closing_listener_are_answered(make_site):
-    site = make_site(stop_ms=60_000, limits={"connections": 1, "connection_high_water": 1}).start()
-    site.kernel, first = site.link(), site.router()
+def test_requests_in_the_backlog_of_a_closing_listener_are_answered(make_harness):
+    harness = make_harness(
+        stop_ms=60_000, limits={"connections": 1, "connection_high_water": 1}
+    ).start()
+    harness.executor, first = harness.accept_executor_link(), harness.connect_proxy()
     first.submit(1)
-    running = next_dispatched(site)
+    running_id = next_dispatched(harness)
     # These connections stay in the listen backlog, as the server has no free connection slot.
-    waiting_proxies = [site.router() for _ in range(4)]
+    waiting_proxies = [harness.connect_proxy() for _ in range(4)]
     for each in waiting_proxies:
         each.submit(1)
-    site.event_loop.event_queue.post(site.event_loop.drain.start)
+    harness.event_loop.event_queue.post(harness.event_loop.drain.start)
     assert first.receive_response()[:2] == (
         0,
         "closing",
     )  # the close request is sent after the listener is closed
-    finish_execution(site, 1, running)
+    finish_execution(harness, 1, running_id)
     assert first.receive_response()[:2] == (1, "done")
     first.sock.close()
     for number, each in enumerate(waiting_proxies, 2):
         assert each.receive_response()[:2] == (0, "closing")
         # The request is executed since it arrived within the drain grace period.
-        finish_execution(site, number, next_dispatched(site))
+        finish_execution(harness, number, next_dispatched(harness))
         assert each.receive_response()[:2] == (1, "done")
         each.sock.close()
-    site.thread.join(PEER_TIMEOUT_SECONDS)
-    assert site.event_loop.has_ended
+    harness.thread.join(PEER_TIMEOUT_SECONDS)
+    assert harness.event_loop.has_ended
 
 
 def test_a_connection_accepted_as_the_listener_closes_is_answered_before_the_end(
-    make_site, monkeypatch
+    make_harness, monkeypatch
 ):
     """The listener may accept a connection just before the event loop starts to drain."""
     opened, open_connection = threading.Event(), ProxyListener._open_connection
@@ -45,7 +47,9 @@
         "_open_connection",
         lambda *arguments: (open_connection(*arguments), opened.set()),
     )
-    event_loop, (listener, _) = startup.build(make_site(stop_ms=60_000).handed, EventQueue())
+    event_loop, (listener, _) = startup.build(
+        make_harness(stop_ms=60_000).process_config, EventQueue()
+    )
     listener.start()
     proxy = ProxyClient(listener.address)
     proxy.submit(1)
--- a/tests/protocols/test_send_buffer.py
+++ b/tests/protocols/test_send_buffer.py
@@ -15,24 +15,32 @@
         proxy.sock.sendall(probes)
 
 
-def test_a_proxy_that_stops_reading_is_disconnected_and_delays_no_other(make_site):
-    site = make_site(limits={"send_buffer_bytes": 4_096, "socket_buffer_bytes": 4_096}).start()
-    site.kernel, stuck, other = site.link(), site.router(), site.router()
+def test_a_proxy_that_stops_reading_is_disconnected_and_delays_no_other(make_harness):
+    harness = make_harness(
+        limits={"send_buffer_bytes": 4_096, "socket_buffer_bytes": 4_096}
+    ).start()
+    harness.executor, stuck, other = (
+        harness.accept_executor_link(),
+        harness.connect_proxy(),
+        harness.connect_proxy(),
+    )
     with pytest.raises((ConnectionResetError, BrokenPipeError)):  # before all probes are sent
         send_probes(stuck)
-    assert execute_request(site, other, 1, 1)[2][:2] == (1, "done")
+    assert execute_request(harness, other, 1, 1)[2][:2] == (1, "done")
 
 
-def test_a_response_that_fits_into_the_socket_buffer_starts_no_writer_thread(site):
-    proxy = site.router()
-    assert execute_request(site, proxy, 1, 1, b"x" * 4096)[2][:2] == (1, "done")
+def test_a_response_that_fits_into_the_socket_buffer_starts_no_writer_thread(harness):
+    proxy = harness.connect_proxy()
+    assert execute_request(harness, proxy, 1, 1, b"x" * 4096)[2][:2] == (1, "done")
     assert not {"proxy-writer", "executor-writer"} & {each.name for each in threading.enumerate()}
 
 
 @pytest.mark.parametrize("name", ["proxy-reader", "proxy-writer"])
-def test_a_thread_that_cannot_be_started_closes_only_its_connection(make_site, monkeypatch, name):
-    site = make_site(limits={"socket_buffer_bytes": 4_096}).start()
-    site.kernel = site.link()
+def test_a_thread_that_cannot_be_started_closes_only_its_connection(
+    make_harness, monkeypatch, name
+):
+    harness = make_harness(limits={"socket_buffer_bytes": 4_096}).start()
+    harness.executor = harness.accept_executor_link()
     start, refused_threads = threading.Thread.start, []
 
     def refuse_first_thread(thread):
@@ -42,8 +50,8 @@
         start(thread)
 
     monkeypatch.setattr(threading.Thread, "start", refuse_first_thread)
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     with pytest.raises((ConnectionResetError, BrokenPipeError)):
         send_probes(proxy)
     assert refused_threads
-    assert execute_request(site, site.router(), 1, 1)[2][:2] == (1, "done")
+    assert execute_request(harness, harness.connect_proxy(), 1, 1)[2][:2] == (1, "done")
--- a/tests/server/test_deduplication.py
+++ b/tests/server/test_deduplication.py
@@ -14,31 +14,33 @@
 )
 
 
-def test_a_duplicate_by_key_gets_the_result_of_a_running_or_finished_original(site):
-    proxy = site.router()
+def test_a_duplicate_by_key_gets_the_result_of_a_running_or_finished_original(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="order-1")
-    request_id = site.kernel.receive("SCHED")[0][1]
+    request_id = harness.executor.receive("SCHED")[0][1]
     proxy.submit(2, "once", k="order-1")
     proxy.send(b"PROBE", b"3")
     assert proxy.receive_response()[0] == 3  # the duplicate has been read
-    site.kernel.send(f"REAP 1 {request_id} success 1 3", b"one")
+    harness.executor.send(f"REAP 1 {request_id} success 1 3", b"one")
     assert sorted(proxy.receive_response()[::3] for _ in range(2)) == [(1, b"one"), (2, b"one")]
     proxy.submit(4, "once", k="order-1")
     assert proxy.receive_response()[::3] == (4, b"one")
-    assert execute_request(site, proxy, 5, 2, b"two", class_name="once", k="order-2")[2][::3] == (
+    assert execute_request(harness, proxy, 5, 2, b"two", class_name="once", k="order-2")[2][
+        ::3
+    ] == (
         5,
         b"two",
     )
 
 
-def test_a_fresh_result_of_a_safe_request_answers_requests_for_the_same_subject(make_site):
+def test_a_fresh_result_of_a_safe_request_answers_requests_for_the_same_subject(make_harness):
     fresh_for_60_s = {"family_info": SETTINGS["family_info"] | {"fresh_ms": 60_000.0}}
-    site = make_site(settings=fresh_for_60_s).start()
-    site.kernel, proxy = site.link(), site.router()
-    assert execute_request(site, proxy, 1, 1, b"one", o="subject")[2][3] == b"one"
+    harness = make_harness(settings=fresh_for_60_s).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
+    assert execute_request(harness, proxy, 1, 1, b"one", o="subject")[2][3] == b"one"
     proxy.submit(2, o="subject")
     assert proxy.receive_response()[::3] == (2, b"one")
-    assert execute_request(site, proxy, 3, 2, b"two", o="other")[2][3] == b"two"
+    assert execute_request(harness, proxy, 3, 2, b"two", o="other")[2][3] == b"two"
 
 
 ONE_CORE = {
@@ -47,137 +49,139 @@
 }
 
 
-def execute_with_key(site):
+def execute_with_key(harness):
     """Executes a request with the key k1; returns its arrival time in milliseconds."""
-    proxy, arrived_at = site.router(), int(time.time() * 1000)
+    proxy, arrived_at = harness.connect_proxy(), int(time.time() * 1000)
     proxy.submit(1, "once", k="k1", s=arrived_at)
-    finish_execution(site, 1, next_dispatched(site))
+    finish_execution(harness, 1, next_dispatched(harness))
     assert proxy.receive_response()[1] == "done"
     return arrived_at
 
 
-def test_a_request_and_its_duplicate_in_one_read_are_executed_once(site):
-    proxy = site.router()
+def test_a_request_and_its_duplicate_in_one_read_are_executed_once(harness):
+    proxy = harness.connect_proxy()
     proxy.sock.sendall(
         proxy.encode_submit(1, "once", k="k1") + proxy.encode_submit(2, "once", k="k1")
     )
-    finish_execution(site, 1, next_dispatched(site))
+    finish_execution(harness, 1, next_dispatched(harness))
     assert sorted(proxy.receive_response()[0:4:3] for _ in range(2)) == [
         (1, b"result"),
         (2, b"result"),
     ]
     proxy.submit(3)
     # The next dispatch is that of request 3: the duplicate was not dispatched.
-    finish_execution(site, 2, next_dispatched(site), b"other")
+    finish_execution(harness, 2, next_dispatched(harness), b"other")
     assert proxy.receive_response()[0:4:3] == (3, b"other")
 
 
-def test_duplicates_are_executed_once_if_the_original_is_withdrawn_in_the_same_read(make_site):
+def test_duplicates_are_executed_once_if_the_original_is_withdrawn_in_the_same_read(make_harness):
     """Guards against two executions when a duplicate is read together with the withdrawal.
 
     The withdrawal must not release the key, since another duplicate already waits under it.
     """
-    site = make_site(settings=ONE_CORE).start()
-    site.kernel, proxy = site.link(), site.router()
+    harness = make_harness(settings=ONE_CORE).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.submit(1)
-    running = next_dispatched(site)
+    running_id = next_dispatched(harness)
     for tag in (2, 3):
         proxy.submit(tag, "once", k="k1")
         wait_until_processed(proxy)  # the request is queued, as the only core is in use
     proxy.sock.sendall(encode_array(b"WITHDRAW", b"2") + proxy.encode_submit(5, "once", k="k1"))
     wait_until_processed(proxy)
-    finish_execution(site, 1, running)
+    finish_execution(harness, 1, running_id)
     assert proxy.receive_response()[0] == 1
-    finish_execution(site, 2, next_dispatched(site))
+    finish_execution(harness, 2, next_dispatched(harness))
     assert sorted(proxy.receive_response()[0:4:3] for _ in range(2)) == [
         (3, b"result"),
         (5, b"result"),
     ]
     proxy.submit(7)
-    finish_execution(site, 3, next_dispatched(site), b"other")
+    finish_execution(harness, 3, next_dispatched(harness), b"other")
     assert proxy.receive_response()[0:4:3] == (7, b"other")
 
 
 def test_a_duplicate_that_arrives_within_the_window_and_is_read_after_it_is_not_executed(
-    site, advance_clock
+    harness, advance_clock
 ):
-    arrived_at = execute_with_key(site)
+    arrived_at = execute_with_key(harness)
     advance_clock(60.5)  # the window is 60 s
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="k1", s=arrived_at + 59_990)
     assert proxy.receive_response()[1::2] == ("done", b"result")
 
 
 def test_a_possible_duplicate_of_an_evicted_key_fails_and_a_request_after_the_window_is_executed(
-    site, advance_clock
+    harness, advance_clock
 ):
-    arrived_at = execute_with_key(site)
+    arrived_at = execute_with_key(harness)
     advance_clock(63.0)
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="k1", s=arrived_at + 59_990)
     assert proxy.receive_response()[1] == "error"
     proxy.submit(2, "once", k="k1", s=arrived_at + 62_500)
-    finish_execution(site, 2, next_dispatched(site), b"again")
+    finish_execution(harness, 2, next_dispatched(harness), b"again")
     assert proxy.receive_response()[1::2] == ("done", b"again")
 
 
-def test_a_duplicate_just_after_the_window_fails_and_a_later_one_is_executed(site, advance_clock):
-    arrived_at = execute_with_key(site)
+def test_a_duplicate_just_after_the_window_fails_and_a_later_one_is_executed(
+    harness, advance_clock
+):
+    arrived_at = execute_with_key(harness)
     advance_clock(60.5)
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="k1", s=arrived_at + 60_045)
     assert proxy.receive_response()[:2] == (1, "error")
     proxy.submit(2, "once", k="k1", s=arrived_at + 60_060)
-    finish_execution(site, 2, next_dispatched(site), b"again")
+    finish_execution(harness, 2, next_dispatched(harness), b"again")
     assert proxy.receive_response()[1::2] == ("done", b"again")
 
 
 @pytest.mark.parametrize("limits", [{"max_cache_entries": 1}, {"max_in_flight": 1}])
 def test_a_duplicate_of_an_executed_request_gets_its_result_when_limits_are_reached(
-    make_site, limits
+    make_harness, limits
 ):
-    site = make_site(limits=limits).start()
-    site.kernel, proxy = site.link(), site.router()
+    harness = make_harness(limits=limits).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.submit(1, "once", k="k1")
-    first = next_dispatched(site)
+    first = next_dispatched(harness)
     proxy.submit(2, "once", k="k1")
     if "max_in_flight" in limits:
         # The original is still running, and the duplicate cannot wait for it within the limit.
         assert proxy.receive_response()[:2] == (2, "error")
-    finish_execution(site, 1, first)
+    finish_execution(harness, 1, first)
     answers = dict(
         proxy.receive_response()[0:2] for _ in range(2 - len(limits.keys() & {"max_in_flight"}))
     )
     assert set(answers.values()) == {"done"}
     proxy.submit(3)
-    next_dispatched(site)
+    next_dispatched(harness)
     proxy.submit(4, "once", k="k1")
     assert proxy.receive_response()[0:4:3] == (4, b"result")
     proxy.submit(5, "once", k="k2")
     assert proxy.receive_response()[:2] == (5, "later")
 
 
-def test_a_duplicate_of_a_request_that_was_not_executed_is_executed(site):
-    proxy = site.router()
+def test_a_duplicate_of_a_request_that_was_not_executed_is_executed(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="k1")
-    request_id = next_dispatched(site)
+    request_id = next_dispatched(harness)
     proxy.send(b"WITHDRAW", b"1")  # the executor has not begun to execute the request
     wait_until_processed(proxy)
-    site.event_loop.event_queue.process_in_one_iteration(
-        lambda: site.kernel.send(f"REAP 1 {request_id} nothing 0 0", b""),
+    harness.event_loop.event_queue.process_in_one_iteration(
+        lambda: harness.executor.send(f"REAP 1 {request_id} nothing 0 0", b""),
         lambda: proxy.submit(2, "once", k="k1"),
     )
-    finish_execution(site, 2, next_dispatched(site))
+    finish_execution(harness, 2, next_dispatched(harness))
     assert proxy.receive_response()[0:4:3] == (2, b"result")
 
 
-def test_a_request_with_a_used_key_and_another_body_gets_no_result_and_is_not_executed(site):
-    proxy, other_proxy = site.router(), site.router()
+def test_a_request_with_a_used_key_and_another_body_gets_no_result_and_is_not_executed(harness):
+    proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
     proxy.submit(1, "once", k="k1")
-    first = next_dispatched(site)
+    first = next_dispatched(harness)
     other_proxy.submit(1, "once", b"another body", k="k1")
     assert other_proxy.receive_response()[:2] == (1, "later")
-    finish_execution(site, 1, first)
+    finish_execution(harness, 1, first)
     assert proxy.receive_response()[0:4:3] == (1, b"result")
     other_proxy.submit(2, "once", b"another body", k="k1")
     assert other_proxy.receive_response()[:2] == (2, "error")
@@ -185,11 +189,11 @@
     assert proxy.receive_response()[0:4:3] == (2, b"result")
 
 
-def test_a_rejected_dispatch_releases_its_idempotency_key(site):
-    other_proxy, proxy = site.router(), site.router()
+def test_a_rejected_dispatch_releases_its_idempotency_key(harness):
+    other_proxy, proxy = harness.connect_proxy(), harness.connect_proxy()
     other_proxy.submit(1, "once", b"another body", k="k1")
-    site.kernel.send(f"EINVAL SCHED {next_dispatched(site)}")
+    harness.executor.send(f"EINVAL SCHED {next_dispatched(harness)}")
     assert other_proxy.receive_response()[:2] == (1, "error")
     proxy.submit(1, "once", k="k1")
-    finish_execution(site, 1, next_dispatched(site))
+    finish_execution(harness, 1, next_dispatched(harness))
     assert proxy.receive_response()[0:4:3] == (1, b"result")
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -15,17 +15,17 @@
 )
 
 
-def test_a_drain_answers_all_received_requests_and_ends_in_time(make_site):
-    site = make_site().spawn()
-    executor = site.link()
-    proxy, idle_proxy = site.router(), site.router()
+def test_a_drain_answers_all_received_requests_and_ends_in_time(make_harness):
+    harness = make_harness().spawn()
+    executor = harness.accept_executor_link()
+    proxy, idle_proxy = harness.connect_proxy(), harness.connect_proxy()
     proxy.submit(1, i="00000000000000aa")
     proxy.submit(2, i="00000000000000bb")
     executor.receive("SCHED"), executor.receive("SCHED")
     started_at = time.monotonic()
-    site.process.send_signal(signal.SIGTERM)
-    site.process.send_signal(signal.SIGTERM)
-    site.process.send_signal(signal.SIGHUP)  # the file has not changed
+    harness.process.send_signal(signal.SIGTERM)
+    harness.process.send_signal(signal.SIGTERM)
+    harness.process.send_signal(signal.SIGHUP)  # the file has not changed
     executor.send("REAP 1 00000000000000aa success 1 1", b"a")
     answers = {each[0]: each[1] for each in (proxy.receive_response() for _ in range(3))}
     assert answers[1] == "done"
@@ -33,74 +33,77 @@
     assert answers[2] in ("later", "error")
     assert proxy.receive_response() is None
     assert idle_proxy.receive_response()[:2] == (0, "closing")
-    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
+    assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
     assert time.monotonic() - started_at < 1.5
 
 
-def test_a_second_start_of_the_drain_does_not_change_its_end(make_site):
-    site = make_site(stop_ms=60_000).start()
-    site.link()
-    proxy, stop_times = site.router(), []
+def test_a_second_start_of_the_drain_does_not_change_its_end(make_harness):
+    harness = make_harness(stop_ms=60_000).start()
+    harness.accept_executor_link()
+    proxy, stop_times = harness.connect_proxy(), []
     for tag in (b"1", b"2"):
-        site.event_loop.event_queue.post(site.event_loop.drain.start)
+        harness.event_loop.event_queue.post(harness.event_loop.drain.start)
         proxy.send(b"PROBE", tag)
         while (answer := proxy.receive_response())[0] != int(tag):
             pass
-        stop_times.append(site.event_loop.drain.stop_at)
+        stop_times.append(harness.event_loop.drain.stop_at)
         assert tag == b"1" or answer[1] == "sick"
     assert stop_times[0]
     assert stop_times[0] == stop_times[1]
 
 
-def test_a_drain_ends_once_all_proxies_have_disconnected(make_site):
-    site = make_site(stop_ms=60_000).spawn()
-    site.link()
-    proxy = site.router()
+def test_a_drain_ends_once_all_proxies_have_disconnected(make_harness):
+    harness = make_harness(stop_ms=60_000).spawn()
+    harness.accept_executor_link()
+    proxy = harness.connect_proxy()
     proxy.send(b"PROBE", b"1")
     assert proxy.receive_response()[1] == "healthy"
-    site.process.send_signal(signal.SIGTERM)
+    harness.process.send_signal(signal.SIGTERM)
     assert proxy.receive_response()[:2] == (0, "closing")
     proxy.sock.close()
-    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
+    assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
 
 
 def test_a_partial_request_during_a_drain_is_answered_when_it_is_complete(
-    make_site,
+    make_harness,
 ):
-    site = make_site(
+    harness = make_harness(
         stop_ms=10_000, limits={"message_timeout": 100_000, "half_close_linger": 100_000}
     ).start()
-    site.kernel, (proxy, idle_proxy) = site.link(), [site.router() for _ in range(2)]
+    harness.executor, (proxy, idle_proxy) = (
+        harness.accept_executor_link(),
+        [harness.connect_proxy() for _ in range(2)],
+    )
     for each in (proxy, idle_proxy):
         wait_until_processed(each)
     request = proxy.encode_submit(2)
     proxy.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
     assert proxy.receive_response()[:2] == (1, "healthy")
-    site.event_loop.event_queue.post(site.event_loop.drain.start)
+    harness.event_loop.event_queue.post(harness.event_loop.drain.start)
     for each in (proxy, idle_proxy):
         assert each.receive_response()[:2] == (0, "closing")
     assert idle_proxy.receive_response() is None
     proxy.sock.sendall(request[-40:])
     assert proxy.receive_response()[:2] == (2, "later")
     assert proxy.receive_response() is None
-    site.thread.join(PEER_TIMEOUT_SECONDS)
-    assert site.event_loop.has_ended
+    harness.thread.join(PEER_TIMEOUT_SECONDS)
+    assert harness.event_loop.has_ended
 
 
 @pytest.mark.parametrize("sends_log_line", [False, True])
-def test_sigterm_before_the_executor_is_up_starts_a_drain(make_site, sends_log_line):
-    site = make_site().spawn()
-    executor = site.link(ready=False)
+def test_sigterm_before_the_executor_is_up_starts_a_drain(make_harness, sends_log_line):
+    harness = make_harness().spawn()
+    executor = harness.accept_executor_link(ready=False)
     if sends_log_line:
         executor.send("DMESG 1 starting")  # the executor sends this between OPEN and BOOTED
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1)
     assert proxy.receive_response()[:2] == (1, "later")
-    site.process.send_signal(signal.SIGTERM)
+    harness.process.send_signal(signal.SIGTERM)
     assert proxy.receive_response()[:2] == (0, "closing")
     assert proxy.receive_response() is None
     proxy.sock.close()
-    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
+    assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
 
 
 def send_probes_forever(proxy):
@@ -109,10 +112,10 @@
 
 
 @pytest.mark.parametrize("reads", [True, False])
-def test_a_drain_ends_in_time_despite_a_proxy_that_never_closes_or_reads(make_site, reads):
-    site = make_site().spawn()
-    site.kernel = site.link()
-    proxy, stuck_proxy = site.router(), site.router()
+def test_a_drain_ends_in_time_despite_a_proxy_that_never_closes_or_reads(make_harness, reads):
+    harness = make_harness().spawn()
+    harness.executor = harness.accept_executor_link()
+    proxy, stuck_proxy = harness.connect_proxy(), harness.connect_proxy()
     wait_until_processed(stuck_proxy)
     if not reads:
         stuck_proxy.sock.settimeout(0.5)
@@ -120,12 +123,12 @@
         with pytest.raises((TimeoutError, ConnectionError)):
             send_probes_forever(stuck_proxy)
     proxy.submit(1)
-    running, started_at = next_dispatched(site), time.monotonic()
-    site.process.send_signal(signal.SIGTERM)
+    running_id, started_at = next_dispatched(harness), time.monotonic()
+    harness.process.send_signal(signal.SIGTERM)
     assert proxy.receive_response()[:2] == (0, "closing")
-    finish_execution(site, 1, running, b"x" * 4096)
+    finish_execution(harness, 1, running_id, b"x" * 4096)
     assert proxy.receive_response()[1::2] == ("done", b"x" * 4096)
-    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
+    assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
     # stop_ms is 1.5 s; with unread responses, the exit of the process may take longer on a busy
     # machine.
     assert time.monotonic() - started_at < (1.5 if reads else 2.0)
@@ -136,25 +139,25 @@
         os.write(descriptor, b"\n" * 4096)
 
 
-def test_a_log_that_nobody_reads_delays_neither_responses_nor_the_drain(make_site):
+def test_a_log_that_nobody_reads_delays_neither_responses_nor_the_drain(make_harness):
     read_end, write_end = os.pipe()
     os.set_blocking(write_end, False)
     with pytest.raises(BlockingIOError):
         fill_pipe(write_end)
     os.set_blocking(write_end, True)  # a blocking pipe is the server's standard error
-    site = make_site().spawn(write_end)
+    harness = make_harness().spawn(write_end)
     os.close(write_end)
-    site.kernel, proxy = site.link(), site.router()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     wait_until_processed(proxy)
     assert os.read(read_end, 1 << 20).strip() == b""  # the pipe has room again
     proxy.submit(1)
-    running = next_dispatched(site)
-    site.process.send_signal(signal.SIGTERM)
+    running_id = next_dispatched(harness)
+    harness.process.send_signal(signal.SIGTERM)
     assert proxy.receive_response()[:2] == (0, "closing")
-    finish_execution(site, 1, running)
+    finish_execution(harness, 1, running_id)
     assert proxy.receive_response()[:2] == (1, "done")
     proxy.sock.close()
-    assert site.process.wait(PEER_TIMEOUT_SECONDS) == 0
+    assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
     with open(read_end) as log:
         lines = log.read().splitlines()
     assert "event=log_lines_dropped count=2" in lines[0]
--- a/tests/server/test_event_loop.py
+++ b/tests/server/test_event_loop.py
@@ -9,8 +9,8 @@
 from tests.conftest import SETTINGS, finish_execution, next_dispatched
 
 
-def test_an_error_in_the_event_loop_ends_it(make_site):
-    event_loop, _ = serve.build(make_site().handed, EventQueue())
+def test_an_error_in_the_event_loop_ends_it(make_harness):
+    event_loop, _ = serve.build(make_harness().process_config, EventQueue())
     event_loop.event_queue.fail("a component failed")
     with pytest.raises(ComponentFailedError):
         event_loop.run()
@@ -19,8 +19,8 @@
         event_loop.run()
 
 
-def test_timers_do_not_wait_for_a_long_queue(make_site):
-    event_loop, _ = serve.build(make_site().handed, EventQueue())
+def test_timers_do_not_wait_for_a_long_queue(make_harness):
+    event_loop, _ = serve.build(make_harness().process_config, EventQueue())
     order = []
     event_loop.schedule(event_loop.now, order.append, "due")
     for number in range(10_000):
@@ -30,23 +30,23 @@
     assert order.index("due") <= 100
 
 
-def test_two_servers_in_one_process_keep_their_settings_apart(make_site):
+def test_two_servers_in_one_process_keep_their_settings_apart(make_harness):
     """Both servers have the same class names, but only the strict one deduplicates requests.
 
     Two requests with the same key run once on the strict server and twice on the loose one.
     """
-    strict = make_site().start()
-    loose = make_site(
+    strict = make_harness().start()
+    loose = make_harness(
         settings={
             "classes": [
                 each | {"effect": "safe", "dedup_window_ms": 0.0} for each in SETTINGS["classes"]
             ]
         }
     ).start()
-    for site in (strict, loose):
-        site.kernel, site.proxy = site.link(), site.router()
+    for harness in (strict, loose):
+        harness.executor, harness.proxy = harness.accept_executor_link(), harness.connect_proxy()
         for tag in (1, 2):
-            site.proxy.submit(tag, "once", k="k1")
+            harness.proxy.submit(tag, "once", k="k1")
     first = next_dispatched(strict)
     both = [next_dispatched(loose) for _ in range(2)]
     assert first != both[0] != both[1]
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -12,35 +12,35 @@
     execute_request,
     finish_execution,
     next_dispatched,
-    request_call,
+    request_dependency_call,
 )
 
 
-def test_probes_are_answered_before_the_executor_is_up_and_registry_reports_after_it(make_site):
-    site = make_site().start()
-    executor, proxy = site.link(ready=False), site.router()
+def test_probes_are_answered_before_the_executor_is_up_and_registry_reports_after_it(make_harness):
+    harness = make_harness().start()
+    executor, proxy = harness.accept_executor_link(ready=False), harness.connect_proxy()
     proxy.send(b"PROBE", b"1", b"x=1")
     assert proxy.receive_response()[:2] == (1, "healthy")
     proxy.submit(2)
     assert proxy.receive_response()[:2] == (2, "later")
-    site.catalog.setblocking(False)
+    harness.registry.setblocking(False)
     with pytest.raises(BlockingIOError):
-        site.catalog.recv(100)
+        harness.registry.recv(100)
     executor.send("BOOTED booting 10")
-    site.catalog.settimeout(PEER_TIMEOUT_SECONDS)
-    assert site.catalog.recv(100) == b"alive n1 passing"
-    assert site.event_loop.controller.server.started_cold
+    harness.registry.settimeout(PEER_TIMEOUT_SECONDS)
+    assert harness.registry.recv(100) == b"alive n1 passing"
+    assert harness.event_loop.controller.server.started_cold
 
 
-def test_after_a_lost_link_events_count_once_and_only_unacknowledged_commands_are_resent(site):
-    proxy = site.router()
+def test_after_a_lost_link_events_count_once_and_only_unacknowledged_commands_are_resent(harness):
+    proxy = harness.connect_proxy()
     for tag in (1, 2, 3):
         proxy.submit(tag, i=f"{tag:016x}")
-        site.kernel.receive("SCHED")
-    site.kernel.send(f"REAP 1 {1:016x} success 1 1", b"a")
+        harness.executor.receive("SCHED")
+    harness.executor.send(f"REAP 1 {1:016x} success 1 1", b"a")
     assert proxy.receive_response()[0] == 1
-    site.kernel.reset()
-    executor = site.link(ready=False)
+    harness.executor.reset()
+    executor = harness.accept_executor_link(ready=False)
     assert executor.open_words == ["OPEN", "1"]
     executor.send("BOOTED steady 9000")
     fence = executor.receive("SYSINFO")[0][1]
@@ -54,33 +54,33 @@
     assert [proxy.receive_response()[::3] for _ in range(2)] == [(2, b"b"), (3, b"c")]
 
 
-def test_the_controller_timer_uses_the_last_gauges_and_does_not_wait_for_new_ones(site):
+def test_the_controller_timer_uses_the_last_gauges_and_does_not_wait_for_new_ones(harness):
     for _ in range(2):
-        words, _ = site.kernel.receive("SYSINFO")
-        site.kernel.send(f"INFO {words[1]} 0.625 3")
+        words, _ = harness.executor.receive("SYSINFO")
+        harness.executor.send(f"INFO {words[1]} 0.625 3")
     # The executor does not answer these requests, so the timer uses the values reported last.
     for _ in range(3):
-        site.kernel.receive("SYSINFO")
+        harness.executor.receive("SYSINFO")
     assert (
-        site.event_loop.controller.parts.load.core_use,
-        site.event_loop.controller.parts.load.run_queue,
+        harness.event_loop.controller.parts.load.core_use,
+        harness.event_loop.controller.parts.load.run_queue,
     ) == (
         0.625,
         3.0,
     )
 
 
-def test_a_resent_call_result_that_is_rejected_does_not_end_the_execution(site):
-    proxy = site.router()
+def test_a_resent_call_result_that_is_rejected_does_not_end_the_execution(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = site.kernel.receive("SCHED")[0][1]
-    site.kernel.send(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.send(f"{request_id} HIT 1", b"!")
-    site.kernel.receive("IODONE")
-    site.kernel.reset()
-    executor = site.link(ready=False)
+    harness.executor.receive("IODONE")
+    harness.executor.reset()
+    executor = harness.accept_executor_link(ready=False)
     executor.send("BOOTED steady 9000")
     # The replay repeats the request for the call, and the server must not make a second call.
     executor.send(f"IOREQ 1 {request_id} 1", b"?")
@@ -98,99 +98,101 @@
     assert dependency.receive("GET")[0][1] == request_id
 
 
-def test_a_resent_dispatch_that_is_rejected_ends_the_request(site):
-    proxy = site.router()
+def test_a_resent_dispatch_that_is_rejected_ends_the_request(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1)
-    words, _ = site.kernel.receive("SCHED")
-    site.kernel.reset()  # the executor's response to the dispatch is lost with the link
-    site.kernel = site.link()
-    assert site.kernel.receive("SCHED")[0][1] == words[1]
-    site.kernel.send(f"EINVAL SCHED {words[1]}")
+    words, _ = harness.executor.receive("SCHED")
+    harness.executor.reset()  # the executor's response to the dispatch is lost with the link
+    harness.executor = harness.accept_executor_link()
+    assert harness.executor.receive("SCHED")[0][1] == words[1]
+    harness.executor.send(f"EINVAL SCHED {words[1]}")
     assert proxy.receive_response()[:2] == (1, "error")
-    assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
-    assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
+    assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
+    assert harness.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
 
 
-def test_commands_decided_without_a_link_are_sent_after_the_replay_fence(site):
-    proxy = site.router()
+def test_commands_decided_without_a_link_are_sent_after_the_replay_fence(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1)
-    words, _ = site.kernel.receive("SCHED")
-    site.kernel.reset()
+    words, _ = harness.executor.receive("SCHED")
+    harness.executor.reset()
     proxy.send(b"WITHDRAW", b"1")
-    executor = site.link()
+    executor = harness.accept_executor_link()
     assert [executor.receive(verb)[0][1] for verb in ("SCHED", "PREEMPT")] == [words[1]] * 2
 
 
-def test_rejected_dispatches_get_errors_and_few_log_lines(site, caplog):
-    proxy = site.router()
+def test_rejected_dispatches_get_errors_and_few_log_lines(harness, caplog):
+    proxy = harness.connect_proxy()
     for tag in (1, 3, 4):
         proxy.submit(tag)
-        words, _ = site.kernel.receive("SCHED")
-        site.kernel.send(f"EINVAL SCHED {words[1]}")
+        words, _ = harness.executor.receive("SCHED")
+        harness.executor.send(f"EINVAL SCHED {words[1]}")
         assert proxy.receive_response()[:2] == (tag, "error")
     assert (
         len([each for each in caplog.records if "rejected the dispatch" in each.getMessage()]) == 2
     )
-    assert execute_request(site, proxy, 2, 1)[2][:2] == (2, "done")
+    assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
 
 
-def poll_gauges(site, event_number):
+def poll_gauges(harness, event_number):
     """Waits for the server's next gauge poll and responds, which acknowledges earlier commands."""
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1)
-    request_id = next_dispatched(site)
-    words, _ = site.kernel.receive("SYSINFO")
-    site.kernel.send(f"INFO {words[1]} 0.1 1")
+    request_id = next_dispatched(harness)
+    words, _ = harness.executor.receive("SYSINFO")
+    harness.executor.send(f"INFO {words[1]} 0.1 1")
     # Events of a link are handled in order: once the end of the execution has been handled, the
     # response to the poll has been handled as well.
-    finish_execution(site, event_number, request_id)
+    finish_execution(harness, event_number, request_id)
     assert proxy.receive_response()[:2] == (1, "done")
 
 
-def test_an_acknowledged_dispatch_is_not_resent_after_a_lost_link(site):
+def test_an_acknowledged_dispatch_is_not_resent_after_a_lost_link(harness):
     """Guards against a second execution if the first one ends between replay and resending."""
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="k1")
-    first = next_dispatched(site)
-    poll_gauges(site, 1)
+    first = next_dispatched(harness)
+    poll_gauges(harness, 1)
     proxy.submit(2)
-    second = next_dispatched(site)  # no gauge poll has acknowledged this dispatch
-    site.kernel.reset()
-    site.kernel = site.link()  # the first execution ends only after the replay on this link
-    finish_execution(site, 2, first)
-    assert next_dispatched(site) == second
-    finish_execution(site, 3, second)
+    second = next_dispatched(harness)  # no gauge poll has acknowledged this dispatch
+    harness.executor.reset()
+    harness.executor = (
+        harness.accept_executor_link()
+    )  # the first execution ends only after the replay on this link
+    finish_execution(harness, 2, first)
+    assert next_dispatched(harness) == second
+    finish_execution(harness, 3, second)
     assert sorted(proxy.receive_response()[:2] for _ in range(2)) == [(1, "done"), (2, "done")]
     proxy.submit(3)
-    assert next_dispatched(site) not in (first, second)
+    assert next_dispatched(harness) not in (first, second)
 
 
-def test_an_acknowledged_call_result_is_not_resent_for_the_next_call(site):
+def test_an_acknowledged_call_result_is_not_resent_for_the_next_call(harness):
     """Guards against a second call that ends with the result of the first one."""
-    proxy = site.router()
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = next_dispatched(site)
-    dependency = request_call(site, 1, request_id, b"one")
+    request_id = next_dispatched(harness)
+    dependency = request_dependency_call(harness, 1, request_id, b"one")
     dependency.send(f"{request_id} HIT 1", b"1")
-    assert site.kernel.receive("IODONE")[1] == b"1"
-    poll_gauges(site, 2)
-    site.kernel.reset()
-    site.kernel = site.link()
+    assert harness.executor.receive("IODONE")[1] == b"1"
+    poll_gauges(harness, 2)
+    harness.executor.reset()
+    harness.executor = harness.accept_executor_link()
     # If the first call's result were resent over the new link, the executor would take it as the
     # result of this second call.
-    dependency = request_call(site, 3, request_id, b"two")
+    dependency = request_dependency_call(harness, 3, request_id, b"two")
     dependency.send(f"{request_id} HIT 1", b"2")
-    assert site.kernel.receive("IODONE")[1] == b"2"
-    finish_execution(site, 4, request_id)
+    assert harness.executor.receive("IODONE")[1] == b"2"
+    finish_execution(harness, 4, request_id)
     assert proxy.receive_response()[:2] == (1, "done")
 
 
-def test_an_invalid_executor_age_closes_the_link_and_a_new_link_works(make_site):
-    site = make_site().start()
-    executor = site.link(ready=False)
+def test_an_invalid_executor_age_closes_the_link_and_a_new_link_works(make_harness):
+    harness = make_harness().start()
+    executor = harness.accept_executor_link(ready=False)
     executor.send("BOOTED steady inf")
     assert executor.receive_message() is None
-    site.kernel, proxy = site.link(), site.router()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.submit(1)
-    finish_execution(site, 1, next_dispatched(site))
+    finish_execution(harness, 1, next_dispatched(harness))
     assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -11,45 +11,45 @@
     execute_request,
     finish_execution,
     next_dispatched,
-    request_call,
-    submit_until_call,
+    request_dependency_call,
+    submit_until_dependency_call,
     wait_until_processed,
 )
 
 
-def test_a_request_with_a_dependency_call_is_executed_and_answered(site):
-    proxy, body_sent = site.router(), bytes(range(256)) * 8
+def test_a_request_with_a_dependency_call_is_executed_and_answered(harness):
+    proxy, body_sent = harness.connect_proxy(), bytes(range(256)) * 8
     proxy.submit(7, "look", body_sent, i="00000000000000aa")
-    assert site.kernel.receive("SCHED") == (
+    assert harness.executor.receive("SCHED") == (
         ["SCHED", "00000000000000aa", "look", "2048"],
         body_sent,
     )
-    site.kernel.send("IOREQ 1 00000000000000aa 4", b"\r\n\0?")
-    dependency = site.calls()
+    harness.executor.send("IOREQ 1 00000000000000aa 4", b"\r\n\0?")
+    dependency = harness.accept_dependency_connection()
     words, body = dependency.receive("GET")
     assert words[1] == "00000000000000aa"
     assert 0 < int(words[2]) <= 50_000
     assert body == b"\r\n\0?"
     dependency.send("00000000000000aa HIT 3", b"\r\n!")
-    assert site.kernel.receive("IODONE") == (["IODONE", "00000000000000aa", "3"], b"\r\n!")
-    site.kernel.send("REAP 2 00000000000000aa success 12 5", b"\0\r\n\r\n")
+    assert harness.executor.receive("IODONE") == (["IODONE", "00000000000000aa", "3"], b"\r\n!")
+    harness.executor.send("REAP 2 00000000000000aa success 12 5", b"\0\r\n\r\n")
     tag, word, fields, result = proxy.receive_response()
     assert (tag, word, result) == (7, "done", b"\0\r\n\r\n")
     assert float(fields["v"]) > 0
 
 
-def test_responses_may_be_out_of_order_and_requests_may_arrive_byte_by_byte(site):
-    proxy = site.router()
+def test_responses_may_be_out_of_order_and_requests_may_arrive_byte_by_byte(harness):
+    proxy = harness.connect_proxy()
     for byte in proxy.encode_submit(1) + proxy.encode_submit(2):
         proxy.sock.sendall(bytes([byte]))
-    first, second = (site.kernel.receive("SCHED")[0][1] for _ in range(2))
-    site.kernel.send(f"REAP 1 {second} success 1 1", b"b")
-    site.kernel.send(f"REAP 2 {first} failure 1 0", b"")
+    first, second = (harness.executor.receive("SCHED")[0][1] for _ in range(2))
+    harness.executor.send(f"REAP 1 {second} success 1 1", b"b")
+    harness.executor.send(f"REAP 2 {first} failure 1 0", b"")
     assert [proxy.receive_response()[:2] for _ in range(2)] == [(2, "done"), (1, "error")]
 
 
-def test_a_request_past_its_deadline_is_rejected_at_once(site):
-    proxy = site.router()
+def test_a_request_past_its_deadline_is_rejected_at_once(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, s=int(time.time() * 1000) - 500, d=400)
     proxy.submit(2, d=-5)
     assert [proxy.receive_response()[:2] for _ in range(2)] == [(1, "later"), (2, "later")]
@@ -63,65 +63,72 @@
         lambda proxy: proxy.sock.close(),
     ],
 )
-def test_a_request_whose_client_is_gone_is_cancelled_and_not_answered(site, withdraw_or_disconnect):
-    proxy, other_proxy = site.router(), site.router()
+def test_a_request_whose_client_is_gone_is_cancelled_and_not_answered(
+    harness, withdraw_or_disconnect
+):
+    proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
     proxy.submit(1)
-    words, _ = site.kernel.receive("SCHED")
+    words, _ = harness.executor.receive("SCHED")
     withdraw_or_disconnect(proxy)
-    assert site.kernel.receive("PREEMPT")[0][1] == words[1]
-    site.kernel.send(f"REAP 1 {words[1]} interrupted 5 0", b"")
-    assert execute_request(site, other_proxy, 1, 2)[2][:2] == (1, "done")
+    assert harness.executor.receive("PREEMPT")[0][1] == words[1]
+    harness.executor.send(f"REAP 1 {words[1]} interrupted 5 0", b"")
+    assert execute_request(harness, other_proxy, 1, 2)[2][:2] == (1, "done")
     if proxy.sock.fileno() >= 0:
         proxy.send(b"PROBE", b"2")
         assert proxy.receive_response()[0] == 2
 
 
-def test_after_every_kind_of_end_nothing_is_counted_as_in_flight(site):
-    proxy, disconnecting_proxy = site.router(), site.router()
+def test_after_every_kind_of_end_nothing_is_counted_as_in_flight(harness):
+    proxy, disconnecting_proxy = harness.connect_proxy(), harness.connect_proxy()
     for tag, outcome in enumerate(("success", "failure", "interrupted", "nothing"), 1):
         proxy.submit(tag)
-        words, _ = site.kernel.receive("SCHED")
-        site.kernel.send(f"REAP {tag} {words[1]} {outcome} 1 0", b"")
+        words, _ = harness.executor.receive("SCHED")
+        harness.executor.send(f"REAP {tag} {words[1]} {outcome} 1 0", b"")
         assert proxy.receive_response()[0] == tag
     # The client withdraws this request during its dependency call.
-    withdrawn_id = submit_until_call(site, proxy, 5, 5)
-    dependency = site.calls()
+    withdrawn_id = submit_until_dependency_call(harness, proxy, 5, 5)
+    dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     proxy.send(b"WITHDRAW", b"5")
     proxy.send(b"PROBE", b"6")
     assert proxy.receive_response()[0] == 6  # the withdrawal has been read
     disconnecting_proxy.submit(1)  # its client disconnects while it is executed
-    words, _ = site.kernel.receive("SCHED")
+    words, _ = harness.executor.receive("SCHED")
     disconnecting_proxy.reset()
-    assert site.kernel.receive("PREEMPT")[0][1] == words[1]
-    site.kernel.send(f"REAP 6 {words[1]} interrupted 1 0", b"")
-    site.kernel.send(f"REAP 7 {withdrawn_id} interrupted 1 0", b"")
+    assert harness.executor.receive("PREEMPT")[0][1] == words[1]
+    harness.executor.send(f"REAP 6 {words[1]} interrupted 1 0", b"")
+    harness.executor.send(f"REAP 7 {withdrawn_id} interrupted 1 0", b"")
     assert dependency.receive_message() is None
-    assert execute_request(site, proxy, 9, 8)[2][:2] == (9, "done")
+    assert execute_request(harness, proxy, 9, 8)[2][:2] == (9, "done")
     proxy.send(b"PROBE", b"10")
     assert proxy.receive_response()[0] == 10
-    assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
+    assert harness.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
 
 
 class RequestToEnd:
     """A request in flight, with the events by which client, executor or dependency may end it."""
 
-    def __init__(self, site, during_call):
-        self.site, self.proxy = site, site.router()
+    def __init__(self, harness, during_call):
+        self.harness, self.proxy = harness, harness.connect_proxy()
         self.proxy.submit(1, "look")
-        self.request_id = next_dispatched(site)
+        self.request_id = next_dispatched(harness)
         self.event_number, self.dependency = 1, None
         if during_call:
-            self.dependency, self.event_number = request_call(site, 1, self.request_id), 2
+            self.dependency, self.event_number = (
+                request_dependency_call(harness, 1, self.request_id),
+                2,
+            )
 
     def client_withdraws(self):
         self.proxy.send(b"WITHDRAW", b"1")
 
     def execution_succeeds(self):
-        finish_execution(self.site, self.event_number, self.request_id)
+        finish_execution(self.harness, self.event_number, self.request_id)
 
     def execution_is_interrupted(self):
-        self.site.kernel.send(f"REAP {self.event_number} {self.request_id} interrupted 3 0", b"")
+        self.harness.executor.send(
+            f"REAP {self.event_number} {self.request_id} interrupted 3 0", b""
+        )
 
     def dependency_responds(self):
         self.dependency.send(f"{self.request_id} HIT 1", b"!")
@@ -131,8 +138,8 @@
         assert self.dependency.receive_message() is None
 
     def executor_link_is_lost(self):
-        self.site.kernel.sock.shutdown(socket.SHUT_RDWR)
-        self.site.has_lost_link = True
+        self.harness.executor.sock.shutdown(socket.SHUT_RDWR)
+        self.harness.has_lost_link = True
 
     def client_disconnects(self):
         self.proxy.sock.shutdown(socket.SHUT_RDWR)
@@ -169,37 +176,37 @@
     ],
 )
 def test_two_events_that_end_a_request_give_at_most_one_response_and_leave_nothing_in_flight(
-    site, during_call, first, second, in_one_iteration
+    harness, during_call, first, second, in_one_iteration
 ):
     """Guards against leaked or doubly released requests if two ends of a request coincide."""
-    request, site.has_lost_link = RequestToEnd(site, during_call), False
+    request, harness.has_lost_link = RequestToEnd(harness, during_call), False
     client_gone, execution_ended = (
         {"client_withdraws", "client_disconnects"},
         {"execution_succeeds", "execution_is_interrupted"},
     )
     events = [getattr(request, name) for name in (first, second)]
     if in_one_iteration:
-        site.event_loop.event_queue.process_in_one_iteration(*events)
+        harness.event_loop.event_queue.process_in_one_iteration(*events)
     else:
-        site.event_loop.event_queue.process_in_one_iteration(events[0])
+        harness.event_loop.event_queue.process_in_one_iteration(events[0])
         if (first, second) == ("execution_is_interrupted", "dependency_responds"):
             request.expect_abandoned_call()  # the dependency can no longer respond
         else:
-            site.event_loop.event_queue.process_in_one_iteration(events[1])
-    if site.has_lost_link:
-        site.kernel = site.link()
+            harness.event_loop.event_queue.process_in_one_iteration(events[1])
+    if harness.has_lost_link:
+        harness.executor = harness.accept_executor_link()
     if not execution_ended & {first, second}:
         outcome = "interrupted 3 0" if during_call else "success 3 1"
-        site.kernel.send(
+        harness.executor.send(
             f"REAP {request.event_number} {request.request_id} {outcome}",
             b"" if during_call else b"r",
         )
-    other_proxy = site.router()
+    other_proxy = harness.connect_proxy()
     other_proxy.submit(1)
     # After a lost link, the server resends a dispatch that the executor has not acknowledged.
-    while (dispatched_id := next_dispatched(site)) == request.request_id:
+    while (dispatched_id := next_dispatched(harness)) == request.request_id:
         pass
-    finish_execution(site, request.event_number + 1, dispatched_id)
+    finish_execution(harness, request.event_number + 1, dispatched_id)
     assert other_proxy.receive_response()[:2] == (1, "done")
     if "client_disconnects" not in (first, second):
         request.proxy.send(b"PROBE", b"9")
@@ -209,6 +216,6 @@
         assert answered_tags == ([] if first in client_gone else [1]) or (
             second in client_gone and answered_tags in ([], [1])
         )
-    site.event_loop.event_queue.process_in_one_iteration()
+    harness.event_loop.event_queue.process_in_one_iteration()
     wait_until_processed(other_proxy)
-    assert site.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
+    assert harness.event_loop.drain.in_flight_summary() == NOTHING_IN_FLIGHT
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -11,10 +11,10 @@
 from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, execute_request
 
 
-def test_a_server_without_a_dependency_serves(make_site):
-    site = make_site(index=None).start()
-    site.kernel, proxy = site.link(), site.router()
-    assert execute_request(site, proxy, 1, 1)[2][:2] == (1, "done")
+def test_a_server_without_a_dependency_serves(make_harness):
+    harness = make_harness(index=None).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
+    assert execute_request(harness, proxy, 1, 1)[2][:2] == (1, "done")
 
 
 @pytest.mark.parametrize(
@@ -38,14 +38,14 @@
     assert error.count("\n") == 1
 
 
-def test_an_address_in_use_raises_a_configuration_error(make_site):
-    handed = make_site().handed
+def test_an_address_in_use_raises_a_configuration_error(make_harness):
+    process_config = make_harness().process_config
     with pytest.raises(serve.ConfigurationError, match="cannot listen"):
-        serve.build(handed | {"listen": handed["kernel"]}, EventQueue())
+        serve.build(process_config | {"listen": process_config["kernel"]}, EventQueue())
 
 
-def test_sigterm_just_after_the_listener_opened_starts_a_drain(make_site, monkeypatch):
-    site, build, proxies = make_site(), serve.build, []
+def test_sigterm_just_after_the_listener_opened_starts_a_drain(make_harness, monkeypatch):
+    harness, build, proxies = make_harness(), serve.build, []
 
     def build_and_send_sigterm(*arguments):
         event_loop, components = build(*arguments)
@@ -55,13 +55,13 @@
         return event_loop, components
 
     monkeypatch.setattr(serve, "build", build_and_send_sigterm)
-    site.path.write_text(json.dumps(site.handed))
+    harness.config_path.write_text(json.dumps(harness.process_config))
     old_handlers = {each: signal.getsignal(each) for each in (signal.SIGTERM, signal.SIGHUP)}
     signal.signal(
         signal.SIGTERM, lambda *_: pytest.fail("SIGTERM came before the server set its handler")
     )
     try:
-        assert serve.serve(str(site.path)) == 0
+        assert serve.serve(str(harness.config_path)) == 0
     finally:
         for each, handler in old_handlers.items():
             signal.signal(each, handler)
@@ -71,11 +71,11 @@
     )
 
 
-def test_sigterm_while_modules_load_ends_the_process_cleanly(make_site, monkeypatch):
+def test_sigterm_while_modules_load_ends_the_process_cleanly(make_harness, monkeypatch):
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
-    site = make_site().spawn()
-    while "click.globals" not in site.process.stderr.readline():  # most modules load after it
-        assert site.process.poll() is None
-    site.process.send_signal(signal.SIGTERM)
-    assert "Traceback" not in site.process.communicate(timeout=PEER_TIMEOUT_SECONDS)[1]
-    assert site.process.returncode == 0
+    harness = make_harness().spawn()
+    while "click.globals" not in harness.process.stderr.readline():  # most modules load after it
+        assert harness.process.poll() is None
+    harness.process.send_signal(signal.SIGTERM)
+    assert "Traceback" not in harness.process.communicate(timeout=PEER_TIMEOUT_SECONDS)[1]
+    assert harness.process.returncode == 0
