--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -18,20 +18,20 @@
 def make_harness(tmp_path):
     harnesses = []
 
-    def make(router, more="", **process_config):
+    def make(router, extra_blocks="", **process_config):
         harness = AppServerHarness(tmp_path, **process_config).start()
         harnesses.append(harness)
         harness.event_loop.event_queue.post(
             harness.event_loop.subsystems.apply_bgp,
-            announce_config(peer_block(router.address) + more),
+            announce_config(peer_block(router.address) + extra_blocks),
         )
         return harness
 
     yield make
-    for each in harnesses:
-        if each.event_loop.subsystems.bgp is not None:
-            each.event_loop.subsystems.bgp.end(PEER_TIMEOUT_SECONDS)
-        each.end()
+    for harness in harnesses:
+        if harness.event_loop.subsystems.bgp is not None:
+            harness.event_loop.subsystems.bgp.end(PEER_TIMEOUT_SECONDS)
+        harness.end()
 
 
 def test_node_is_announced_only_once_its_executor_is_connected(make_harness, make_router):
@@ -49,22 +49,21 @@
     harness = make_harness(router, settings=rules)
     harness.executor = harness.accept_executor_link("booting")  # one second of the warm-up remains
     router.wait_count("end_of_rib", 2)
-    up = router.wait_count("up").at
+    up_at = router.wait_count("up").at
     router.wait_held(SERVICE)
-    assert router.wait_count("announced").at - up > 0.5
+    assert router.wait_count("announced").at - up_at > 0.5
 
 
 def test_lost_executor_link_lowers_the_preference_then_withdraws(make_harness, make_router):
     router = make_router()
     harness = make_harness(router)
-    link = harness.accept_executor_link()
+    executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
     harness.executor_listener.close()
-    link.sock.close()
+    executor.sock.close()
     router.wait_held()
-    assert (
-        router.events[-1].message.withdrawn and router.count("announced") == 2
-    )  # the second one lowered the preference
+    # The second announcement lowered the preference.
+    assert router.events[-1].message.withdrawn and router.count("announced") == 2
 
 
 def test_drain_withdraws_first_and_closes_the_listener_after_the_propagation_time(
@@ -76,21 +75,21 @@
     )
     harness.executor = harness.accept_executor_link()
     router.wait_held(SERVICE)
-    asker = harness.connect_proxy()
-    asker.submit(1)
-    ident = harness.executor.receive("SCHED")[0][1]
+    proxy = harness.connect_proxy()
+    proxy.submit(1)
+    request_id = harness.executor.receive("SCHED")[0][1]
     harness.event_loop.event_queue.post(harness.event_loop.drain.start)
     router.wait_held()
-    late = harness.connect_proxy()  # the listener is still open
-    late.send(b"PROBE", b"1", b"x=0")
-    assert late.receive_response()[1] == "sick"
-    harness.executor.send(f"REAP 1 {ident} success 1 2", b"ok")
-    assert asker.receive_response()[1] == "done"
-    assert late.receive_response()[1] == "closing"
-    withdrawn = router.wait_count("withdrawn").at
+    late_proxy = harness.connect_proxy()  # the listener is still open
+    late_proxy.send(b"PROBE", b"1", b"x=0")
+    assert late_proxy.receive_response()[1] == "sick"
+    harness.executor.send(f"REAP 1 {request_id} success 1 2", b"ok")
+    assert proxy.receive_response()[1] == "done"
+    assert late_proxy.receive_response()[1] == "closing"
+    withdrawn_at = router.wait_count("withdrawn").at
     harness.thread.join(PEER_TIMEOUT_SECONDS)
     assert router.wait_count("notification").message.subcode == 2
-    assert router.wait_count("notification").at - withdrawn > 0.05  # the propagation time
+    assert router.wait_count("notification").at - withdrawn_at > 0.05  # the propagation time
     assert not harness.thread.is_alive()
 
 
@@ -118,11 +117,11 @@
 
     harness.event_loop.subsystems.bgp.speaker.inbox.put((fail,))
     router.wait_held()
-    asker = harness.connect_proxy()
-    asker.submit(1)
-    ident = harness.executor.receive("SCHED")[0][1]
-    harness.executor.send(f"REAP 1 {ident} success 1 2", b"ok")
-    assert asker.receive_response()[1] == "done"
+    proxy = harness.connect_proxy()
+    proxy.submit(1)
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"REAP 1 {request_id} success 1 2", b"ok")
+    assert proxy.receive_response()[1] == "done"
     harness.event_loop.event_queue.post(harness.event_loop.drain.start)
     harness.thread.join(PEER_TIMEOUT_SECONDS)
     assert not harness.thread.is_alive()
@@ -146,8 +145,8 @@
 
 def spawn(harness, operator_file):
     """Starts the app server as a process with this operator's file."""
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        harness.address = free.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as free_port_socket:
+        harness.address = free_port_socket.getsockname()
     import json
 
     harness.config_path.write_text(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -76,7 +76,7 @@
 
 
 class MessagePeer:
-    """One end of a connection; reads complete messages, each within PEER_TIMEOUT_SECONDS."""
+    """One end of a connection; a read fails if nothing arrives within PEER_TIMEOUT_SECONDS."""
 
     def __init__(self, sock, parser):
         self.sock, self.parser, self.pending_messages = sock, parser, []
@@ -243,8 +243,8 @@
             self.process_config, ObservedEventQueue(), **self.limits
         )
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
-        for each in [self.thread, *self.parts]:
-            each.start()
+        for startable in [self.thread, *self.parts]:
+            startable.start()
         self.address = self.event_loop.listener.address
         return self
 
--- a/tests/deploy/test_run_line.py
+++ b/tests/deploy/test_run_line.py
@@ -1,7 +1,7 @@
-"""What the command of the deploy file may do on the platform.
+"""The run line of the deploy file obeys the rules of the platform.
 
-One process, started by exec, with TCP and UDP over IPv4 only; it starts no other process and
-listens on the port for proxies alone.
+It becomes one process by exec, which uses only TCP and UDP over IPv4, starts no other process and
+listens only on the port for proxies.
 """
 
 import os
@@ -16,9 +16,10 @@
 
 from tests.conftest import PEER_TIMEOUT_SECONDS, AppServerHarness
 
-# A start imports 127 modules that are not ours; a tenth more may come. Ours are held by name: a
-# package may be split, but a subsystem that is off must not be imported.
-FOREIGN_MODULES = 139
+# A start imports 127 modules from outside this project; the limit allows a tenth more. The modules
+# of this project are checked by package name: a package may be split into more modules, but a
+# subsystem that is off must not be imported.
+MAX_EXTERNAL_MODULES = 139
 OWN_PACKAGES = {
     "commands",
     "frontends",
@@ -35,16 +36,13 @@
     "lilacwalk.server.integrations",
 )
 THIRD_PARTY = {"click", "logfmter"}
-INSTALLATION = {
-    "_distutils_hack",
-    "org",
-    "sitecustomize",
-}  # of the installed Python, not asked for by us
+# Loaded by the Python installation itself, not imported by this project.
+INSTALLATION = {"_distutils_hack", "org", "sitecustomize"}
 
 
 @pytest.fixture
 def running_harness(tmp_path):
-    """A server started as in the deploy file, with a platform's settings, that has responded."""
+    """A server started by the run line with a platform's limits, after its first response."""
     harness = AppServerHarness(tmp_path)
     harness.process_config["limits"] = {"sockets": 512, "memory_mb": 80.0, "cores": 1.0}
     harness.spawn()
@@ -57,10 +55,10 @@
         except ConnectionRefusedError:
             assert time.monotonic() < deadline
     harness.proxy.submit(1)
-    ident = harness.executor.receive("SCHED")[0][1]
-    harness.executor.send(f"REAP 1 {ident} success 1 2", b"ok")
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"REAP 1 {request_id} success 1 2", b"ok")
     assert harness.proxy.receive_response()[1] == "done"
-    # From here on the socket for reports has its port, too.
+    # Once a report has been sent, the socket for reports is bound to a port as well.
     assert harness.registry.recv(100) == b"alive n1 passing"
     yield harness
     harness.end()
@@ -72,8 +70,11 @@
     return Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
 
 
-def sockets_of(pid):
-    """(protocol, local address, state) of each TCP and UDP socket, and the inodes of all others."""
+def list_sockets(pid):
+    """Returns the TCP and UDP sockets of a process, and the inodes of its other sockets.
+
+    Each TCP or UDP socket is a tuple of protocol, local address and state.
+    """
     inodes = set()
     for descriptor in Path(f"/proc/{pid}/fd").iterdir():
         try:
@@ -82,7 +83,7 @@
             continue
         if target.startswith("socket:["):
             inodes.add(target[8:-1])
-    found = []
+    sockets = []
     others = set(inodes)
     for protocol in ("tcp", "udp", "tcp6", "udp6"):
         for line in Path(f"/proc/{pid}/net/{protocol}").read_text().splitlines()[1:]:
@@ -92,9 +93,9 @@
                 name = (
                     socket.inet_ntoa(struct.pack("<I", int(host, 16))) if len(host) == 8 else host
                 )
-                found.append((protocol, (name, int(port, 16)), words[3]))
+                sockets.append((protocol, (name, int(port, 16)), words[3]))
                 others.discard(words[9])
-    return found, others
+    return sockets, others
 
 
 def test_the_command_becomes_one_python_process_without_children(running_harness):
@@ -111,22 +112,25 @@
 
 
 def test_only_the_proxy_port_listens_and_all_sockets_are_tcp_or_udp_over_ipv4(running_harness):
-    found, others = sockets_of(running_harness.process.pid)
+    sockets, others = list_sockets(running_harness.process.pid)
     assert not others, "a socket that is neither TCP nor UDP"
-    assert {protocol for protocol, *_ in found} <= {"tcp", "udp"}
-    listening = [where for protocol, where, state in found if protocol == "tcp" and state == "0A"]
+    assert {protocol for protocol, *_ in sockets} <= {"tcp", "udp"}
+    listening = [
+        address for protocol, address, state in sockets if protocol == "tcp" and state == "0A"
+    ]
     assert listening == [running_harness.address]
-    # For reports to the service registry: instances do not speak with each other.
-    assert [protocol for protocol, *_ in found].count("udp") == 1
+    # The only UDP socket sends the reports to the service registry; app servers exchange no
+    # messages.
+    assert [protocol for protocol, *_ in sockets].count("udp") == 1
 
 
 def test_a_plain_start_maps_no_optional_library_and_opens_no_file(running_harness):
-    """Membership, BGP, edge and store are off: none of their libraries and files is there."""
+    """Membership, BGP, edge and store are off, so none of their libraries and files is in use."""
     pid = running_harness.process.pid
     maps = Path(f"/proc/{pid}/maps").read_text()
     assert not any(name in maps for name in ("_sqlite3", "lmdb", "cbor2", "_ssl", "liburing"))
     descriptors = Path(f"/proc/{pid}/fd").iterdir()
-    targets = [os.readlink(each) for each in descriptors if int(each.name) > 2]
+    targets = [os.readlink(path) for path in descriptors if int(path.name) > 2]
     open_files = [
         name
         for name in targets
@@ -136,21 +140,24 @@
 
 
 def test_a_reload_adds_no_process_and_no_socket(running_harness):
-    before, _ = sockets_of(running_harness.process.pid)
+    before, _ = list_sockets(running_harness.process.pid)
     running_harness.replace_listeners("index")
     running_harness.process.send_signal(signal.SIGHUP)
     running_harness.proxy.submit(2)
-    ident = running_harness.executor.receive("SCHED")[0][1]
-    running_harness.executor.send(f"REAP 2 {ident} success 1 2", b"ok")
+    request_id = running_harness.executor.receive("SCHED")[0][1]
+    running_harness.executor.send(f"REAP 2 {request_id} success 1 2", b"ok")
     assert running_harness.proxy.receive_response()[1] == "done"
-    found, others = sockets_of(running_harness.process.pid)
+    sockets, others = list_sockets(running_harness.process.pid)
     assert child_processes(running_harness.process.pid) == []
     assert not others
-    assert sorted(state for _, _, state in found) == sorted(state for _, _, state in before)
+    assert sorted(state for _, _, state in sockets) == sorted(state for _, _, state in before)
 
 
 def test_a_plain_start_imports_few_modules(make_harness, monkeypatch):
-    """Imports are most of a start, and restarted instances share the cores. Counted, not timed."""
+    """Imports take most of the time of a start, and restarted app servers share the cores.
+
+    The test counts the modules and measures no time.
+    """
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     harness = make_harness(stop_ms=1000).spawn()
     harness.accept_executor_link()
@@ -173,7 +180,7 @@
     own = {name for name in loaded if name.split(".")[0] == "lilacwalk"}
     assert {name.split(".")[1] for name in own if "." in name} <= OWN_PACKAGES | OWN_MODULES
     assert not [name for name in own if name.startswith(OPTIONAL_MODULES)]
-    foreign = [name for name in loaded if name not in own]
-    roots = {name.split(".")[0] for name in foreign}
+    external = [name for name in loaded if name not in own]
+    roots = {name.split(".")[0] for name in external}
     assert roots - sys.stdlib_module_names <= THIRD_PARTY | INSTALLATION
-    assert len(foreign) <= FOREIGN_MODULES
+    assert len(external) <= MAX_EXTERNAL_MODULES
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -29,15 +29,15 @@
     make_harness, sent
 ):
     harness = make_harness(limits={"message_timeout": 1_000}).start()
-    harness.executor, proxy, stuck = (
+    harness.executor, proxy, stuck_proxy = (
         harness.accept_executor_link(),
         harness.connect_proxy(),
         harness.connect_proxy(),
     )
     proxy.send(b"PROBE", b"1")
     assert proxy.receive_response()[:2] == (1, "healthy")
-    stuck.sock.sendall(sent)
-    while stuck.receive_response() is not None:
+    stuck_proxy.sock.sendall(sent)
+    while stuck_proxy.receive_response() is not None:
         pass
     assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
 
@@ -68,14 +68,14 @@
         harness.accept_executor_link(),
         [harness.connect_proxy() for _ in range(8)],
     )
-    for each in idle_proxies:
-        each.send(b"PROBE", b"1")
-        assert each.receive_response()[:2] == (1, "healthy")
-    new = [harness.connect_proxy() for _ in range(4)]
-    for each in idle_proxies[:4]:
-        assert each.receive_response() is None
-    for event_number, each in enumerate(new, 1):
-        assert execute_request(harness, each, 1, event_number)[2][:2] == (1, "done")
+    for proxy in idle_proxies:
+        proxy.send(b"PROBE", b"1")
+        assert proxy.receive_response()[:2] == (1, "healthy")
+    new_proxies = [harness.connect_proxy() for _ in range(4)]
+    for proxy in idle_proxies[:4]:
+        assert proxy.receive_response() is None
+    for event_number, proxy in enumerate(new_proxies, 1):
+        assert execute_request(harness, proxy, 1, event_number)[2][:2] == (1, "done")
 
 
 def test_over_the_high_water_mark_connections_without_a_message_are_closed_before_idle_proxies(
@@ -87,9 +87,11 @@
     harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.send(b"PROBE", b"1")
     assert proxy.receive_response()[:2] == (1, "healthy")
-    silent = [socket.create_connection(harness.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
-    silent[0].settimeout(PEER_TIMEOUT_SECONDS)
-    assert silent[0].recv(10) == b""
+    silent_sockets = [
+        socket.create_connection(harness.address, PEER_TIMEOUT_SECONDS) for _ in range(40)
+    ]
+    silent_sockets[0].settimeout(PEER_TIMEOUT_SECONDS)
+    assert silent_sockets[0].recv(10) == b""
     assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
 
 
@@ -105,21 +107,21 @@
     harness = make_harness(
         settings={"family_info": SETTINGS["family_info"] | {"caller_idle_ms": 100.0}}
     ).start()
-    harness.executor, idle, used = (
+    harness.executor, idle_proxy, active_proxy = (
         harness.accept_executor_link(),
         harness.connect_proxy(),
         harness.connect_proxy(),
     )
-    used.submit(1)
+    active_proxy.submit(1)
     words, _ = harness.executor.receive("SCHED")
-    assert idle.receive_response()[:2] == (0, "closing")
+    assert idle_proxy.receive_response()[:2] == (0, "closing")
     harness.executor.send(f"REAP 1 {words[1]} success 1 0", b"")
-    assert used.receive_response()[:2] == (1, "done")
+    assert active_proxy.receive_response()[:2] == (1, "done")
 
 
 @pytest.fixture
 def harness_with_idle_proxies(make_harness):
-    """A server, and two idle proxies that were requested to close their connections and did not.
+    """A server with two idle proxies that did not close their connections when requested to.
 
     `pass_close_timeout` advances the clock until the time for closing has passed.
     """
@@ -134,12 +136,12 @@
         harness.accept_executor_link(),
         [harness.connect_proxy() for _ in range(2)],
     )
-    for each in harness.idle_proxies:
-        wait_until_processed(each)
+    for proxy in harness.idle_proxies:
+        wait_until_processed(proxy)
     advance = control_clock(harness)
     advance(1.5)
-    for each in harness.idle_proxies:
-        assert each.receive_response()[:2] == (0, "closing")
+    for proxy in harness.idle_proxies:
+        assert proxy.receive_response()[:2] == (0, "closing")
     harness.pass_close_timeout = lambda: advance(1.5)
     return harness
 
@@ -159,11 +161,12 @@
         return decode(parts, max_body_bytes)
 
     monkeypatch.setattr(proxy_connection, "decode_message", blocked_decode)
-    sender, other = harness_with_idle_proxies.idle_proxies
+    sender, other_proxy = harness_with_idle_proxies.idle_proxies
     sender.submit(1)
     assert decode_started.wait(PEER_TIMEOUT_SECONDS)
     harness_with_idle_proxies.pass_close_timeout()
-    assert other.receive_response() is None  # closed, so housekeeping has checked both connections
+    # This connection is closed, so housekeeping has checked both.
+    assert other_proxy.receive_response() is None
     decode_allowed.set()
     finish_execution(harness_with_idle_proxies, 1, next_dispatched(harness_with_idle_proxies))
     assert sender.receive_response()[:2] == (1, "done")
@@ -172,15 +175,14 @@
 def test_a_partial_request_keeps_its_idle_connection_open_until_it_is_complete(
     harness_with_idle_proxies,
 ):
-    sender, other = harness_with_idle_proxies.idle_proxies
+    sender, other_proxy = harness_with_idle_proxies.idle_proxies
     request = sender.encode_submit(2)
     sender.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
-    assert sender.receive_response()[:2] == (
-        1,
-        "healthy",
-    )  # the partial request has been read as well
+    # A response to the probe shows that the partial request has been read as well.
+    assert sender.receive_response()[:2] == (1, "healthy")
     harness_with_idle_proxies.pass_close_timeout()
-    assert other.receive_response() is None  # closed, so housekeeping has checked both connections
+    # This connection is closed, so housekeeping has checked both.
+    assert other_proxy.receive_response() is None
     sender.sock.sendall(request[-40:])
     finish_execution(harness_with_idle_proxies, 1, next_dispatched(harness_with_idle_proxies))
     assert sender.receive_response()[:2] == (2, "done")
@@ -190,10 +192,10 @@
     harness_with_idle_proxies,
 ):
     """Closing the socket while the request is unread would reset the connection."""
-    sender, other = harness_with_idle_proxies.idle_proxies
+    sender, other_proxy = harness_with_idle_proxies.idle_proxies
     harness_with_idle_proxies.pass_close_timeout()
     assert sender.receive_response() is None
-    assert other.receive_response() is None
+    assert other_proxy.receive_response() is None
     sender.submit(1)
     sender.sock.shutdown(socket.SHUT_WR)
     assert sender.sock.recv(1) == b""
@@ -252,10 +254,10 @@
     control_clock(harness)(5.0)
     partial = proxy.encode_submit(2)
     proxy.sock.sendall(partial[:20])
-    silent = harness.connect_proxy()
-    # `silent` was opened after the partial message was sent, so its end shows that the message
+    silent_proxy = harness.connect_proxy()
+    # `silent_proxy` connected after the partial message was sent; its end shows that the message
     # timeout has expired for both.
-    assert silent.receive_response() is None
+    assert silent_proxy.receive_response() is None
     finish_execution(harness, 1, running_id)
     assert proxy.receive_response()[:2] == (1, "done")
     proxy.sock.sendall(partial[20:])
@@ -268,28 +270,26 @@
     harness.process_config["limits"], harness.limits = harness.limits, {}
     harness.registry.close()
     harness.spawn()
-    harness.executor, first = harness.accept_executor_link(), harness.connect_proxy()
+    harness.executor, first_proxy = harness.accept_executor_link(), harness.connect_proxy()
     resource.prlimit(harness.process.pid, resource.RLIMIT_NOFILE, (256, 256))
-    first.submit(1)
+    first_proxy.submit(1)
     long_request_id = next_dispatched(harness)
-    idle = []
+    idle_proxies = []
     for _ in range(300):  # over the descriptor limit; each sends a valid message
-        idle.append(harness.connect_proxy())
-        idle[-1].sock.sendall(encode_array(b"PROBE", b"1"))
+        idle_proxies.append(harness.connect_proxy())
+        idle_proxies[-1].sock.sendall(encode_array(b"PROBE", b"1"))
     for number in range(2, 12):
-        new = harness.connect_proxy()
-        new.submit(1, "look")
+        new_proxy = harness.connect_proxy()
+        new_proxy.submit(1, "look")
         request_id = next_dispatched(harness)
         dependency = request_dependency_call(harness, 2 * number, request_id)
         dependency.send(f"{request_id} HIT 1", b"!")
         finish_execution(harness, 2 * number + 1, request_id)
-        assert new.receive_response()[:2] == (1, "done")
+        assert new_proxy.receive_response()[:2] == (1, "done")
         dependency.sock.close()
     finish_execution(harness, 99, long_request_id)
-    assert first.receive_response()[:2] == (
-        1,
-        "done",
-    )  # a connection in use is never closed to make room
-    used = len(os.listdir(f"/proc/{harness.process.pid}/fd"))
-    assert used < 256
-    assert len(idle) == 300
+    # A connection in use is never closed to make room.
+    assert first_proxy.receive_response()[:2] == (1, "done")
+    open_descriptors = len(os.listdir(f"/proc/{harness.process.pid}/fd"))
+    assert open_descriptors < 256
+    assert len(idle_proxies) == 300
--- a/tests/frontends/test_proxy_resp2.py
+++ b/tests/frontends/test_proxy_resp2.py
@@ -16,14 +16,14 @@
 
 
 def test_a_tag_used_twice_ends_its_connection_before_either_request_is_answered(harness):
-    proxy, other = harness.connect_proxy(), harness.connect_proxy()
+    proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
     proxy.submit(1)
     words, _ = harness.executor.receive("SCHED")
     proxy.submit(1)
     assert harness.executor.receive("PREEMPT")[0][1] == words[1]
     harness.executor.send(f"REAP 1 {words[1]} success 1 1", b"x")
     assert proxy.receive_response() is None
-    assert execute_request(harness, other, 1, 2)[2][:2] == (1, "done")
+    assert execute_request(harness, other_proxy, 1, 2)[2][:2] == (1, "done")
 
 
 def test_malformed_messages_are_logged_at_a_decreasing_rate_with_the_peer_address(harness, caplog):
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -87,8 +87,8 @@
 
 
 def test_an_unreachable_dependency_is_reported_at_once_and_reconnects_are_delayed():
-    with socket.create_server(("127.0.0.1", 0)) as port:
-        address = port.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        address = listener.getsockname()
     client, event_queue = make_client(address)
     first, second = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
     client.start_call(first)
@@ -109,8 +109,8 @@
 
 
 def test_abandon_returns_true_only_for_a_call_that_was_not_sent():
-    with socket.create_server(("127.0.0.1", 0)) as port:
-        client, event_queue = make_client(port.getsockname())
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        client, event_queue = make_client(listener.getsockname())
         unsent, sent = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
         assert client.abandon(unsent)
         client.start_call(unsent)
@@ -118,8 +118,8 @@
         assert result == [unsent, Outcome.UNREACHABLE, b""]
         client.call_finished(connection, 0)
         client.start_call(sent)
-        port.settimeout(PEER_TIMEOUT_SECONDS)
-        sock, _ = port.accept()
+        listener.settimeout(PEER_TIMEOUT_SECONDS)
+        sock, _ = listener.accept()
         assert sock.recv(100).startswith(b"GET b ")
         assert not client.abandon(sent)
         assert sock.recv(100) == b""
@@ -133,14 +133,14 @@
 
 def test_an_at_most_once_call_takes_a_new_connection():
     """If an idle connection breaks, it is unknown whether the peer has received the call."""
-    with socket.create_server(("127.0.0.1", 0)) as port:
-        client, event_queue = make_client(port.getsockname())
-        port.settimeout(PEER_TIMEOUT_SECONDS)
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        client, event_queue = make_client(listener.getsockname())
+        listener.settimeout(PEER_TIMEOUT_SECONDS)
         socks = []
         for request_id, at_most_once in (("a", False), ("b", False), ("c", True)):
             client.start_call(DependencyCall(request_id, 100, b"", at_most_once))
             if request_id != "b":
-                socks.append(port.accept()[0])
+                socks.append(listener.accept()[0])
             assert socks[-1].recv(100).startswith(b"GET %b " % request_id.encode())
             socks[-1].sendall(b"%b SHED\r\n" % request_id.encode())
             connection, call, outcome, _ = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
@@ -197,9 +197,9 @@
     assert harness.executor.receive("IODONE")[1] == b"1"
     # The duplicate reply to the first call must not be taken for the reply to this one.
     harness.executor.send(f"IOREQ 2 {request_id} 1", b"?")
-    new = harness.accept_dependency_connection()
-    new.receive("GET")
-    new.send(f"{request_id} HIT 1", b"2")
+    new_connection = harness.accept_dependency_connection()
+    new_connection.receive("GET")
+    new_connection.send(f"{request_id} HIT 1", b"2")
     assert harness.executor.receive("IODONE")[1] == b"2"
 
 
@@ -215,16 +215,16 @@
 
 
 def test_an_unanswered_connect_delays_no_other_request_and_its_call_is_made_once(make_harness):
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+    with socket.socket() as full_listener:
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
         # Fills the backlog of a listener that does not accept, so that the operating system leaves
         # further connects unanswered.
         fillers = [socket.socket() for _ in range(4)]
-        for each in fillers:
-            each.setblocking(False)
-            each.connect_ex(full.getsockname())
-        harness = make_harness(index="{}:{}".format(*full.getsockname())).start()
+        for filler in fillers:
+            filler.setblocking(False)
+            filler.connect_ex(full_listener.getsockname())
+        harness = make_harness(index="{}:{}".format(*full_listener.getsockname())).start()
         harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
         proxy.submit(1, "look")
         request_id = next_dispatched(harness)
@@ -233,10 +233,10 @@
             proxy.submit(number)
             finish_execution(harness, number, next_dispatched(harness))
             assert proxy.receive_response()[:2] == (number, "done")
-        full.settimeout(PEER_TIMEOUT_SECONDS)
-        accepted, filler_addresses = None, [each.getsockname() for each in fillers]
+        full_listener.settimeout(PEER_TIMEOUT_SECONDS)
+        accepted, filler_addresses = None, [filler.getsockname() for filler in fillers]
         while accepted is None:
-            sock, peer = full.accept()
+            sock, peer = full_listener.accept()
             if peer not in filler_addresses:
                 accepted = sock
         accepted.settimeout(PEER_TIMEOUT_SECONDS)
@@ -245,21 +245,21 @@
         assert harness.executor.receive("IODONE")[1] == b"!"
         finish_execution(harness, 6, request_id)
         assert proxy.receive_response()[:2] == (1, "done")
-        for each in (*fillers, accepted):
-            each.close()
+        for sock in (*fillers, accepted):
+            sock.close()
 
 
 @pytest.mark.parametrize("second", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
 def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(harness, second):
-    """Both calls carry the id of the same request, so their replies cannot be told apart."""
+    """Both calls carry the id of the same request, so their replies cannot be distinguished."""
     proxy = harness.connect_proxy()
     proxy.submit(1, "look")
     request_id = next_dispatched(harness)
-    first = request_dependency_call(harness, 1, request_id, b"1")
-    first.send(f"{request_id} HIT 1", b"a")
+    first_connection = request_dependency_call(harness, 1, request_id, b"1")
+    first_connection.send(f"{request_id} HIT 1", b"a")
     assert harness.executor.receive("IODONE")[1] == b"a"
     # A duplicate reply arrives just before the next call is made.
-    first.sock.sendall(f"{request_id} ".encode() + second)
+    first_connection.sock.sendall(f"{request_id} ".encode() + second)
     next_connection = request_dependency_call(harness, 2, request_id, b"2")
     next_connection.send(f"{request_id} HIT 1", b"b")
     assert harness.executor.receive("IODONE")[1] == b"b"
--- a/tests/protocols/test_proxy_codec.py
+++ b/tests/protocols/test_proxy_codec.py
@@ -51,7 +51,7 @@
     [b"GET / HTTP/1.1\r\n\r\n", encode_array(b"PROBE", b"zero"), encode_array(b"PROBE")],
 )
 def test_a_framing_error_ends_its_connection_and_no_other(harness, malformed):
-    proxy, other = harness.connect_proxy(), harness.connect_proxy()
+    proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
     proxy.sock.sendall(malformed)
     assert proxy.receive_response() is None
-    assert execute_request(harness, other, 1, 1)[2][:2] == (1, "done")
+    assert execute_request(harness, other_proxy, 1, 1)[2][:2] == (1, "done")
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -13,12 +13,12 @@
 
 
 def test_a_message_truncated_by_a_reset_is_not_executed(harness):
-    proxy, other = harness.connect_proxy(), harness.connect_proxy()
+    proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
     proxy.sock.sendall(proxy.encode_submit(1, i="00000000000000ff")[:-9])
     proxy.reset()
-    words, _, answer = execute_request(harness, other, 1, 1)
+    words, _, response = execute_request(harness, other_proxy, 1, 1)
     assert words[1] != "00000000000000ff"
-    assert answer[1] == "done"
+    assert response[1] == "done"
 
 
 def test_a_proxy_that_floods_delays_only_itself(make_harness):
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -12,27 +12,25 @@
     harness = make_harness(
         stop_ms=60_000, limits={"connections": 1, "connection_high_water": 1}
     ).start()
-    harness.executor, first = harness.accept_executor_link(), harness.connect_proxy()
-    first.submit(1)
+    harness.executor, first_proxy = harness.accept_executor_link(), harness.connect_proxy()
+    first_proxy.submit(1)
     running_id = next_dispatched(harness)
     # These connections stay in the listen backlog, as the server has no free connection slot.
     waiting_proxies = [harness.connect_proxy() for _ in range(4)]
-    for each in waiting_proxies:
-        each.submit(1)
+    for proxy in waiting_proxies:
+        proxy.submit(1)
     harness.event_loop.event_queue.post(harness.event_loop.drain.start)
-    assert first.receive_response()[:2] == (
-        0,
-        "closing",
-    )  # the close request is sent after the listener is closed
+    # The close request is sent after the listener is closed.
+    assert first_proxy.receive_response()[:2] == (0, "closing")
     finish_execution(harness, 1, running_id)
-    assert first.receive_response()[:2] == (1, "done")
-    first.sock.close()
-    for number, each in enumerate(waiting_proxies, 2):
-        assert each.receive_response()[:2] == (0, "closing")
+    assert first_proxy.receive_response()[:2] == (1, "done")
+    first_proxy.sock.close()
+    for number, proxy in enumerate(waiting_proxies, 2):
+        assert proxy.receive_response()[:2] == (0, "closing")
         # The request is executed since it arrived within the drain grace period.
         finish_execution(harness, number, next_dispatched(harness))
-        assert each.receive_response()[:2] == (1, "done")
-        each.sock.close()
+        assert proxy.receive_response()[:2] == (1, "done")
+        proxy.sock.close()
     harness.thread.join(PEER_TIMEOUT_SECONDS)
     assert harness.event_loop.has_ended
 
@@ -41,11 +39,11 @@
     make_harness, monkeypatch
 ):
     """The listener may accept a connection just before the event loop starts to drain."""
-    opened, open_connection = threading.Event(), ProxyListener._open_connection
+    connection_opened, open_connection = threading.Event(), ProxyListener._open_connection
     monkeypatch.setattr(
         ProxyListener,
         "_open_connection",
-        lambda *arguments: (open_connection(*arguments), opened.set()),
+        lambda *arguments: (open_connection(*arguments), connection_opened.set()),
     )
     event_loop, (listener, _) = startup.build(
         make_harness(stop_ms=60_000).process_config, EventQueue()
@@ -53,7 +51,8 @@
     listener.start()
     proxy = ProxyClient(listener.address)
     proxy.submit(1)
-    assert opened.wait(PEER_TIMEOUT_SECONDS)  # the event loop has not processed the event yet
+    # The listener has posted the connection; the event loop has not processed it yet.
+    assert connection_opened.wait(PEER_TIMEOUT_SECONDS)
     event_loop.drain.start()
     event_loop.drain.close_listeners()
     event_loop.run()
--- a/tests/protocols/test_send_buffer.py
+++ b/tests/protocols/test_send_buffer.py
@@ -19,20 +19,22 @@
     harness = make_harness(
         limits={"send_buffer_bytes": 4_096, "socket_buffer_bytes": 4_096}
     ).start()
-    harness.executor, stuck, other = (
+    harness.executor, stuck_proxy, other_proxy = (
         harness.accept_executor_link(),
         harness.connect_proxy(),
         harness.connect_proxy(),
     )
     with pytest.raises((ConnectionResetError, BrokenPipeError)):  # before all probes are sent
-        send_probes(stuck)
-    assert execute_request(harness, other, 1, 1)[2][:2] == (1, "done")
+        send_probes(stuck_proxy)
+    assert execute_request(harness, other_proxy, 1, 1)[2][:2] == (1, "done")
 
 
 def test_a_response_that_fits_into_the_socket_buffer_starts_no_writer_thread(harness):
     proxy = harness.connect_proxy()
     assert execute_request(harness, proxy, 1, 1, b"x" * 4096)[2][:2] == (1, "done")
-    assert not {"proxy-writer", "executor-writer"} & {each.name for each in threading.enumerate()}
+    assert not {"proxy-writer", "executor-writer"} & {
+        thread.name for thread in threading.enumerate()
+    }
 
 
 @pytest.mark.parametrize("name", ["proxy-reader", "proxy-writer"])
--- a/tests/server/test_deduplication.py
+++ b/tests/server/test_deduplication.py
@@ -149,10 +149,10 @@
         # The original is still running, and the duplicate cannot wait for it within the limit.
         assert proxy.receive_response()[:2] == (2, "error")
     finish_execution(harness, 1, first)
-    answers = dict(
+    statuses = dict(
         proxy.receive_response()[0:2] for _ in range(2 - len(limits.keys() & {"max_in_flight"}))
     )
-    assert set(answers.values()) == {"done"}
+    assert set(statuses.values()) == {"done"}
     proxy.submit(3)
     next_dispatched(harness)
     proxy.submit(4, "once", k="k1")
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -27,10 +27,12 @@
     harness.process.send_signal(signal.SIGTERM)
     harness.process.send_signal(signal.SIGHUP)  # the file has not changed
     executor.send("REAP 1 00000000000000aa success 1 1", b"a")
-    answers = {each[0]: each[1] for each in (proxy.receive_response() for _ in range(3))}
-    assert answers[1] == "done"
-    assert answers[0] == "closing"
-    assert answers[2] in ("later", "error")
+    statuses = {
+        response[0]: response[1] for response in (proxy.receive_response() for _ in range(3))
+    }
+    assert statuses[1] == "done"
+    assert statuses[0] == "closing"
+    assert statuses[2] in ("later", "error")
     assert proxy.receive_response() is None
     assert idle_proxy.receive_response()[:2] == (0, "closing")
     assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
@@ -44,10 +46,10 @@
     for tag in (b"1", b"2"):
         harness.event_loop.event_queue.post(harness.event_loop.drain.start)
         proxy.send(b"PROBE", tag)
-        while (answer := proxy.receive_response())[0] != int(tag):
+        while (response := proxy.receive_response())[0] != int(tag):
             pass
         stop_times.append(harness.event_loop.drain.stop_at)
-        assert tag == b"1" or answer[1] == "sick"
+        assert tag == b"1" or response[1] == "sick"
     assert stop_times[0]
     assert stop_times[0] == stop_times[1]
 
@@ -74,14 +76,14 @@
         harness.accept_executor_link(),
         [harness.connect_proxy() for _ in range(2)],
     )
-    for each in (proxy, idle_proxy):
-        wait_until_processed(each)
+    for peer in (proxy, idle_proxy):
+        wait_until_processed(peer)
     request = proxy.encode_submit(2)
     proxy.sock.sendall(encode_array(b"PROBE", b"1") + request[:-40])
     assert proxy.receive_response()[:2] == (1, "healthy")
     harness.event_loop.event_queue.post(harness.event_loop.drain.start)
-    for each in (proxy, idle_proxy):
-        assert each.receive_response()[:2] == (0, "closing")
+    for peer in (proxy, idle_proxy):
+        assert peer.receive_response()[:2] == (0, "closing")
     assert idle_proxy.receive_response() is None
     proxy.sock.sendall(request[-40:])
     assert proxy.receive_response()[:2] == (2, "later")
--- a/tests/server/test_event_loop.py
+++ b/tests/server/test_event_loop.py
@@ -4,13 +4,13 @@
 
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.overload.model import Outcome
-from lilacwalk.server import startup as serve
+from lilacwalk.server import startup
 from lilacwalk.server.event_loop import ComponentFailedError
 from tests.conftest import SETTINGS, finish_execution, next_dispatched
 
 
 def test_an_error_in_the_event_loop_ends_it(make_harness):
-    event_loop, _ = serve.build(make_harness().process_config, EventQueue())
+    event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     event_loop.event_queue.fail("a component failed")
     with pytest.raises(ComponentFailedError):
         event_loop.run()
@@ -20,7 +20,7 @@
 
 
 def test_timers_do_not_wait_for_a_long_queue(make_harness):
-    event_loop, _ = serve.build(make_harness().process_config, EventQueue())
+    event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     order = []
     event_loop.schedule(event_loop.now, order.append, "due")
     for number in range(10_000):
@@ -39,7 +39,8 @@
     loose = make_harness(
         settings={
             "classes": [
-                each | {"effect": "safe", "dedup_window_ms": 0.0} for each in SETTINGS["classes"]
+                request_class | {"effect": "safe", "dedup_window_ms": 0.0}
+                for request_class in SETTINGS["classes"]
             ]
         }
     ).start()
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -58,7 +58,7 @@
     for _ in range(2):
         words, _ = harness.executor.receive("SYSINFO")
         harness.executor.send(f"INFO {words[1]} 0.625 3")
-    # The executor does not answer these requests, so the timer uses the values reported last.
+    # The executor does not respond to these requests, so the timer uses the values reported last.
     for _ in range(3):
         harness.executor.receive("SYSINFO")
     assert (
@@ -129,7 +129,8 @@
         harness.executor.send(f"EINVAL SCHED {words[1]}")
         assert proxy.receive_response()[:2] == (tag, "error")
     assert (
-        len([each for each in caplog.records if "rejected the dispatch" in each.getMessage()]) == 2
+        len([record for record in caplog.records if "rejected the dispatch" in record.getMessage()])
+        == 2
     )
     assert execute_request(harness, proxy, 2, 1)[2][:2] == (2, "done")
 
@@ -156,9 +157,8 @@
     proxy.submit(2)
     second = next_dispatched(harness)  # no gauge poll has acknowledged this dispatch
     harness.executor.reset()
-    harness.executor = (
-        harness.accept_executor_link()
-    )  # the first execution ends only after the replay on this link
+    # The first execution ends only after the replay on this link.
+    harness.executor = harness.accept_executor_link()
     finish_execution(harness, 2, first)
     assert next_dispatched(harness) == second
     finish_execution(harness, 3, second)
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lilacwalk.server import startup as serve
+from lilacwalk.server import startup
 from lilacwalk.server.reload import reload_configuration
 from tests.conftest import (
     PEER_TIMEOUT_SECONDS,
@@ -50,15 +50,15 @@
     harness = make_harness(limits={"report_interval": 600_000}).start()
     harness.accept_executor_link()
     assert harness.registry.recv(100) == b"alive n1 passing"
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as catalog:
-        catalog.bind(("127.0.0.1", 0))
-        catalog.settimeout(PEER_TIMEOUT_SECONDS)
-        harness.process_config["directory"] = format_address(catalog.getsockname())
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as new_registry:
+        new_registry.bind(("127.0.0.1", 0))
+        new_registry.settimeout(PEER_TIMEOUT_SECONDS)
+        harness.process_config["directory"] = format_address(new_registry.getsockname())
         harness.replace_listeners()
         harness.event_loop.event_queue.post(
             reload_configuration, harness.event_loop, harness.config_path
         )
-        assert catalog.recv(100) == b"alive n1 passing"
+        assert new_registry.recv(100) == b"alive n1 passing"
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
 ):
     harness = make_harness()
     harness.config_path.write_text(json.dumps(harness.process_config | change))
-    assert serve.serve(str(harness.config_path)) == 2
+    assert startup.serve(str(harness.config_path)) == 2
     error = capsys.readouterr().err
     assert error.startswith("lilacwalk: ")
     assert error.count("\n") == 1
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -33,8 +33,8 @@
     dependency.send("00000000000000aa HIT 3", b"\r\n!")
     assert harness.executor.receive("IODONE") == (["IODONE", "00000000000000aa", "3"], b"\r\n!")
     harness.executor.send("REAP 2 00000000000000aa success 12 5", b"\0\r\n\r\n")
-    tag, word, fields, result = proxy.receive_response()
-    assert (tag, word, result) == (7, "done", b"\0\r\n\r\n")
+    tag, status, fields, result = proxy.receive_response()
+    assert (tag, status, result) == (7, "done", b"\0\r\n\r\n")
     assert float(fields["v"]) > 0
 
 
@@ -210,11 +210,11 @@
     assert other_proxy.receive_response()[:2] == (1, "done")
     if "client_disconnects" not in (first, second):
         request.proxy.send(b"PROBE", b"9")
-        answered_tags = []
-        while (answer := request.proxy.receive_response())[0] != 9:
-            answered_tags.append(answer[0])
-        assert answered_tags == ([] if first in client_gone else [1]) or (
-            second in client_gone and answered_tags in ([], [1])
+        response_tags = []
+        while (response := request.proxy.receive_response())[0] != 9:
+            response_tags.append(response[0])
+        assert response_tags == ([] if first in client_gone else [1]) or (
+            second in client_gone and response_tags in ([], [1])
         )
     harness.event_loop.event_queue.process_in_one_iteration()
     wait_until_processed(other_proxy)
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lilacwalk.event_queue import EventQueue
-from lilacwalk.server import startup as serve
+from lilacwalk.server import startup
 from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, execute_request
 
 
@@ -32,7 +32,7 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    assert serve.serve(str(path)) == 2
+    assert startup.serve(str(path)) == 2
     error = capsys.readouterr().err
     assert error.startswith("lilacwalk: ")
     assert error.count("\n") == 1
@@ -40,12 +40,12 @@
 
 def test_an_address_in_use_raises_a_configuration_error(make_harness):
     process_config = make_harness().process_config
-    with pytest.raises(serve.ConfigurationError, match="cannot listen"):
-        serve.build(process_config | {"listen": process_config["kernel"]}, EventQueue())
+    with pytest.raises(startup.ConfigurationError, match="cannot listen"):
+        startup.build(process_config | {"listen": process_config["kernel"]}, EventQueue())
 
 
 def test_sigterm_just_after_the_listener_opened_starts_a_drain(make_harness, monkeypatch):
-    harness, build, proxies = make_harness(), serve.build, []
+    harness, build, proxies = make_harness(), startup.build, []
 
     def build_and_send_sigterm(*arguments):
         event_loop, components = build(*arguments)
@@ -54,17 +54,17 @@
         os.kill(os.getpid(), signal.SIGTERM)
         return event_loop, components
 
-    monkeypatch.setattr(serve, "build", build_and_send_sigterm)
+    monkeypatch.setattr(startup, "build", build_and_send_sigterm)
     harness.config_path.write_text(json.dumps(harness.process_config))
-    old_handlers = {each: signal.getsignal(each) for each in (signal.SIGTERM, signal.SIGHUP)}
+    old_handlers = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGHUP)}
     signal.signal(
-        signal.SIGTERM, lambda *_: pytest.fail("SIGTERM came before the server set its handler")
+        signal.SIGTERM, lambda *_: pytest.fail("SIGTERM arrived before the server set its handler")
     )
     try:
-        assert serve.serve(str(harness.config_path)) == 0
+        assert startup.serve(str(harness.config_path)) == 0
     finally:
-        for each, handler in old_handlers.items():
-            signal.signal(each, handler)
+        for number, handler in old_handlers.items():
+            signal.signal(number, handler)
     assert [proxies[0].receive_response()[:2] for _ in range(2)] in (
         [(1, "later"), (0, "closing")],
         [(0, "closing"), (1, "later")],
