--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -155,9 +155,7 @@
         deadline = time.monotonic() + PEER_TIMEOUT_SECONDS
         while (message := self.receive_message()) is not None:
             words, body = message
-            assert (
-                time.monotonic() < deadline
-            ), f"no {verb} received within {PEER_TIMEOUT_SECONDS} s"
+            assert time.monotonic() < deadline, f"no {verb} within {PEER_TIMEOUT_SECONDS} s"
             if words[0] == "SYSINFO" and verb != "SYSINFO":
                 self.send(f"INFO {words[1]} 0.1 0")
             if words[0] == verb:
