--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,8 +19,9 @@
 from lilacwalk.server.startup import build
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 10.0  # seconds after which a peer that receives nothing fails the test
-# Latency objectives and stall detection take longer than PATIENCE, so that they affect no test.
+PEER_TIMEOUT_SECONDS = 10.0  # a peer that receives nothing for this long fails its test
+# Latency objectives and stall detection take longer than PEER_TIMEOUT_SECONDS, so that they affect
+# no test.
 SETTINGS = {
     "classes": [
         {
@@ -75,35 +76,40 @@
 
 
 class MessagePeer:
-    """One end of a connection; reads complete messages, each within PATIENCE."""
+    """One end of a connection; a read fails if nothing arrives within PEER_TIMEOUT_SECONDS."""
 
     def __init__(self, sock, parser):
-        self.sock, self.parser, self.read = sock, parser, []
-        sock.settimeout(PATIENCE)
+        self.sock, self.parser, self.pending_messages = sock, parser, []
+        sock.settimeout(PEER_TIMEOUT_SECONDS)
 
-    def next(self):
-        while not self.read:
+    def receive_message(self):
+        """Returns the next message; None if the peer closed the connection."""
+        while not self.pending_messages:
             chunk = self.sock.recv(65536)
             if not chunk:
                 return None
-            self.read.extend(self.parser.feed(chunk))
-        return self.read.pop(0)
+            self.pending_messages.extend(self.parser.feed(chunk))
+        return self.pending_messages.pop(0)
 
     def reset(self):
+        """Closes the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class ProxyClient(MessagePeer):
-    idents = count(1 << 32)  # above the ids that tests choose themselves
+    request_ids = count(1 << 32)  # above the ids that tests choose themselves
 
     def __init__(self, address):
-        super().__init__(socket.create_connection(address, PATIENCE), RespParser(8, 65536, 65536))
+        super().__init__(
+            socket.create_connection(address, PEER_TIMEOUT_SECONDS), RespParser(8, 65536, 65536)
+        )
 
     @staticmethod
-    def message(tag, group="read", body=b"hello", **fields):
+    def encode_submit(tag, class_name="read", body=b"hello", **fields):
+        """Returns an encoded SUBMIT message; a field given as None is left out."""
         fields = {
-            "i": f"{next(ProxyClient.idents):016x}",
+            "i": f"{next(ProxyClient.request_ids):016x}",
             "s": int(time.time() * 1000),
             "t": "acme",
             "d": 50000,
@@ -111,50 +117,53 @@
             "p": "0.5",
         } | fields
         text = ",".join(f"{name}={value}" for name, value in fields.items() if value is not None)
-        return encode_array(b"SUBMIT", b"%d" % tag, group.encode(), text.encode(), body)
+        return encode_array(b"SUBMIT", b"%d" % tag, class_name.encode(), text.encode(), body)
 
-    def submit(self, tag, group="read", body=b"hello", **fields):
-        self.sock.sendall(self.message(tag, group, body, **fields))
+    def submit(self, tag, class_name="read", body=b"hello", **fields):
+        self.sock.sendall(self.encode_submit(tag, class_name, body, **fields))
 
-    def say(self, *parts):
+    def send(self, *parts):
         self.sock.sendall(encode_array(*parts))
 
-    def answer(self):
-        """Returns (tag, word, fields, body) of the next response; None if the connection ended."""
-        parts = self.next()
+    def receive_response(self):
+        """Returns tag, status, fields and body of the next response; None if the server closed."""
+        parts = self.receive_message()
         if parts is None:
             return None
-        tag, word, fields, body = [bytes(part) for part in [*parts, b"", b""][:4]]
+        tag, status, fields, body = [bytes(part) for part in [*parts, b"", b""][:4]]
         pairs = dict(pair.split("=") for pair in fields.decode().split(",") if pair)
-        return int(tag), word.decode(), pairs, body
+        return int(tag), status.decode(), pairs, body
 
 
 class LinePeer(MessagePeer):
     """The executor's end of its link, or the dependency's end of a connection."""
 
-    def __init__(self, listener, bodies):
-        listener.settimeout(PATIENCE)
+    def __init__(self, listener, verbs_with_body):
+        listener.settimeout(PEER_TIMEOUT_SECONDS)
         super().__init__(
-            listener.accept()[0], LineParser(lambda words: words[0] in bodies, 512, 65536)
+            listener.accept()[0], LineParser(lambda words: words[0] in verbs_with_body, 512, 65536)
         )
 
-    def tell(self, line, body=None):
+    def send(self, line, body=None):
         self.sock.sendall(line.encode() + b"\r\n" + (body + b"\r\n" if body is not None else b""))
 
-    def expect(self, verb):
-        """Returns the next message with this verb; answers gauge requests and ignores the rest."""
-        give_up = time.monotonic() + PATIENCE
-        while (message := self.next()) is not None:
+    def receive(self, verb):
+        """Returns words and body of the next message with this verb; None if the server closed.
+
+        Responds to gauge requests and ignores all other messages before it.
+        """
+        deadline = time.monotonic() + PEER_TIMEOUT_SECONDS
+        while (message := self.receive_message()) is not None:
             words, body = message
-            assert time.monotonic() < give_up, f"no {verb} came"
+            assert time.monotonic() < deadline, f"no {verb} within {PEER_TIMEOUT_SECONDS} s"
             if words[0] == "SYSINFO" and verb != "SYSINFO":
-                self.tell(f"INFO {words[1]} 0.1 0")
+                self.send(f"INFO {words[1]} 0.1 0")
             if words[0] == verb:
                 return words, None if body is None else bytes(body)
         return None
 
 
-def plain(address):
+def format_address(address):
     return f"{address[0]}:{address[1]}"
 
 
@@ -162,42 +171,55 @@
     """Counts the items added to the queue, so that a test can wait for them."""
 
     def __init__(self):
-        self.came = threading.Semaphore(0)
+        self.added_items = threading.Semaphore(0)
 
     def put(self, item):
         super().put(item)
-        self.came.release()
-
-    def together(self, *acts):
-        """Has one event loop iteration process the items that the functions add, in this order."""
-        held, go_on = threading.Event(), threading.Event()
-        self.post(lambda: (held.set(), go_on.wait(PATIENCE)))
-        assert held.wait(PATIENCE)
-        while self.came.acquire(blocking=False):
+        self.added_items.release()
+
+    def process_in_one_iteration(self, *functions):
+        """Has one event loop iteration process the items that the functions add, in this order.
+
+        The event loop is blocked until each function has led to an item in the queue.
+        """
+        loop_blocked, loop_released = threading.Event(), threading.Event()
+        self.post(lambda: (loop_blocked.set(), loop_released.wait(PEER_TIMEOUT_SECONDS)))
+        assert loop_blocked.wait(PEER_TIMEOUT_SECONDS)
+        while self.added_items.acquire(blocking=False):
             pass
-        for act in acts:
-            act()
-            assert self.came.acquire(timeout=PATIENCE)
-        go_on.set()
+        for function in functions:
+            function()
+            assert self.added_items.acquire(timeout=PEER_TIMEOUT_SECONDS)
+        loop_released.set()
+
+
+# The attribute of each listener that a test may replace, by the configuration key of its address.
+LISTENER_ATTRIBUTES = {"kernel": "executor_listener", "index": "dependency_listener"}
 
 
-class Site:
-    def __init__(self, tmp_path, limits=None, settings=None, **handed):
-        self.kernel_port, self.index_port = (
+class AppServerHarness:
+    """An app server with its peers: executor, dependency, service registry and proxies.
+
+    `limits` is used only if the server runs in this process. Further keywords replace the values
+    of configuration keys.
+    """
+
+    def __init__(self, tmp_path, limits=None, settings=None, **process_config):
+        self.executor_listener, self.dependency_listener = (
             socket.create_server(("127.0.0.1", 0)) for _ in range(2)
         )
-        self.catalog = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.catalog.bind(("127.0.0.1", 0))
-        self.catalog.settimeout(PATIENCE)
-        where = {
-            name: plain(each.getsockname())
-            for name, each in (
-                ("kernel", self.kernel_port),
-                ("index", self.index_port),
-                ("directory", self.catalog),
+        self.registry = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.registry.bind(("127.0.0.1", 0))
+        self.registry.settimeout(PEER_TIMEOUT_SECONDS)
+        peer_addresses = {
+            key: format_address(sock.getsockname())
+            for key, sock in (
+                ("kernel", self.executor_listener),
+                ("index", self.dependency_listener),
+                ("directory", self.registry),
             )
         }
-        self.handed = (
+        self.process_config = (
             {
                 "name": "n1",
                 "listen": "127.0.0.1:0",
@@ -206,19 +228,21 @@
                 "limits": {"sockets": 512},
                 "settings": SETTINGS | (settings or {}),
             }
-            | where
-            | handed
+            | peer_addresses
+            | process_config
         )
-        self.path = tmp_path / "config.json"
+        self.config_path = tmp_path / "config.json"
         self.limits, self.process, self.thread, self.parts = limits or {}, None, None, []
-        self.moved = [self.kernel_port, self.index_port]
+        self.listeners = [self.executor_listener, self.dependency_listener]
 
     def start(self):
         """Starts the server in this process, with the event loop in its own thread."""
-        self.event_loop, self.parts = build(self.handed, ObservedEventQueue(), **self.limits)
+        self.event_loop, self.parts = build(
+            self.process_config, ObservedEventQueue(), **self.limits
+        )
         self.thread = threading.Thread(target=self.event_loop.run, daemon=True)
-        for each in [self.thread, *self.parts]:
-            each.start()
+        for startable in [self.thread, *self.parts]:
+            startable.start()
         self.address = self.event_loop.listener.address
         return self
 
@@ -228,42 +252,46 @@
         # connection can take the free port before the server binds it.
         with socket.create_server(
             (f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}", 0)
-        ) as free:
-            self.address = free.getsockname()
-        self.path.write_text(json.dumps(self.handed | {"listen": plain(self.address)}))
-        run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
+        ) as free_port_socket:
+            self.address = free_port_socket.getsockname()
+        self.config_path.write_text(
+            json.dumps(self.process_config | {"listen": format_address(self.address)})
+        )
+        run_line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.process = subprocess.Popen(
-            ["/bin/sh", "-c", run],
+            ["/bin/sh", "-c", run_line],
             stderr=stderr,
             cwd=ROOT,
             text=True,
-            env=os.environ | {"ROUTER_CONFIG": str(self.path)},
+            env=os.environ | {"ROUTER_CONFIG": str(self.config_path)},
         )
         return self
 
-    def move(self, *names):
-        """Opens new listeners for these peers and updates the configuration and its file."""
-        for name in names:
-            port = socket.create_server(("127.0.0.1", 0))
-            self.moved.append(port)
-            self.handed[name] = plain(port.getsockname())
-            setattr(self, f"{name}_port", port)
-        self.path.write_text(json.dumps(self.handed | {"listen": plain(self.address)}))
+    def replace_listeners(self, *keys):
+        """Opens new listeners for the peers with these configuration keys; writes the file."""
+        for key in keys:
+            listener = socket.create_server(("127.0.0.1", 0))
+            self.listeners.append(listener)
+            self.process_config[key] = format_address(listener.getsockname())
+            setattr(self, LISTENER_ATTRIBUTES[key], listener)
+        self.config_path.write_text(
+            json.dumps(self.process_config | {"listen": format_address(self.address)})
+        )
 
-    def link(self, state="steady", ready=True):
+    def accept_executor_link(self, state="steady", ready=True):
         """Accepts a link as the executor and, if `ready`, completes the replay fence."""
-        kernel = LinePeer(self.kernel_port, ("SCHED", "IODONE"))
-        kernel.opened = kernel.expect("OPEN")[0]
+        executor = LinePeer(self.executor_listener, ("SCHED", "IODONE"))
+        executor.open_words = executor.receive("OPEN")[0]
         if ready:
-            kernel.tell(f"BOOTED {state} 5000")
-            words, _ = kernel.expect("SYSINFO")
-            kernel.tell(f"INFO {words[1]} 0.1 0")
-        return kernel
+            executor.send(f"BOOTED {state} 5000")
+            words, _ = executor.receive("SYSINFO")
+            executor.send(f"INFO {words[1]} 0.1 0")
+        return executor
 
-    def calls(self):
-        return LinePeer(self.index_port, ("GET",))
+    def accept_dependency_connection(self):
+        return LinePeer(self.dependency_listener, ("GET",))
 
-    def router(self):
+    def connect_proxy(self):
         return ProxyClient(self.address)
 
     def end(self):
@@ -271,112 +299,113 @@
             self.process.kill()
         if self.thread is not None and self.thread.is_alive():
             self.event_loop.event_queue.post(setattr, self.event_loop, "has_ended", True)
-            self.thread.join(PATIENCE)
-        # Also after an event loop that has ended by itself: an executor client that is not closed
-        # reconnects for ever, and would connect to another test that was given the same port.
+            self.thread.join(PEER_TIMEOUT_SECONDS)
+        # The components are closed even if the event loop has ended by itself: an executor client
+        # that is not closed reconnects forever, and would connect to another test that was given
+        # the same port.
         for part in self.parts:
             part.close()
-        for sock in (*self.moved, self.catalog):
+        for sock in (*self.listeners, self.registry):
             sock.close()
 
 
 @pytest.fixture(autouse=True)
 def executor_readers_end_with_their_test():
-    """Fails a test that leaves a thread behind which reconnects to its executor for ever.
+    """Fails a test that leaves a thread behind that reconnects to its executor forever.
 
-    Such a thread would also connect to a later test that is given the same port, and send nothing.
+    Such a thread would connect to a later test that is given the same port, and send nothing.
     """
     yield
     for thread in threading.enumerate():
         if thread.name == "executor-reader":
-            thread.join(PATIENCE)
+            thread.join(PEER_TIMEOUT_SECONDS)
             assert not thread.is_alive()
 
 
 @pytest.fixture
-def make_site(tmp_path):
-    sites = []
+def make_harness(tmp_path):
+    harnesses = []
 
-    def make(**more):
-        sites.append(Site(tmp_path, **more))
-        return sites[-1]
+    def make(**options):
+        harnesses.append(AppServerHarness(tmp_path, **options))
+        return harnesses[-1]
 
     yield make
-    for each in sites:
-        each.end()
+    for harness in harnesses:
+        harness.end()
 
 
 @pytest.fixture
-def site(make_site):
+def harness(make_harness):
     """A running server with a connected executor."""
-    running = make_site().start()
-    running.kernel = running.link()
-    return running
+    harness = make_harness().start()
+    harness.executor = harness.accept_executor_link()
+    return harness
 
 
-def execute_request(site, proxy, tag, event_number, result=b"result", **more):
+def execute_request(harness, proxy, tag, event_number, result=b"result", **submit_options):
     """Executes a request; returns the words and body of its dispatch, and its response."""
-    proxy.submit(tag, **more)
-    words, body = site.kernel.expect("SCHED")
-    site.kernel.tell(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
-    return words, body, proxy.answer()
+    proxy.submit(tag, **submit_options)
+    words, body = harness.executor.receive("SCHED")
+    harness.executor.send(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
+    return words, body, proxy.receive_response()
 
 
 NOTHING_IN_FLIGHT = "in_flight=0 open=0 running=0 calls=0 memory_kb=0"
 
 
-def submit_until_call(site, proxy, tag, event_number):
+def submit_until_dependency_call(harness, proxy, tag, event_number):
     """Submits a request whose execution requests a dependency call; returns the request's id."""
     proxy.submit(tag, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ {event_number} {request_id} 1", b"?")
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ {event_number} {request_id} 1", b"?")
     return request_id
 
 
-def next_dispatched(site):
+def next_dispatched(harness):
     """Returns the id of the next dispatched request."""
-    return site.kernel.expect("SCHED")[0][1]
+    return harness.executor.receive("SCHED")[0][1]
 
 
 def wait_until_processed(proxy):
     """Waits until everything sent earlier is processed and all timers due by then have run."""
-    proxy.say(b"PROBE", b"99")
-    assert proxy.answer()[0] == 99
+    proxy.send(b"PROBE", b"99")
+    assert proxy.receive_response()[0] == 99
 
 
-def finish_execution(site, event_number, request_id, result=b"result"):
+def finish_execution(harness, event_number, request_id, result=b"result"):
     """Reports a successful execution from the executor."""
-    site.kernel.tell(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
+    harness.executor.send(f"REAP {event_number} {request_id} success 3 {len(result)}", result)
 
 
-def request_call(site, event_number, request_id, body=b"?"):
+def request_dependency_call(harness, event_number, request_id, body=b"?"):
     """Requests a dependency call from an execution; returns the connection that carries it."""
-    site.kernel.tell(f"IOREQ {event_number} {request_id} {len(body)}", body)
-    dependency = site.calls()
-    assert dependency.expect("GET")[1] == body
+    harness.executor.send(f"IOREQ {event_number} {request_id} {len(body)}", body)
+    dependency = harness.accept_dependency_connection()
+    assert dependency.receive("GET")[1] == body
     return dependency
 
 
-def control_clock(site):
+def control_clock(harness):
     """Returns a function that advances the server's clock, which simulates a process stall."""
-    ahead = [0]
-    site.event_loop.clock = Clock(
-        lambda: time.time_ns() + ahead[0], lambda: time.monotonic_ns() + ahead[0]
+    offset_ns = [0]
+    harness.event_loop.clock = Clock(
+        lambda: time.time_ns() + offset_ns[0], lambda: time.monotonic_ns() + offset_ns[0]
     )
 
-    def move(seconds):
-        ahead[0] += int(seconds * 1e9)
+    def advance(seconds):
+        offset_ns[0] += int(seconds * 1e9)
 
-    return move
+    return advance
 
 
 @pytest.fixture
-def advance_clock(site):
+def advance_clock(harness):
     """Advances the server's clock and waits until the event loop has processed the change."""
-    move = control_clock(site)
+    advance = control_clock(harness)
 
     def advance_clock(seconds):
-        move(seconds)
-        wait_until_processed(site.router())
+        advance(seconds)
+        wait_until_processed(harness.connect_proxy())
 
     return advance_clock
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -11,69 +11,69 @@
 from lilacwalk.protocols.dependency_client import DependencyClient
 from lilacwalk.protocols.dependency_connection import DependencyCall
 from tests.conftest import (
-    PATIENCE,
+    PEER_TIMEOUT_SECONDS,
     SETTINGS,
     finish_execution,
     next_dispatched,
-    request_call,
-    submit_until_call,
+    request_dependency_call,
+    submit_until_dependency_call,
 )
 
 
 @pytest.mark.parametrize("reply", ["SHED", "NOBODY", "BROKEN", "SLOW"])
-def test_a_failed_call_of_an_idempotent_request_is_retried(site, reply):
-    proxy = site.router()
+def test_a_failed_call_of_an_idempotent_request_is_retried(harness, reply):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
-    dependency.expect("GET")
-    dependency.tell(f"{request_id} {reply}")
-    retry_connection = site.calls()
-    assert retry_connection.expect("GET")[1] == b"?"
-    retry_connection.tell(f"{request_id} HIT 1", b"!")
-    assert site.kernel.expect("IODONE")[1] == b"!"
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
+    dependency.receive("GET")
+    dependency.send(f"{request_id} {reply}")
+    retry_connection = harness.accept_dependency_connection()
+    assert retry_connection.receive("GET")[1] == b"?"
+    retry_connection.send(f"{request_id} HIT 1", b"!")
+    assert harness.executor.receive("IODONE")[1] == b"!"
 
 
-def test_a_call_on_a_connection_that_breaks_is_retried_on_a_new_one(site):
-    proxy = site.router()
+def test_a_call_on_a_connection_that_breaks_is_retried_on_a_new_one(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
-    dependency.expect("GET")
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
+    dependency.receive("GET")
     dependency.reset()
-    retry_connection = site.calls()
-    retry_connection.expect("GET")
-    retry_connection.tell(f"{request_id} HIT 1", b"!")
-    assert site.kernel.expect("IODONE")[1] == b"!"
+    retry_connection = harness.accept_dependency_connection()
+    retry_connection.receive("GET")
+    retry_connection.send(f"{request_id} HIT 1", b"!")
+    assert harness.executor.receive("IODONE")[1] == b"!"
 
 
-def test_a_call_that_takes_too_long_is_abandoned_and_its_request_answered(site):
-    proxy = site.router()
+def test_a_call_that_takes_too_long_is_abandoned_and_its_request_answered(harness):
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look", d=2000)
-    request_id = site.kernel.expect("SCHED")[0][1]
-    site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
-    dependency = site.calls()
-    assert dependency.expect("GET")
-    assert dependency.next() is None
-    assert proxy.answer()[0] == 1
+    request_id = harness.executor.receive("SCHED")[0][1]
+    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    dependency = harness.accept_dependency_connection()
+    assert dependency.receive("GET")
+    assert dependency.receive_message() is None
+    assert proxy.receive_response()[0] == 1
 
 
-def test_an_idle_connection_is_closed_and_opened_again_when_needed(make_site):
-    site = make_site(limits={"dependency_idle_timeout": 500}).start()
-    site.kernel, proxy = site.link(), site.router()
+def test_an_idle_connection_is_closed_and_opened_again_when_needed(make_harness):
+    harness = make_harness(limits={"dependency_idle_timeout": 500}).start()
+    harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     for tag in (1, 2):
         proxy.submit(tag, "look")
-        request_id = site.kernel.expect("SCHED")[0][1]
-        site.kernel.tell(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
-        dependency = site.calls()
-        dependency.expect("GET")
-        dependency.tell(f"{request_id} HIT 1", b"!")
-        site.kernel.expect("IODONE")
-        site.kernel.tell(f"REAP {2 * tag} {request_id} success 1 0", b"")
-        assert proxy.answer()[:2] == (tag, "done")
-        assert dependency.next() is None
+        request_id = harness.executor.receive("SCHED")[0][1]
+        harness.executor.send(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
+        dependency = harness.accept_dependency_connection()
+        dependency.receive("GET")
+        dependency.send(f"{request_id} HIT 1", b"!")
+        harness.executor.receive("IODONE")
+        harness.executor.send(f"REAP {2 * tag} {request_id} success 1 0", b"")
+        assert proxy.receive_response()[:2] == (tag, "done")
+        assert dependency.receive_message() is None
 
 
 def make_client(address):
@@ -87,17 +87,21 @@
 
 
 def test_an_unreachable_dependency_is_reported_at_once_and_reconnects_are_delayed():
-    with socket.create_server(("127.0.0.1", 0)) as port:
-        address = port.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        address = listener.getsockname()
     client, event_queue = make_client(address)
     first, second = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
     client.start_call(first)
-    connection, *result = event_queue.get(timeout=PATIENCE).arguments
+    connection, *result = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
     assert result == [first, Outcome.UNREACHABLE, b""]
     client.call_finished(connection, 0)
     started_at = time.monotonic()
     client.start_call(second)
-    assert event_queue.get(timeout=PATIENCE).arguments[1:] == (second, Outcome.UNREACHABLE, b"")
+    assert event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments[1:] == (
+        second,
+        Outcome.UNREACHABLE,
+        b"",
+    )
     # The second connect is delayed, since the controller retries as soon as a call has failed.
     assert time.monotonic() - started_at > 0.005
     assert client.abandon(second)
@@ -105,21 +109,21 @@
 
 
 def test_abandon_returns_true_only_for_a_call_that_was_not_sent():
-    with socket.create_server(("127.0.0.1", 0)) as port:
-        client, event_queue = make_client(port.getsockname())
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        client, event_queue = make_client(listener.getsockname())
         unsent, sent = DependencyCall("a", 100, b""), DependencyCall("b", 100, b"")
         assert client.abandon(unsent)
         client.start_call(unsent)
-        connection, *result = event_queue.get(timeout=PATIENCE).arguments
+        connection, *result = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
         assert result == [unsent, Outcome.UNREACHABLE, b""]
         client.call_finished(connection, 0)
         client.start_call(sent)
-        port.settimeout(PATIENCE)
-        sock, _ = port.accept()
+        listener.settimeout(PEER_TIMEOUT_SECONDS)
+        sock, _ = listener.accept()
         assert sock.recv(100).startswith(b"GET b ")
         assert not client.abandon(sent)
         assert sock.recv(100) == b""
-        assert event_queue.get(timeout=PATIENCE).arguments[1:] == (
+        assert event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments[1:] == (
             sent,
             Outcome.CONNECTION_LOST,
             b"",
@@ -129,17 +133,17 @@
 
 def test_an_at_most_once_call_takes_a_new_connection():
     """If an idle connection breaks, it is unknown whether the peer has received the call."""
-    with socket.create_server(("127.0.0.1", 0)) as port:
-        client, event_queue = make_client(port.getsockname())
-        port.settimeout(PATIENCE)
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        client, event_queue = make_client(listener.getsockname())
+        listener.settimeout(PEER_TIMEOUT_SECONDS)
         socks = []
         for request_id, at_most_once in (("a", False), ("b", False), ("c", True)):
             client.start_call(DependencyCall(request_id, 100, b"", at_most_once))
             if request_id != "b":
-                socks.append(port.accept()[0])
+                socks.append(listener.accept()[0])
             assert socks[-1].recv(100).startswith(b"GET %b " % request_id.encode())
             socks[-1].sendall(b"%b SHED\r\n" % request_id.encode())
-            connection, call, outcome, _ = event_queue.get(timeout=PATIENCE).arguments
+            connection, call, outcome, _ = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
             assert outcome is Outcome.REJECTED
             client.call_finished(connection, 0)
         client.close()
@@ -160,104 +164,104 @@
         b"%b WELL\r\n",
     ],
 )
-def test_a_malformed_reply_fails_only_its_call_which_is_retried(site, malformed):
-    proxy = site.router()
+def test_a_malformed_reply_fails_only_its_call_which_is_retried(harness, malformed):
+    proxy = harness.connect_proxy()
     affected_id, other_id = (
-        submit_until_call(site, proxy, 1, 1),
-        submit_until_call(site, proxy, 2, 2),
+        submit_until_dependency_call(harness, proxy, 1, 1),
+        submit_until_dependency_call(harness, proxy, 2, 2),
     )
     connections = {}
     for _ in range(2):
-        connection = site.calls()
-        connections[connection.expect("GET")[0][1]] = connection
+        connection = harness.accept_dependency_connection()
+        connections[connection.receive("GET")[0][1]] = connection
     connections[affected_id].sock.sendall(malformed.replace(b"%b", affected_id.encode()))
-    retry_connection = site.calls()
-    assert retry_connection.expect("GET")[0][1] == affected_id
-    assert connections[affected_id].next() is None
+    retry_connection = harness.accept_dependency_connection()
+    assert retry_connection.receive("GET")[0][1] == affected_id
+    assert connections[affected_id].receive_message() is None
     for connection, request_id in (
         (connections[other_id], other_id),
         (retry_connection, affected_id),
     ):
-        connection.tell(f"{request_id} HIT 1", b"!")
-        assert site.kernel.expect("IODONE") == (["IODONE", request_id, "1"], b"!")
+        connection.send(f"{request_id} HIT 1", b"!")
+        assert harness.executor.receive("IODONE") == (["IODONE", request_id, "1"], b"!")
 
 
-def test_replies_to_other_requests_and_duplicate_replies_are_ignored(site):
-    proxy = site.router()
-    request_id = submit_until_call(site, proxy, 1, 1)
-    dependency = site.calls()
-    dependency.expect("GET")
-    dependency.tell("00000000000000ee HIT 1", b"0")
-    dependency.tell(f"{request_id} HIT 1", b"1")
-    dependency.tell(f"{request_id} HIT 1", b"1")  # a duplicate reply
-    assert site.kernel.expect("IODONE")[1] == b"1"
+def test_replies_to_other_requests_and_duplicate_replies_are_ignored(harness):
+    proxy = harness.connect_proxy()
+    request_id = submit_until_dependency_call(harness, proxy, 1, 1)
+    dependency = harness.accept_dependency_connection()
+    dependency.receive("GET")
+    dependency.send("00000000000000ee HIT 1", b"0")
+    dependency.send(f"{request_id} HIT 1", b"1")
+    dependency.send(f"{request_id} HIT 1", b"1")  # a duplicate reply
+    assert harness.executor.receive("IODONE")[1] == b"1"
     # The duplicate reply to the first call must not be taken for the reply to this one.
-    site.kernel.tell(f"IOREQ 2 {request_id} 1", b"?")
-    new = site.calls()
-    new.expect("GET")
-    new.tell(f"{request_id} HIT 1", b"2")
-    assert site.kernel.expect("IODONE")[1] == b"2"
+    harness.executor.send(f"IOREQ 2 {request_id} 1", b"?")
+    new_connection = harness.accept_dependency_connection()
+    new_connection.receive("GET")
+    new_connection.send(f"{request_id} HIT 1", b"2")
+    assert harness.executor.receive("IODONE")[1] == b"2"
 
 
-def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(site):
-    proxy = site.router()
+def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(harness):
+    proxy = harness.connect_proxy()
     for tag in (1, 2):
-        request_id = submit_until_call(site, proxy, tag, tag)
-        dependency = site.calls()
-        dependency.expect("GET")
-        dependency.tell(f"{request_id} HIT 1", b"!")
-        assert site.kernel.expect("IODONE")[0][1] == request_id
+        request_id = submit_until_dependency_call(harness, proxy, tag, tag)
+        dependency = harness.accept_dependency_connection()
+        dependency.receive("GET")
+        dependency.send(f"{request_id} HIT 1", b"!")
+        assert harness.executor.receive("IODONE")[0][1] == request_id
         dependency.sock.close()
 
 
-def test_an_unanswered_connect_delays_no_other_request_and_its_call_is_made_once(make_site):
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+def test_an_unanswered_connect_delays_no_other_request_and_its_call_is_made_once(make_harness):
+    with socket.socket() as full_listener:
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
         # Fills the backlog of a listener that does not accept, so that the operating system leaves
         # further connects unanswered.
         fillers = [socket.socket() for _ in range(4)]
-        for each in fillers:
-            each.setblocking(False)
-            each.connect_ex(full.getsockname())
-        site = make_site(index="{}:{}".format(*full.getsockname())).start()
-        site.kernel, proxy = site.link(), site.router()
+        for filler in fillers:
+            filler.setblocking(False)
+            filler.connect_ex(full_listener.getsockname())
+        harness = make_harness(index="{}:{}".format(*full_listener.getsockname())).start()
+        harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
         proxy.submit(1, "look")
-        request_id = next_dispatched(site)
-        site.kernel.tell(f"IOREQ 1 {request_id} 1", b"?")
+        request_id = next_dispatched(harness)
+        harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
         for number in range(2, 6):
             proxy.submit(number)
-            finish_execution(site, number, next_dispatched(site))
-            assert proxy.answer()[:2] == (number, "done")
-        full.settimeout(PATIENCE)
-        accepted, filler_addresses = None, [each.getsockname() for each in fillers]
+            finish_execution(harness, number, next_dispatched(harness))
+            assert proxy.receive_response()[:2] == (number, "done")
+        full_listener.settimeout(PEER_TIMEOUT_SECONDS)
+        accepted, filler_addresses = None, [filler.getsockname() for filler in fillers]
         while accepted is None:
-            sock, peer = full.accept()
+            sock, peer = full_listener.accept()
             if peer not in filler_addresses:
                 accepted = sock
-        accepted.settimeout(PATIENCE)
+        accepted.settimeout(PEER_TIMEOUT_SECONDS)
         assert accepted.recv(100).startswith(f"GET {request_id} ".encode())
         accepted.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
-        assert site.kernel.expect("IODONE")[1] == b"!"
-        finish_execution(site, 6, request_id)
-        assert proxy.answer()[:2] == (1, "done")
-        for each in (*fillers, accepted):
-            each.close()
+        assert harness.executor.receive("IODONE")[1] == b"!"
+        finish_execution(harness, 6, request_id)
+        assert proxy.receive_response()[:2] == (1, "done")
+        for sock in (*fillers, accepted):
+            sock.close()
 
 
 @pytest.mark.parametrize("second", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
-def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(site, second):
-    """Both calls carry the id of the same request, so their replies cannot be told apart."""
-    proxy = site.router()
+def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(harness, second):
+    """Both calls carry the id of the same request, so their replies cannot be distinguished."""
+    proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = next_dispatched(site)
-    first = request_call(site, 1, request_id, b"1")
-    first.tell(f"{request_id} HIT 1", b"a")
-    assert site.kernel.expect("IODONE")[1] == b"a"
+    request_id = next_dispatched(harness)
+    first_connection = request_dependency_call(harness, 1, request_id, b"1")
+    first_connection.send(f"{request_id} HIT 1", b"a")
+    assert harness.executor.receive("IODONE")[1] == b"a"
     # A duplicate reply arrives just before the next call is made.
-    first.sock.sendall(f"{request_id} ".encode() + second)
-    next_connection = request_call(site, 2, request_id, b"2")
-    next_connection.tell(f"{request_id} HIT 1", b"b")
-    assert site.kernel.expect("IODONE")[1] == b"b"
-    finish_execution(site, 3, request_id)
-    assert proxy.answer()[:2] == (1, "done")
+    first_connection.sock.sendall(f"{request_id} ".encode() + second)
+    next_connection = request_dependency_call(harness, 2, request_id, b"2")
+    next_connection.send(f"{request_id} HIT 1", b"b")
+    assert harness.executor.receive("IODONE")[1] == b"b"
+    finish_execution(harness, 3, request_id)
+    assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -9,50 +9,50 @@
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.protocols.resp import encode_array
 from lilacwalk.server import startup
-from tests.conftest import PATIENCE, execute_request
+from tests.conftest import PEER_TIMEOUT_SECONDS, execute_request
 
 
-def test_a_message_truncated_by_a_reset_is_not_executed(site):
-    proxy, other = site.router(), site.router()
-    proxy.sock.sendall(proxy.message(1, i="00000000000000ff")[:-9])
+def test_a_message_truncated_by_a_reset_is_not_executed(harness):
+    proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
+    proxy.sock.sendall(proxy.encode_submit(1, i="00000000000000ff")[:-9])
     proxy.reset()
-    words, _, answer = execute_request(site, other, 1, 1)
+    words, _, response = execute_request(harness, other_proxy, 1, 1)
     assert words[1] != "00000000000000ff"
-    assert answer[1] == "done"
+    assert response[1] == "done"
 
 
-def test_a_proxy_that_floods_delays_only_itself(make_site):
-    event_loop, (listener, *_) = startup.build(make_site().handed, EventQueue())
+def test_a_proxy_that_floods_delays_only_itself(make_harness):
+    event_loop, (listener, *_) = startup.build(make_harness().process_config, EventQueue())
     listener.start()
-    with socket.create_connection(listener.address, PATIENCE) as flood:
+    with socket.create_connection(listener.address, PEER_TIMEOUT_SECONDS) as flood:
         flood.sendall(b"".join(encode_array(b"PROBE", b"%d" % tag) for tag in range(1, 500)))
-        (connection,) = event_loop.event_queue.get(timeout=PATIENCE).arguments
-        batches = [event_loop.event_queue.get(timeout=PATIENCE) for _ in range(2)]
+        (connection,) = event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
+        batches = [event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS) for _ in range(2)]
         assert [len(batch.arguments[1]) for batch in batches] == [32, 32]
         with pytest.raises(Empty):
             event_loop.event_queue.get(timeout=0.1)
         connection.read_credits.put(None)
-        assert event_loop.event_queue.get(timeout=PATIENCE).arguments[1]
+        assert event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments[1]
     listener.close()
 
 
-def test_connection_threads_share_one_heap_and_retain_no_freed_memory(make_site):
+def test_connection_threads_share_one_heap_and_retain_no_freed_memory(make_harness):
     """With the default settings of malloc, each thread has its own heap and its own cache."""
-    site = make_site().spawn()
-    site.link()
+    harness = make_harness().spawn()
+    harness.accept_executor_link()
     process, bodies = (
-        Path(f"/proc/{site.process.pid}"),
+        Path(f"/proc/{harness.process.pid}"),
         [b"x" * size for size in range(600, 2000, 100)],
     )
 
     def send_rejected_requests(proxy):
         for tag, body in enumerate(bodies, 1):
             proxy.submit(tag, "nobody", body)
-            assert proxy.answer()[:2] == (tag, "error")
+            assert proxy.receive_response()[:2] == (tag, "error")
 
-    send_rejected_requests(site.router())
+    send_rejected_requests(harness.connect_proxy())
     before = int((process / "statm").read_text().split()[1])
-    proxies = [site.router() for _ in range(100)]
+    proxies = [harness.connect_proxy() for _ in range(100)]
     for proxy in proxies:
         send_rejected_requests(proxy)
     size, resident = [int(pages) for pages in (process / "statm").read_text().split()[:2]]
