--- a/lilacwalk/membership/actions.py
+++ b/lilacwalk/membership/actions.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """A datagram to be sent."""
+    """A datagram to send, and the address of the member that receives it."""
 
     address: Address
     datagram: Datagram
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """An event that is reported to operators; `at` in tenths of a millisecond.
+    """An event that is reported to operators; `at` is in tenths of a millisecond.
 
-    `change` is a value of `member.Change`. Events without a change of a member have values of their
-    own, such as `stood-still` (a stall of the local process) and `cut` (a partitioned site).
+    `change` is a value of `member.Change`. Other events have words of their own, such as
+    `stood-still` (the local process stalled) and `cut` (a site is partitioned).
     """
 
     at: int
     change: str
-    member: str  # for a partition: the site
+    member: str  # name of the member; for a partition, name of the site
     reason: str
     reported_by: str
--- a/lilacwalk/membership/admin.py
+++ b/lilacwalk/membership/admin.py
@@ -1,4 +1,4 @@
-"""Admin socket of a running member: reports its view and recent events, and probes on request.
+"""Admin socket of a running member: reports its view and events, and probes a member on request.
 
 The keys and words of the responses are an interface for operators' tools; this module maps the
 names used in the package to them.
@@ -20,13 +20,13 @@
 POLL_INTERVAL_SECONDS = 0.002  # pause between two checks for the answer to a probe
 
 SiteCommandHandler: TypeAlias = Callable[[list[str]], object]
-"""Answers a query whose first word is `sites`; the argument is the list of its words."""
+"""Answers a query whose first word is `sites`; the argument is the list of the query's words."""
 
 
 def admin_socket(
     host: FleetHost, path: str, site_commands: SiteCommandHandler | None = None
 ) -> AdminSocket:
-    """Opens the admin socket of this member.
+    """Returns the admin socket of this member, bound to `path`; `start` makes it answer queries.
 
     Raises:
         OSError: the socket cannot be opened at `path`.
@@ -52,7 +52,7 @@
 
 
 def view_report(machine: Membership, now: int, store: str = "off") -> dict[str, object]:
-    """Returns the member's view and the verdict on it; `store` is the state of its storage."""
+    """Returns the member's view and the verdict on it; `store` is the member's storage state."""
     conclusion, statistics = machine.conclusion(now), machine.statistics(now)
     members = sorted(machine.view.known(), key=lambda member: member.name)
     recent_suspicions, usual_suspicions = machine.suspicion_rate(now)
@@ -109,7 +109,7 @@
 
 
 def recent_events(machine: Membership, now: int) -> list[dict[str, object]]:
-    """Returns the recent events, oldest first."""
+    """Returns the recent events, oldest first, with their ages in milliseconds."""
     return [
         {
             "ago_ms": (now - event.at) // 10,
@@ -123,7 +123,7 @@
 
 
 def ping(name: str, host: FleetHost) -> dict[str, object]:
-    """Probes a member and returns whether it sent a datagram within one probe interval."""
+    """Probes a member; returns whether and when it sent a datagram within one probe interval."""
     heard_before = host.query(lambda machine, now: _start_ping(name, machine, now))
     if heard_before is None:
         return {"error": f"unknown member {name}"}
@@ -146,7 +146,7 @@
 
 
 def _start_ping(name: str, machine: Membership, now: int) -> int | None:
-    """Starts a probe; returns when the member was last heard from before, None if unknown."""
+    """Starts a probe; returns the time of the member's last datagram, None if it is unknown."""
     member = machine.view.get(name)
     if member is None:
         return None
--- a/lilacwalk/membership/assessment.py
+++ b/lilacwalk/membership/assessment.py
@@ -60,10 +60,10 @@
         )
 
     def may_withdraw(self, now: int, verdict: Verdict | None = None) -> bool:
-        """Returns whether this node may withdraw its announcements as unhealthy.
+        """Returns whether this node may withdraw its route announcements because it is unhealthy.
 
         Args:
-            now: the current time.
+            now: the current time in tenths of a millisecond.
             verdict: the current verdict; computed if omitted.
         """
         view = self.node.view
--- a/lilacwalk/membership/claims.py
+++ b/lilacwalk/membership/claims.py
@@ -31,7 +31,7 @@
 
 
 class ClaimHandler:
-    """Merges claims into the view and triggers the reactions to changes; owns no state."""
+    """Merges claims into the view and passes changes to other components; owns no state."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         if update.name == self.node.name:
             self.apply_to_self(update, now)
             return
-        if source.from_exchange and self._notify_reported_dead(update, now):
+        if source.from_exchange and self._notify_if_reported_dead(update, now):
             return
         change = self.node.view.apply(update, now)
         if change is None:
@@ -87,13 +87,13 @@
         self.node.record_event(now, change, self.node.name, reason, claim.reported_by)
         self.node.publish_own_update(now)
 
-    def _notify_reported_dead(self, update: GossipUpdate, now: int) -> bool:
-        """Handles a reported death of a member that is alive in this view.
+    def _notify_if_reported_dead(self, update: GossipUpdate, now: int) -> bool:
+        """Notifies a member that is alive in this view of a claim that reports its death.
 
         After a partition heals, each side considers the other side dead. If members accepted such
-        claims, each would declare its own side dead; if they treated them as suspicions, all of
-        these would be gossiped to all members. So only the member itself is notified, and refutes
-        the claim. If it is dead, this node's own probes detect it.
+        claims, each would declare its own side dead; if they treated the claims as suspicions, all
+        of these would be gossiped to all members. So only the reported member is notified, and
+        refutes the claim. If that member is dead, this node's own probes detect it.
 
         Returns:
             Whether the claim reported the death of a member that is alive in this view.
@@ -122,6 +122,6 @@
     def _report_partitions(self, now: int) -> None:
         for partition in mark_partitioned_members(self.node.view, self.node.interval):
             recent, usual = self.detector.suspicion_rate(now)
-            rate = f"{recent} suspicions in the last ten intervals, usually {usual:.1f}"
+            rate = f"{recent} suspicions in the last ten probe intervals, usually {usual:.1f}"
             reason = f"{partition.losses} members lost within a short time; {rate}"
             self.node.record_event(now, "cut", partition.site, reason, self.node.name)
--- a/lilacwalk/membership/conclusions.py
+++ b/lilacwalk/membership/conclusions.py
@@ -1,6 +1,6 @@
 """Verdicts of one node on the reliability of its view.
 
-alone      no other member is heard from, though some are expected: the fault is likely local
+alone      no datagrams arrive from the other expected members: the fault is likely local
 minority   fewer than half of the expected members are present: this is likely the smaller side of
            a partition
 unsure     the view is not reliable at the moment; the reason says why
@@ -21,8 +21,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_SILENT_INTERVALS = 4  # at 30% packet loss the chance of so long a silence is 1 in a thousand
-MAX_UNANSWERED_PROBES = 6  # consecutive; checked only after isolation is ruled out
+# probe intervals without a datagram, from which a node is alone; at 30% packet loss the chance of
+# so long a silence is 1 in a thousand
+MAX_SILENT_INTERVALS = 4
+# consecutive probes without an ack, from which the view is unreliable; checked only if datagrams of
+# other members still arrive
+MAX_UNANSWERED_PROBES = 6
 
 
 class Verdict(StrEnum):
@@ -47,7 +51,7 @@
     joining: bool  # seeds are configured, but no other member has answered yet
     recovering_from_stall: bool
     name_conflict: bool
-    peers_agree: bool  # the peers heard from last hold the same view as this node
+    peers_agree: bool  # the peers that sent datagrams last hold the same view as this node
 
     @property
     def expected(self) -> int:
@@ -57,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conclusion:
-    """A verdict and its reason; `firm` is true if the unsuspected members are a majority."""
+    """A verdict and its reason; `firm`: whether the unsuspected members are a majority."""
 
     verdict: Verdict
     reason: str
--- a/lilacwalk/membership/config.py
+++ b/lilacwalk/membership/config.py
@@ -17,7 +17,10 @@
 
 
 def unit(name: str, **limits) -> Meta:
-    """Returns the annotation of a value that the operator's file gives with this unit."""
+    """Returns metadata for a field whose value is read as `name`, such as a duration.
+
+    `limits` are further arguments of `Meta`, such as the bounds of the value.
+    """
     return Meta(extra={"unit": name}, **limits)
 
 
@@ -26,7 +29,7 @@
 
 
 class Seed(Struct, frozen=True, kw_only=True):
-    """An address to contact when no member is known. Any of the seeds may be down."""
+    """An address at which this node finds the fleet. Any of the seeds may be down."""
 
     ARGUMENTS: ClassVar = ("address",)
     address: Endpoint
@@ -42,20 +45,21 @@
     key: str  # path; one hexadecimal key per line: the first seals datagrams, any opens them
     seed: tuple[Seed, ...] = ()
     probe_interval: Annotated[int, unit("duration", ge=SECOND // 20, le=60 * SECOND)] = SECOND
+    # time after which a member that died or left is forgotten
     forget: Annotated[int, unit("duration", ge=60 * SECOND, le=7 * 24 * 3600 * SECOND)] = (
         3600 * SECOND
     )
     withdraw_share: Annotated[float, Meta(ge=0.0, le=1.0)] = (
-        0.34  # share of the fleet that may withdraw as unhealthy at the same time
+        0.34  # share of the serving members that may be withdrawn as unhealthy at the same time
     )
     members: Annotated[int, Meta(ge=2, le=20_000)] = 2_000  # limit on members in the view
     socket: str | None = None  # path of the admin socket, which `lilacwalk fleet show` queries
     store: str | None = None  # path of a directory; None: nothing is stored
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns errors that involve several fields, as pairs of a field and what was expected."""
+        """Returns errors that involve several fields, as pairs of field and expected value."""
         errors = [
-            ("seed", f"{host}:{port} once, not twice")
+            ("seed", f"{host}:{port} only once, not {times} times")
             for (host, port), times in Counter(seed.address for seed in self.seed).items()
             if times > 1
         ]
@@ -71,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberConfig:
-    """The settings of the membership state machine, with the name filled in."""
+    """The settings of the membership state machine; times in tenths of a millisecond."""
 
     name: str
     site: str
@@ -84,7 +88,7 @@
 
 
 def member_config(config: FleetConfig, default_name: str) -> MemberConfig:
-    """Returns the state machine's settings; the name is that of the block, or the default."""
+    """Returns the state machine's settings; `default_name` applies if the block has no name."""
     return MemberConfig(
         name=config.name or default_name,
         site=config.site,
--- a/lilacwalk/membership/datagram_reader.py
+++ b/lilacwalk/membership/datagram_reader.py
@@ -18,10 +18,10 @@
 
 
 class DatagramHandler(Protocol):
-    """Handles a datagram in the state machine's thread."""
+    """Handles a received datagram."""
 
     def __call__(self, datagram: Datagram) -> None:
-        """Handles the datagram."""
+        """Called in the state machine's thread, after the datagram was authenticated."""
 
 
 class DatagramReader:
@@ -56,7 +56,7 @@
         self._thread.start()
 
     def report_refused(self, reason: str) -> None:
-        """Counts a dropped datagram; logs the 1st, 2nd, 4th, 8th and so on of each reason."""
+        """Counts a dropped datagram or a socket error; logs the 1st, 2nd, 4th, 8th per reason."""
         self.counts[reason] += 1
         throttle = self._throttles.setdefault(reason, ReportThrottle())
         if count := throttle.count_and_check():
--- a/lilacwalk/membership/dissemination.py
+++ b/lilacwalk/membership/dissemination.py
@@ -1,8 +1,8 @@
 """Gossip: updates that are piggybacked on other datagrams a limited number of times.
 
-After λ·ln(n + 1) transmissions the share of n members that an update has not reached falls as n^-λ
-(SWIM, section 4.1); the exchange of full state repairs the rest. Membership changes are sent before
-updates that only refresh metadata.
+After λ·ln(n + 1) transmissions an update has missed a share of the n members that falls as n^-λ
+(SWIM, section 4.1); these receive it by the exchange of full state. Membership changes are sent
+before updates that only refresh metadata.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False, slots=True)
 class QueuedUpdate:
-    """An update in the queue; updates with a larger `order` were queued later."""
+    """An update in the queue, `size` bytes long; one with a larger `order` was queued later."""
 
     update: GossipUpdate
     size: int
@@ -34,9 +34,9 @@
 
     def __init__(self) -> None:
         """Creates an empty queue."""
-        self.items: dict[str, QueuedUpdate] = {}
-        self.count = 0
-        self.dropped = 0
+        self.items: dict[str, QueuedUpdate] = {}  # by member
+        self.enqueued_updates = 0
+        self.dropped = 0  # updates dropped because the queue was full
 
     def enqueue(self, update: GossipUpdate, membership_change: bool) -> None:
         """Queues an update in place of an earlier one about the same member.
@@ -50,9 +50,9 @@
             return
         if previous is not None and previous.is_membership_change and previous.transmissions == 0:
             membership_change = True
-        self.count += 1
+        self.enqueued_updates += 1
         self.items[update.name] = QueuedUpdate(
-            update, len(encode(update)), self.count, membership_change
+            update, len(encode(update)), self.enqueued_updates, membership_change
         )
 
     def piggyback(
--- a/lilacwalk/membership/errors.py
+++ b/lilacwalk/membership/errors.py
@@ -13,7 +13,7 @@
     """Neither the `fleet` block nor the program gives the member a name."""
 
     def __init__(self) -> None:
-        """Sets the message."""
+        """Formats the error message."""
         super().__init__("fleet: expected a name in this block")
 
 
@@ -21,7 +21,7 @@
     """The key file cannot be used."""
 
     def __init__(self, path: str, detail: str, line: int | None = None) -> None:
-        """Stores path and line; `detail` says what is wrong or was expected."""
+        """Stores path and line; `detail` ends the message: the fault, or the expected content."""
         place = path if line is None else f"{path}:{line}"
         super().__init__(f"key file {place}: {detail}")
         self.path = path
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -1,8 +1,9 @@
 """Failure detection: failed probes start suspicions; unrefuted suspects are declared dead.
 
 It differs from SWIM and Lifeguard, as docs/design/membership.md explains: a failed probe starts no
-suspicion if a datagram of its target arrived after the probe began; a node that receives no
-datagrams at all does not suspect others at first; suspected members are probed out of turn.
+suspicion if a datagram from its target arrived after the probe began; a node that receives no
+datagrams at all does not suspect others at first; suspected members are probed out
+of turn, which means outside the regular rotation.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 
 MAX_RELAYED_PINGS = 64
 MAX_REMEMBERED_SUSPICIONS = 256
-MAX_SILENT_PROBES = 4  # while no datagrams arrive, this many may fail without a suspicion
-STALL_RECOVERY_INTERVALS = 4
-SUSPICION_RATE_INTERVALS = 10
+MAX_SILENT_PROBES = 4  # probes that may fail without a suspicion while no datagrams arrive
+STALL_RECOVERY_INTERVALS = 4  # probe intervals after a stall in which the view may be outdated
+SUSPICION_RATE_INTERVALS = 10  # probe intervals over which suspicions are counted
 
 
 class ApplyUpdate(Protocol):
@@ -35,13 +36,13 @@
 class FailureDetector:
     """Probes members, suspects those that do not answer, and declares them dead.
 
-    Owns the probes, the suspicions, and the indications of a local fault: unanswered probes,
-    silence, the time until which this node recovers from a stall. Times are in tenths of a
-    millisecond.
+    Owns the probes, the suspicions, and the indications of a local fault: the counts of unanswered
+    probes, the time of the last datagram from another member, and the end of the recovery from a
+    stall. Times are in tenths of a millisecond.
     """
 
     def __init__(self, node: LocalNode, now: int, apply_update: ApplyUpdate) -> None:
-        """Starts the first round at `now`."""
+        """Schedules the first probe round for `now`."""
         self.node = node
         self.apply_update = apply_update
         self.probes = ProbeScheduler(node.rng, node.interval, next_round_at=now)
@@ -49,7 +50,7 @@
         self.started_at = now
         self.last_heard = now
         self.unanswered_probes = 0  # consecutive; probes out of turn are not counted
-        self.silent_probes = 0  # failed since the last datagram from another member
+        self.silent_probes = 0  # probes that failed since the last datagram from another member
         self.stall_recovery_until = now
         self._suspected_at: deque[int] = deque(maxlen=MAX_REMEMBERED_SUSPICIONS)
 
@@ -68,7 +69,7 @@
         self.silent_probes = 0
 
     def advance(self, now: int) -> None:
-        """Retries or fails overdue probes, sends nacks, declares suspects dead after a timeout."""
+        """Handles overdue probes and nacks, and declares suspects dead after their timeout."""
         self.advance_probes(now)
         for relayed in self.probes.take_due_nacks(now):
             self.node.send(relayed.requester, MessageType.NACK, relayed.requester_sequence)
@@ -91,15 +92,16 @@
             self.ping(member, now)
 
     def ping(self, member: Member, now: int, out_of_turn: bool = False) -> None:
-        """Starts a probe of a member."""
+        """Starts a probe of a member; one that is `out_of_turn` has half the timeout."""
         probe = self.probes.start_probe(member.name, now, out_of_turn)
         self._send_ping(member, probe.sequence)
 
     def probe_suspects(self, now: int) -> None:
-        """Probes some suspects of this node, and some whose suspicion timeout is half over.
+        """Probes a few suspects: those that this node reported, or whose timeout is half over.
 
-        A member cannot refute a suspicion that it has not received. A node that did not start a
-        suspicion checks it before the timeout, because the refutation may have been lost.
+        The ping carries the suspicion, since a member cannot refute one that it has not received. A
+        node that did not report the suspect checks it before the timeout, because the refutation
+        may have been lost.
         """
         name = self.node.name
         candidates = sorted(
@@ -112,7 +114,7 @@
                 self.ping(self.node.view.members[suspect], now, out_of_turn=True)
 
     def suspicion_notice(self, member: Member) -> tuple[GossipUpdate, ...]:
-        """Returns the claim for a suspected or dead member to refute (Lifeguard), else nothing."""
+        """Returns the claim that a suspected or dead member may refute (Lifeguard); else empty."""
         return (member.update(False),) if member.health is not Health.ALIVE else ()
 
     def handle_ack(self, datagram: Datagram) -> None:
@@ -184,7 +186,7 @@
         self._suspected_at.append(now)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions in the last ten intervals, and the earlier mean in ten."""
+        """Returns the suspicions in the last ten probe intervals, and their earlier mean in ten."""
         span = SUSPICION_RATE_INTERVALS * self.node.interval
         recent = sum(now - at <= span for at in self._suspected_at)
         earlier_span = max(span, now - self.started_at - span)
@@ -211,12 +213,12 @@
         return True
 
     def stop(self) -> None:
-        """Drops all probes and suspicions."""
+        """Cancels all probes and relayed pings, and drops all suspicions."""
         self.suspicions.clear()
         self.probes.cancel_all()
 
     def send_update_to_sample(self, update: GossipUpdate) -> None:
-        """Sends a claim to a few random members at once, so that they probe a suspect themselves.
+        """Sends a claim to a few random members at once, so that they probe the suspect too.
 
         Gossip alone would delay the confirmations by the time that a claim takes to reach all
         members.
@@ -257,7 +259,7 @@
         if self.last_heard <= probe.started_at:
             self.silent_probes += 1
             if self.silent_probes <= MAX_SILENT_PROBES and len(self.node.peers()) > 1:
-                return  # no datagrams arrive at all: the fault is likely this node's own
+                return  # no datagrams arrive at all: the fault is likely in this node
         if not self.is_recovering(now):
             self._suspect(member, now)
 
@@ -287,5 +289,5 @@
 
 
 def with_report(update: GossipUpdate, reported_by: str, health: Health) -> GossipUpdate:
-    """Returns a copy of the claim with another health and reporter."""
+    """Returns a copy of the claim with this reporter and this health."""
     return replace(update, reported_by=reported_by, health=health)
--- a/lilacwalk/membership/hooks.py
+++ b/lilacwalk/membership/hooks.py
@@ -16,7 +16,7 @@
 
 
 class PeriodicEvaluation(Protocol):
-    """Evaluates the view periodically."""
+    """Evaluates the view at intervals of at least `host.EVALUATION_INTERVAL`."""
 
     def __call__(self, machine: Membership, now: int, /) -> None:
-        """Called in the state machine's thread several times a second."""
+        """Called in the state machine's thread; `now` is in tenths of a millisecond."""
--- a/lilacwalk/membership/host.py
+++ b/lilacwalk/membership/host.py
@@ -44,13 +44,13 @@
 EVENTS_PER_ITERATION = 64  # events handled between two readings of the clock
 LEAVE_ROUNDS = 3  # announcements of a leave, so that packet loss does not make it look like a crash
 LEAVE_PAUSE_SECONDS = 0.05  # between two announcements
-SEED_BYTES = 8
-NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
+RANDOM_SEED_BYTES = 8
+NANOSECONDS_PER_TENTH_MS = 100_000
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedView:
-    """The state of which the view listener was last notified."""
+    """The state that the view listener was last notified of."""
 
     digest: int
     verdict: Verdict
@@ -74,16 +74,16 @@
         revision: str = "",
         on_evaluate: PeriodicEvaluation | None = None,
     ) -> None:
-        """Opens the socket.
+        """Opens the socket; `start` starts the thread.
 
         Args:
             config: the `fleet` block.
             name: the member's name, used if the block gives none.
             on_view: notified of changes.
-            clock: elapsed nanoseconds.
-            wall_clock: the Unix clock in seconds.
-            revision: of the program, published to other members.
-            on_evaluate: called periodically.
+            clock: returns the elapsed time in nanoseconds.
+            wall_clock: returns the Unix time in seconds.
+            revision: the program's revision, which is published to other members.
+            on_evaluate: called at intervals of at least `EVALUATION_INTERVAL`.
 
         Raises:
             FleetError: the key file cannot be used, or there is no name.
@@ -119,7 +119,7 @@
 
     def now(self) -> int:
         """Returns the elapsed time in tenths of a millisecond."""
-        return self.clock() // NANOSECONDS_PER_TICK
+        return self.clock() // NANOSECONDS_PER_TENTH_MS
 
     # Called from other threads
 
@@ -132,7 +132,9 @@
         self.event_queue.post(self._update_metadata, state, fields)
 
     def reload(self, config: FleetConfig) -> None:
-        """Applies a changed block; address, name, storage and admin socket change on a restart.
+        """Applies a changed block, except for address, name, storage and admin socket.
+
+        Changes of these take effect at the next start.
 
         Raises:
             FleetError: the key file cannot be used; nothing has changed.
@@ -150,7 +152,9 @@
         self.event_queue.post(self._reload, config, keys)
 
     def leave(self, timeout: float = 1.0) -> None:
-        """Announces that this member leaves, then ends; otherwise the others would see a crash.
+        """Announces that this member leaves, then ends its threads.
+
+        Without the announcement the other members would declare it dead.
 
         Args:
             timeout: seconds to wait for the state machine's thread.
@@ -161,7 +165,7 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the threads and closes the socket without announcing that this member leaves."""
+        """Ends the threads and closes the socket; sends no announcement that this member leaves."""
         self.stopped.set()
         self.transport.close()
 
@@ -169,8 +173,8 @@
         """Runs a function in the state machine's thread and returns its result.
 
         Args:
-            function: called with the state machine and the time.
-            timeout: in seconds.
+            function: called with the state machine and the time in tenths of a millisecond.
+            timeout: seconds to wait for the result.
 
         Raises:
             MachineTimeoutError: the thread does not answer in time.
@@ -185,7 +189,9 @@
     # Run in the state machine's thread
 
     def _machine(self) -> Membership:
-        assert self.machine is not None, "created before the thread handles events"
+        assert (
+            self.machine is not None
+        ), "the state machine is created before the thread handles events"
         return self.machine
 
     def _run(self) -> None:
@@ -214,7 +220,7 @@
         stored = self.store.load()
         return Membership(
             member_config(self.config, self.name),
-            random.Random(int.from_bytes(os.urandom(SEED_BYTES), "big")),
+            random.Random(int.from_bytes(os.urandom(RANDOM_SEED_BYTES), "big")),
             self.now(),
             int(self.wall_clock() * 1000),
             stored.incarnation,
@@ -223,7 +229,7 @@
         )
 
     def _iterate(self, machine: Membership) -> None:
-        """Handles the queued events, advances the state machine and carries out its actions."""
+        """Handles queued events, advances the state machine and sends its output."""
         self._handle_events(self._seconds_until_due(machine))
         # An iteration may be late: queued datagrams are read before deadlines are checked, unless
         # these are overdue by more than a probe interval.
--- a/lilacwalk/membership/incarnation.py
+++ b/lilacwalk/membership/incarnation.py
@@ -8,7 +8,7 @@
 
 The instance is generated at the start (the clock's milliseconds, then 20 random bits) and
 distinguishes processes that use the same name. A claim of another instance with a higher
-precedence than the local one is handled by what is known about that instance:
+precedence than the local one is handled according to the state of that instance:
 
 it is dead or has left                              an earlier process: supersede it
 this process has just started, and has not          likely an earlier process of this member:
@@ -17,8 +17,8 @@
 this process was established before it appeared     it started under this name: a name conflict
 
 In a conflict the smaller instance, which started first, keeps the name, unless it stalled for so
-long that the others presumed it dead: then the newer process was started to replace it. The other
-process yields: it makes no more claims until it is started under a name of its own.
+long that the others presumed it dead: then the newer process was started to replace it. The process
+that does not keep the name yields: it makes no more claims until it is restarted with another name.
 """
 
 from __future__ import annotations
@@ -35,27 +35,27 @@
 
 INSTANCE_RANDOM_BITS = 20
 INSTANCE_CLOCK_BITS = 42
-MAX_SUPERSEDED_INSTANCES = 16  # kept; claims about earlier ones are no longer expected
+MAX_SUPERSEDED_INSTANCES = 16  # remembered; claims about earlier ones are no longer expected
 
 
 class ClaimOutcome(Enum):
     """The outcome of a claim about the local name."""
 
     IGNORED = auto()
-    REFUTED = auto()  # a suspicion or death, answered by a higher refutation
+    REFUTED = auto()  # a claimed suspicion or death, answered by a higher refutation number
     SUPERSEDED = auto()  # a claim by another process, answered by a higher incarnation
     YIELDED = auto()  # the name belongs to another process
 
 
 class LocalIdentity:
-    """The name, incarnation, instance and refutation of this process.
+    """The name, incarnation, instance and refutation number of this process.
 
     Owned by the local node. `established` is set once other members answer this process some time
     after its start, `presumed_dead` while others may have declared it dead because of a stall.
     """
 
     def __init__(self, name: str, stored_incarnation: int, wall_ms: int, random_bits: int) -> None:
-        """Chooses incarnation and instance.
+        """Chooses the incarnation and the instance.
 
         Args:
             name: name of the member.
@@ -94,7 +94,7 @@
         self.health = Health.LEFT
 
     def handle_claim(self, claim: GossipUpdate) -> ClaimOutcome:
-        """Decides on a claim about this name by another member, and changes the identity."""
+        """Answers another member's claim about this name by a change of the identity, if needed."""
         if self.has_yielded:
             return ClaimOutcome.IGNORED
         if claim.instance == self.instance:
--- a/lilacwalk/membership/join.py
+++ b/lilacwalk/membership/join.py
@@ -1,8 +1,8 @@
 """Joining the fleet, and finding lost members again.
 
-A node contacts its seeds and, until another member has answered, also the members that it stored
-earlier. Later it keeps contacting seeds that are not in its view and members that were lost, so
-that two halves of a partition find each other again without a restart, whichever seeds are down.
+A node contacts its seeds and, until another member has answered, also the members that an earlier
+process stored. Later it keeps contacting lost members, and seeds that are not in its view, so that
+two halves of a partition find each other again without a restart, whichever seeds are down.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 class JoinProtocol:
     """Contacts addresses of members that are not in the view, one at a time.
 
-    Owns whether another member has answered, the addresses stored by an earlier process, and the
-    time of the next attempt.
+    Owns `has_joined` (whether another member has answered), the addresses stored by an earlier
+    process, and the time of the next attempt.
     """
 
     def __init__(
         self, node: LocalNode, exchange: StateExchange, now: int, stored: Iterable[GossipUpdate]
     ) -> None:
-        """Starts attempts at `now`; `stored` are the members that an earlier process knew."""
+        """Schedules the first attempt for `now`; `stored`: the members an earlier process knew."""
         self.node = node
         self.exchange = exchange
         self.started_at = now
@@ -45,7 +45,7 @@
         """Whether seeds are configured and no other member has answered yet."""
         return not self.has_joined and bool(self.node.config.seeds)
 
-    def confirm(self, now: int) -> None:
+    def record_answer(self, now: int) -> None:
         """Records that another member has answered."""
         if not self.has_joined:
             self.has_joined = True
--- a/lilacwalk/membership/local_node.py
+++ b/lilacwalk/membership/local_node.py
@@ -24,7 +24,7 @@
 from lilacwalk.membership.view import MembershipView
 
 MAX_EVENTS = 256  # recent events kept for operators
-METRICS_INTERVALS = 4  # probe intervals between two updates of metrics
+METRICS_INTERVALS = 4  # probe intervals between two published updates of metrics
 MEMBERS_PER_METRICS_SPACING = 50  # a fleet n times this size publishes metrics n times less often
 
 
@@ -72,7 +72,7 @@
         return self.config.probe_interval
 
     def own_update(self) -> GossipUpdate:
-        """Returns what this member claims about itself."""
+        """Returns this member's claim about itself."""
         identity = self.identity
         return GossipUpdate(
             identity.name,
@@ -89,7 +89,7 @@
         return [member for member in self.view.present if member.name != self.name]
 
     def sample_peers(self, count: int) -> list[Member]:
-        """Returns up to `count` other present members at random."""
+        """Returns up to `count` other present members, chosen at random."""
         peers = self.peers()
         return self.rng.sample(peers, min(len(peers), count))
 
@@ -105,9 +105,11 @@
         self._new_events = []
         return events
 
-    def record_event(self, now: int, change: str, member: str, reason: str, by: str) -> None:
+    def record_event(
+        self, now: int, change: str, member: str, reason: str, reported_by: str
+    ) -> None:
         """Stores an event and passes it to the host."""
-        event = MembershipEvent(now, change, member, reason, by)
+        event = MembershipEvent(now, change, member, reason, reported_by)
         self.events.append(event)
         self._new_events.append(event)
 
@@ -126,8 +128,8 @@
 
         Args:
             now: in tenths of a millisecond.
-            state: None leaves it unchanged.
-            withdrawn: None leaves it unchanged.
+            state: the new state; None leaves it unchanged.
+            withdrawn: whether this member has withdrawn its routes; None leaves it unchanged.
             metrics: other fields of MemberMetadata.
         """
         current = self.pending_metadata or self.metadata
@@ -155,7 +157,7 @@
     def publish_metadata(
         self, metadata: MemberMetadata, now: int, *, membership_change: bool
     ) -> None:
-        """Gossips this metadata as a new version."""
+        """Gossips this metadata as a new version, with priority if `membership_change`."""
         self.metadata = replace(metadata, version=self.metadata.version + 1)
         self.pending_metadata = None
         fleet_factor = max(1, len(self.view.present) // MEMBERS_PER_METRICS_SPACING)
@@ -163,7 +165,7 @@
         self.publish_own_update(now, membership_change=membership_change)
 
     def publish_own_update(self, now: int, *, membership_change: bool = True) -> None:
-        """Gossips this member's claim about itself, unless its name belongs to another process."""
+        """Gossips this member's claim about itself; does nothing if the name was yielded."""
         if not self.identity.has_yielded:
             self.view.apply(self.own_update(), now)
             self.gossip.enqueue(self.own_update(), membership_change)
@@ -183,7 +185,7 @@
     ) -> None:
         """Queues a datagram for the host, with `first_updates` and as much gossip as fits.
 
-        Nothing is sent once the name belongs to another process.
+        Nothing is queued once this process has yielded its name to another one.
         """
         identity = self.identity
         if identity.has_yielded:
--- a/lilacwalk/membership/member.py
+++ b/lilacwalk/membership/member.py
@@ -53,12 +53,12 @@
     refutation: int
     health: Health
     metadata: MemberMetadata | None  # None if the member is forgotten
-    health_since: int
+    health_since: int  # time since which this health or this process is known
     reported_by: str  # the member that made the current claim
-    metadata_at: int
+    metadata_at: int  # time at which the metadata arrived
     last_heard: int = 0  # time of the last datagram from this member, 0 if none
     reached_via: str = ""  # member that relayed its last answer to a probe, empty if none did
-    partitioned: bool = False  # lost together with most of its site
+    partitioned: bool = False  # whether it was lost together with most of its site
     row_digest: int = 0  # contribution of this row to the view's digest
 
     @property
@@ -73,7 +73,7 @@
 
     @property
     def address(self) -> Address:
-        """The member's address; only for a member that is not forgotten."""
+        """The member's address; the member must not be forgotten."""
         assert self.metadata is not None
         return self.metadata.host, self.metadata.port
 
@@ -103,7 +103,7 @@
         return metadata
 
     def is_confirmed_by(self, update: GossipUpdate) -> bool:
-        """Whether the claim is the current suspicion, reported by another member."""
+        """Whether the claim is the current suspicion, reported by a further member."""
         return (
             update.health is Health.SUSPECT
             and update.precedence == self.precedence
--- a/lilacwalk/membership/member_store.py
+++ b/lilacwalk/membership/member_store.py
@@ -36,13 +36,14 @@
     max_disk_bytes=16_000_000,
     max_pending=64,
 )
-OPEN_TIMEOUT_SECONDS = 0.5  # limit on the time that a start waits for the disk
+OPEN_TIMEOUT_SECONDS = 0.5  # limit on the time for which the start waits for the disk
 STOP_TIMEOUT_SECONDS = 0.2
-FAR_FUTURE = 1 << 60  # membership records do not expire
+# added to the time at which records are read: only records that never expire are returned
+FAR_FUTURE = 1 << 60
 
 
 class IncarnationLoaded(Protocol):
-    """Receives the incarnation of the last process once it was read from disk."""
+    """Receives the incarnation of the last process after it has been read from disk."""
 
     def __call__(self, incarnation: int) -> None:
         """Called in the state machine's thread."""
@@ -69,9 +70,9 @@
         Args:
             path: a directory, None to store nothing.
             event_queue: the queue of the state machine's thread.
-            clock: elapsed tenths of a millisecond.
-            wall_clock: the Unix clock in seconds.
-            stopped: ends attempts to open the store.
+            clock: returns the elapsed time in tenths of a millisecond.
+            wall_clock: returns the Unix time in seconds.
+            stopped: set by the host to end attempts to open the store.
             on_incarnation: called when the store has been read.
         """
         self.path = path
@@ -119,10 +120,11 @@
             self.store.close(STOP_TIMEOUT_SECONDS)
 
     def _wall_time(self) -> int:
+        """Returns the Unix time in tenths of a millisecond."""
         return int(self.wall_clock() * SECOND)
 
     def _open(self) -> None:
-        """Runs in a thread of its own until the store is open."""
+        """Opens and reads the store, with retries; runs in a thread of its own."""
         is_first_attempt = True
         while not self.stopped.is_set():
             try:
@@ -153,7 +155,7 @@
         )
 
     def _post_write_result(self, key: bytes, succeeded: bool) -> None:
-        """Runs in the store's thread."""
+        """Passes a result to the state machine's thread; runs in the store's thread."""
         self.event_queue.post(self._write_finished, key, succeeded)
 
     def _opened(self, store: Store, incarnation: int) -> None:
--- a/lilacwalk/membership/messages.py
+++ b/lilacwalk/membership/messages.py
@@ -44,7 +44,7 @@
 
 Address: TypeAlias = tuple[str, int]
 Process: TypeAlias = tuple[int, int]
-"""Incarnation and instance: the process that a claim is about; the larger one started later."""
+"""Incarnation and instance, which identify a process; the larger pair is the newer process."""
 Precedence: TypeAlias = tuple[int, int, int, int]
 """Incarnation, instance, refutation, health: of two claims about a member the larger one wins."""
 DatagramErrorKind: TypeAlias = Literal["short", "long", "format", "seal", "shape"]
@@ -151,9 +151,9 @@
 
     PING = 1
     ACK = 2  # answers a ping and repeats its sequence number
-    PING_REQ = 3  # asks the receiver to ping `target`
+    PING_REQ = 3  # requests the receiver to ping `target`
     NACK = 4  # answers a ping-req: the helper runs, but its target has not answered yet
-    STATE_REQUEST = 5  # carries bucket digests; asks for the members in buckets that differ
+    STATE_REQUEST = 5  # carries bucket digests; requests the members in buckets that differ
     STATE_REPLY = 6  # carries a part of the requested members
     STATE_PUSH = 7  # carries members that the sender of a state reply lacks; not answered
 
@@ -170,10 +170,11 @@
     port: Port
     sequence: Unsigned32 = 0
     view_digest: Unsigned63 = 0
+    # the member to ping, or in a relayed ack the member that answered
     target: Annotated[str, Meta(max_length=40)] = ""
     updates: Annotated[tuple[GossipUpdate, ...], Meta(max_length=64)] = ()
     bucket_digests: Annotated[bytes, Meta(max_length=BUCKET_DIGEST_BYTES * DIGEST_BUCKETS)] = b""
-    part: Unsigned32 = 0
+    part: Unsigned32 = 0  # number of this part of a state reply or push, from 1
     parts: Unsigned32 = 0
 
     @property
@@ -197,7 +198,7 @@
 
 
 def seal(datagram: Datagram, key: bytes) -> bytes:
-    """Returns the datagram's bytes, authenticated with the key.
+    """Returns the datagram's bytes, with a tag computed with the key.
 
     Raises:
         DatagramError: the datagram is too long to send.
@@ -211,7 +212,7 @@
 
 
 def unseal(data: bytes, keys: tuple[bytes, ...]) -> Datagram:
-    """Returns the datagram in these bytes, authenticated with any of the keys.
+    """Returns the datagram in these bytes, if its tag matches any of the keys.
 
     Raises:
         DatagramError: the bytes are not a datagram of this fleet.
--- a/lilacwalk/membership/minimum_healthy.py
+++ b/lilacwalk/membership/minimum_healthy.py
@@ -1,9 +1,10 @@
-"""Limit on the members that may withdraw their announcements as unhealthy at the same time.
+"""Limit on the members that may withdraw their routes as unhealthy at the same time.
 
 If many members become unhealthy at the same time, the cause is likely shared, and each withdrawal
 moves load to the others. So no more than a share of the fleet withdraws, selected by a rank that
-all members compute alike: a hash of name and incarnation, so that it is not always the same
-members. When in doubt, a node keeps serving: it does not withdraw unless its view is whole.
+all members compute alike. The rank is a hash of name and incarnation, so the selected members
+change with restarts. When in doubt, a node keeps serving: it does not withdraw unless its view is
+whole.
 
 A member that has withdrawn publishes this in its metadata and is counted first. Nodes with
 different views may select different members: the share can be exceeded by members that become
--- a/lilacwalk/membership/partitions.py
+++ b/lilacwalk/membership/partitions.py
@@ -1,6 +1,7 @@
 """Detection of partitions: most of a site's members lost within a short time.
 
-Single losses are crashes. A site without power cannot be told from a partitioned one.
+A single loss is taken for a crash. A site without power cannot be distinguished from a partitioned
+one.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from lilacwalk.membership.messages import Health
 from lilacwalk.membership.view import MembershipView
 
-MIN_LOSSES = 2  # a single loss in a site is a crash
+MIN_LOSSES = 2  # a single loss in a site is taken for a crash
 MIN_LOST_SHARE = 2 / 3  # lost members over present and lost members of the site
 LOSS_WINDOW_INTERVALS = 12  # probe intervals within which all losses of one cause are detected
 
--- a/lilacwalk/membership/persistence.py
+++ b/lilacwalk/membership/persistence.py
@@ -1,4 +1,4 @@
-"""Membership data that outlives the process: its incarnation and the members it knew last.
+"""Membership data that outlives the process: its incarnation and the members that it knew last.
 
 The stored incarnation lets the next process take a higher one even if the clock was set back; the
 stored members let a node find the fleet even if every seed is down. The records are a decimal
@@ -64,14 +64,14 @@
     """
 
     def __init__(self, enabled: bool, now: int) -> None:
-        """Starts with the content of the disk unknown."""
+        """Starts before the store has been read; `enabled`: whether a store is configured."""
         self.state = StoreState.OPENING if enabled else StoreState.OFF
-        self.loaded = False
+        self.loaded = False  # whether the store has been read
         self.stored_incarnation = 0
-        self.pending_incarnation = 0
-        self.stored_members = b""
+        self.pending_incarnation = 0  # incarnation whose write has not been confirmed yet
+        self.stored_members = b""  # encoded members that were last passed to the store
         self.retry_at = now
-        self.members_at = now
+        self.next_members_write_at = now
         self.changes: list[StoreStateChange] = []
 
     def store_opened(self, incarnation: int) -> None:
@@ -93,9 +93,9 @@
         if incarnation > self.stored_incarnation and incarnation != self.pending_incarnation:
             self.pending_incarnation = incarnation
             return [Record(INCARNATION_KEY, b"%d" % incarnation)]
-        if now < self.members_at:
+        if now < self.next_members_write_at:
             return []
-        self.members_at = now + MEMBERS_WRITE_INTERVAL
+        self.next_members_write_at = now + MEMBERS_WRITE_INTERVAL
         members = [member.update() for member in view.present if member.name != own_name]
         data = msgspec.msgpack.encode(members[:MAX_STORED_MEMBERS])
         if not members or data == self.stored_members:
--- a/lilacwalk/membership/probing.py
+++ b/lilacwalk/membership/probing.py
@@ -2,13 +2,14 @@
 
 In each interval one member is pinged, in an order that is shuffled anew after each pass over all
 members (SWIM 4.3: a failed member is probed within 2n - 1 intervals by each member, and by at
-least one of them within a few). If no answer arrives within a quarter of the interval, the member
-is pinged once more, and other members are asked to ping it (ping-req). If no answer arrives by the
-end of the interval, the probe has failed.
+least one of them within a few). If no answer arrives within a quarter of the timeout, the member
+is pinged once more, and other members are requested to ping it (ping-req). If no answer arrives by
+the end of the timeout, which is one interval unless the health multiplier lengthens it, the probe
+has failed.
 
 The health multiplier (Lifeguard III.A) counts signs of a fault of this member itself: failed
-probes, helpers that did not even send a nack, suspicions that it had to refute. It lengthens all
-timeouts.
+probes, helpers that did not even send a nack, suspicions that it had to refute. It lengthens the
+timeouts of probes and the time between two rounds.
 """
 
 from __future__ import annotations
@@ -37,8 +38,8 @@
     started_at: int
     retry_at: int  # 0 after the retry
     deadline: int
-    ping_requests: int = 0
-    nacks: int = 0
+    ping_requests: int = 0  # sent to helpers
+    nacks: int = 0  # received from helpers
     out_of_turn: bool = False
 
 
@@ -72,7 +73,7 @@
     next_round_at: int = 0
 
     def __post_init__(self) -> None:
-        """Chooses a random first number, so that answers to an earlier process match no probe."""
+        """Chooses a random first number, so that no probe matches answers to an earlier process."""
         self.last_sequence = self.rng.getrandbits(SEQUENCE_START_BITS)
 
     def next_sequence(self) -> int:
@@ -107,8 +108,8 @@
         self.view_version = view.version
         for member in view.present:
             if member.name not in self.rotation_members and self.rotation:
-                place = self.rng.randint(0, len(self.rotation))
-                self.rotation.insert(place, member.name)
+                position = self.rng.randint(0, len(self.rotation))
+                self.rotation.insert(position, member.name)
                 self.rotation_members.add(member.name)
 
     def _shuffle_rotation(self, view: MembershipView) -> None:
@@ -117,7 +118,7 @@
         self.rotation_members = set(self.rotation)
 
     def start_probe(self, name: str, now: int, out_of_turn: bool = False) -> Probe:
-        """Registers a ping; a probe out of turn has half the timeout."""
+        """Registers and returns a probe; one that is out of turn has half the timeout."""
         divisor = OUT_OF_TURN_DIVISOR if out_of_turn else 1
         timeout = self.interval * (1 + self.health_multiplier) // divisor
         probe = Probe(
@@ -161,7 +162,7 @@
         return to_retry, failed
 
     def assess_failure(self, probe: Probe) -> None:
-        """Raises the health multiplier by the missing nacks, or by one if no helper was asked."""
+        """Raises the health multiplier by the missing nacks, or by one if no ping-req was sent."""
         if not probe.out_of_turn:
             missing_nacks = probe.ping_requests - probe.nacks
             self.adjust_health_multiplier(missing_nacks if probe.ping_requests else 1)
--- a/lilacwalk/membership/receiving.py
+++ b/lilacwalk/membership/receiving.py
@@ -14,7 +14,7 @@
 
 
 class DatagramReceiver:
-    """Passes a datagram's content to the components of the state machine; owns no state."""
+    """Passes a datagram's content to the other components and replies to it; owns no state."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
                     datagram.reply_address, MessageType.ACK, datagram.sequence, first_updates=notice
                 )
             case MessageType.ACK:
-                self.joining.confirm(now)
+                self.joining.record_answer(now)
                 self.detector.handle_ack(datagram)
             case MessageType.PING_REQ:
                 self.detector.handle_ping_req(datagram, now)
@@ -98,7 +98,7 @@
                 is_outdated = self.detector.is_recovering(now)
                 self.exchange.handle_request(datagram, now, view_is_outdated=is_outdated)
             case MessageType.STATE_REPLY:
-                self.joining.confirm(now)
+                self.joining.record_answer(now)
                 self.exchange.handle_reply(datagram)
             case MessageType.STATE_PUSH:
                 pass
@@ -120,7 +120,7 @@
 
 
 def alive_claim(datagram: Datagram) -> GossipUpdate:
-    """Returns what a datagram claims about its sender: that it is alive."""
+    """Returns the claim that a datagram implies: its sender is alive."""
     return GossipUpdate(
         datagram.sender,
         datagram.incarnation,
--- a/lilacwalk/membership/state_exchange.py
+++ b/lilacwalk/membership/state_exchange.py
@@ -1,9 +1,9 @@
 """Exchange of full state between members whose views differ: it repairs what gossip missed.
 
 Each datagram carries the digest of its sender's view. If a member's digest differs for several
-intervals, it is asked for the rows of the buckets that differ. It answers in parts, and the first
-part is answered with the rows that it lacks. Each row is independent of the others, so a lost part
-is not resent: the next exchange carries what is missing.
+intervals, this node requests from it the rows of the buckets that differ. The member replies in
+parts, and this node answers the first part with the rows that the member lacks. Each row is
+independent of the others, so a lost part is not resent: the next exchange carries the missing rows.
 """
 
 from __future__ import annotations
@@ -27,21 +27,23 @@
 from lilacwalk.membership.probing import ProbeScheduler
 
 MAX_PARTS_PER_INTERVAL = 256  # serves 250 newcomers to a small fleet, or 4 to a large one
-MAX_NEW_SENDERS_PER_INTERVAL = 16  # asked for state; the rest follow by gossip or later
-MAX_NOTICES_PER_INTERVAL = 64  # members notified that others consider them dead
+MAX_NEW_SENDERS_PER_INTERVAL = (
+    16  # new senders whose state is requested; others later, or by gossip
+)
+MAX_NOTICES_PER_INTERVAL = 64  # members that are notified that others consider them dead
 MAX_PARTS = 64  # datagrams of one state reply or push
 DIFFERENCE_INTERVALS = 3  # probe intervals before a request: gossip resolves most differences
-AGREEING_PEERS = 4  # number of peers, heard from last, whose digests must equal the local one
-MIN_AGREEING_PEERS = 2
+AGREEING_PEERS = 4  # the latest digests of this many peers must equal the local one
+MIN_AGREEING_PEERS = 2  # fewer digests are no agreement, unless there are fewer peers
 AGREEMENT_INTERVALS = 6  # probe intervals for which a peer's digest is considered
 
 
 @dataclass(frozen=True, slots=True)
 class PeerDigest:
-    """The digest of a peer's view, and when it was received."""
+    """The last digest of a peer's view."""
 
     digest: int
-    at: int
+    at: int  # time of receipt
 
 
 class StateExchange:
@@ -72,7 +74,7 @@
             self.differs_since.setdefault(member.name, now)
 
     def peers_agree(self, now: int) -> bool:
-        """Whether the peers heard from last hold the same view; true if there are no peers."""
+        """Whether the peers with the latest digests hold the same view; true without peers."""
         peers = self.node.peers()
         if not peers:
             return True
@@ -131,7 +133,7 @@
             self.request(self.node.view.members[name].address, now)
 
     def notify_of_reported_death(self, member: Member, update: GossipUpdate, now: int) -> None:
-        """Sends a member the claim that it is dead, within the budget, so that it can refute it."""
+        """Sends a member the claim that it is dead, for it to refute; does so within the budget."""
         self._renew_budget(now)
         if self.notices_left > 0:
             self.notices_left -= 1
@@ -141,7 +143,7 @@
     def handle_request(self, datagram: Datagram, now: int, *, view_is_outdated: bool) -> None:
         """Answers with the rows of the buckets that differ, within the budget.
 
-        An outdated view is not sent: the answer then only asks for the requester's rows.
+        An outdated view is not sent: the reply then only requests the requester's rows.
         """
         self._renew_budget(now)
         if self.parts_left <= 0:
--- a/lilacwalk/membership/suspicion.py
+++ b/lilacwalk/membership/suspicion.py
@@ -11,10 +11,10 @@
 
 from lilacwalk.membership.messages import Precedence
 
-MIN_TIMEOUT_INTERVALS = 2.0  # probe intervals; from ten members on, times log10 of their number
+MIN_TIMEOUT_INTERVALS = 2.0  # probe intervals; multiplied by log10 of the members from ten on
 MAX_TIMEOUT_RATIO = 4.0  # maximum timeout over minimum timeout
 MAX_TIMEOUT_RATIO_UNCONFIRMED = 2.0  # the same ratio if no other member can confirm the suspicion
-MAX_CONFIRMATIONS = 3  # Lifeguard's K: with this many the timeout is at its minimum
+MAX_CONFIRMATIONS = 3  # Lifeguard's K: confirmations at which the timeout is at its minimum
 NON_CONFIRMING_MEMBERS = 3  # this member, the first reporter and the suspect
 
 
@@ -34,7 +34,7 @@
     reporters: set[str] = field(default_factory=set)
 
     def confirm(self, reporter: str) -> bool:
-        """Adds a reporter; returns False if it is known or the timeout is at its minimum."""
+        """Adds a reporter; returns False if it is known already or the timeout is minimal."""
         if reporter in self.reporters or len(self.reporters) > self.expected_confirmations:
             return False
         self.reporters.add(reporter)
--- a/lilacwalk/membership/swim.py
+++ b/lilacwalk/membership/swim.py
@@ -65,7 +65,7 @@
             wall_ms: the Unix clock in milliseconds.
             stored_incarnation: incarnation of the last process, 0 if none was stored.
             stored_members: members that the last process knew.
-            revision: of the program, published to other members.
+            revision: the program's revision, which is published to other members.
         """
         self.node = LocalNode(config, rng, now, wall_ms, stored_incarnation, revision)
         self.view = self.node.view
@@ -132,7 +132,7 @@
         return self.assessment.may_withdraw(now, verdict)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions in the last ten intervals, and the earlier mean in ten."""
+        """Returns the suspicions in the last ten probe intervals, and their earlier mean in ten."""
         return self.failure_detector.suspicion_rate(now)
 
     # Output for the host
@@ -162,7 +162,7 @@
         self.node.update_metadata(now, state, withdrawn, **metrics)
 
     def restore_incarnation(self, stored_incarnation: int, now: int) -> None:
-        """Raises the incarnation above the stored one, which was read from disk after the start."""
+        """Raises the incarnation above one that was read from disk only after the start."""
         if self.identity.incarnation <= stored_incarnation:
             self.identity.incarnation = stored_incarnation + 1
             self.node.publish_own_update(now)
@@ -197,13 +197,13 @@
             self.node.send(peer.address, MessageType.PING, sequence, first_updates=updates)
 
     def ping(self, member: Member, now: int, out_of_turn: bool = False) -> None:
-        """Starts a probe of a member."""
+        """Starts a probe of a member; one that is `out_of_turn` has half the timeout."""
         self.failure_detector.ping(member, now, out_of_turn)
 
     # Events: the passing of time and datagrams
 
     def tick(self, now: int) -> None:
-        """Handles all due deadlines. Call it at `next_deadline`; earlier calls do no harm."""
+        """Handles all due deadlines. Call this at `next_deadline`; earlier calls do no harm."""
         self._check_for_stall(now)
         self.last_tick = now
         if self.identity.has_left or self.identity.has_yielded:
--- a/lilacwalk/membership/transport.py
+++ b/lilacwalk/membership/transport.py
@@ -14,7 +14,7 @@
 from lilacwalk.membership.messages import DatagramError, seal
 
 log = logging.getLogger(__name__)
-MAX_QUEUED_DATAGRAMS = 2_000  # half a second of a flood; the excess is dropped
+MAX_QUEUED_DATAGRAMS = 2_000  # datagrams of half a second of a flood; the excess is dropped
 SOCKET_BUFFER_BYTES = 1_048_576  # holds datagrams that arrive while this process stalls
 
 
@@ -42,11 +42,11 @@
         )
 
     def start(self) -> None:
-        """Starts to receive."""
+        """Starts the thread that receives datagrams."""
         self.reader.start()
 
     def use_keys(self, keys: tuple[bytes, ...]) -> None:
-        """Replaces the keys."""
+        """Replaces the keys for sending and receiving; the first one seals."""
         self.keys = keys
         self.reader.keys = keys
 
@@ -72,7 +72,7 @@
     """Returns a UDP socket bound to the address.
 
     Raises:
-        OSError: it cannot be bound.
+        OSError: the address cannot be used; no socket is left open.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     udp_socket = socket.socket(family, socket.SOCK_DGRAM)
--- a/lilacwalk/membership/view.py
+++ b/lilacwalk/membership/view.py
@@ -8,8 +8,9 @@
 (incarnation, instance, version).
 
 Cost: applying a claim is O(1), as the digest is updated incrementally; the list of present members
-is rebuilt after a change. Members that have been gone for the retention time are forgotten: they
-stay in the table without metadata for as long again, so that an old update does not revive them.
+is rebuilt after a change. Members that died or left are forgotten after the retention time: they
+stay in the table without metadata for the same time again, so that an old update does not revive
+them.
 """
 
 from __future__ import annotations
@@ -89,7 +90,7 @@
         )
 
     def differing_buckets(self, packed: bytes) -> list[int]:
-        """Returns the buckets whose digests differ; all if `packed` does not hold all digests."""
+        """Returns the buckets whose digests differ from `packed`; all if it is incomplete."""
         if len(packed) != BUCKET_DIGEST_BYTES * DIGEST_BUCKETS:
             return list(range(DIGEST_BUCKETS))
         return [
@@ -128,7 +129,7 @@
         return change
 
     def forget(self, now: int, after: int) -> list[str]:
-        """Drops the metadata of members gone for `after`, and their names after twice that time.
+        """Drops the metadata of members gone for the time `after`, and their rows after twice that.
 
         Returns:
             The names whose metadata was dropped.
@@ -168,7 +169,7 @@
         return Change.JOINED if update.health in PRESENT_HEALTH else Change.UPDATED
 
     def _make_room(self) -> bool:
-        """Drops the member gone for longest, forgotten ones first; False if all are present."""
+        """Drops the member gone for longest, forgotten ones first; False: all are present."""
         gone = [member for member in self.members.values() if member.health not in PRESENT_HEALTH]
         if not gone:
             return False
@@ -205,9 +206,9 @@
     metadata = member.metadata
     if member.health not in PRESENT_HEALTH or metadata is None:
         return 0
-    place = f"{metadata.site} {metadata.host} {metadata.port}"
+    location = f"{metadata.site} {metadata.host} {metadata.port}"
     process = f"{member.name} {member.incarnation} {member.instance}"
-    text = f"{process} {metadata.state} {metadata.withdrawn:d} {place}"
+    text = f"{process} {metadata.state} {metadata.withdrawn:d} {location}"
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") & DIGEST_MASK
 
 
