--- a/lilacwalk/failover/capacity.py
+++ b/lilacwalk/failover/capacity.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 
 HALF_WEIGHT_PATH_COST = 200  # tenths of a ms; a path of this cost halves a target's weight
-CAPACITY_STEP = 0.25  # cores; gossip delays the figures of members, and they lag by less than this
+CAPACITY_STEP = 0.25  # cores; more than the figures change while gossip delays them
 MAX_PLACEMENT_ROUNDS = 64  # bounds the loop; each round fills at least one target
 EPSILON = 1e-9  # cores; smaller amounts of load or capacity count as 0
 
 
 @dataclass(frozen=True, slots=True)
 class SiteCapacity:
-    """Capacity and local load of a site, in cores."""
+    """Capacity of a site, and load from its own clients, in cores."""
 
     name: str
     cores: float
@@ -37,10 +37,11 @@
 
 @dataclass(slots=True)
 class LoadPlacement:
-    """The load of failed sites by the targets that take it, in cores."""
+    """Divides the load of failed sites among the targets that take it, in cores."""
 
     placed: dict[tuple[str, str], float] = field(default_factory=dict)  # by (failed site, target)
-    unplaced: dict[str, float] = field(default_factory=dict)  # by failed site
+    # load that found no spare capacity, by failed site
+    unplaced: dict[str, float] = field(default_factory=dict)
 
     def placed_on(self, site: str) -> float:
         """Returns the load that a target takes from all failed sites."""
@@ -68,7 +69,7 @@
 def place_load(
     sites: Mapping[str, SiteCapacity], failed: Mapping[str, float], headroom: float
 ) -> LoadPlacement:
-    """Places the load of failed sites.
+    """Returns the placement of the failed sites' load on their targets.
 
     Args:
         sites: all sites by name.
@@ -100,6 +101,7 @@
 def _load_to_place(
     sites: Mapping[str, SiteCapacity], failed: Mapping[str, float], headroom: float
 ) -> dict[str, float]:
+    """Returns, by failed site, the load that the site cannot carry itself."""
     unplaced: dict[str, float] = {}
     for name in sorted(failed):
         site = sites[name]
@@ -136,7 +138,7 @@
     placement: LoadPlacement,
     unplaced: dict[str, float],
 ) -> None:
-    """Places the demanded load; scales it down on a target whose spare capacity is too small."""
+    """Places the demanded load, scaled down on a target whose spare capacity is too small."""
     total_demand: dict[str, float] = {}
     for (_, target), work in demands.items():
         total_demand[target] = total_demand.get(target, 0.0) + work
@@ -149,10 +151,11 @@
 
 
 def place_overflow(sites: Mapping[str, SiteCapacity], placement: LoadPlacement) -> LoadPlacement:
-    """Also places the load that found no spare capacity, on targets in proportion to their cores.
+    """Returns a placement that also includes the load that found no spare capacity.
 
-    The excess is then rejected at the targets by weight. Otherwise all of this load would be
-    rejected merely because it comes from a failed site.
+    This load is divided among the targets in proportion to their cores, and the targets reject
+    their excess by weight. Otherwise all of this load would be rejected merely because it comes
+    from a failed site.
     """
     overflowed = LoadPlacement(dict(placement.placed), dict(placement.unplaced))
     failed = set(placement.unplaced)
--- a/lilacwalk/failover/config.py
+++ b/lilacwalk/failover/config.py
@@ -47,7 +47,7 @@
     stand_in: tuple[StandIn, ...] = ()
     # addresses that its failover targets may announce
     service: Annotated[tuple[object, ...], unit("prefix")] = ()
-    # where nodes of other sites accept this site's requests; None: they arrive as local traffic
+    # where nodes of other sites accept this site's requests; None: on the listener of local traffic
     guests: Annotated[tuple[str, int], unit("endpoint")] | None = None
 
     def faults(self) -> list[tuple[str, str]]:
@@ -71,18 +71,19 @@
 
     ARGUMENTS: ClassVar = ("name",)
     name: Name
-    benefit: Annotated[float, Meta(ge=0.0)] = 1.0
+    benefit: Annotated[float, Meta(ge=0.0)] = 1.0  # weight of one request
     share: Share  # share of the total work that this class makes up
     # calls that one request makes to each shared dependency
     calls: Annotated[float, Meta(ge=0.0, le=1_000.0)] = 0.0
     # core time of one request
     work: Annotated[int, unit("duration", ge=1, le=600 * SECOND)] = SECOND // 100
+    # latency objective
     slo: Annotated[int, unit("duration", ge=1, le=600 * SECOND)] | None = None
     effect: Annotated[str, Meta(pattern="^(repeatable|deduplicated|mutating)$")] = "repeatable"
 
 
 class Pace(Struct, frozen=True, kw_only=True):
-    """Times of a site's recovery. Each stage lasts for several evaluations of the view."""
+    """Times of a site's recovery. By default each stage lasts for several evaluations."""
 
     # how long a site must be reachable before it is probed; also the first exclusion time
     steady: Annotated[int, unit("duration", ge=SECOND // 10, le=3600 * SECOND)] = 2 * SECOND
@@ -100,8 +101,10 @@
     revision: Annotated[int, Meta(ge=0, le=1 << 31)] = 0
     shared: tuple[Shared, ...] = ()
     class_: Annotated[tuple[Class, ...], Meta(extra={"keyword": "class"})] = ()
+    # failures that the fleet must survive: `any-one`, `any-two` or names of sites
     bear: Annotated[tuple[str, ...], unit("words")] = ("any-one",)
-    headroom: Annotated[float, Meta(ge=0.0, lt=1.0)] = 0.1
+    headroom: Annotated[float, Meta(ge=0.0, lt=1.0)] = 0.1  # share of each site's cores kept unused
+    # share of a site's capacity guaranteed to failover traffic, and the same share to local traffic
     least_share: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.2
     # weight of a failover request relative to the same local request; 1 maximises the total weight
     guest_worth: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0
--- a/lilacwalk/failover/detector.py
+++ b/lilacwalk/failover/detector.py
@@ -15,7 +15,9 @@
 from lilacwalk.membership.messages import Health, NodeState
 
 HEALTHY_VIEW = Verdict.WHOLE  # the membership view shows this node on the majority side
-SATURATED_SHARE = 0.9  # utilisation from which few completions mean a slow site, not an idle one
+SATURATED_SHARE = (
+    0.9  # utilisation from which few completions indicate a slow site, not an idle one
+)
 REACHABLE = (Health.ALIVE, Health.SUSPECT)
 SERVING = (NodeState.READY, NodeState.WARMING)
 UNHEALTHY = (NodeState.UNHEALTHY, NodeState.STALLED)
@@ -69,7 +71,7 @@
         site: name of the site.
         members: all members of the fleet.
         conclusion: the membership view's conclusion on which side of a partition this node is.
-        baseline_rate: requests a second that the site completes when healthy; 0: not known.
+        baseline_rate: requests per second that the site completes when healthy; 0: not known.
     """
     known = [each for each in members if each.site == site and each.health is not Health.LEFT]
     reachable = [each for each in known if each.health in REACHABLE]
--- a/lilacwalk/failover/local_priority.py
+++ b/lilacwalk/failover/local_priority.py
@@ -8,7 +8,7 @@
 they reach the controller, in the order of `shedding`: lowest weight for its work first, failover
 traffic before local traffic at equal weight, neither below its minimum share. The rejected shares
 grow until the controller admits all requests that are passed on; to the controller it is as if the
-other clients had sent their requests elsewhere.
+rejected requests had been sent elsewhere.
 
 Requests are rejected only while the cores are busy, since rejecting a request while a core is idle
 frees no capacity for another. Without failover traffic and without a failed site, nothing is
@@ -38,7 +38,7 @@
 
 STEP_INTERVAL = SECOND // 2  # equal to the controller's tick interval
 RATE_SMOOTHING = 0.4  # weight of one step in the mean request rate of a flow
-# steps without failover traffic and without a failed site, after which shedding stops
+# consecutive steps without failover traffic and without a failed site, after which shedding stops
 IDLE_STEPS_BEFORE_STOP = 10
 MIN_FAILOVER_RATE = 0.05  # requests per second from another site; fewer do not start shedding
 FULL_ADMISSION = 0.97  # admission probability from which all requests count as admitted
@@ -60,7 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficPlan:
-    """The part of the node plan that the local priorities use; equal while nothing changes."""
+    """The part of the node plan that the local priorities use.
+
+    Two instances compare equal if nothing has changed between them.
+    """
 
     failover_sites: tuple[str, ...] = ()  # failed sites whose load this node takes
     # by failed site: tenths of a ms until it is expected to take more of its own load
@@ -78,16 +81,16 @@
 
 @dataclass(slots=True)
 class TrafficFlow:
-    """The requests of one class from one site."""
+    """The requests of one class from the clients of one site."""
 
     arrivals: int = 0  # requests since the last step
     rate: float = 0.0  # mean requests per second
-    rejected_share: float = 0.0
-    rejected_count: int = 0
+    rejected_share: float = 0.0  # share of the requests to reject while the cores are busy
+    rejected_count: int = 0  # requests rejected so far
 
 
 def plan_class(request_class: RequestClass, config: FailoverConfig) -> Class:
-    """Returns the operator file's class of this name, or one made from the server's settings."""
+    """Returns the operator file's class with this name, or one made from `request_class`."""
     for each in config.class_:
         if each.name == request_class.name:
             return each
@@ -131,12 +134,13 @@
     flows: dict[tuple[str, str], TrafficFlow] = field(default_factory=dict)  # by class and site
     # maximum load passed on to the controller, as a share of the cores; inf: unlimited
     capacity_share: float = math.inf
+    # consecutive steps without failover traffic and without a failed site
     idle_steps: int = IDLE_STEPS_BEFORE_STOP
     busy_cores: float = 0.0  # mean number of busy cores
     completion_rate: float = 0.0  # mean completions per second
-    active: bool = False
+    active: bool = False  # whether requests may be rejected here
     calls_are_scarce: bool = False
-    offered_load: float = 0.0  # cores that all arriving requests need
+    offered_load: float = 0.0  # in cores; load of all arriving requests
     admitted_load: float = 0.0  # in cores; load that may be passed on to the controller
 
     def reject_if_overloaded(
@@ -163,10 +167,11 @@
         return LocalRejection(self.draw_retry_after(source))
 
     def draw_retry_after(self, source: str) -> int:
-        """Returns a random retry-after time, up to the time until capacity is expected.
+        """Returns a random retry-after time in tenths of a ms; 0: the response must not carry one.
 
-        Capacity is expected when the client's site takes its load again, or if that site has not
-        failed, when the first of the failed sites takes its load again.
+        The longest time lasts until capacity is expected, within the limits. Capacity is expected
+        when the client's site takes its load again, or if that site has not failed, when the first
+        of the failed sites takes its load again.
         """
         times = dict(self.traffic_plan.recovery_times)
         expected = times.get(source, min(times.values(), default=SECOND))
@@ -187,11 +192,12 @@
         """Updates the rejected shares from the last step; to be called from `next_step_at` on.
 
         Args:
-            now: the current time.
+            now: the current time in tenths of a millisecond.
             admission_probability: the controller's current value.
-            execution_times: expected times by class and site. Only their ratio to the mean is used:
-                under load they include the wait for a core, which is not work.
-            mean_execution_time: expected over all classes.
+            execution_times: expected execution times in tenths of a millisecond, by class and site.
+                Only their ratio to the mean is used: under load they include the wait for a core,
+                which is not work.
+            mean_execution_time: the expected execution time over all classes, in the same unit.
             busy_cores: mean number of busy cores since the last step.
             completed: requests completed since the last step.
         """
--- a/lilacwalk/failover/node_plan.py
+++ b/lilacwalk/failover/node_plan.py
@@ -4,9 +4,10 @@
 each, how much of its load is placed where, and which nodes take a part of it.
 
 Nodes that take a failed site's load are chosen by rank among the ready nodes of the target sites,
-as many as the plan needs. As the site recovers, nodes leave that set, the last rank first. The
-plans of nodes whose views differ deviate by the nodes at which the rankings differ, and never by
-more than one target's share, since each node decides only for itself.
+as many as the plan needs. As the site recovers, fewer nodes are needed, and those with the last
+ranks are released first. If the views of two nodes differ, their plans differ by the nodes that
+they rank differently, and by no more than one target's share, since each node decides only for
+itself.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
     """
 
     def __init__(self, config: FailoverConfig, name: str, site: str, now: int) -> None:
-        """`name` and `site` are those of this node."""
+        """Starts with all sites healthy; `name` and `site` are those of this node."""
         self.config = config
         self.name = name
         self.site = site
@@ -117,7 +118,7 @@
     # Operator commands
 
     def hold(self, site: str, until: int, now: int, drain: bool = False) -> bool:
-        """Holds or drains a site; returns False where the site is not configured."""
+        """Holds or drains a site until the time `until`; returns False if it is not configured."""
         recovery = self.recoveries.get(site)
         if recovery is None:
             return False
@@ -128,7 +129,7 @@
         return True
 
     def release(self, site: str, now: int) -> bool:
-        """Ends a hold or drain; returns False where the site is not configured."""
+        """Ends a hold or drain; returns False if the site is not configured."""
         recovery = self.recoveries.get(site)
         if recovery is None:
             return False
@@ -150,7 +151,7 @@
             members: all members in the view.
             conclusion: the view's conclusion on which side of a partition this node is.
             now: the current time.
-            responses: by site, response time over its baseline; by default derived from `members`.
+            responses: response time over its baseline, by site; derived from `members` if omitted.
         """
         nodes = list(members)
         status = {
@@ -176,7 +177,7 @@
         return self.node_plan
 
     def current_capacities(self, status: Mapping[str, SiteStatus]) -> dict[str, SiteCapacity]:
-        """Returns the sites with figures from the view, or as configured where it has none."""
+        """Returns the sites with figures from the view, or configured ones if the view has none."""
         capacities = {}
         for name, site in configured_capacities(self.config).items():
             known_cores = status[name].cores
@@ -199,12 +200,12 @@
     def traffic_plan(self, failover_sites: tuple[str, ...], cores: float, now: int) -> TrafficPlan:
         """Returns the part of the plan that this node's local priorities use.
 
+        Recovery times are rounded down to whole seconds, so that the plan changes rarely.
+
         Args:
             failover_sites: failed sites whose load this node takes, as applied by its host.
             cores: this node's cores; its part of the shared call limit is in proportion to them.
             now: the current time.
-
-        Recovery times are rounded to whole seconds, so that the plan changes rarely.
         """
         if not failover_sites:
             return TrafficPlan()
@@ -254,7 +255,7 @@
     def _learn_baselines(self, status: Mapping[str, SiteStatus], nodes: list[NodeView]) -> None:
         """Learns the load and the completion rate of each site, while all sites are healthy.
 
-        Otherwise they include failover traffic, which is not part of a site's own load.
+        Otherwise the figures include failover traffic, which is not part of a site's own load.
         """
         recoveries = self.recoveries.values()
         if any(recovery.stage is not RecoveryStage.HEALTHY for recovery in recoveries):
@@ -339,9 +340,9 @@
     def _own_site_share(self, nodes: list[NodeView], conclusion: str) -> float:
         """Returns the share of its own load that this site is to serve, as other sites report it.
 
-        The share is the median of the reports, so that a single wrong report has no effect. It is 1
-        without reports, and where this node is alone or on the smaller side of a partition: a site
-        that is needed must not withdraw its service.
+        The share is the median of the reports, so that a single wrong report has no effect, and no
+        more than this node's own figure. It is 1 without reports, and if this node is alone or on
+        the smaller side of a partition: a site that is needed must not withdraw its service.
         """
         if conclusion not in (HEALTHY_VIEW, UNSETTLED_VIEW):
             return 1.0
@@ -370,6 +371,6 @@
 
 
 def _allows_stage_change(status: SiteStatus, conclusion: str) -> bool:
-    """Returns whether the status is known; an unknown one is neither a failure nor a recovery."""
+    """Returns whether the status is certain; an uncertain one is neither failure nor recovery."""
     is_unclear = status.condition is SiteCondition.UNCLEAR
     return not (is_unclear and (conclusion != HEALTHY_VIEW or not status.known_members))
--- a/lilacwalk/failover/node_selection.py
+++ b/lilacwalk/failover/node_selection.py
@@ -13,9 +13,9 @@
 from lilacwalk.failover.detector import REACHABLE, MemberStatus
 from lilacwalk.membership.messages import Health, NodeState
 
-NODE_LOAD_MARGIN = 1.1  # highest utilisation of a node, relative to the mean of its site
+NODE_LOAD_MARGIN = 1.1  # maximum utilisation of a node, relative to the mean of its site
 MIN_ADMISSION_PROBABILITY = 0.05  # lower values count as this one, which bounds the response ratio
-EPSILON = 1e-9
+EPSILON = 1e-9  # tolerance for rounding errors
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 def response_ratio(site: str, nodes: list[NodeView]) -> float:
-    """Returns a site's response time over its objective; 0 if no member of the site is ready.
+    """Estimates a site's response time over its objective; 0 if no member of the site is ready.
 
     The ratio is derived from the members' admission probabilities, which their controllers lower in
     proportion as the response time exceeds the objective.
@@ -69,7 +69,7 @@
 def select_failover_nodes(
     failed_site: str, target: str, work: float, nodes: list[NodeView], capacity: SiteCapacity
 ) -> list[str]:
-    """Returns the names of the target site's nodes that take `work`, the first by rank."""
+    """Returns the names of the nodes of `target` that take `work` (in cores), in order of rank."""
     # Suspected nodes count: in a large fleet some nodes are suspected at any time, and most of
     # them prove to be alive.
     ready = sorted(
--- a/lilacwalk/failover/operator_commands.py
+++ b/lilacwalk/failover/operator_commands.py
@@ -1,7 +1,7 @@
 """Operator commands for sites, gossiped to all members with the member metadata.
 
-The newest command for a site applies until it expires. It applies whichever member gossips it, so
-it stays valid if the member that accepted it from the operator stops.
+The newest command for a site applies until it expires. It applies whichever member gossips it, and
+thus stays valid if the member that accepted it from the operator stops.
 """
 
 from __future__ import annotations
@@ -65,8 +65,9 @@
 def put_command(entries: tuple[str, ...], command: OperatorCommand, now: int) -> tuple[str, ...]:
     """Returns a member's metadata entries with a command added.
 
-    The command replaces an earlier one for the same site. Expired commands are removed, and the
-    first entries are removed if there are more than `MAX_COMMANDS`.
+    The command replaces an earlier one for the same site. Expired commands and entries that are not
+    commands are removed, and so are the first commands if there are more than `MAX_COMMANDS`. `now`
+    is in milliseconds since the Unix epoch.
     """
     others = []
     for entry in entries:
--- a/lilacwalk/failover/plan_agreement.py
+++ b/lilacwalk/failover/plan_agreement.py
@@ -1,8 +1,8 @@
 """Detects members whose `sites` blocks differ.
 
-Each member gossips the revision that its operator gave the block and a digest of its content. A
-member whose block is outdated takes no failover traffic until the files agree, since the other
-members do not expect the plan that it computes.
+Each member gossips the revision that its operator gave the block and a digest of the block's
+content. A member whose block is outdated takes no failover traffic until the blocks agree, since
+the other members do not expect the plan that it computes.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 class PlanAgreement:
     """The result of comparing this member's block with those of other members."""
 
-    differing_members: tuple[str, ...] = ()
-    is_outdated: bool = False
+    differing_members: tuple[str, ...] = ()  # names, sorted
+    is_outdated: bool = False  # whether another member's block is newer than this member's
 
 
 def plan_fingerprint(config: FailoverConfig) -> PlanFingerprint:
@@ -55,18 +55,18 @@
     return PlanFingerprint(config.revision, digest)
 
 
-def read_fingerprint(texts: tuple[str, ...]) -> PlanFingerprint | None:
+def read_fingerprint(entries: tuple[str, ...]) -> PlanFingerprint | None:
     """Returns the fingerprint among a member's metadata entries; None if there is none."""
-    for text in texts:
-        words = text.split(" ")
+    for entry in entries:
+        words = entry.split(" ")
         if len(words) == 3 and words[0] == FINGERPRINT_KEYWORD and words[1].isdecimal():
             return PlanFingerprint(int(words[1]), words[2])
     return None
 
 
-def put_fingerprint(texts: tuple[str, ...], own: PlanFingerprint) -> tuple[str, ...]:
+def put_fingerprint(entries: tuple[str, ...], own: PlanFingerprint) -> tuple[str, ...]:
     """Returns this member's metadata entries with `own` in place of an older fingerprint."""
-    others = (text for text in texts if not text.startswith(FINGERPRINT_KEYWORD + " "))
+    others = (entry for entry in entries if not entry.startswith(FINGERPRINT_KEYWORD + " "))
     return (str(own), *others)
 
 
@@ -79,8 +79,8 @@
     no fingerprint has no `sites` block and does not count as differing.
     """
     differing = {}
-    for name, texts in others:
-        fingerprint = read_fingerprint(texts)
+    for name, entries in others:
+        fingerprint = read_fingerprint(entries)
         if fingerprint is not None and fingerprint != own:
             differing[name] = fingerprint
     is_outdated = any(fingerprint > own for fingerprint in differing.values())
--- a/lilacwalk/failover/planner.py
+++ b/lilacwalk/failover/planner.py
@@ -1,4 +1,4 @@
-"""Plans for one failure: the placement of load, the rejected work and the binding constraint.
+"""Plans for one failure: the placement of load, the admitted work and the binding constraint.
 
 Pure functions, used both by the command line and by a running node. Loads and capacities are in
 cores, times in tenths of a millisecond.
@@ -30,7 +30,7 @@
     failed: dict[str, float]  # failed share of each failed site
     placement: LoadPlacement
     admission: AdmissionPlan
-    utilisation: dict[str, float]  # by site that has cores left
+    utilisation: dict[str, float]  # share of the cores in use, by site that has cores left
     rejected_by_class: dict[str, float]  # rejected share of the class's work in the whole fleet
     rejected_by_source: dict[str, float]  # rejected share of the work from each site's clients
     binding_constraint: str
@@ -39,7 +39,7 @@
     weight_share: float  # weight of the admitted work, relative to that of all offered work
 
     def shares(self) -> dict[str, float]:
-        """Returns the share of the displaced load that each site receives."""
+        """Returns, by site, the share of the failed sites' load that the site receives."""
         placed = self.placement.placed
         total = sum(placed.values()) + sum(self.placement.unplaced.values())
         found: dict[str, float] = {}
@@ -64,7 +64,7 @@
 
 
 def shared_call_limit(config: FailoverConfig) -> float | None:
-    """Returns the lowest limit of calls per second of a shared dependency; None without one."""
+    """Returns the lowest limit of a shared dependency, in calls per second; None without any."""
     return min((each.limit for each in config.shared), default=None)
 
 
@@ -74,7 +74,7 @@
     failed: Mapping[str, float],
     placement: LoadPlacement,
 ) -> list[WorkShare]:
-    """Returns the work offered after placement; by class, local work before failover traffic."""
+    """Returns the offered work, class by class, with local work before failover traffic."""
     path_cost = {
         (site.name, target): cost
         for site in capacities.values()
@@ -153,7 +153,10 @@
     calls: float,
     unplaced_load: float,
 ) -> str:
-    """Returns the constraint with the highest ratio of load to limit, as shown to operators."""
+    """Returns the constraint with the highest ratio of load to limit, as shown to operators.
+
+    The result is `NO_TARGET` if load is unplaced although no limit is exceeded.
+    """
     ratios: list[tuple[float, str]] = []
     for name, cores in usable.items():
         if cores > 0:
--- a/lilacwalk/failover/recovery.py
+++ b/lilacwalk/failover/recovery.py
@@ -1,8 +1,8 @@
 """Returns load to a failed site in stages with hysteresis, depending on its response time.
 
-A site that fails again is excluded for twice as long each time, up to a maximum; the time is halved
-again while it stays healthy. Two sites ramp at the same time only where the remaining capacity
-survives the failure of both; otherwise the one that entered its stage first goes on.
+A site that fails again is excluded for twice as long each time, up to a maximum; the exclusion time
+is halved again while the site stays healthy. Two sites ramp at the same time only if the fleet has
+enough capacity left when both fail again; otherwise the one that entered its stage first continues.
 """
 
 from __future__ import annotations
@@ -42,7 +42,10 @@
 
 
 class SiteRecovery:
-    """Recovery stage and load share of one site. Owned by the failover planner; times in 0.1 ms."""
+    """Recovery stage of one site, and the share of its load that the site is to serve (`share`).
+
+    Owned by the failover planner. Times are in tenths of a millisecond.
+    """
 
     def __init__(self, site: str, pace: Pace, now: int, is_reachable: bool = True) -> None:
         """Sets the first stage: HEALTHY if the site is reachable, otherwise FAILED."""
@@ -53,7 +56,7 @@
         self.stage_since = now
         self.share_changed_at = now
         self.reachable_since: int | None = now if is_reachable else None
-        self.good_probes = 0
+        self.good_probes = 0  # consecutive
         self.failure_count = 0
         self.excluded_until = now
         self.held_until = 0
@@ -81,13 +84,16 @@
     # Operator commands
 
     def hold(self, until: int, now: int) -> None:
-        """Stops the recovery of a site that is not healthy: it receives no load."""
+        """Stops the recovery of a site that is not healthy: the site receives no load.
+
+        A healthy site keeps its load.
+        """
         self.held_until = until
         if self.stage is not RecoveryStage.HEALTHY:
             self._enter(RecoveryStage.HELD, 0.0, "held by the operator", now)
 
     def drain(self, until: int, now: int) -> None:
-        """Moves all load off a site, whether it is healthy or not."""
+        """Moves all load off a site, whether the site is healthy or not."""
         self.held_until = until
         self._enter(RecoveryStage.HELD, 0.0, "drained by the operator", now)
 
@@ -100,13 +106,13 @@
     # Probes
 
     def evaluate(self, probe: SiteProbe, now: int, may_ramp: bool = True) -> None:
-        """Evaluates one probe. `may_ramp`: whether no other site's recovery takes precedence."""
+        """Evaluates one probe. `may_ramp`: False if another site's recovery takes precedence."""
         if self.stage is RecoveryStage.HELD:
             if now < self.held_until:
                 return
             self._enter(RecoveryStage.PROBING, 0.0, "hold expired", now)
         if not probe.is_reachable:
-            self._site_failed(now)
+            self._record_failure(now)
             return
         if self.reachable_since is None:
             self.reachable_since = now
@@ -135,7 +141,7 @@
         doublings = min(MAX_EXCLUSION_DOUBLINGS, max(0, self.failure_count - 1))
         return min(self.pace.longest, self.pace.steady << doublings)
 
-    def _site_failed(self, now: int) -> None:
+    def _record_failure(self, now: int) -> None:
         self.reachable_since = None
         if self.stage is RecoveryStage.FAILED:
             return
--- a/lilacwalk/failover/shedding.py
+++ b/lilacwalk/failover/shedding.py
@@ -4,9 +4,9 @@
 shared dependency can serve. Each share of work (a request class, from local clients or from those
 of a failed site) has a value per core-second and makes calls per core-second. Given a price for a
 call, each site admits the shares with the highest value less the price of their calls, and none for
-which that is below zero. The price is the lowest at which the calls fit their limit; interpolating
-between the plans just above and just below this price meets the limit exactly. By the Lagrangian
-this is the optimum of the linear programme, except for the minimum shares.
+which this difference is zero or less. The price is the lowest at which the calls fit their limit;
+interpolating between the plans just above and just below this price meets the limit exactly. By
+Lagrangian duality this is the optimum of the linear programme, except for the minimum shares.
 
 The rules of admission apply here too: work that has begun is never rejected (the plan is for future
 requests); at equal value, work that can be retried (idempotent) is rejected before work that
@@ -19,9 +19,10 @@
 
 from lilacwalk.failover.config import SECOND, Class
 
-# By the effect names of the operator's file; so small that it only decides between equal values.
+# Added to a share's value, by the effect names of the operator's file; so small that it only
+# decides between equal values.
 RETRY_PREFERENCE = {"repeatable": 0.0, "deduplicated": 1e-6, "mutating": 2e-6}
-PRICE_BISECTION_STEPS = 60  # narrow the price's range below the precision of any input
+PRICE_BISECTION_STEPS = 60  # enough to narrow the price's range below the precision of any input
 EPSILON = 1e-9  # cores
 
 
@@ -46,7 +47,7 @@
 class AdmissionPlan:
     """The admitted work, and the price of a call at which it was chosen."""
 
-    admitted: list[WorkShare]
+    admitted: list[WorkShare]  # each with the admitted part of its work
     price: float  # price of a call, in weight; 0 if calls are not scarce
 
     @property
@@ -65,20 +66,20 @@
     site: str,
     source: str,
     work: float,
-    cost: int,
+    path_cost: int,
     failover_weight: float = 1.0,
 ) -> WorkShare:
-    """Returns the work of a class at a site with its value.
+    """Returns the work of a class at a site, with the work's value.
 
-    The value decreases by the part of the class's slack that the path takes. Work that the path
-    makes too late for its latency objective has no value.
+    The value decreases by the part of the class's slack (latency objective less core time) that the
+    path takes. Work that the path makes too late for its latency objective has no value.
 
     Args:
         request_class: the class in the operator's block.
         site: site at which the work would run.
         source: the site whose clients it serves.
         work: cores.
-        cost: time that the path from the source adds, in tenths of a millisecond.
+        path_cost: time that the path from the source adds, in tenths of a millisecond.
         failover_weight: weight of a failover request relative to the same local request.
     """
     seconds = request_class.work / SECOND
@@ -86,7 +87,7 @@
     value = request_class.benefit / seconds * (failover_weight if is_failover_traffic else 1.0)
     if request_class.slo is not None and is_failover_traffic:
         slack = request_class.slo - request_class.work
-        value *= max(0.0, 1 - cost / slack) if slack > 0 else 0.0
+        value *= max(0.0, 1 - path_cost / slack) if slack > 0 else 0.0
     return WorkShare(request_class, site, source, work, value, request_class.calls / seconds)
 
 
@@ -178,10 +179,10 @@
     return AdmissionPlan(admitted, price)
 
 
-def _scale_work_with_calls(plan: AdmissionPlan, part: float) -> AdmissionPlan:
-    """Scales all work that makes calls by the same factor."""
+def _scale_work_with_calls(plan: AdmissionPlan, factor: float) -> AdmissionPlan:
+    """Returns the plan with all work that makes calls multiplied by `factor`."""
     scaled = [
-        replace(each, work=each.work * (part if each.calls else 1.0)) for each in plan.admitted
+        replace(each, work=each.work * (factor if each.calls else 1.0)) for each in plan.admitted
     ]
     return AdmissionPlan(scaled, plan.price)
 
@@ -189,7 +190,10 @@
 def _interpolate(
     exceeding: AdmissionPlan, fitting: AdmissionPlan, part: float, price: float
 ) -> AdmissionPlan:
-    """Returns a mix of two plans; as both fit the capacities, every mix of them does."""
+    """Returns a mix of two plans; since both fit the capacities, every mix of them does.
+
+    `part` is the share of `exceeding` in the mix.
+    """
     mixed = [
         replace(one, work=one.work * part + other.work * (1 - part))
         for one, other in zip(exceeding.admitted, fitting.admitted, strict=True)
--- a/lilacwalk/failover/sizing.py
+++ b/lilacwalk/failover/sizing.py
@@ -15,9 +15,10 @@
 def additional_cores_needed(
     config: FailoverConfig, capacities: Mapping[str, SiteCapacity], failed: Mapping[str, float]
 ) -> int | None:
-    """Returns the fewest cores to add so that nothing is rejected.
+    """Returns the smallest number of added cores with which nothing is rejected.
 
-    `add_cores` chooses the sites that get them. The result is None if no number suffices.
+    `add_cores` chooses the sites that receive them. The result is None if no number up to
+    `MAX_ADDITIONAL_CORES` suffices.
     """
 
     def is_enough(cores: int) -> bool:
@@ -49,9 +50,9 @@
 ) -> dict[str, SiteCapacity]:
     """Returns the capacities with cores added where the shortage is largest.
 
-    Sites that are short for their own load come first, then the first remaining target of load that
-    finds no capacity. Each step adds the cores of a whole shortage, so that a large number of cores
-    takes no more steps than a small one.
+    Sites that lack cores for their own load receive them first, then the first remaining target of
+    load that finds no capacity. Each step adds the cores of a whole shortage, so that a large
+    number of cores takes no more steps than a small one.
     """
     grown = dict(capacities)
     while cores > 0:
--- a/lilacwalk/frontends/devices.py
+++ b/lilacwalk/frontends/devices.py
@@ -32,9 +32,9 @@
     FinalStatus.FAILED: TERMINATED,
 }
 RETRY_AFTER = 10_000  # tenths of a millisecond; by then other servers have taken over
-DEFAULT_MEMORY_KB = 8.0  # of a request that does not state its memory
+DEFAULT_MEMORY_KB = 8.0  # memory of a request that does not state it
 FIRST_CLIENT_NUMBER = 1 << 52  # above all client numbers that proxies use
-REQUEST_IDS = 1 << 64
+REQUEST_ID_COUNT = 1 << 64
 REQUEST_ID_BYTES = 8
 
 
@@ -154,20 +154,20 @@
     def _to_incoming(
         self, session: Session, number: int, device_request: DeviceRequest
     ) -> IncomingRequest:
-        ask = device_request.frame
+        frame = device_request.frame
         return IncomingRequest(
             id=self._request_id(session, number),
-            class_name=ask.group,
+            class_name=frame.group,
             tenant_name=device_request.tenant,
             client=FIRST_CLIENT_NUMBER | xxhash.xxh32_intdigest(session.device),
             arrived_at=device_request.arrived_at,
             timeout=device_request.timeout,
-            work_hint=ask.work * 10,
-            memory_kb=float(ask.hold) or DEFAULT_MEMORY_KB,
+            work_hint=frame.work * 10,
+            memory_kb=float(frame.hold) or DEFAULT_MEMORY_KB,
             is_retry=device_request.is_retry,
-            subject=ask.subject,
-            idempotency_key=ask.key,
-            body=ask.body,
+            subject=frame.subject,
+            idempotency_key=frame.key,
+            body=frame.body,
         )
 
     def _request_id(self, session: Session, number: int) -> str:
@@ -180,7 +180,7 @@
         if isinstance(session, Session):
             identity = session.ident + number.to_bytes(8, "big")
             return blake2b(identity, digest_size=REQUEST_ID_BYTES).hexdigest()
-        return f"{next(self.request_numbers) % REQUEST_IDS:016x}"
+        return f"{next(self.request_numbers) % REQUEST_ID_COUNT:016x}"
 
     def client_gone(self, session: Session, number: int) -> None:
         """Handles a device that no longer waits for the response."""
@@ -208,7 +208,7 @@
     # Called by the event loop
 
     def send_response(self, client: DeviceConnection, tag: int, response: FinalResponse) -> None:
-        """Sends the response to the request with this number."""
+        """Sends the response to the request; `tag` is its number in the session."""
         self.edge.send_answer(
             client.session,
             tag,
@@ -236,7 +236,7 @@
         self.edge.post(self.edge.start_draining, RETRY_AFTER)
 
     def stop_accepting(self) -> None:
-        """Closes the listener."""
+        """Closes idle connections, and rejects new connections and requests."""
         self.is_closing = True
         self.edge.post(self.edge.stop_accepting)
 
@@ -250,7 +250,7 @@
     def is_flushed(self) -> bool:
         """Whether all responses have been sent."""
         return self.edge.has_stopped.is_set() or not any(
-            wire.queue for wire in list(self.edge.device_sockets.values())
+            device_socket.queue for device_socket in list(self.edge.device_sockets.values())
         )
 
     def reload(self, config: EdgeConfig) -> None:
--- a/lilacwalk/frontends/interface.py
+++ b/lilacwalk/frontends/interface.py
@@ -22,7 +22,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """The status that health checks report."""
+        """Whether health checks report this server as healthy."""
         ...
 
     @property
@@ -36,10 +36,10 @@
         ...
 
     def submit(self, client: ClientConnection, tag: int, incoming: IncomingRequest, /) -> str:
-        """Accepts a request under the client's tag, which must not be in use.
+        """Takes over a request; the response carries the tag, which must not be in use.
 
         Returns:
-            Why the request is malformed; empty if it was accepted or answered.
+            The reason why the request is malformed; empty if it was accepted or answered.
         """
         ...
 
--- a/lilacwalk/frontends/proxy_housekeeping.py
+++ b/lilacwalk/frontends/proxy_housekeeping.py
@@ -27,7 +27,7 @@
     def __init__(
         self, connections: dict[Connection, None], limits: Limits, request_close: CloseRequester
     ) -> None:
-        """Shares the front end's table of connections; does not copy it."""
+        """Uses the front end's own table of connections, not a copy."""
         self.connections = connections
         self.limits = limits
         self.request_close = request_close
@@ -35,10 +35,10 @@
     def close_idle(self, now: int, idle_timeout: int) -> None:
         """Closes stuck connections, and requests proxies to close idle ones."""
         for connection in self.connections:
-            self._check(connection, now, idle_timeout)
+            self._close_if_idle_or_stuck(connection, now, idle_timeout)
         self.close_excess_connections(now)
 
-    def _check(self, connection: Connection, now: int, idle_timeout: int) -> None:
+    def _close_if_idle_or_stuck(self, connection: Connection, now: int, idle_timeout: int) -> None:
         if connection.is_shut_down:
             self._limit_linger(connection, now)
         elif self._is_stuck(connection, now):
--- a/lilacwalk/protocols/admin_socket.py
+++ b/lilacwalk/protocols/admin_socket.py
@@ -23,7 +23,7 @@
 
 
 class QueryHandler(Protocol):
-    """Answers a query with an object that is encoded as JSON."""
+    """Returns the answer to a query, an object that can be encoded as JSON."""
 
     def __call__(self, query: str, /) -> object:
         """Runs in the admin socket's thread; a TimeoutError is reported to the client."""
@@ -38,7 +38,7 @@
 
         Args:
             path: Path of the socket; a socket that a running process serves is not replaced.
-            answer: Answers each query.
+            answer: Returns the answer to a query.
             name: Name of the thread.
 
         Raises:
--- a/lilacwalk/protocols/dependency_client.py
+++ b/lilacwalk/protocols/dependency_client.py
@@ -121,9 +121,9 @@
             self.idle_connections.append(connection)
 
     def close_idle(self, idle_since: int) -> None:
-        """Closes connections that became idle before `idle_since`.
+        """Closes connections that became idle before the time `idle_since`.
 
-        This side closes an idle connection earlier than the peer does.
+        The owner passes a time such that this side closes an idle connection before the peer does.
         """
         while self.idle_connections and self.idle_connections[0].idle_since < idle_since:
             self.idle_connections.popleft().calls.put(None)
--- a/lilacwalk/protocols/executor_codec.py
+++ b/lilacwalk/protocols/executor_codec.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """An execution waits for the result of a dependency call with this body."""
+    """The execution of a request waits for the result of a dependency call with this body."""
 
     event_number: int
     request_id: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GaugesReported:
-    """The response to a gauge request with this tag: values by gauge name."""
+    """The response to the gauge request with this tag: values by gauge name."""
 
     event_number: ClassVar[int] = 0
 
--- a/lilacwalk/protocols/lines.py
+++ b/lilacwalk/protocols/lines.py
@@ -10,7 +10,7 @@
 
 from lilacwalk.protocols.errors import FramingError
 
-MAX_REPORTED_CHARACTERS = 60  # of a line that an error message quotes
+MAX_REPORTED_CHARACTERS = 60  # characters of a line that an error message quotes
 
 
 class HasBody(Protocol):
--- a/lilacwalk/protocols/proxy_listener.py
+++ b/lilacwalk/protocols/proxy_listener.py
@@ -35,7 +35,7 @@
 
 
 class ProxyListener:
-    """Accepts connections up to the limit; others wait in the operating system's backlog.
+    """Accepts connections up to the limit; further ones wait in the operating system's backlog.
 
     Its thread accepts connections until the server drains; then the event loop accepts those that
     are left in the backlog.
@@ -77,7 +77,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address and port that it listens on."""
+        """The address and port of the listening socket."""
         return self.sock.getsockname()
 
     def start(self) -> None:
--- a/lilacwalk/protocols/registry.py
+++ b/lilacwalk/protocols/registry.py
@@ -12,7 +12,7 @@
     """Sends the health of this server, under its name, to the service registry."""
 
     def __init__(self, address: tuple[str, int], name: str) -> None:
-        """Creates the socket that the reports are sent from."""
+        """Creates the socket that sends the reports; `name` is this server's name."""
         self.address = address
         self.name = name
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/lilacwalk/protocols/send_buffer.py
+++ b/lilacwalk/protocols/send_buffer.py
@@ -11,12 +11,12 @@
 from queue import SimpleQueue
 
 log = logging.getLogger(__name__)
-MESSAGE_OVERHEAD_BYTES = 64  # of interpreter memory for each message, besides its contents
+MESSAGE_OVERHEAD_BYTES = 64  # interpreter memory that each message uses besides its contents
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedWrite:
-    """Bytes for the writer thread, and how much of the limit they use until they are sent."""
+    """Bytes for the writer thread, and the part of the limit that they use until they are sent."""
 
     data: memoryview
     accounted_bytes: int
--- a/lilacwalk/retry_storms/config.py
+++ b/lilacwalk/retry_storms/config.py
@@ -16,7 +16,8 @@
     Attributes:
         retry_ratio: retries admitted for each completed request: at 0.1, retries add at most a
             tenth to the load.
-        limits_retries: whether retries beyond this budget are rejected in a storm.
+        limits_retries: whether retries beyond the budget that `retry_ratio` sets are rejected in a
+            storm.
         spreads_retry_after: whether retry-after times are spread over the backlog.
         sheds_late_first: whether requests that cannot be answered in time are rejected first.
         socket: path of the admin socket, which `lilacwalk storms show` queries.
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -18,9 +18,9 @@
 from lilacwalk.retry_storms.retry_budget import RetryBudget
 from lilacwalk.retry_storms.stages import Stage, StageChange, StageMachine
 
-MAX_DELAY_RATIO = 1.0  # queue delay over the time left, above which an attempt is too late
-MAX_IDLE_QUEUE = 2.0  # requests that do not count as a queue: one running and one waiting
-STALL_TIME = 2 * SECOND  # time without a tick that is a stall: many busy event loop iterations
+MAX_DELAY_RATIO = 1.0  # queue delay over time left to the deadline, above which an attempt is late
+MAX_IDLE_QUEUE = 2.0  # requests up to which there is no queue: one running and one waiting
+STALL_TIME = 2 * SECOND  # time without a tick that counts as a stall: many busy iterations
 
 
 class RejectionReason(Enum):
@@ -115,7 +115,7 @@
         return None if is_admitted else RejectionReason.BUDGET
 
     def connection_opened(self) -> None:
-        """Counts a client's connect."""
+        """Counts a new connection of a client."""
         self.collector.connection_opened()
 
     def request_completed(self, fingerprint: Hashable, request_class: Hashable) -> None:
@@ -125,7 +125,7 @@
         self._completions_in_step += 1
 
     def spread_retry_after(self, client: Hashable, retry_after: int, now: int) -> int:
-        """Returns the time that a rejection carries in place of `retry_after`, in tenths of a ms.
+        """Returns the time that a rejection carries instead of `retry_after`, in tenths of a ms.
 
         The time is `retry_after` itself in the normal stage, if `retry_after` is 0, or if the
         operator has disabled spreading.
@@ -157,7 +157,7 @@
         Args:
             now: elapsed time in tenths of a ms.
             queue_delay: tenths of a ms until a request that arrives now would be answered.
-            fleet_load_factor: members known over members up; 1 without a membership view.
+            fleet_load_factor: known members over members that are up; 1 without a membership view.
         """
         self._queue_delay = queue_delay
         self._fleet_load_factor = fleet_load_factor
--- a/lilacwalk/retry_storms/metrics.py
+++ b/lilacwalk/retry_storms/metrics.py
@@ -19,8 +19,8 @@
 MAX_FINGERPRINTS = 20_000  # fingerprints held at the same time: about 2 MB
 BASELINE_GAIN = 0.02  # weight of one step in the baseline: a mean over about 25 s
 MEAN_GAIN = 0.3  # weight of one step in the mean rates: a mean over about 3 steps
-PERIODICITY_STEPS = 24  # steps that are searched for a period: twelve seconds
-MIN_ATTEMPTS = 8  # attempts below which neither a storm nor a period is detected
+PERIODICITY_STEPS = 24  # latest steps that are searched for a period: twelve seconds
+MIN_ATTEMPTS = 8  # attempts a second for a storm, or a step for a period; fewer are not evaluated
 
 
 @dataclass(slots=True)
@@ -91,19 +91,19 @@
 
     @property
     def retry_ratio(self) -> float:
-        """Retries over attempts."""
+        """The share of retries among the attempts."""
         return 1 - self.first_attempt_rate / self.attempt_rate if self.attempt_rate else 0.0
 
     @property
     def attempts_over_baseline(self) -> float:
-        """Attempts over their baseline; 1 if no baseline is known yet."""
+        """Attempts relative to their baseline; 1 if no baseline is known yet."""
         if not self.baseline_attempt_rate:
             return 1.0
         return self.attempt_rate / self.baseline_attempt_rate
 
 
 class MetricsCollector:
-    """Collects the counts of the current step, means, the baseline and recent fingerprints.
+    """Collects the counts of the current step, mean rates, the baseline and recent fingerprints.
 
     Owned by the damper. Times are in tenths of a ms.
     """
@@ -134,7 +134,7 @@
         return is_retry
 
     def connection_opened(self) -> None:
-        """Counts a connect."""
+        """Counts a new connection."""
         self._counts.connects += 1
 
     def request_completed(self, fingerprint: Hashable) -> None:
@@ -183,7 +183,7 @@
     # Results
 
     def metrics(self) -> Metrics:
-        """Returns the current means."""
+        """Returns a snapshot of the means and the baseline."""
         baseline = self._baseline or Baseline()
         return Metrics(
             attempt_rate=self.means.attempts,
--- a/lilacwalk/retry_storms/retry_budget.py
+++ b/lilacwalk/retry_storms/retry_budget.py
@@ -5,11 +5,12 @@
 clients retry.
 
 Idle cores admit retries beyond the budget: their allowance grows in each step without a queue, and
-is halved as soon as there is one. This adds no load to busy cores. Without it, a backlog of clients
-that obey their retry-after times would wait while cores are idle.
+is halved in each step with one. This adds no load to busy cores. Without the allowance, a backlog
+of clients that obey their retry-after times would wait while cores are idle.
 
-Clients share a budget: a client that has recently spent more than twice the mean is refused until
-the others have spent their shares, so that aggressive clients use up only their own share.
+Clients share a budget. While less than `MIN_BUDGET` is left of it, it admits no retries of a client
+that has recently spent more than twice the mean, so that aggressive clients use up only their own
+share.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from collections.abc import Hashable
 
 SECOND = 10_000  # tenths of a ms
-BUDGET_TIME = 5.0  # seconds of completions whose retries an unused budget holds at most
+BUDGET_TIME = 5.0  # a budget holds at most the retries that completions add in this many seconds
 MIN_BUDGET = 3.0  # retries that every budget can hold, for classes with few requests
-MAX_CLIENTS = 4_096  # clients whose spending is tracked; the one with the least is removed first
+MAX_CLIENTS = 4_096  # clients whose spending is tracked; the one that spent least is removed first
 SPENDING_HALF_LIFE = 5 * SECOND
 NEGLIGIBLE_SPENDING = 0.05  # retries; clients that spent fewer are removed
 # Growth of the idle allowance per step without a queue, as a fraction of the step's completions and
@@ -53,7 +54,7 @@
         self._idle_left = 0.0  # part of this allowance that is left in the current step
 
     def request_completed(self, request_class: Hashable) -> None:
-        """Adds to the budget of the class."""
+        """Adds the ratio to the budget of the class, up to the budget's limit."""
         rate = self._completion_rates.get(request_class, 0.0)
         limit = max(MIN_BUDGET, BUDGET_TIME * self._ratio * rate)
         budget = self._budgets.get(request_class, MIN_BUDGET)
@@ -61,9 +62,10 @@
         self._completion_rates[request_class] = rate + 1 / RATE_WINDOW  # decays in `tick`
 
     def try_spend(self, request_class: Hashable, client: Hashable) -> bool:
-        """Takes one retry from the class's budget, or else from those that idle cores admit.
+        """Takes one retry from the class's budget, or else from the allowance of idle cores.
 
-        Returns whether the retry is admitted.
+        Returns:
+            Whether the retry is admitted.
         """
         budget = self._budgets.get(request_class, MIN_BUDGET)
         if budget >= 1 and (budget >= MIN_BUDGET or self._is_below_fair_share(client)):
--- a/lilacwalk/retry_storms/stages.py
+++ b/lilacwalk/retry_storms/stages.py
@@ -1,9 +1,9 @@
 """Evaluates the metrics and selects a stage, with hysteresis. No I/O.
 
 In plain overload there are more first attempts than the cores can complete; this is left to the
-controller. A retry storm sustains itself: the first attempts alone would fit, but all attempts
-together do not. A storm may persist indefinitely after its cause is gone, since each attempt that
-is served too late takes the capacity of one that could still be answered in time.
+controller. A retry storm sustains itself: the cores could complete the first attempts alone, but
+not all attempts together. A storm may persist indefinitely after its cause is gone, since each
+attempt that is served too late takes the capacity of one that could still be answered in time.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 
 from lilacwalk.retry_storms.metrics import MIN_ATTEMPTS, Metrics
 
-STORM_LOAD = 1.5  # attempts per completion, above which there may be a storm
+STORM_LOAD = 1.5  # attempts relative to completions, above which there may be a storm
 NORMAL_LOAD = 1.15  # attempts relative to their baseline, up to which a storm has ended
 # retries per attempt, above their baseline, that indicate a storm: slow responses cause fewer
 EXTRA_RETRY_RATIO = 0.15
 ENTER_STEPS = 3  # consecutive storm steps until damping starts: a single one may be chance
-LEAVE_STEPS = 6  # consecutive normal steps until damping ends: ended too early, a storm returns
-SILENT_STEPS = 4  # steps with attempts but no completion until SILENT: longer than most executions
+LEAVE_STEPS = 6  # consecutive normal steps until damping ends: if it ends early, the storm returns
+# steps with attempts but no completion until SILENT: they last longer than most executions
+SILENT_STEPS = 4
 PEAK_DECAY = 0.995  # factor by which the peak completion rate decays per step
 
 
@@ -41,7 +42,7 @@
 
 
 class StageMachine:
-    """Tracks the stage and the consecutive steps that indicate another one. Owned by the damper.
+    """Tracks the stage, and the consecutive steps that indicate a change. Owned by the damper.
 
     Attributes:
         peak_rate: the highest recent completion rate, per second.
@@ -127,7 +128,10 @@
         )
 
     def _is_storm(self, metrics: Metrics) -> bool:
-        """Returns whether only the first attempts fit and retries exceed their baseline."""
+        """Returns whether the cores could complete the first attempts, but not all attempts.
+
+        The retries must also exceed their baseline.
+        """
         capacity = STORM_LOAD * max(self.peak_rate, metrics.completion_rate)
         retry_threshold = metrics.baseline_retry_ratio + EXTRA_RETRY_RATIO
         return (
