--- a/lilacwalk/failover/capacity.py
+++ b/lilacwalk/failover/capacity.py
@@ -28,7 +28,7 @@
     name: str
     cores: float
     load: float
-    failover_targets: tuple[tuple[str, int], ...] = ()  # (site, path cost), as configured
+    failover_targets: tuple[tuple[str, int], ...] = ()  # (site, path cost in tenths of a ms)
 
     def spare_capacity(self, headroom: float) -> float:
         """Returns the cores free for failover load; `headroom` is the share kept unused."""
--- a/lilacwalk/failover/detector.py
+++ b/lilacwalk/failover/detector.py
@@ -15,9 +15,7 @@
 from lilacwalk.membership.messages import Health, NodeState
 
 HEALTHY_VIEW = Verdict.WHOLE  # the membership view shows this node on the majority side
-SATURATED_SHARE = (
-    0.9  # utilisation from which few completions indicate a slow site, not an idle one
-)
+SATURATED_SHARE = 0.9  # utilisation from which few completions mean a slow site, not an idle one
 REACHABLE = (Health.ALIVE, Health.SUSPECT)
 SERVING = (NodeState.READY, NodeState.WARMING)
 UNHEALTHY = (NodeState.UNHEALTHY, NodeState.STALLED)
--- a/lilacwalk/failover/local_priority.py
+++ b/lilacwalk/failover/local_priority.py
@@ -66,7 +66,7 @@
     """
 
     failover_sites: tuple[str, ...] = ()  # failed sites whose load this node takes
-    # by failed site: tenths of a ms until it is expected to take more of its own load
+    # by failed site: tenths of a ms until the site is expected to take more of its own load
     recovery_times: tuple[tuple[str, int], ...] = ()
     # calls per second to shared dependencies that this node may make; None: no limit
     call_limit: float | None = None
@@ -85,7 +85,7 @@
 
     arrivals: int = 0  # requests since the last step
     rate: float = 0.0  # mean requests per second
-    rejected_share: float = 0.0  # share of the requests to reject while the cores are busy
+    rejected_share: float = 0.0  # share of the requests to reject
     rejected_count: int = 0  # requests rejected so far
 
 
@@ -167,7 +167,7 @@
         return LocalRejection(self.draw_retry_after(source))
 
     def draw_retry_after(self, source: str) -> int:
-        """Returns a random retry-after time in tenths of a ms; 0: the response must not carry one.
+        """Returns a random retry-after time in tenths of a ms; 0: the response must carry none.
 
         The longest time lasts until capacity is expected, within the limits. Capacity is expected
         when the client's site takes its load again, or if that site has not failed, when the first
--- a/lilacwalk/failover/shedding.py
+++ b/lilacwalk/failover/shedding.py
@@ -3,10 +3,11 @@
 Two resources are scarce: the cores of each site and, for all sites together, the calls that a
 shared dependency can serve. Each share of work (a request class, from local clients or from those
 of a failed site) has a value per core-second and makes calls per core-second. Given a price for a
-call, each site admits the shares with the highest value less the price of their calls, and none for
-which this difference is zero or less. The price is the lowest at which the calls fit their limit;
-interpolating between the plans just above and just below this price meets the limit exactly. By
-Lagrangian duality this is the optimum of the linear programme, except for the minimum shares.
+call, each site admits the shares with the highest value less the price of their calls; if the price
+is above zero, it admits none for which this difference is zero or less. The price is the lowest at
+which the calls fit their limit; interpolating between the plans just above and just below this
+price meets the limit exactly. By Lagrangian duality this is the optimum of the linear programme,
+except for the minimum shares.
 
 The rules of admission apply here too: work that has begun is never rejected (the plan is for future
 requests); at equal value, work that can be retried (idempotent) is rejected before work that
--- a/lilacwalk/membership/claims.py
+++ b/lilacwalk/membership/claims.py
@@ -13,6 +13,7 @@
 from lilacwalk.membership.partitions import mark_partitioned_members
 from lilacwalk.membership.state_exchange import StateExchange
 
+# changes that become events and are gossiped with priority
 REPORTED_CHANGES = frozenset(Change) - {Change.UPDATED, Change.CONFIRMED}
 DEFAULT_REASON = "reported by another member"
 
--- a/lilacwalk/membership/conclusions.py
+++ b/lilacwalk/membership/conclusions.py
@@ -76,6 +76,7 @@
 
 
 def _isolation(statistics: ViewStatistics) -> Conclusion | None:
+    """Returns the verdict ALONE if no other member is present or sends datagrams, else None."""
     silent_intervals = statistics.silent_intervals
     if statistics.joining:
         return Conclusion(Verdict.ALONE, "no other member has answered yet")
@@ -87,6 +88,7 @@
 
 
 def _own_fault(statistics: ViewStatistics) -> Conclusion | None:
+    """Returns the verdict UNSURE if a fault of this node makes its view unreliable, else None."""
     unanswered = statistics.unanswered_probes
     if statistics.recovering_from_stall:
         return Conclusion(Verdict.UNSURE, "this process stalled and has not caught up yet")
@@ -97,6 +99,7 @@
 
 
 def _majority(statistics: ViewStatistics) -> Conclusion:
+    """Returns the verdict that follows from the share of the expected members that is present."""
     present, expected = statistics.present, statistics.expected
     counts = f"{present} of {expected} members present"
     if 2 * present < expected:
--- a/lilacwalk/membership/config.py
+++ b/lilacwalk/membership/config.py
@@ -42,16 +42,16 @@
     site: Name
     listen: Endpoint
     advertise: Endpoint | None = None  # address at which others reach this member; default: listen
-    key: str  # path; one hexadecimal key per line: the first seals datagrams, any opens them
+    # path of a file with one hexadecimal key per line: the first seals datagrams, any opens them
+    key: str
     seed: tuple[Seed, ...] = ()
     probe_interval: Annotated[int, unit("duration", ge=SECOND // 20, le=60 * SECOND)] = SECOND
     # time after which a member that died or left is forgotten
     forget: Annotated[int, unit("duration", ge=60 * SECOND, le=7 * 24 * 3600 * SECOND)] = (
         3600 * SECOND
     )
-    withdraw_share: Annotated[float, Meta(ge=0.0, le=1.0)] = (
-        0.34  # share of the serving members that may be withdrawn as unhealthy at the same time
-    )
+    # share of the serving members that may be withdrawn as unhealthy at the same time
+    withdraw_share: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.34
     members: Annotated[int, Meta(ge=2, le=20_000)] = 2_000  # limit on members in the view
     socket: str | None = None  # path of the admin socket, which `lilacwalk fleet show` queries
     store: str | None = None  # path of a directory; None: nothing is stored
--- a/lilacwalk/membership/datagram_reader.py
+++ b/lilacwalk/membership/datagram_reader.py
@@ -76,6 +76,7 @@
                 self.report_refused(f"socket error: {error.strerror}")
                 self.stopped.wait(ERROR_PAUSE_SECONDS)
             return None
+        # The transport shuts the socket down to wake this thread, which then reads no data.
         is_wake_up = not data and self.stopped.is_set()
         return None if is_wake_up else data
 
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -114,11 +114,11 @@
                 self.ping(self.node.view.members[suspect], now, out_of_turn=True)
 
     def suspicion_notice(self, member: Member) -> tuple[GossipUpdate, ...]:
-        """Returns the claim that a suspected or dead member may refute (Lifeguard); else empty."""
+        """Returns the claim that the member is suspected or dead (Lifeguard); empty if alive."""
         return (member.update(False),) if member.health is not Health.ALIVE else ()
 
     def handle_ack(self, datagram: Datagram) -> None:
-        """Ends the probe or relayed ping that an ack answers."""
+        """Ends the probe that an ack answers, or relays the ack to the sender of a ping-req."""
         relayed = self.probes.relayed_pings.pop(datagram.sequence, None)
         if relayed is not None:
             self.node.send(
@@ -137,7 +137,7 @@
             member.reached_via = datagram.sender if datagram.sender != probe.name else ""
 
     def handle_ping_req(self, datagram: Datagram, now: int) -> None:
-        """Pings a member on behalf of another one."""
+        """Pings a member on behalf of the sender of a ping-req."""
         target = self.node.view.get(datagram.target)
         if target is None:
             return
@@ -186,7 +186,7 @@
         self._suspected_at.append(now)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions in the last ten probe intervals, and their earlier mean in ten."""
+        """Returns the number of suspicions in the last ten intervals, and its earlier mean."""
         span = SUSPICION_RATE_INTERVALS * self.node.interval
         recent = sum(now - at <= span for at in self._suspected_at)
         earlier_span = max(span, now - self.started_at - span)
@@ -236,6 +236,7 @@
         self.node.send(member.address, MessageType.PING, sequence, first_updates=notice)
 
     def _retry(self, probe: Probe) -> None:
+        """Pings the member once more, and requests a few helpers to ping it."""
         member = self.node.view.get(probe.name)
         if member is None or member.health not in PRESENT_HEALTH:
             return
@@ -246,6 +247,7 @@
             self.node.send(helper.address, MessageType.PING_REQ, probe.sequence, target=probe.name)
 
     def _handle_failure(self, probe: Probe, now: int) -> None:
+        """Suspects the member, unless the fault is likely in this node or in one direction."""
         member = self.node.view.get(probe.name)
         self.node.counts["failed_probes"] += 1
         if member is None or member.health not in PRESENT_HEALTH:
@@ -264,6 +266,7 @@
             self._suspect(member, now)
 
     def _suspect(self, member: Member, now: int) -> None:
+        """Starts a suspicion, or confirms one that another member reported."""
         update = with_report(member.update(False), self.node.name, Health.SUSPECT)
         suspicion = self.suspicions.get(member.name)
         if suspicion is not None and suspicion.concerns(member.precedence):
--- a/lilacwalk/membership/host.py
+++ b/lilacwalk/membership/host.py
@@ -42,7 +42,7 @@
 
 EVALUATION_INTERVAL = 2_000  # tenths of a millisecond between two periodic evaluations
 EVENTS_PER_ITERATION = 64  # events handled between two readings of the clock
-LEAVE_ROUNDS = 3  # announcements of a leave, so that packet loss does not make it look like a crash
+LEAVE_ROUNDS = 3  # announcements of a leave: were all of them lost, it would look like a crash
 LEAVE_PAUSE_SECONDS = 0.05  # between two announcements
 RANDOM_SEED_BYTES = 8
 NANOSECONDS_PER_TENTH_MS = 100_000
--- a/lilacwalk/membership/local_node.py
+++ b/lilacwalk/membership/local_node.py
@@ -23,7 +23,7 @@
 )
 from lilacwalk.membership.view import MembershipView
 
-MAX_EVENTS = 256  # recent events kept for operators
+MAX_EVENTS = 256  # recent events that operators can query
 METRICS_INTERVALS = 4  # probe intervals between two published updates of metrics
 MEMBERS_PER_METRICS_SPACING = 50  # a fleet n times this size publishes metrics n times less often
 
--- a/lilacwalk/membership/messages.py
+++ b/lilacwalk/membership/messages.py
@@ -100,7 +100,7 @@
     port: Port
     version: Unsigned32
     state: NodeState = NodeState.COLD
-    withdrawn: bool = False  # the member has withdrawn its announcements as unhealthy
+    withdrawn: bool = False  # whether the member has withdrawn its routes as unhealthy
     cores: Unsigned32 = 0
     completed_per_second: Unsigned32 = 0  # requests
     load_permille: Permille = 0  # utilisation of the cores
--- a/lilacwalk/membership/probing.py
+++ b/lilacwalk/membership/probing.py
@@ -64,7 +64,7 @@
     rng: random.Random
     interval: int
     rotation: list[str] = field(default_factory=list)  # the next target is the last element
-    rotation_members: set[str] = field(default_factory=set)  # all names since the last shuffle
+    rotation_members: set[str] = field(default_factory=set)  # all in it since the last shuffle
     view_version: int = -1  # version of the view when newcomers were last inserted
     probes: dict[int, Probe] = field(default_factory=dict)
     relayed_pings: dict[int, RelayedPing] = field(default_factory=dict)
@@ -137,7 +137,7 @@
         return any(probe.name == name for probe in self.probes.values())
 
     def acknowledge(self, sequence: int) -> Probe | None:
-        """Ends the probe that an ack answers; returns None if it is unknown or has failed."""
+        """Ends and returns the probe that an ack answers; None if it is unknown or has failed."""
         probe = self.probes.pop(sequence, None)
         if probe is not None and not probe.out_of_turn:
             self.adjust_health_multiplier(-1)
--- a/lilacwalk/membership/receiving.py
+++ b/lilacwalk/membership/receiving.py
@@ -82,7 +82,7 @@
     def _reply(self, datagram: Datagram, member: Member | None, now: int) -> None:
         match datagram.message_type:
             case MessageType.PING:
-                # A suspected or dead sender receives the claim about it and can refute it.
+                # A suspected or dead sender receives the claim about itself and can refute it.
                 notice = self.detector.suspicion_notice(member) if member else ()
                 self.node.send(
                     datagram.reply_address, MessageType.ACK, datagram.sequence, first_updates=notice
--- a/lilacwalk/membership/state_exchange.py
+++ b/lilacwalk/membership/state_exchange.py
@@ -27,9 +27,7 @@
 from lilacwalk.membership.probing import ProbeScheduler
 
 MAX_PARTS_PER_INTERVAL = 256  # serves 250 newcomers to a small fleet, or 4 to a large one
-MAX_NEW_SENDERS_PER_INTERVAL = (
-    16  # new senders whose state is requested; others later, or by gossip
-)
+MAX_NEW_SENDERS_PER_INTERVAL = 16  # state requests to new senders; others are made later
 MAX_NOTICES_PER_INTERVAL = 64  # members that are notified that others consider them dead
 MAX_PARTS = 64  # datagrams of one state reply or push
 DIFFERENCE_INTERVALS = 3  # probe intervals before a request: gossip resolves most differences
@@ -57,13 +55,13 @@
         """Starts with full budgets; `probes` supplies sequence numbers and health multiplier."""
         self.node = node
         self.probes = probes
-        self.digests: dict[str, PeerDigest] = {}
-        self.differs_since: dict[str, int] = {}
+        self.digests: dict[str, PeerDigest] = {}  # by member
+        self.differs_since: dict[str, int] = {}  # by member whose digest differs
         self.last_request_at = now - DIFFERENCE_INTERVALS * node.interval
         self.parts_left = MAX_PARTS_PER_INTERVAL
         self.new_senders_left = MAX_NEW_SENDERS_PER_INTERVAL
         self.notices_left = MAX_NOTICES_PER_INTERVAL
-        self.budget_until = now
+        self.budget_until = now  # time of the next renewal of the budgets
 
     def compare_digest(self, member: Member, digest: int, now: int) -> None:
         """Records the digest of a member's view, and since when it differs from this view."""
@@ -133,7 +131,10 @@
             self.request(self.node.view.members[name].address, now)
 
     def notify_of_reported_death(self, member: Member, update: GossipUpdate, now: int) -> None:
-        """Sends a member the claim that it is dead, for it to refute; does so within the budget."""
+        """Sends a member the claim that it is dead, unless the budget is spent.
+
+        The member then refutes the claim.
+        """
         self._renew_budget(now)
         if self.notices_left > 0:
             self.notices_left -= 1
--- a/lilacwalk/membership/swim.py
+++ b/lilacwalk/membership/swim.py
@@ -43,6 +43,7 @@
     forget. All calls come from one thread.
     """
 
+    # replaced in variants of the protocol, with which benchmarks compare this one
     failure_detector_type = FailureDetector
     state_exchange_type = StateExchange
 
@@ -132,7 +133,7 @@
         return self.assessment.may_withdraw(now, verdict)
 
     def suspicion_rate(self, now: int) -> tuple[int, float]:
-        """Returns the suspicions in the last ten probe intervals, and their earlier mean in ten."""
+        """Returns the number of suspicions in the last ten intervals, and its earlier mean."""
         return self.failure_detector.suspicion_rate(now)
 
     # Output for the host
--- a/lilacwalk/protocols/dependency_client.py
+++ b/lilacwalk/protocols/dependency_client.py
@@ -53,9 +53,8 @@
         self.limits = limits
         self.event_queue = event_queue
         self.on_call_finished: CallFinishedHandler
-        self.lock = (
-            threading.Lock()
-        )  # serializes starting and abandoning calls, and closing sockets
+        # serializes the start and the abandonment of calls, and the closing of sockets
+        self.lock = threading.Lock()
         self.idle_connections: deque[DependencyConnection] = deque()  # longest idle first
         self.connection_count = 0
         self.queued_calls: deque[DependencyCall] = deque()  # waiting for a connection
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -1,8 +1,8 @@
 """Damps retry storms on one node. No I/O.
 
-The damper receives attempts, connects and completions. It decides which attempts are rejected
-before they reach the controller, and when their clients may retry. In the normal stage it rejects
-nothing and leaves admission to the controller.
+The damper is notified of attempts, new connections and completions. It decides which attempts are
+rejected before they reach the controller, and when their clients may retry. In the normal stage it
+rejects nothing and leaves admission to the controller.
 """
 
 from __future__ import annotations
--- a/lilacwalk/retry_storms/metrics.py
+++ b/lilacwalk/retry_storms/metrics.py
@@ -1,4 +1,4 @@
-"""Measures attempts, retries and connects a second against their baseline. No I/O.
+"""Measures attempts, retries and new connections a second against their baseline. No I/O.
 
 An attempt counts as a retry if its client marks it or if its fingerprint was seen within a window.
 New requests that look alike (such as polls with an empty body) therefore count as retries too. For
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """Normal rates: attempts a second, the share of retries among them, connects a second."""
+    """Normal attempts a second, share of retries among them, and new connections a second."""
 
     attempt_rate: float = 0.0
     retry_ratio: float = 0.0
--- a/lilacwalk/retry_storms/retry_budget.py
+++ b/lilacwalk/retry_storms/retry_budget.py
@@ -47,9 +47,8 @@
         self._ratio = ratio
         self._decayed_at = now
         self._budgets: dict[Hashable, float] = {}  # by request class
-        self._completion_rates: dict[
-            Hashable, float
-        ] = {}  # completions per second, which limit a budget
+        # completions per second by request class, which limit its budget
+        self._completion_rates: dict[Hashable, float] = {}
         self._idle_allowance = 0.0  # retries a step that idle cores admit beyond the budget
         self._idle_left = 0.0  # part of this allowance that is left in the current step
 
