--- a/lilacwalk/membership/host.py
+++ b/lilacwalk/membership/host.py
@@ -45,7 +45,7 @@
 LEAVE_ROUNDS = 3  # announcements of a leave: were all of them lost, it would look like a crash
 LEAVE_PAUSE_SECONDS = 0.05  # between two announcements
 RANDOM_SEED_BYTES = 8
-NANOSECONDS_PER_TENTH_MS = 100_000
+NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 
     def now(self) -> int:
         """Returns the elapsed time in tenths of a millisecond."""
-        return self.clock() // NANOSECONDS_PER_TENTH_MS
+        return self.clock() // NANOSECONDS_PER_TICK
 
     # Called from other threads
 
