--- a/lilacwalk/failover/config.py
+++ b/lilacwalk/failover/config.py
@@ -141,6 +141,7 @@
 
 
 def _repeated(keyword: str, names: Iterable[str]) -> list[tuple[str, str]]:
+    """Returns an error for each name that occurs more than once."""
     return [
         (keyword, f"{name} only once, not {times} times")
         for name, times in Counter(names).items()
--- a/lilacwalk/failover/node_plan.py
+++ b/lilacwalk/failover/node_plan.py
@@ -357,7 +357,7 @@
         return min(own, reported[len(reported) // 2])
 
     def _serves_own_site(self, share: float, nodes: list[NodeView]) -> bool:
-        """Returns whether this node is among its site's first nodes by rank that `share` needs."""
+        """Returns whether this node is among the first by rank, which serve `share` of its site."""
         if share >= 1:
             return True
         ranked = sorted(
--- a/lilacwalk/frontends/devices.py
+++ b/lilacwalk/frontends/devices.py
@@ -225,6 +225,7 @@
             self._remove_if_idle(client)
 
     def _remove_if_idle(self, client: DeviceConnection) -> None:
+        """Removes a client connection that has no request in flight."""
         if not client.open_requests:
             self.clients.pop(client.session, None)
 
--- a/lilacwalk/frontends/interface.py
+++ b/lilacwalk/frontends/interface.py
@@ -27,7 +27,7 @@
 
     @property
     def advertised_capacity(self) -> float | None:
-        """The load report that is sent with each response, or None if it is not known yet."""
+        """The capacity that each response reports, or None if it is not known yet."""
         ...
 
     @property
--- a/lilacwalk/membership/incarnation.py
+++ b/lilacwalk/membership/incarnation.py
@@ -114,6 +114,7 @@
         return self._yield_to(claim)
 
     def _refute(self, claim: GossipUpdate) -> ClaimOutcome:
+        """Answers a claim about this process itself; refutes a suspicion or death."""
         if (claim.incarnation, claim.refutation) < (self.incarnation, self.refutation):
             return ClaimOutcome.IGNORED
         if claim.health is Health.ALIVE or self.health is Health.LEFT:
@@ -125,6 +126,7 @@
         return ClaimOutcome.REFUTED
 
     def _supersede(self, claim: GossipUpdate) -> ClaimOutcome:
+        """Answers a claim about another process by taking a higher incarnation, if there is one."""
         if claim.incarnation >= MAX_INCARNATION:
             if self.instance < claim.instance:  # no higher incarnation exists: instances decide
                 return self._yield_to(claim)
--- a/lilacwalk/membership/join.py
+++ b/lilacwalk/membership/join.py
@@ -69,6 +69,7 @@
             self.exchange.request(self.node.rng.choice(sorted(addresses)), now)
 
     def _addresses(self) -> set[Address]:
+        """Returns the addresses at which the fleet or a lost member may be found."""
         present = {member.address for member in self.node.view.present}
         config = self.node.config
         addresses = {seed for seed in config.seeds if seed != config.address} - present
@@ -79,6 +80,7 @@
         return addresses
 
     def _next_attempt(self, now: int) -> int:
+        """Returns the time at which the next attempt is due."""
         if not self.has_joined:
             return now
         is_recent = now - self.last_loss_at < RECENT_LOSS_INTERVALS * self.node.interval
--- a/lilacwalk/membership/member_store.py
+++ b/lilacwalk/membership/member_store.py
@@ -91,7 +91,7 @@
         return self.schedule.state
 
     def load(self) -> StoredMembership:
-        """Starts opening the store; returns its content, or an empty one if the disk is slow."""
+        """Starts opening the store; returns its content, or none if the disk is slow or fails."""
         if self.path is None:
             return StoredMembership()
         threading.Thread(target=self._open, name="fleet-store", daemon=True).start()
--- a/lilacwalk/membership/probing.py
+++ b/lilacwalk/membership/probing.py
@@ -202,7 +202,7 @@
         return min(times)
 
     def shift_deadlines(self, stalled_for: int) -> None:
-        """Defers all deadlines by a stall, during which this process could not read answers."""
+        """Defers all deadlines by the time of a stall, in which this process read no answers."""
         self.next_round_at += stalled_for
         for probe in self.probes.values():
             probe.deadline += stalled_for
--- a/lilacwalk/protocols/dependency_connection.py
+++ b/lilacwalk/protocols/dependency_connection.py
@@ -100,6 +100,7 @@
         self._close()
 
     def _make_call(self, call: DependencyCall) -> tuple[Outcome, bytes]:
+        """Makes a call; returns its outcome and the body of the reply."""
         needs_new_connection = (
             call.at_most_once
             or call.request_id == self.last_request_id
