--- a/lilacwalk/failover/detector.py
+++ b/lilacwalk/failover/detector.py
@@ -69,7 +69,7 @@
         site: name of the site.
         members: all members of the fleet.
         conclusion: the membership view's conclusion on which side of a partition this node is.
-        baseline_rate: requests a second that the site completes when healthy; 0: not known.
+        baseline_rate: requests per second that the site completes when healthy; 0: not known.
     """
     known = [each for each in members if each.site == site and each.health is not Health.LEFT]
     reachable = [each for each in known if each.health in REACHABLE]
--- a/lilacwalk/frontends/interface.py
+++ b/lilacwalk/frontends/interface.py
@@ -22,12 +22,12 @@
 
     @property
     def is_healthy(self) -> bool:
-        """The status that health checks report."""
+        """Whether health checks report this server as healthy."""
         ...
 
     @property
     def advertised_capacity(self) -> float | None:
-        """The load report that is sent with each response, or None if it is not known yet."""
+        """The capacity that each response reports, or None if it is not known yet."""
         ...
 
     @property
@@ -36,10 +36,10 @@
         ...
 
     def submit(self, client: ClientConnection, tag: int, incoming: IncomingRequest, /) -> str:
-        """Accepts a request under the client's tag, which must not be in use.
+        """Takes over a request; the response carries the tag, which must not be in use.
 
         Returns:
-            Why the request is malformed; empty if it was accepted or answered.
+            The reason why the request is malformed; empty if it was accepted or answered.
         """
         ...
 
--- a/lilacwalk/protocols/dependency_client.py
+++ b/lilacwalk/protocols/dependency_client.py
@@ -53,9 +53,8 @@
         self.limits = limits
         self.event_queue = event_queue
         self.on_call_finished: CallFinishedHandler
-        self.lock = (
-            threading.Lock()
-        )  # serializes starting and abandoning calls, and closing sockets
+        # serializes the start and the abandonment of calls, and the closing of sockets
+        self.lock = threading.Lock()
         self.idle_connections: deque[DependencyConnection] = deque()  # longest idle first
         self.connection_count = 0
         self.queued_calls: deque[DependencyCall] = deque()  # waiting for a connection
@@ -121,9 +120,9 @@
             self.idle_connections.append(connection)
 
     def close_idle(self, idle_since: int) -> None:
-        """Closes connections that became idle before `idle_since`.
+        """Closes connections that became idle before the time `idle_since`.
 
-        This side closes an idle connection earlier than the peer does.
+        The owner passes a time such that this side closes an idle connection before the peer does.
         """
         while self.idle_connections and self.idle_connections[0].idle_since < idle_since:
             self.idle_connections.popleft().calls.put(None)
