--- a/lilacwalk/storage/__init__.py
+++ b/lilacwalk/storage/__init__.py
@@ -9,8 +9,9 @@
 - `state` holds the rows that result from replaying the records.
 - `effect_log` decides which requests with an effect may run.
 - `ownership` decides whether a node may use a directory.
-- `operations` defines the types that the journal exchanges with the store and its users.
-- `records` is the codec.
+- `operations` defines the types that the journal, the store and the store's callers exchange.
+- `records` encodes and decodes records and files.
+- `config` defines the operator's settings.
 
 `disk` is the interface to files, `store` the thread that runs the journal on a disk, and
 `compaction` compacts a closed store for the operator.
--- a/lilacwalk/storage/compaction.py
+++ b/lilacwalk/storage/compaction.py
@@ -20,23 +20,23 @@
     row_count: int
 
 
-def compact(disk: Disk, wall: int) -> CompactionResult:
-    """Writes a snapshot of the rows that have not expired and removes the files that it replaces.
+def compact(disk: Disk, unix_now: int) -> CompactionResult:
+    """Writes snapshots of the rows that have not expired and removes the files that they replace.
 
-    No process may have the store open. `wall` is Unix time in tenths of a ms.
+    No other process may have the store open. `unix_now` is Unix time in tenths of a ms.
 
     Raises:
         OSError: the disk cannot be read or written.
     """
     bytes_before = _used_bytes(disk)
     row_count = 0
-    # The store keeps two snapshots. Only once both are new are the older logs obsolete.
+    # The store retains two snapshots. The older logs become obsolete only when both are new.
     for _ in range(2):
         journal = open_journal(
             disk, Durability.SYNCED, JournalLimits(batch_delay=0, snapshot_after_bytes=0), 0
         ).journal
-        for table, key in journal.state.expired_keys(wall, len(journal.state)):
-            journal.append(WriteRequest(table, key, None, 0, wall), 0)
+        for table, key in journal.state.expired_keys(unix_now, len(journal.state)):
+            journal.append(WriteRequest(table, key, None, 0, unix_now), 0)
         _write_snapshot(disk, journal)
         row_count = len(journal.state)
     return CompactionResult(bytes_before, _used_bytes(disk), row_count)
@@ -55,10 +55,12 @@
         journal.operation_done(0)
         if operation.kind is OperationKind.PUBLISH:
             is_published = True
-            journal.limits = JournalLimits(batch_delay=0)  # prevents a second snapshot
+            # The default `snapshot_after_bytes` instead of 0 prevents a second snapshot.
+            journal.limits = JournalLimits(batch_delay=0)
 
 
 def _used_bytes(disk: Disk) -> int:
+    """Returns the total size of the log files and snapshots."""
     return sum(
         len(disk.read(name))
         for name in disk.list_files()
--- a/lilacwalk/storage/config.py
+++ b/lilacwalk/storage/config.py
@@ -1,7 +1,7 @@
 """The operator's settings of the store, checked by `operator/` when they are read.
 
-Times are in tenths of a millisecond, sizes in bytes. Where the keyword in the operator's file
-differs from the name of the field, the field's `keyword` gives it.
+Times are in tenths of a millisecond, sizes in bytes. Where a field's metadata has a `keyword`, the
+operator's file uses it in place of the field's name.
 """
 
 from __future__ import annotations
@@ -15,23 +15,30 @@
 
 
 def unit(name: str, keyword: str, *, ge: int, le: int) -> Meta:
-    """Returns a field's metadata: its unit, its keyword in the operator's file, and its limits."""
+    """Returns a field's metadata.
+
+    Args:
+        name: unit in which the operator's file states the value.
+        keyword: keyword of the field in the operator's file.
+        ge: smallest permitted value.
+        le: largest permitted value.
+    """
     return Meta(extra={"unit": name, "keyword": keyword}, ge=ge, le=le)
 
 
 class StorageConfig(Struct, frozen=True, kw_only=True):
-    """The block `store`.
+    """The block `store` of the operator's file.
 
     Attributes:
         directory: path of the directory that holds the store's files.
         durability: when a record counts as persisted, see `operations.Durability`.
-        max_bytes: maximum total size of the files.
+        max_bytes: the store refuses records while its files need at least this size.
         unpersisted_effects: how requests with an effect are handled while they cannot be persisted:
             `refused`, or `marked`, which runs them although a crash may lose the record of them.
         effect_retention: how long the record of a non-idempotent request is valid; with an
             idempotency key, the deduplication window of the request class applies instead.
         learned_half_life: age at which the weight of a learned value is halved.
-        damping_retention: for how long flap penalties and recovery stages of sites are valid.
+        damping_retention: how long flap penalties and recovery stages of sites are valid.
         socket: path of the admin socket that `lilacwalk storage show` queries.
     """
 
--- a/lilacwalk/storage/disk.py
+++ b/lilacwalk/storage/disk.py
@@ -18,7 +18,7 @@
     refusal_reason,
 )
 
-PARTIAL_SUFFIX = ".new"  # suffix of an incomplete file; `publish` renames the file without it
+PARTIAL_SUFFIX = ".new"  # marks an incomplete file; `publish` removes the suffix
 QUARANTINE_PREFIX = "aside-"
 
 
@@ -63,18 +63,18 @@
 
 
 class Directory:
-    """A directory of the real file system.
+    """Implements `Disk` on a directory of the file system.
 
-    Owns the open files: at most one log file and one partial snapshot at a time. The directory is
-    synced whenever a name in it changes.
+    At most one log file and one partial snapshot are open at a time. The directory is synced
+    whenever a file is created or renamed.
     """
 
     def __init__(self, path: str) -> None:
         """Creates the directory if it does not exist. Raises OSError."""
         self.path = Path(path)
         self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self._open_files: dict[str, int] = {}
-        self._lock: int | None = None
+        self._open_files: dict[str, int] = {}  # file descriptors by name
+        self._lock_descriptor: int | None = None
 
     def list_files(self) -> list[str]:
         """Returns the names of all files, sorted."""
@@ -87,45 +87,48 @@
     def claim(self, node: str) -> None:
         """Locks the directory for this process until `close`, and records `node` as its owner.
 
-        Reading does not need a claim.
+        Files can be read without a claim.
 
         Raises:
-            OwnershipError: another node or process or a later version owns the directory, or it
-                holds files of other programs.
+            OwnershipError: another node owns the directory, another process has locked it, its
+                format is later than this program supports, or it holds files of other programs.
             OSError: the directory cannot be read or written.
         """
-        lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
+        descriptor = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
-            os.close(lock)
+            os.close(descriptor)
             raise OwnershipError(self.path, "is in use by another process") from error
         names = [name for name in self.list_files() if name != LOCK_FILE]
         owner_bytes = self.read(OWNER_FILE) if OWNER_FILE in names else None
         if reason := refusal_reason(owner_bytes, node, names):
-            os.close(lock)
+            os.close(descriptor)
             raise OwnershipError(self.path, reason)
-        self._lock = lock
+        self._lock_descriptor = descriptor
         if owner_bytes is None:
             self.create(OWNER_FILE + PARTIAL_SUFFIX, encode_owner(node))
             self.publish(OWNER_FILE)
 
     def create(self, name: str, data: bytes) -> None:
-        """Creates a file and closes the open log file or partial snapshot that it succeeds."""
+        """Creates a file that holds `data`, replacing any file of that name.
+
+        Closes the open file of the same kind, which is either a log file or a partial snapshot.
+        """
         is_partial = name.endswith(PARTIAL_SUFFIX)
         for other in list(self._open_files):
             if other.endswith(PARTIAL_SUFFIX) == is_partial:
                 self._close_file(other)
-        self._write(self._file(name, os.O_TRUNC), data)
+        self._write(self._descriptor_of(name, os.O_TRUNC), data)
         self._sync_directory()
 
     def append(self, name: str, data: bytes) -> None:
         """Appends to a file, opening it if necessary."""
-        self._write(self._file(name), data)
+        self._write(self._descriptor_of(name), data)
 
     def sync(self, name: str) -> None:
         """Flushes a file to the disk and returns when its content is durable."""
-        os.fsync(self._file(name))
+        os.fsync(self._descriptor_of(name))
 
     def publish(self, name: str) -> None:
         """Syncs the file `name` + PARTIAL_SUFFIX, then renames it to `name`."""
@@ -154,12 +157,15 @@
         """Closes all files and releases the lock on the directory."""
         for name in list(self._open_files):
             self._close_file(name)
-        if self._lock is not None:
-            os.close(self._lock)
-            self._lock = None
+        if self._lock_descriptor is not None:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = None
+
+    def _descriptor_of(self, name: str, flags: int = 0) -> int:
+        """Returns the descriptor of a file, opening it for appending if necessary.
 
-    def _file(self, name: str, flags: int = 0) -> int:
-        """Returns the descriptor of a file, opening it if necessary."""
+        With O_TRUNC in `flags`, an open file is reopened, which truncates it to 0 bytes.
+        """
         descriptor = self._open_files.get(name)
         if descriptor is None or flags & os.O_TRUNC:
             self._close_file(name)
--- a/lilacwalk/storage/effect_log.py
+++ b/lilacwalk/storage/effect_log.py
@@ -3,8 +3,8 @@
 A request that must not run twice is persisted before it runs. A duplicate of a persisted request
 never runs: it is answered from the persisted result, or fails if there is none.
 
-While requests cannot be persisted, the setting `unpersisted_effects` decides: they are refused, or
-run with the risk that a crash loses the record of them and a duplicate runs again.
+While requests cannot be persisted, the setting `unpersisted_effects` decides whether they are
+refused or run. If one runs and a crash loses its record, a duplicate of it runs again.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
     OPENING = "opening"  # rows of earlier processes are not read yet; effects are not persisted
     PERSISTING = "kept"  # effects are as durable as configured
-    SLOW = "slow"  # in SLOW and the states below, effects count as not persisted
-    FULL = "full"
+    SLOW = "slow"  # the disk is slow: rows are written, but reported as not persisted
+    FULL = "full"  # in FULL and the states below, effects are not persisted
     READ_ONLY = "read-only"
     FAILED = "failed"
     REFUSED = "refused"  # this node may not use the directory; this process does not retry
@@ -48,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RowUpdate:
-    """A row to set, or to remove if `value` is None; `expires_at`: Unix time in tenths of a ms."""
+    """A row to set, or to remove if `value` is None.
+
+    `expires_at` is Unix time in tenths of a ms; 0 if the row never expires.
+    """
 
     table: Table
     key: bytes
@@ -66,7 +69,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredEffect:
-    """A request that an earlier process began; `result` is None if its outcome is unknown."""
+    """A request that an earlier process began.
+
+    Attributes:
+        cache_key: identifies the request.
+        result: the encoded result; None if the outcome of the request is unknown.
+        expires_at: Unix time in tenths of a ms, on the clock of this process.
+    """
 
     cache_key: CacheKey
     result: bytes | None
@@ -75,7 +84,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectLogChange:
-    """An event to log: a new state, or CLOCK_SET_BACK in `state` if the clock was set back."""
+    """An event to log: a new state, or the detection that the clock was set back.
+
+    `state` is the `EffectLogState`, or CLOCK_SET_BACK if the clock was set back.
+    """
 
     state: str
     reason: str
@@ -93,7 +105,7 @@
         allows_unpersisted: whether effects run while they cannot be persisted.
         state: whether effects are persisted.
         reason: why the log is in this state.
-        changes: changes that the owner has not reported yet.
+        changes: events that the event loop has not logged yet.
         pending: requests being persisted, at most as many as are in flight.
         unpersisted_count: number of effects that ran without being persisted.
     """
@@ -114,21 +126,22 @@
 
     # Calls from the store
 
-    def recover(self, rows: list[Record], wall: int) -> list[RecoveredEffect]:
-        """Returns the requests of earlier processes that have not expired at Unix time `wall`.
+    def recover(self, rows: list[Record], unix_now: int) -> list[RecoveredEffect]:
+        """Returns the requests of earlier processes that have not expired.
 
-        Rows written after `wall` are accepted, because a clock that was set back must not hide an
-        effect that may have happened. The expiry of all rows is then moved back by the same time,
-        so that the retention continues from the newest row.
+        `unix_now` is the current Unix time in tenths of a ms. Rows written after it are accepted,
+        because a clock that was set back must not hide an effect that may have happened. In this
+        case `clock_set_back` is subtracted from the expiry of all rows, so that their retention
+        continues as if the newest row had been written now.
         """
-        set_back = clock_set_back(rows, wall)
+        set_back = clock_set_back(rows, unix_now)
         if set_back:
             reason = f"by at least {set_back // SECOND} s"
             self.changes.append(EffectLogChange(CLOCK_SET_BACK, reason))
         found: dict[CacheKey, RecoveredEffect] = {}
         for row in sorted(rows, key=lambda row: row.table):  # RESULTS rows replace BEGAN rows
             effect = _decode_effect(row, row.expires_at - set_back)
-            if effect is not None and effect.expires_at > wall:
+            if effect is not None and effect.expires_at > unix_now:
                 found[effect.cache_key] = effect
         self._change_state(
             EffectLogState.PERSISTING, f"recovered {len(found)} effects of earlier processes"
@@ -141,7 +154,7 @@
         self._change_state(state, reason)
 
     def journal_mode_changed(self, mode: JournalMode, reason: str) -> None:
-        """Follows a change of the journal's mode."""
+        """Sets the state that corresponds to the journal's new mode."""
         is_normal = mode is JournalMode.NORMAL
         state = EffectLogState.PERSISTING if is_normal else EffectLogState(mode.value)
         self._change_state(state, reason)
@@ -155,7 +168,10 @@
     # Calls for a request
 
     def begin(self, cache_key: CacheKey, expires_at: int) -> BeginResult:
-        """Decides whether a request may run now, must be persisted first, or is refused."""
+        """Decides whether a request may run now, must be persisted first, or is refused.
+
+        `expires_at`: Unix time in tenths of a ms at which the request's row expires.
+        """
         if self.state not in (EffectLogState.PERSISTING, EffectLogState.SLOW):
             return BeginResult(self._decide_unpersisted())
         self.pending[cache_key] = None
@@ -164,7 +180,10 @@
         return BeginResult(EffectDecision.WAIT, update)
 
     def persisted(self, cache_key: CacheKey, is_persisted: bool) -> EffectDecision:
-        """Decides whether a request may run, once the store has reported on its row."""
+        """Decides whether a request may run, after the store reported whether its row is persisted.
+
+        Returns RUN or REFUSE.
+        """
         self.pending.pop(cache_key, None)
         return EffectDecision.RUN if is_persisted else self._decide_unpersisted()
 
@@ -175,9 +194,10 @@
         return EffectDecision.RUN
 
     def finish(self, cache_key: CacheKey, result: bytes | None, expires_at: int) -> list[RowUpdate]:
-        """Returns the rows to write for a request that has ended.
+        """Returns the rows to write for a request that has ended with the encoded `result`.
 
-        Without a result the BEGAN row stays, because the request may have had its effect.
+        If `result` is None, the BEGAN row is retained, because the request may have had its effect.
+        `expires_at`: Unix time in tenths of a ms at which the result expires.
         """
         if result is None:
             return []
@@ -195,7 +215,10 @@
 
 
 def _decode_effect(row: Record, expires_at: int) -> RecoveredEffect | None:
-    """Returns None if the row is of another table or cannot be decoded."""
+    """Returns the request of a row; None if its table is not of requests or it cannot be decoded.
+
+    `expires_at` replaces the row's own expiry.
+    """
     value = row.value or b""
     try:
         match row.table:
--- a/lilacwalk/storage/journal.py
+++ b/lilacwalk/storage/journal.py
@@ -1,14 +1,13 @@
 """Decides when records are written, synced and acknowledged, and when files change. No I/O.
 
-The journal returns the next disk operation, and the caller reports whether it succeeded. One
-operation is in progress at a time. Records that arrive meanwhile form the next batch, so that
-batches grow with the disk's latency (group commit). A batch waits at most `batch_delay` for more
-records.
+The journal returns the next disk operation, and the caller reports whether it succeeded. At most
+one operation is in progress. Records that arrive meanwhile form the next batch, so that batches
+grow with the disk's latency (group commit). A batch waits at most `batch_delay` for more records.
 
-In the modes FULL, READ_ONLY and FAILED nothing is written and records are refused; after
-DISK_RETRY_DELAY the disk is tried again. A failed write leaves a gap in the log, and recovery does
+In the modes FULL, READ_ONLY and FAILED the journal writes nothing and refuses records; after
+DISK_RETRY_DELAY it tries the disk again. A failed write leaves a gap in the log, and recovery does
 not read beyond a gap. Only a snapshot of all rows makes the files complete again, so the journal
-writes one before any further batch.
+writes a snapshot before any further batch.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 from lilacwalk.storage.recovery import LOG_PREFIX, SNAPSHOT_PREFIX
 from lilacwalk.storage.snapshot_writer import SnapshotWriter
 from lilacwalk.storage.state import State
-from lilacwalk.storage.store_files import StoreFiles, number_in
+from lilacwalk.storage.store_files import StoreFiles, sequence_number_in
 
 DISK_RETRY_DELAY = 5 * SECOND  # a full disk rarely gets free space sooner
 MODES_BY_ERRNO = {
@@ -45,10 +44,10 @@
 
 
 class Journal:
-    """State of the log: the batch, and the last records that are written and synced.
+    """State of the log: the current batch, the operation in progress, the files and the rows.
 
-    Owns the list of files and, once the store has started, the rows (`state`). All times are
-    elapsed time in tenths of a ms, except those in rows, which are Unix time.
+    Once the store has started, only the store's thread may access the journal and its `state`.
+    Times are elapsed time in tenths of a ms, except those in rows, which are Unix time.
     """
 
     def __init__(
@@ -61,14 +60,24 @@
         limits: JournalLimits,
         now: int,
     ) -> None:
-        """Continues the log that recovery found; see `recovery.RecoveryResult`."""
+        """Continues the log after a recovery.
+
+        Args:
+            state: the recovered rows.
+            next_sequence: sequence number of the next record.
+            log_bytes: see `recovery.RecoveryResult`.
+            file_names: names of all files in the directory.
+            durability: when a record counts as persisted.
+            limits: see `JournalLimits`.
+            now: current time.
+        """
         self.state = state
         self.next_sequence = next_sequence
         self.durability = durability
         self.limits = limits
         self.mode = JournalMode.NORMAL
         self.mode_changes: list[ModeChange] = []
-        self._mode_since = now
+        self._mode_since = now  # time of the last mode change or failed retry
         self.files = StoreFiles(file_names, log_bytes)
         # The batch, and the records that are not persisted yet
         self.batch: list[bytes] = []
@@ -81,16 +90,20 @@
         self._operation: DiskOperation | None = None
         self._operation_since = now
         self._appended_sequence = 0  # last record of the append operation in progress
-        self._has_unsynced = False
-        self.snapshot: SnapshotWriter | None = None
+        self._has_unsynced_records = False
+        self.snapshot: SnapshotWriter | None = None  # snapshot being written
         self._has_log_gap = False  # a failed write left a gap in the log
 
-    # Writers
+    # Records and acknowledgements
 
     def append(self, write: WriteRequest, now: int) -> bool:
-        """Adds a record to the batch; its token is acknowledged once it is as durable as requested.
+        """Adds a record to the batch.
+
+        If the record has a token, `take_acknowledgements` returns its acknowledgement when the
+        record is as durable as configured, or when the disk has failed or is too slow.
 
-        Returns False if the record is refused: it is then never persisted.
+        Returns:
+            False if the record is refused: it is never persisted and never acknowledged.
         """
         if not self._accepts_records():
             return False
@@ -114,39 +127,44 @@
         return True
 
     def _accepts_records(self) -> bool:
-        has_room = self.files.reserved_bytes < self.limits.max_disk_bytes
+        has_disk_space = self.files.reserved_bytes < self.limits.max_disk_bytes
         return (
-            self.mode in WRITABLE_MODES and len(self.pending) < self.limits.max_pending and has_room
+            self.mode in WRITABLE_MODES
+            and len(self.pending) < self.limits.max_pending
+            and has_disk_space
         )
 
     def _expect_acknowledgement(self, sequence: int, token: object, now: int) -> None:
         if self.durability is Durability.NONE:
-            self.pending.report(token, is_persisted=True)
+            self.pending.add_acknowledgement(token, is_persisted=True)
         elif self.mode is JournalMode.SLOW:  # the disk may never write the record
-            self.pending.report(token, is_persisted=False)
+            self.pending.add_acknowledgement(token, is_persisted=False)
         else:
             self.pending.add(sequence, token, now)
 
     def take_acknowledgements(self) -> list[Acknowledgement]:
-        """Returns the acknowledgements since the last call."""
+        """Returns the acknowledgements that were added since the last call."""
         return self.pending.take()
 
     def take_mode_changes(self) -> list[ModeChange]:
-        """Returns the changes of mode since the last call."""
+        """Returns the mode changes and failed snapshots since the last call, oldest first."""
         changes, self.mode_changes = self.mode_changes, []
         return changes
 
     # The next operation
 
     def next_operation(self, now: int) -> DiskOperation | None:
-        """Returns the next operation, or None if one is in progress or nothing is due."""
+        """Returns the next operation, or None if one is in progress or nothing is due.
+
+        The caller must perform the operation, then call `operation_done` or `operation_failed`.
+        """
         if self._operation is not None:
             return None
         if self.mode not in WRITABLE_MODES:
             if now - self._mode_since < DISK_RETRY_DELAY:
                 return None
             self._change_mode(JournalMode.NORMAL, "retrying the disk", now)
-            self.files.segment = ""  # the current file may end with a torn record
+            self.files.segment = ""  # the current log file may end with a torn record
             self.snapshot = None
         self._operation = self._choose_operation(now)
         self._operation_since = now
@@ -172,15 +190,17 @@
         return is_due or self.batch_bytes >= self.limits.batch_bytes
 
     def _needs_sync(self) -> bool:
-        return self._has_unsynced and self.durability is Durability.SYNCED
+        return self._has_unsynced_records and self.durability is Durability.SYNCED
 
     def _is_snapshot_due(self) -> bool:
         return self.files.bytes_since_snapshot >= self.limits.snapshot_after_bytes
 
     def _write_batch(self) -> DiskOperation:
+        """Returns the operation that appends the batch, or one that must precede it."""
         files = self.files
         if not files.segment or files.segment_bytes >= self.limits.segment_bytes:
-            if self._has_unsynced and files.segment:  # a crash must leave no gap before a new file
+            if self._has_unsynced_records and files.segment:
+                # Without the sync, a crash could lose records before the first one of the new file.
                 return DiskOperation(OperationKind.SYNC, files.segment)
             first = self.next_sequence - len(self.batch)
             name = files.begin_segment(first)
@@ -198,7 +218,10 @@
     # Deadlines
 
     def next_deadline(self, now: int) -> int | None:
-        """Returns the time of the next call that is needed without a new record; None if never."""
+        """Returns when the caller must act even if no record arrives; None if it need not.
+
+        At this time the caller must call `check_slow_operation` and `next_operation`.
+        """
         deadlines = []
         if self.mode not in WRITABLE_MODES:
             deadlines.append(self._mode_since + DISK_RETRY_DELAY)
@@ -222,12 +245,20 @@
         )
 
     def check_slow_operation(self, now: int) -> None:
-        """Reports all pending records as not persisted once the oldest is older than the limit."""
+        """Changes to the mode SLOW if the oldest record has been pending for `slow_sync_time`.
+
+        All pending records are then acknowledged as not persisted.
+        """
         oldest_at = self.pending.oldest_at
         if oldest_at is None or now - oldest_at < self.limits.slow_sync_time:
             return
-        operation = self._operation.kind.name.lower() if self._operation else "a batch"
-        self._change_mode(JournalMode.SLOW, f"{operation} took too long", now)
+        operation = self._operation.kind.name.lower() if self._operation else "none"
+        self._change_mode(
+            JournalMode.SLOW,
+            f"record pending for {self.limits.slow_sync_time / SECOND:g} s, "
+            f"disk operation in progress: {operation}",
+            now,
+        )
         self.pending.fail_pending()
 
     # Results of operations
@@ -243,7 +274,7 @@
             case OperationKind.APPEND if is_log:
                 self.files.log_grew(operation.name, len(operation.data))
                 self.written_sequence = self._appended_sequence
-                self._has_unsynced = True
+                self._has_unsynced_records = True
             case OperationKind.BEGIN | OperationKind.APPEND:
                 self.files.snapshot_bytes += len(operation.data)
             case OperationKind.SYNC:
@@ -257,21 +288,27 @@
 
     def _synced(self, now: int) -> None:
         self._synced_sequence = self.written_sequence
-        self._has_unsynced = False
+        self._has_unsynced_records = False
         is_fast = now - self._operation_since < self.limits.slow_sync_time // 2
         if self.mode is JournalMode.SLOW and is_fast:
-            self._change_mode(JournalMode.NORMAL, "sync is fast again", now)
+            self._change_mode(
+                JournalMode.NORMAL,
+                f"sync took less than {self.limits.slow_sync_time / 2 / SECOND:g} s",
+                now,
+            )
 
     def operation_failed(self, error_number: int, now: int) -> None:
-        """Handles the failure of the operation in progress with this errno.
+        """Handles the failure of the operation in progress; `error_number` is its errno.
 
-        Pending records are reported as not persisted, even if a part of the batch reached the disk.
-        Their sequence numbers are not reused; the next file begins with a higher number.
+        If only a snapshot failed and the disk is not full or read-only, the log continues.
+        Otherwise pending records are acknowledged as not persisted, even if a part of the batch
+        reached the disk. Their sequence numbers are not reused; the next log file begins with a
+        higher number.
         """
         operation, self._operation = self._operation, None
         assert operation is not None
         if operation.name.startswith(SNAPSHOT_PREFIX) and error_number not in MODES_BY_ERRNO:
-            # The log continues. The next snapshot is due after `snapshot_after_bytes` more of log.
+            # The next snapshot is due when the log has grown by `snapshot_after_bytes`.
             self.snapshot = None
             self.mode_changes.append(
                 ModeChange(
@@ -281,11 +318,11 @@
             return
         mode = MODES_BY_ERRNO.get(error_number, JournalMode.FAILED)
         operation_text = f"{operation.kind.name.lower()} of {operation.name}"
-        self._change_mode(mode, f"{operation_text}: errno {error_number}", now)
+        self._change_mode(mode, f"{operation_text} failed: errno {error_number}", now)
         self.pending.fail_pending()
         self._clear_batch()
         self.snapshot = None
-        self._has_unsynced = False
+        self._has_unsynced_records = False
         self._has_log_gap = True
 
     def _change_mode(self, mode: JournalMode, reason: str, now: int) -> None:
@@ -294,7 +331,7 @@
             self._mode_since = now
             self.mode_changes.append(ModeChange(mode, reason))
         elif mode is not JournalMode.NORMAL:
-            self._mode_since = now
+            self._mode_since = now  # the next retry is due DISK_RETRY_DELAY from now
 
     # Snapshots
 
@@ -307,7 +344,9 @@
         return operation
 
     def _begin_snapshot(self) -> DiskOperation:
-        if self._has_log_gap:  # the rows include the lost records; the next file follows them
+        if self._has_log_gap:
+            # The rows, and so the snapshot, include the records that are missing from the log. The
+            # next log file begins with the record after them.
             self.written_sequence = self.next_sequence - 1 - len(self.batch)
         self.snapshot = SnapshotWriter(self.state, self.written_sequence)
         self.files.begin_snapshot()
@@ -316,6 +355,6 @@
     def _published(self, name: str) -> None:
         if self._has_log_gap:
             self._has_log_gap = False
-            self._synced_sequence = number_in(name)
+            self._synced_sequence = sequence_number_in(name)
             self.files.segment = ""
         self.files.snapshot_published(name)
--- a/lilacwalk/storage/ownership.py
+++ b/lilacwalk/storage/ownership.py
@@ -21,14 +21,14 @@
     """
 
     def __init__(self, path: object, reason: str) -> None:
-        """The message is the path followed by the reason."""
+        """Creates an error whose message is the path followed by the reason."""
         super().__init__(f"{path} {reason}")
         self.path = path
         self.reason = reason
 
 
 class Owner(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Content of the owner file."""
+    """Content of the owner file: the node that owns the directory, and its format version."""
 
     node: str
     format: int
@@ -48,8 +48,8 @@
         other_names: names of the other files in the directory.
     """
     if owner_bytes is None:
-        foreign = [name for name in other_names if not name.startswith(STORE_FILE_PREFIXES)]
-        return f"holds {foreign[0]}, which is not a store file" if foreign else ""
+        foreign_names = [name for name in other_names if not name.startswith(STORE_FILE_PREFIXES)]
+        return f"holds {foreign_names[0]}, which is not a store file" if foreign_names else ""
     try:
         owner = msgspec.json.decode(owner_bytes, type=Owner)
     except msgspec.MsgspecError:
--- a/lilacwalk/storage/records.py
+++ b/lilacwalk/storage/records.py
@@ -1,8 +1,8 @@
 """Codec of records and of the files that hold them.
 
 Each record has a length, a checksum and a sequence number, so that a torn, corrupted, duplicated,
-missing or reordered record is distinguished from one that was never written. Decoding accepts any
-bytes: invalid bytes are reported as a fault.
+missing or reordered record is distinguished from one that was never written. `read_records`
+accepts any bytes and reports invalid ones as a fault.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 FRAME = struct.Struct("!II")  # length of the payload that follows, checksum of the payload
 SEQUENCE = struct.Struct("!Q")
 MAX_RECORD_BYTES = 1_048_576  # 200 times the longest result
-# In tenths of a ms: the longest deduplication window that version 1 had.
+# Longest deduplication window in version 1, in tenths of a ms.
 VERSION_1_RETENTION = 24 * 3600 * 10_000
 
 # Texts of `RecordError.fault`
@@ -41,7 +41,7 @@
     """The file ends before its header does."""
 
     def __init__(self) -> None:
-        """The message names the problem."""
+        """Creates the error."""
         super().__init__("file ends before its header is complete")
 
 
@@ -49,7 +49,7 @@
     """The file was written by another program, or its header is corrupted."""
 
     def __init__(self) -> None:
-        """The message names the problem."""
+        """Creates the error."""
         super().__init__("magic bytes or checksum of the header are wrong")
 
 
@@ -61,7 +61,7 @@
     """
 
     def __init__(self, version: int) -> None:
-        """`version`: format version of the file."""
+        """Creates an error whose message contains both versions."""
         super().__init__(f"format {version}, this program supports up to {FORMAT_VERSION}")
         self.version = version
 
@@ -74,14 +74,14 @@
     """
 
     def __init__(self, fault: str) -> None:
-        """`fault`: description of the problem."""
+        """Creates an error with `fault` as its message."""
         super().__init__(fault)
         self.fault = fault
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Sets a row of a table, or removes it if `value` is None. Applying it is idempotent.
+    """A change of a row: sets it, or removes it if `value` is None. Applying it is idempotent.
 
     Attributes:
         sequence: sequence number of the record in the log.
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileHeader:
-    """The first bytes of a log file or a snapshot."""
+    """Decoded first bytes of a log file or a snapshot; see `encode_header` for the fields."""
 
     version: int
     first_sequence: int
@@ -132,13 +132,17 @@
 
 
 def encode_header(first_sequence: int, version: int = FORMAT_VERSION) -> bytes:
-    """Returns the header of a file whose first record has this sequence number."""
+    """Returns the header of a file.
+
+    `first_sequence` is the number of the first record of a log file, or the number of the last
+    record that a snapshot is guaranteed to include.
+    """
     raw = HEADER.pack(MAGIC, version, first_sequence, 0)[:-CHECKSUM_BYTES]
     return raw + zlib.crc32(raw).to_bytes(CHECKSUM_BYTES, "big")
 
 
 def decode_header(data: bytes) -> FileHeader:
-    """Returns the header of a file.
+    """Returns the header of the file with the content `data`.
 
     Raises:
         FileFormatError: the header is incomplete, invalid or of a later version.
@@ -162,6 +166,9 @@
         data: the whole file.
         expected: sequence number of the first record, from which the numbers must be consecutive;
             None accepts any numbers, as in a snapshot.
+
+    Returns:
+        The valid records; if reading stopped early, `fault` says why. Nothing is raised.
     """
     result = ReadResult()
     try:
@@ -189,7 +196,7 @@
 
 
 def _is_preallocated(data: bytes, offset: int) -> bool:
-    """Whether the rest of the file is space that was allocated and never written."""
+    """Whether all bytes from `offset` on are 0: space that was allocated but never written."""
     frame = data[offset : offset + FRAME.size]
     return not any(frame) and not any(data[offset:])
 
@@ -215,20 +222,22 @@
 
 
 def _decode_record(payload: bytes, version: int) -> Record:
-    """Returns the record in a payload whose checksum was verified.
+    """Returns the record in a payload whose checksum is correct.
+
+    `version` is the format version of the file.
 
     Raises:
         RecordError: the payload is not a record, so another program wrote it.
     """
     try:
-        row = msgspec.msgpack.decode(payload[SEQUENCE.size :])
+        fields = msgspec.msgpack.decode(payload[SEQUENCE.size :])
     except msgspec.DecodeError as error:
         raise RecordError(UNDECODABLE) from error
     if version == 1:
-        row = _migrate_version_1(row)
-    if type(row) is not list or len(row) != 5:
+        fields = _migrate_version_1(fields)
+    if type(fields) is not list or len(fields) != 5:
         raise RecordError(UNDECODABLE)
-    table, key, value, expires_at, written_at = row
+    table, key, value, expires_at, written_at = fields
     if not (
         type(table) is int
         and type(key) is bytes
@@ -242,15 +251,19 @@
 
 
 def _check_sequence(record: Record, expected: int) -> None:
+    """Raises RecordError if the record's sequence number is not `expected`."""
     if record.sequence < expected:
         raise RecordError(DUPLICATED)
     if record.sequence > expected:
         raise RecordError(MISSING)
 
 
-def _migrate_version_1(row: object) -> object:
-    """Adds the expiry to a row of version 1: (table, key, value, written at)."""
-    if type(row) is not list or len(row) != 4 or type(row[3]) is not int:
+def _migrate_version_1(fields: object) -> object:
+    """Returns the fields of a version 1 record with an expiry; None if they are not valid.
+
+    Version 1 has the fields (table, key, value, written_at).
+    """
+    if type(fields) is not list or len(fields) != 4 or type(fields[3]) is not int:
         return None
-    table, key, value, written_at = row
+    table, key, value, written_at = fields
     return [table, key, value, written_at + VERSION_1_RETENTION, written_at]
--- a/lilacwalk/storage/recovery.py
+++ b/lilacwalk/storage/recovery.py
@@ -3,9 +3,9 @@
 Recovery loads the newest complete snapshot, then replays the log from there up to the first record
 that is torn, corrupted, duplicated or missing. The rest is truncated or quarantined, and reported.
 
-Recovery terminates on any input: it reads each file once and writes nothing. The caller truncates
-and quarantines files. Doing so twice has no further effect, so recovery can be repeated after a
-crash.
+Recovery terminates on any input: it reads each file at most once and writes nothing. The caller
+truncates and quarantines files. Repeating this has no further effect, so recovery can be repeated
+after a crash.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 LOG_PREFIX = "log-"
 SNAPSHOT_PREFIX = "snap-"
 SEQUENCE_DIGITS = 20
-SNAPSHOT_END_TABLE = 0  # table of the last record of a snapshot, whose value is the number of rows
+# Table number of the end record of a snapshot; the value of this record is the number of rows.
+SNAPSHOT_END_TABLE = 0
 
 
 class FileReader(Protocol):
@@ -45,7 +46,7 @@
     Attributes:
         state: the rows.
         snapshot: name of the snapshot that was loaded; empty if none was.
-        next_sequence: sequence number of the next record.
+        next_sequence: sequence number of the next record to write.
         log_bytes: total size of the valid parts of the log files that were replayed.
         is_complete: whether no written data was truncated, skipped or missing.
         warnings: data that was truncated, missing or skipped, for the operator.
@@ -64,12 +65,18 @@
 
 
 def file_name(prefix: str, sequence: int) -> str:
-    """Returns the name of a log file or snapshot."""
+    """Returns the name of a log file or snapshot.
+
+    Args:
+        prefix: LOG_PREFIX or SNAPSHOT_PREFIX.
+        sequence: number of the first record of a log file, or of the last record that a snapshot
+            is guaranteed to include.
+    """
     return f"{prefix}{sequence:0{SEQUENCE_DIGITS}d}"
 
 
 def sequence_of(name: str) -> int | None:
-    """Returns the sequence number in a file's name; None for other files."""
+    """Returns the sequence number in the name of a log file or snapshot; None for other files."""
     for prefix in (LOG_PREFIX, SNAPSHOT_PREFIX):
         digits = name.removeprefix(prefix)
         if digits != name:
@@ -78,41 +85,43 @@
 
 
 def recover(names: list[str], read_file: FileReader) -> RecoveryResult:
-    """Recovers the rows from these files.
+    """Recovers the rows from the files with these names; names of other files are ignored.
 
-    If `read_file` raises OSError, the file is treated as missing and a warning reports it.
+    A file for which `read_file` raises OSError is treated as missing, and a warning is added.
     """
     result = RecoveryResult()
-    known = [name for name in names if sequence_of(name) is not None]
-    snapshots = sorted((name for name in known if name.startswith(SNAPSHOT_PREFIX)), reverse=True)
+    store_files = [name for name in names if sequence_of(name) is not None]
+    snapshots = sorted(
+        (name for name in store_files if name.startswith(SNAPSHOT_PREFIX)), reverse=True
+    )
     for name in snapshots:
         if _load_snapshot(result, name, read_file):
             break
         result.is_complete = False
     result.next_sequence = result.state.last_sequence + 1
-    logs = sorted(name for name in known if name.startswith(LOG_PREFIX))
+    logs = sorted(name for name in store_files if name.startswith(LOG_PREFIX))
     _replay_logs(result, logs, read_file)
     return result
 
 
 def _load_snapshot(result: RecoveryResult, name: str, read_file: FileReader) -> bool:
-    """Returns whether the snapshot is complete and was loaded."""
+    """Loads a snapshot into `result`; returns False, with a warning, if it is not complete."""
     try:
         data = read_file(name)
         sequence = decode_header(data).first_sequence
     except (OSError, FileFormatError) as error:
-        result.warnings.append(f"{name}: {error}: skipped")
+        result.warnings.append(f"{name}: snapshot skipped: {error}")
         return False
     content = read_records(data, None)
-    if content.fault or not _has_end(content):
+    if content.fault or not _has_valid_end_record(content):
         result.warnings.append(
-            f"{name}: {content.fault or 'end record is missing or wrong'}: skipped"
+            f"{name}: snapshot skipped: {content.fault or 'end record is missing or wrong'}"
         )
         return False
     for record in content.records[:-1]:
-        # A row that changed while the snapshot was written has a later number than the snapshot.
-        # If the log ends before that number, the number is reused, and the record with it would
-        # not replace the row. So the row gets the number of the snapshot.
+        # A row that changed while the snapshot was written has a higher sequence number than the
+        # snapshot. If the log ends before this number, a new record gets the same number, and
+        # `State.apply` would not replace the row by it. The snapshot's number prevents this.
         row = record if record.sequence <= sequence else replace(record, sequence=sequence)
         result.state.rows[record.table, record.key] = row
     result.state.last_sequence = sequence
@@ -120,8 +129,8 @@
     return True
 
 
-def _has_end(content: ReadResult) -> bool:
-    """Whether a snapshot ends with an end record that holds the right number of rows."""
+def _has_valid_end_record(content: ReadResult) -> bool:
+    """Whether the last record of a snapshot is an end record with the correct number of rows."""
     if not content.records:
         return False
     end = content.records[-1]
@@ -129,28 +138,31 @@
 
 
 def _replay_logs(result: RecoveryResult, logs: list[str], read_file: FileReader) -> None:
-    """Replays the log files after the snapshot up to the first gap; quarantines the rest."""
+    """Replays the log files after the snapshot up to the first gap.
+
+    Lists the files after the gap in `result.quarantined`.
+    """
     expected = result.next_sequence
-    has_replayed = False
+    has_replayed_file = False
     for index, name in enumerate(logs):
         first = sequence_of(name) or 0
-        following = sequence_of(logs[index + 1]) if index + 1 < len(logs) else None
-        if following is not None and following <= expected:
-            continue  # the snapshot holds all records of this file
-        if not has_replayed and first > expected:
+        next_file_first = sequence_of(logs[index + 1]) if index + 1 < len(logs) else None
+        if next_file_first is not None and next_file_first <= expected:
+            continue  # the snapshot includes all records of this file
+        if not has_replayed_file and first > expected:
             result.warnings.append(
                 f"{name}: records {expected} to {first - 1} are missing before this file"
             )
             _quarantine(result, logs[index:])
             return
         has_reached_end = _replay_log(result, name, first, read_file)
-        has_replayed = True
-        if following == result.next_sequence or (has_reached_end and following is None):
+        has_replayed_file = True
+        if next_file_first == result.next_sequence or (has_reached_end and next_file_first is None):
             continue  # the next file continues without a gap, or the last file was read to its end
         if has_reached_end:
             result.warnings.append(
                 f"{name}: ends with record {result.next_sequence - 1}, "
-                f"the next file begins with {following}"
+                f"the next file begins with {next_file_first}"
             )
         _quarantine(result, logs[index + 1 :])
         return
@@ -162,11 +174,14 @@
 
 
 def _replay_log(result: RecoveryResult, name: str, first: int, read_file: FileReader) -> bool:
-    """Replays a log file; returns False if it could not be read to its end."""
+    """Replays the log file whose first record is `first`.
+
+    Returns False, with a warning, if the file could not be read to its end.
+    """
     try:
         data = read_file(name)
     except OSError as error:
-        result.warnings.append(f"{name}: {error}")
+        result.warnings.append(f"{name}: log file not replayed: {error}")
         return False
     content = read_records(data, first)
     for record in content.records:
--- a/lilacwalk/storage/store.py
+++ b/lilacwalk/storage/store.py
@@ -1,7 +1,7 @@
 """The store: one thread that performs the journal's operations on the disk.
 
-Writers put write requests into the thread's queue and never wait. A callback in the store's thread
-reports whether a record is persisted.
+Writers put write requests into the thread's queue and never wait. The store calls a callback in
+its thread to report whether a record is persisted.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from lilacwalk.storage.recovery import SNAPSHOT_PREFIX, RecoveryResult, recover
 
 log = logging.getLogger(__name__)
-# Between two scans of all rows. A scan of 10,000 rows takes a millisecond.
+# Time between two scans for expired rows. A scan of 10,000 rows takes a millisecond.
 EXPIRY_INTERVAL = 10 * SECOND
-EXPIRED_ROWS_AT_ONCE = 500  # the limit lets other work run between two removals
+MAX_EXPIRED_ROWS = 500  # per scan, so that other work can run between two scans
 CLOSE_TIMEOUT = 2.0  # seconds
 NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 
@@ -41,7 +41,7 @@
     def __call__(self, token: object, is_persisted: bool, /) -> None:
         """Handles the result for the record with this token. Called in the store's thread.
 
-        `is_persisted`: whether the record is as durable as requested.
+        `is_persisted`: whether the record is as durable as configured.
         """
         ...
 
@@ -75,6 +75,8 @@
 ) -> OpenedJournal:
     """Recovers the rows, truncates and quarantines damaged files, and continues the log.
 
+    `now` is elapsed time in tenths of a ms.
+
     Raises:
         OSError: the disk cannot be read or written.
     """
@@ -85,7 +87,7 @@
         disk.truncate(truncation.name, truncation.size)
     for name in disk.list_files():
         if name.endswith(PARTIAL_SUFFIX):
-            disk.remove(name)  # a file that was never completed
+            disk.remove(name)  # the process ended before the file was complete
     journal = Journal(
         recovered.state,
         recovered.next_sequence,
@@ -99,7 +101,7 @@
 
 
 def perform(disk: Disk, operation: DiskOperation) -> None:
-    """Performs an operation of the journal. Raises OSError."""
+    """Performs an operation of the journal on the disk. Raises OSError."""
     is_snapshot = operation.name.startswith(SNAPSHOT_PREFIX)
     name = operation.name + PARTIAL_SUFFIX if is_snapshot else operation.name
     match operation.kind:
@@ -119,7 +121,14 @@
 class Store:
     """Rows that survive a crash of the process, and the thread that writes them.
 
-    The thread `storage` owns the journal and the disk from `start` on; `close` joins it.
+    After `start`, only the thread `storage` may access the journal and the disk, until `close`.
+
+    Attributes:
+        disk: the disk.
+        journal: the journal.
+        recovered: result of the recovery when the store was opened.
+        thread: the store's thread.
+        has_failed: whether an unexpected exception has ended the thread; nothing is written then.
     """
 
     def __init__(
@@ -132,7 +141,16 @@
         on_mode_change: ModeCallback = ignore_mode,
         wall_clock: Callable[[], int] = time.time_ns,
     ) -> None:
-        """Reads the disk; both clocks return nanoseconds.
+        """Recovers the rows from the disk.
+
+        Args:
+            disk: the disk.
+            durability: when a record counts as persisted.
+            limits: limits of the journal.
+            on_persisted: called with the result for each record that has a token.
+            clock: returns elapsed time in nanoseconds.
+            on_mode_change: called when the journal's mode changes or a snapshot fails.
+            wall_clock: returns Unix time in nanoseconds.
 
         Raises:
             OSError: the disk cannot be read or written.
@@ -151,7 +169,7 @@
         self.has_failed = False
         self._write_queue: SimpleQueue[WriteRequest | None] = SimpleQueue()  # None closes the store
         self._is_closing = False
-        self._next_expiry = self.now() + EXPIRY_INTERVAL
+        self._next_expiry_scan = self.now() + EXPIRY_INTERVAL
 
     def now(self) -> int:
         """Returns elapsed time in tenths of a ms."""
@@ -170,7 +188,9 @@
         written_at: int = 0,
         token: object = None,
     ) -> None:
-        """Sets a row, or removes it if `value` is None. Any thread may call this.
+        """Queues a write that sets a row, or removes it if `value` is None.
+
+        May be called in any thread; never waits for the disk.
 
         `expires_at`, `written_at`: Unix time in tenths of a ms. If `token` is not None,
         `on_persisted` is called with it.
@@ -196,13 +216,16 @@
             log.exception("event=storage_failed")
 
     def _run_once(self) -> bool:
-        """Takes records, performs one operation and reports; returns False when closed and done."""
+        """Takes queued writes, performs at most one disk operation and calls the callbacks.
+
+        Returns False once the store is closing and no operation remains.
+        """
         journal = self.journal
         self._take_writes(0.0 if self._is_closing else self._wait_timeout())
         journal.check_slow_operation(self.now())
-        # Once the store is closing, a batch is written without waiting for more records.
-        batch_wait_skipped = journal.limits.batch_delay if self._is_closing else 0
-        operation = journal.next_operation(self.now() + batch_wait_skipped)
+        # While the store is closing, a batch is written without waiting for more records.
+        skipped_batch_delay = journal.limits.batch_delay if self._is_closing else 0
+        operation = journal.next_operation(self.now() + skipped_batch_delay)
         if operation is not None:
             self._perform(operation)
         for acknowledgement in journal.take_acknowledgements():
@@ -218,12 +241,15 @@
         deadline = self.journal.next_deadline(self.now())
         return None if deadline is None else max(0, deadline - self.now()) / SECOND
 
-    def _take_writes(self, wait: float | None) -> None:
-        """Passes queued records to the journal, up to a full batch."""
+    def _take_writes(self, timeout: float | None) -> None:
+        """Passes queued writes to the journal, up to a full batch.
+
+        Waits up to `timeout` seconds for the first one; without limit if it is None.
+        """
         journal = self.journal
-        should_block = wait is None or wait > 0
+        should_block = timeout is None or timeout > 0
         try:
-            write = self._write_queue.get(block=should_block, timeout=wait)
+            write = self._write_queue.get(block=should_block, timeout=timeout)
             while write is not None:
                 is_accepted = journal.append(write, self.now())
                 if not is_accepted and write.token is not None:
@@ -244,12 +270,12 @@
             self.journal.operation_done(self.now())
 
     def _remove_expired_rows(self) -> None:
-        """Removes expired rows, at most EXPIRED_ROWS_AT_ONCE per call, by writing records."""
-        if self.now() < self._next_expiry:
+        """Removes up to MAX_EXPIRED_ROWS expired rows by writing records, if a scan is due."""
+        if self.now() < self._next_expiry_scan:
             return
-        wall = self.wall_clock() // NANOSECONDS_PER_TICK
-        expired = self.journal.state.expired_keys(wall, EXPIRED_ROWS_AT_ONCE)
-        is_scan_complete = len(expired) < EXPIRED_ROWS_AT_ONCE
-        self._next_expiry = self.now() + (EXPIRY_INTERVAL if is_scan_complete else 0)
+        unix_now = self.wall_clock() // NANOSECONDS_PER_TICK
+        expired = self.journal.state.expired_keys(unix_now, MAX_EXPIRED_ROWS)
+        is_scan_complete = len(expired) < MAX_EXPIRED_ROWS
+        self._next_expiry_scan = self.now() + (EXPIRY_INTERVAL if is_scan_complete else 0)
         for table, key in expired:
-            self.journal.append(WriteRequest(table, key, None, 0, wall), self.now())
+            self.journal.append(WriteRequest(table, key, None, 0, unix_now), self.now())
