--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -88,13 +88,13 @@
     result = play(scenario, 1)
     cpu_seconds = time.process_time() - started_at
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    requests = sum(row.wished for row in result.seconds.values())
+    requests = sum(row.wished for row in result.stats_by_second.values())
     return (
         servers,
         routers,
         requests,
-        result.events,
-        result.events / cpu_seconds,
+        result.processed_event_count,
+        result.processed_event_count / cpu_seconds,
         cpu_seconds / seconds,
         memory,
         len(result.breaches),
--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -1,21 +1,23 @@
 """Simpler admission policies with the controller's interface, for comparison with the controller.
 
-All of them keep these rules: one final answer by the deadline, no effect twice (duplicates are coalesced with
-the original request), and the memory limit. They differ in the requests that they admit. Each runs at most
-`concurrency_limit()` requests at once; the others wait in one queue, first in, first out unless stated
-otherwise.
+All policies follow these rules: each request gets one final answer by its deadline, no effect is
+executed twice (duplicates are coalesced with the original request), and the memory limit is not
+exceeded. The policies differ in the requests that they admit. Each runs at most
+`concurrency_limit()` requests at once; further admitted requests wait in one queue, which is first
+in, first out unless stated otherwise.
 
 AdmitAll       admits every request; the length of the queue is not limited
-FixedLimit     limits the number of requests in progress; rejects the others at once
-GradientLimit  a limit that follows the gradient of response time, as published for adaptive concurrency limits:
-               new = limit * clamp(tolerance * long / short, 0.5, 1) + room for a queue, smoothed
-CoDel          rejects the request at the head of the queue when queueing time has been over a target for an
-               interval; the interval shrinks with the square root of the number of drops (RFC 8289, applied to
-               requests in place of packets)
-TokenBucket    admits at the rate of a token bucket, with a burst
-Oracle         knows the work of each request and what the machine runs: admits requests that can still meet their
-               latency objective, and runs the one with the highest weight per work first. It does not know future
-               arrivals."""
+FixedLimit     limits the number of requests in progress and rejects further ones
+GradientLimit  adapts the limit to the gradient of response time, as published for adaptive
+               concurrency limits: new = limit * clamp(tolerance * long / short, 0.5, 1) + allowance
+               for a queue, smoothed; long and short are averages of the response time
+CoDel          rejects the request at the head of the queue when queueing time has exceeded a target
+               for an interval; the interval shrinks with the square root of the number of drops
+               (RFC 8289, applied to requests in place of packets)
+TokenBucket    admits requests at the rate of a token bucket, with bursts of twice the cores
+Oracle         knows the actual work of each request: admits requests that can still meet their
+               latency objective, and runs the one with the highest weight per work first. It does
+               not know future arrivals."""
 
 from __future__ import annotations
 
@@ -48,13 +50,16 @@
 SECOND = 10_000
 TICK_INTERVAL = 250  # tenths of a ms
 MAX_MEMORY_FRACTION = 0.9  # fraction of the server's memory above which requests are rejected
-# Time before its deadline at which a request is answered, in tenths of a ms: one tick and the time to send
-# the answer.
+# A request is answered at the latest this long before its deadline, in tenths of a ms: one tick plus
+# the time to send the answer.
 DEADLINE_MARGIN = 300
 
 
 class Baseline:
-    """Subclasses decide which requests are admitted and how many run at once."""
+    """An admission policy with the controller's interface, which admits every request.
+
+    Subclasses override which requests are admitted, how many run at once and in which order.
+    """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         self.server, self.now = server, now
@@ -64,7 +69,7 @@
         self.running: dict[Request, None] = {}
         self.calls_in_progress = 0
         self.memory_in_use_kb = 0.0
-        self.deadlines: list[tuple[int, int, Request]] = []
+        self.deadlines: list[tuple[int, int, Request]] = []  # heap of (time, number, request)
         self.sequence_numbers = count()
         self.drain_deadline = 0
 
@@ -74,15 +79,17 @@
         return True
 
     def concurrency_limit(self) -> float:
+        """Returns how many requests may run at once."""
         return float(self.server.cores)
 
     def record_completion(self, request: Request, duration: int) -> None:
-        pass
+        """Handles a completed request; `duration`: tenths of a ms since its arrival."""
 
     def prune_queue(self) -> None:
         """Rejects queued requests that should not run; called before requests are started."""
 
     def next_request(self) -> Request:
+        """Returns the queued request to start next; the queue is not empty."""
         return self.queued[0]
 
     # Interface of the controller
@@ -155,12 +162,13 @@
         self.queued.append(request)
 
     def _handle_duplicate(self, request: Request) -> bool:
+        """Coalesces or rejects a duplicate; returns False if it must run as a new request."""
         original = request.duplicate_of
         if original.was_dispatched:
             request.state = RequestState.COALESCED
             self.sink.coalesce(request)
             return True
-        # The original is still queued: the duplicate is rejected, and the client may retry.
+        # While the original is queued, the duplicate is rejected, and the client may retry later.
         if original.state is not RequestState.FINISHED:
             self._reject(request)
             return True
@@ -246,17 +254,24 @@
 
 
 class FixedLimit(Baseline):
-    """Limits requests in progress to twice the number of cores, so that up to one request per core is queued
-    when all cores are busy."""
+    """Limits requests in progress to twice the number of cores.
+
+    Queued requests and dependency calls count as in progress, so that at most one request per core
+    is queued while all cores are busy.
+    """
 
     def should_admit(self, request: Request) -> bool:
         return len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.server.cores
 
 
 class GradientLimit(Baseline):
-    """Gradient concurrency limit: the limit is multiplied by 1.5 times the long-term over the short-term mean
-    duration, bounded to 0.5 to 1, plus the square root of the limit as room for a queue. Changes are smoothed
-    with weight 0.2; the limit stays between 1 and 200."""
+    """Gradient concurrency limit.
+
+    The target is limit * clamp(1.5 * long / short, 0.5, 1) + sqrt(limit), where long and short are
+    the long-term and short-term mean time from arrival to completion, and the square root is the
+    allowance for a queue. The limit approaches the target with weight 0.2 per completion, between 1
+    and 200. It does not change while the queue and the running requests use less than half of it.
+    """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
@@ -279,7 +294,7 @@
         self.long_average += long_weight * (duration - self.long_average)
         self.short_average += max(1 / self.sample_count, 0.1) * (duration - self.short_average)
         if self.long_average > 2 * self.short_average:
-            self.long_average *= 0.95  # lets the long average recover after load has fallen
+            self.long_average *= 0.95  # lowers the long average faster after load has fallen
         gradient = max(0.5, min(1.0, 1.5 * self.long_average / max(1.0, self.short_average)))
         target_limit = self.limit * gradient + sqrt(self.limit)
         if len(self.queued) + len(self.running) >= self.limit / 2:
@@ -287,7 +302,7 @@
 
 
 class CoDel(Baseline):
-    """The interval is the shortest latency objective; the target is a tenth of it."""
+    """CoDel whose interval is the shortest latency objective and whose target is a tenth of it."""
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
@@ -316,9 +331,11 @@
 
 
 class TokenBucket(Baseline):
-    """Refills at the rate at which the cores finish runs of mean duration.
+    """Token bucket, refilled at the rate at which the cores can complete runs of mean duration.
 
-    The mean starts at a quarter of the shortest latency objective and is updated with each completed run."""
+    The mean starts at a quarter of the shortest latency objective and is updated with each
+    completed run. The bucket holds up to twice as many tokens as there are cores.
+    """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
@@ -343,14 +360,17 @@
 
 
 class Oracle(Baseline):
-    """`work_of` returns the actual work of a request; the simulated server sets it."""
+    """Policy that knows the actual work of each request.
+
+    `work_of` returns the work of a request in tenths of a ms; the simulated server sets it.
+    """
 
     def __init__(self, server: ServerSettings, now: int) -> None:
         super().__init__(server, now)
         self.work_of: Callable[[Request], int] = lambda request: request.work_hint
 
     def _remaining_time(self) -> float:
-        """Estimated time to finish the running requests, if half of the work of each remains."""
+        """Estimates the time to complete the running requests, if half the work of each remains."""
         return sum(self.work_of(request) / 2 for request in self.running) / self.server.cores
 
     def should_admit(self, request: Request) -> bool:
--- a/lilacwalk/emulator/events.py
+++ b/lilacwalk/emulator/events.py
@@ -1,11 +1,11 @@
-"""Event queue of the simulation: a calendar queue (Brown, 1988) of events in tenths of a ms, whose buckets
-are sorted when they are reached.
+"""Event queue of the simulations: a calendar queue (Brown, 1988). Times are in tenths of a ms.
 
-Suited to many events that lie far ahead (deadlines, timers, timeouts) and are mostly added roughly in order.
-Adding an event appends it to its bucket; a bucket is sorted once, by `list.sort`, when its time comes. Events
-added to the bucket that is being emptied are inserted by bisection, so the bucket width should be chosen to
-hold some tens of events. `python -m benchmarks.emulator queue` compares the queue with heapq at a million
-pending events.
+The queue suits many events that are due far in the future (deadlines, timers, timeouts) and are
+added roughly in order of time. An event is appended to the bucket of its time, and a bucket is
+sorted once, by `list.sort`, when its first event is due. Events added to the bucket that is being
+processed are inserted by bisection, so the bucket width should be chosen such that a bucket holds
+some tens of events. `python -m benchmarks.emulator queue` compares the queue with heapq at a
+million pending events.
 
 Events with the same time are processed in the order in which they were added, on every machine."""
 
@@ -25,49 +25,52 @@
         self.bucket_width = bucket_width
         self.sequence_numbers = count()
         self.buckets: dict[int, list[tuple]] = {}
-        self.pending_indices: list[int] = []  # heap of the indices of `buckets`
-        self.current: list[tuple] = []  # sorted bucket; events before `position` are processed
-        self.position = 0
-        self.current_index = -1  # index of the bucket in `current`
+        self.bucket_indices: list[int] = []  # heap of the indices of `buckets`
+        # The bucket that is being processed, sorted. Events before `next_position` are processed.
+        self.current_bucket: list[tuple] = []
+        self.next_position = 0
+        self.current_bucket_index = -1  # index of the bucket in `current_bucket`
         self.processed_count = 0
 
     def __len__(self) -> int:
-        return len(self.current) - self.position + sum(map(len, self.buckets.values()))
+        """Returns the number of pending events."""
+        return len(self.current_bucket) - self.next_position + sum(map(len, self.buckets.values()))
 
     def put(self, time: int, action: Callable, *arguments) -> None:
-        """Schedules an action; one with a time in the past is scheduled for the current time."""
+        """Schedules a call of `action` at `time`, or at the current time if `time` is in the past."""
         event = (max(time, self.now), next(self.sequence_numbers), action, arguments)
         index = event[0] // self.bucket_width
-        if index <= self.current_index:
-            insort(self.current, event, self.position)
+        if index <= self.current_bucket_index:
+            insort(self.current_bucket, event, self.next_position)
             return
         bucket = self.buckets.get(index)
         if bucket is None:
             self.buckets[index] = [event]
-            heapq.heappush(self.pending_indices, index)
+            heapq.heappush(self.bucket_indices, index)
         else:
             bucket.append(event)
 
-    def after(self, time: int, action: Callable, *arguments) -> None:
-        self.put(self.now + time, action, *arguments)
+    def after(self, delay: int, action: Callable, *arguments) -> None:
+        """Schedules a call of `action` after `delay`."""
+        self.put(self.now + delay, action, *arguments)
 
     def next_time(self) -> int | None:
-        """Time of the next event, or None if no event is pending."""
-        if self.position < len(self.current):
-            return self.current[self.position][0]
-        if not self.pending_indices:
+        """Returns the time of the next event, or None if no event is pending."""
+        if self.next_position < len(self.current_bucket):
+            return self.current_bucket[self.next_position][0]
+        if not self.bucket_indices:
             return None
-        self.current_index = heapq.heappop(self.pending_indices)
-        self.current = self.buckets.pop(self.current_index)
-        self.current.sort()
-        self.position = 0
-        return self.current[0][0]
+        self.current_bucket_index = heapq.heappop(self.bucket_indices)
+        self.current_bucket = self.buckets.pop(self.current_bucket_index)
+        self.current_bucket.sort()
+        self.next_position = 0
+        return self.current_bucket[0][0]
 
     def run(self, until: int) -> None:
-        """Processes all events up to and including `until`, and sets the current time to `until`."""
+        """Processes all events up to and including `until`, then sets the time to `until`."""
         while (time := self.next_time()) is not None and time <= until:
-            _, _, action, arguments = self.current[self.position]
-            self.position += 1
+            _, _, action, arguments = self.current_bucket[self.next_position]
+            self.next_position += 1
             self.now = time
             self.processed_count += 1
             action(*arguments)
--- a/lilacwalk/emulator/faults.py
+++ b/lilacwalk/emulator/faults.py
@@ -1,16 +1,16 @@
 """Kinds of faults, and faults generated from a seed; they may overlap. Times are in tenths of a ms.
 
-crash       process and machine end, and start cold after `duration`
-silence     the server accepts requests and answers none for `duration`; running requests continue
-hang        no run progresses for `duration`; everything else continues
-slow        the machine works at `factor` of its speed for `duration`
+crash       app server processes and their machines stop, and start cold after `duration`
+silence     app servers accept requests and answer none for `duration`; running requests continue
+hang        machines execute no request for `duration`; their app servers continue to admit and answer
+slow        machines run at `factor` of their speed for `duration`
 index-slow  calls to the dependency take `factor` times as long for `duration`
 index-down  the dependency is down for `duration`
-cut         every other router cannot reach the servers of a site for `duration`
+cut         the routers with odd numbers cannot reach the servers of a site for `duration`
 surge       the request rate of every router is multiplied by `factor` for `duration`
 outlet      the request rate of one router is multiplied by `factor` for `duration`
-release     all servers are replaced, one after the other over `duration`: drained, then started cold
-flap        crash and restart every two seconds for `duration`"""
+release     all servers are drained and started cold, one after the other over `duration`
+flap        app servers crash and restart every two seconds for `duration`"""
 
 from __future__ import annotations
 
@@ -36,12 +36,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
+    """A fault to inject.
+
+    Attributes:
+        kind: one of FAULT_KINDS.
+        at: time at which the fault starts.
+        duration: how long it lasts.
+        share: for the kinds in SERVER_FAULT_KINDS, fraction of the running servers that is
+            affected; at least one server is.
+        factor: see the description of the kinds.
+        site: for a cut, the site that is unreachable, by default the first one; for the kinds in
+            SERVER_FAULT_KINDS, the only site that is affected, by default all sites.
+    """
+
     kind: str
     at: int
     duration: int
-    share: float = 0.1  # fraction of the servers that a fault of servers affects
+    share: float = 0.1
     factor: float = 2.0
-    site: str = ""  # site of a cut, or the only site whose servers a fault affects
+    site: str = ""
 
     def __str__(self) -> str:
         return (
@@ -51,8 +64,11 @@
 
 
 def generate_faults(seed: int, length: int, count: int, sites: tuple[str, ...]) -> list[Fault]:
-    """Returns `count` random faults in the middle of a run of `length`: the time before them shows normal
-    service, the time after them whether service recovers."""
+    """Returns `count` random faults for a run of `length`, sorted by time.
+
+    They start after the first fifth of the run, which shows normal service, and end before the last
+    quarter, which shows whether service recovers.
+    """
     rng = random.Random(f"faults {seed}")
     faults = []
     for _ in range(count):
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -1,15 +1,18 @@
-"""Source of requests: routers (proxies) with their routing policy, and the clients behind them.
-
-Assumptions: a router selects app servers from a list that is `list_delay` old. It sends each request to one
-of them by its `choice`, and after a rejection or a loss to another one, as far as its retry budget and the
-request's deadline allow. A series of such attempts is a round. When a round fails, the client sends the
-request again after the retry-after time that it received, or else after its own default delay, until the
-request's deadline. Requests arrive by a Poisson process; a surge raises its rate, and one router (an outlet)
-may be many times as busy as the others.
-
-Choices: `random`; `two` (the one of two random servers with fewer outstanding attempts, Mitzenmacher, 2001);
-`least` (fewest outstanding attempts of this router); `subject` (by hash of the request's key and the server's
-name, so that a request moves to another server only if its own is not listed)."""
+"""Simulated source of requests: routers (proxies) with their routing policy, and their clients.
+
+Assumptions: a router selects app servers from a list that is `list_delay` old. It sends each
+request to one of them according to its `choice`. After a rejection or a loss it retries on another
+one, if its retry budget, `max_attempts` and the request's deadline permit it. Such a series of
+attempts is called a round. When a round fails, the client repeats the request after the retry-after
+time that it received, or else after its default delay, at most `max_repeats` times and until the
+request's deadline. The requests form a Poisson process; a surge raises its rate, and one router (an
+outlet) may send many times as many requests as the others.
+
+Choices: `random`; `two` (of two random servers, the one with fewer outstanding attempts of this
+router, Mitzenmacher, 2001); `least` (a server with the fewest outstanding attempts of this router);
+`subject` (by a hash of the request's subject and the server's name, so that requests for a subject
+change to another server only if theirs is not listed or was attempted; 64 consecutive requests of a
+router have the same subject)."""
 
 from __future__ import annotations
 
@@ -30,33 +33,33 @@
 class RoutingBehavior:
     """Behavior of a router and of its clients. Times are in tenths of a ms."""
 
-    choice: str = "two"
-    # Limit on the attempts of a request: this number times the rounds started.
+    choice: str = "two"  # one of CHOICES
+    # After n rounds were started, a request may have had up to n times this number of attempts.
     max_attempts: int = 3
-    # Retry tokens added per request, which bound the mean number of retries per request.
+    # Retry tokens added per request; a retry takes one. Limits the mean number of retries.
     budget: float = 0.2
     marks_retries: bool = True  # whether retries are marked as such
     # Whether the router obeys `no_retry_elsewhere`, and its clients the retry-after time.
     honors_retry_after: bool = True
-    max_returns: int = 1  # number of times that a client repeats a request after a failed round
+    max_repeats: int = 1  # number of times that a client repeats a request after a failed round
     # Delay before a client repeats a request if it received no retry-after time.
-    default_return_delay: int = SECOND // 2
+    default_repeat_delay: int = SECOND // 2
     list_delay: int = SECOND  # age of the list of servers
     link_delay: int = 5  # one-way network delay between router and app server
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """A request of a client, which may take several attempts."""
+    """A request of a client, which may take several attempts. Times are in tenths of a ms."""
 
-    number: int
+    number: int  # unique among all routers
     request_class: RequestClass
     created_at: int
     deadline: int
-    work: int
+    work: int  # core time at full speed
     router: Router
-    round_count: int = 0
-    attempt_count: int = 0
+    round_count: int = 0  # rounds started
+    attempt_count: int = 0  # attempts sent in all rounds
     # Servers attempted in the current round.
     attempted_servers: list[Server] = field(default_factory=list)
 
@@ -77,9 +80,21 @@
 
 @dataclass(eq=False, slots=True)
 class Router:
-    """Sends requests at `rate` (requests per second, by time) to the servers that `servers` lists at a time.
-
-    `draw_request` returns request class, work and timeout of the next request."""
+    """Creates requests and sends their attempts to app servers. Times are in tenths of a ms.
+
+    Attributes:
+        number: number of the router.
+        events: event queue of the simulation.
+        rng: random numbers of this router.
+        behavior: behavior of the router and its clients.
+        servers: returns the servers that were listed at a time.
+        draw_request: returns request class, work and timeout of the next request.
+        rate: returns the requests per second at a time.
+        stats_by_second: results by the second in which the request was created; all routers share them.
+        outstanding: number of outstanding attempts by server.
+        retry_tokens: retries that the router may send now.
+        request_count: number of requests created.
+    """
 
     number: int
     events: EventQueue
@@ -88,7 +103,7 @@
     servers: Callable[[int], list[Server]]
     draw_request: Callable[[random.Random], tuple[RequestClass, int, int]]
     rate: Callable[[int], float]
-    seconds: dict[int, SecondStats]
+    stats_by_second: dict[int, SecondStats]
     outstanding: dict[Server, int] = field(default_factory=dict)
     retry_tokens: float = 10.0
     request_count: int = 0
@@ -98,7 +113,7 @@
 
     def _schedule_next_request(self) -> None:
         rate = self.rate(self.events.now)
-        if rate <= 0:  # checked again later: a scenario may begin without traffic
+        if rate <= 0:  # the rate is checked again later: a scenario may begin without traffic
             self.events.after(SECOND // 10, self._schedule_next_request)
             return
         self.events.after(max(1, round(self.rng.expovariate(rate) * SECOND)), self._create_request)
@@ -118,7 +133,7 @@
         self._start_round(request)
 
     def _stats(self, request: ClientRequest) -> SecondStats:
-        return self.seconds.setdefault(request.created_at // SECOND, SecondStats())
+        return self.stats_by_second.setdefault(request.created_at // SECOND, SecondStats())
 
     # One round of attempts
 
@@ -129,7 +144,7 @@
 
     def _send_attempt(self, request: ClientRequest) -> None:
         now = self.events.now
-        server = self._choose(request)
+        server = self._choose_server(request)
         if server is None or now >= request.deadline:
             self._on_round_failure(request, Reply(LOST))
             return
@@ -151,7 +166,8 @@
         self.events.after(self.behavior.link_delay, server.receive, attempt)
         self.events.put(request.deadline, self._on_timeout, request, attempt, server)
 
-    def _choose(self, request: ClientRequest) -> Server | None:
+    def _choose_server(self, request: ClientRequest) -> Server | None:
+        """Returns a listed server not yet attempted in this round; None if there is none."""
         candidates = [
             server
             for server in self.servers(self.events.now - self.behavior.list_delay)
@@ -178,9 +194,9 @@
         return self.rng.choice(candidates)
 
     def _on_timeout(self, request: ClientRequest, attempt: Attempt, server: Server) -> None:
-        """No reply arrived by the deadline: the server is silent, or the link is cut."""
-        if not attempt.settled:
-            attempt.settled = 1
+        """Handles the deadline of the request: an attempt without a reply is lost."""
+        if not attempt.is_settled:
+            attempt.is_settled = 1
             self.outstanding[server] -= 1
             server.client_disconnected(attempt)
             self._stats(request).lost += 1
@@ -188,9 +204,9 @@
     def _on_reply(
         self, request: ClientRequest, attempt: Attempt, server: Server, reply: Reply
     ) -> None:
-        if attempt.settled:
-            return  # timed out before
-        attempt.settled = 1
+        if attempt.is_settled:
+            return  # the attempt has timed out
+        attempt.is_settled = 1
         self.outstanding[server] -= 1
         now = self.events.now
         if reply.kind == COMPLETED:
@@ -217,16 +233,16 @@
     def _on_round_failure(
         self, request: ClientRequest, reply: Reply, may_have_effect: bool = False
     ) -> None:
-        """The client starts another round after a delay, or the request fails."""
+        """Starts another round after a delay if that is allowed; otherwise the request has failed."""
         now = self.events.now
         delay = (
             reply.retry_after
             if reply.retry_after and self.behavior.honors_retry_after
-            else self.behavior.default_return_delay
+            else self.behavior.default_repeat_delay
         )
         if (
             not may_have_effect
-            and request.round_count <= self.behavior.max_returns
+            and request.round_count <= self.behavior.max_repeats
             and now + delay < request.deadline
         ):
             self.events.after(delay, self._start_round, request)
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -1,11 +1,12 @@
-"""An app server in simulated time: the real `Controller` (or a baseline with the same interface) with a
-`Server` as its decision sink, over a simulated machine and dependency. The cost of sockets, the interpreter
-and the connection to the executor is not modelled, except for `read_delay`, a fixed time from an attempt's
-arrival until it is read.
+"""An app server in simulated time. Times are in tenths of a ms.
 
-Assumptions: a request runs once from start to end. A request class that calls the dependency does so when
-half of its work is done, occupies no core while it waits, and then continues. The side effect of a request
-occurs when its run ends."""
+`Server` is the decision sink of the real `Controller`, or of a baseline with the same interface. It
+uses a simulated machine and a simulated dependency. The costs of sockets, the interpreter and the
+connection to the executor are not modelled, except for `read_delay`.
+
+Assumptions: a request runs once from start to end. A request of a class that calls the dependency
+makes one call when half of its work is done, occupies no core while it waits for the result, and
+then continues. The side effect of a request occurs when its run ends."""
 
 from __future__ import annotations
 
@@ -35,6 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
+    """A server's reply to an attempt.
+
+    Attributes:
+        kind: COMPLETED; DENIED, if the request has not run; TERMINATED, if its outcome is unknown;
+            LOST, if the connection failed.
+        retry_after: time after which the client may repeat a denied request; 0 if not stated.
+        no_retry_elsewhere: whether the router should not retry the request on another server.
+    """
+
     kind: str
     retry_after: int = 0
     no_retry_elsewhere: bool = False
@@ -42,41 +52,54 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt of a request, as the router sends it. `work`: actual work in tenths of a ms of a core at
-    full speed. `key`: idempotency key, equal for all attempts of a request."""
+    """One attempt of a request, as the router sends it."""
 
     request_class: RequestClass
-    key: int
-    client: int
-    work: int
-    timeout: int
+    key: int  # idempotency key, equal for all attempts of a request
+    client: int  # number of the router
+    work: int  # actual work: time on one core at full speed
+    timeout: int  # time from the arrival at the server to the deadline
     on_reply: Callable[[Attempt, Reply], None]
-    is_retry: bool = False
-    memory_kb: float = 8.0
+    is_retry: bool = False  # whether the attempt is marked as a retry
+    memory_kb: float = 8.0  # memory of the request until it is dispatched
     answer_count: int = 0
-    client_gone: bool = False  # whether the client has disconnected; no answer is required then
-    gone_at: int = 0
-    settled: int = 0  # 1 once the router has a reply or has timed out
-    deadline: int = 0
+    is_disconnected: bool = False  # whether the client has disconnected; no answer is required then
+    disconnected_at: int = 0  # time of the disconnection
+    is_settled: int = 0  # 1 once the router has received a reply or the attempt has timed out
+    deadline: int = 0  # set when the attempt arrives
 
 
 @dataclass(eq=False, slots=True)
 class Run:
+    """The execution of a request.
+
+    Attributes:
+        attempt: the attempt that the request belongs to.
+        request: the request.
+        number: number that `Machine.start` returned; -1 before the first start.
+        is_first_half: whether the run has still to call the dependency.
+        is_waiting: whether the run waits for the result of its call.
+        call_number: number of the current call; results of calls with other numbers are ignored.
+        call_started_at: time at which the current call was started.
+    """
+
     attempt: Attempt
     request: Request
-    number: int = -1  # number that Machine.start returned; -1 before the first start
-    is_first_half: bool = False  # whether the run has not yet called the dependency
-    is_waiting: bool = False  # whether the run waits for the result of its call
-    call_number: int = 0  # number of the current call; results of other calls are ignored
+    number: int = -1
+    is_first_half: bool = False
+    is_waiting: bool = False
+    call_number: int = 0
     call_started_at: int = 0
 
 
 @dataclass(slots=True)
 class Breach:
-    """A violation of a rule; its `repr` is stored with the results.
+    """A violation of a rule by the server `who` at the time `at`; its `repr` is stored with results.
 
-    The rules: one final answer per attempt; the answer is sent by the deadline; the side effect of a request
-    is not executed twice; the server stays within its memory and does not collapse ("no fall-over")."""
+    The rules are: each attempt gets one final answer; the answer is sent by the deadline; the side
+    effect of a request is not executed twice; the server does not exceed its memory and does not
+    collapse ("no fall-over").
+    """
 
     rule: str
     at: int
@@ -86,18 +109,24 @@
 
 @dataclass(slots=True)
 class Counts:
+    """Answers that a server has sent, by kind of reply."""
+
     completed: int = 0
     denied: int = 0
     terminated: int = 0
     in_time: float = 0.0  # total weight of requests completed within their latency objective
+    # Sum of latency divided by latency objective over all completed requests.
     latency_ratio_sum: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class Server:
-    """A simulated app server. `make_controller` creates the controller from the settings and the time;
-    `effect_counts` is shared by all servers and holds the number of times that the side effect of each
-    attempt key was executed."""
+    """A simulated app server.
+
+    `make_controller` creates the controller from the settings and the current time; `make_machine`
+    creates a machine for each start of the server. `effect_counts` is shared by all servers and
+    holds how often the side effect of each idempotency key was executed.
+    """
 
     name: str
     site: str
@@ -108,34 +137,40 @@
     make_machine: Callable[[Server], Machine]
     breaches: list[Breach]
     effect_counts: dict[int, int]
-    # Tenths of a ms after the deadline; a request without an answer by then is recorded as a violation.
+    # A request that is not answered this long after its deadline is recorded as a violation.
     answer_grace: int = 500
-    read_delay: int = 2  # tenths of a ms from the arrival of an attempt until it is read
+    read_delay: int = 2  # time from the arrival of an attempt until it is read
     is_up: bool = False
     # Whether the server accepts attempts without answering them; runs continue.
     is_silent: bool = False
     responsive_since: int = 0  # time at which the last silence ended
-    healthy: bool = True
-    incarnation: int = 0
-    load_report: float | None = None
+    is_healthy: bool = True  # what the controller reported last
+    incarnation: int = 0  # incremented by each start and crash
+    load_report: float | None = None  # the controller's last load report
     controller: Controller | Baseline | None = None
     machine: Machine | None = None
     runs: dict[Request, Run] = field(default_factory=dict)
-    keys: dict[tuple[str, int], tuple[Request, int]] = field(default_factory=dict)
-    coalesced: dict[Request, list[Request]] = field(default_factory=dict)
+    # Stored idempotency keys: (request class, key) to (original request, expiry).
+    stored_keys: dict[tuple[str, int], tuple[Request, int]] = field(default_factory=dict)
+    # Duplicates that wait for the result, by original request.
+    waiting_duplicates: dict[Request, list[Request]] = field(default_factory=dict)
     attempts: dict[Request, Attempt] = field(default_factory=dict)
     pending_events: list[Event] = field(default_factory=list)  # events of the next batch
     counts: Counts = field(default_factory=Counts)
-    in_batch: bool = False
+    is_processing_batch: bool = False  # whether the controller is processing a batch
     memory_in_use_kb: float = 0.0  # memory of all open requests
-    timer_generation: int = 0
+    timer_generation: int = 0  # only the timer that was set last is valid
     is_draining: bool = False
 
     # Start and stop
 
     def boot(self, cold: bool = False) -> None:
+        """Starts the process with a new controller on a new machine.
+
+        `cold` indicates to the controller that caches are cold and executions are slower at first.
+        """
         self.incarnation += 1
-        self.is_up, self.is_silent, self.healthy, self.is_draining = True, False, True, False
+        self.is_up, self.is_silent, self.is_healthy, self.is_draining = True, False, True, False
         self.machine = self.make_machine(self)
         settings = self.settings
         if cold:
@@ -149,7 +184,10 @@
         self._process_batches()
 
     def kill(self) -> None:
-        """Ends process and machine at once: open attempts are lost, and so are running requests."""
+        """Stops the process and the machine at once.
+
+        Running requests are lost, and open attempts get the reply LOST.
+        """
         self.is_up = False
         self.incarnation += 1
         if self.machine is not None:
@@ -157,11 +195,11 @@
         unanswered, self.attempts = list(self.attempts.values()), {}
         self.memory_in_use_kb = 0.0
         self.runs.clear()
-        self.keys.clear()
-        self.coalesced.clear()
+        self.stored_keys.clear()
+        self.waiting_duplicates.clear()
         self.pending_events.clear()
         for attempt in unanswered:
-            if not attempt.answer_count and not attempt.client_gone:
+            if not attempt.answer_count and not attempt.is_disconnected:
                 self.events.after(0, attempt.on_reply, attempt, Reply(LOST))
 
     def drain(self, grace: int) -> None:
@@ -171,15 +209,19 @@
     # Input from routers
 
     def receive(self, attempt: Attempt) -> None:
-        """Accepts an attempt. A server that is down refuses it at once; a silent one does not answer, and the
-        router times out."""
+        """Accepts an attempt, which is read after `read_delay`.
+
+        If the server is down, the reply is LOST; if it is silent, there is no reply.
+        """
         if not self.is_up:
             self.events.after(0, attempt.on_reply, attempt, Reply(LOST))
             return
         attempt.deadline = self.events.now + attempt.timeout
-        self.events.after(self.read_delay, self._read, attempt, self.events.now, self.incarnation)
+        self.events.after(
+            self.read_delay, self._read_attempt, attempt, self.events.now, self.incarnation
+        )
 
-    def _read(self, attempt: Attempt, arrived: int, incarnation: int) -> None:
+    def _read_attempt(self, attempt: Attempt, arrived: int, incarnation: int) -> None:
         if incarnation != self.incarnation or self.is_silent:
             if incarnation != self.incarnation:
                 attempt.on_reply(attempt, Reply(LOST))
@@ -187,7 +229,7 @@
         now = self.events.now
         original = None
         if attempt.request_class.deduplication_window:
-            entry = self.keys.get((attempt.request_class.name, attempt.key))
+            entry = self.stored_keys.get((attempt.request_class.name, attempt.key))
             if entry is not None and entry[1] >= now:
                 original = entry[0]
         request = Request(
@@ -212,16 +254,20 @@
         self._submit(RequestReceived(request))
 
     def client_disconnected(self, attempt: Attempt) -> None:
+        """Reports to the controller that the client of an attempt has disconnected."""
         for request, other in list(self.attempts.items()):
             if other is attempt:
-                attempt.client_gone, attempt.gone_at = True, self.events.now
+                attempt.is_disconnected, attempt.disconnected_at = True, self.events.now
                 self._submit(ClientGone(request))
 
     def _check_answered(self, attempt: Attempt, request: Request, incarnation: int) -> None:
-        # No answer is required if the client disconnected before the deadline. A client that disconnects at
-        # the deadline should already have received an answer.
-        disconnected_before_deadline = attempt.client_gone and attempt.gone_at < attempt.deadline
-        # An answer that is missing because of an injected silence is not a violation.
+        """Records a violation if an attempt that required an answer has none."""
+        # A client that disconnected before the deadline requires no answer. One that disconnects at
+        # the deadline should have received an answer by then.
+        disconnected_before_deadline = (
+            attempt.is_disconnected and attempt.disconnected_at < attempt.deadline
+        )
+        # A missing answer is no violation if an injected silence caused it.
         was_unresponsive = self.is_silent or self.responsive_since > request.read_at
         if (
             incarnation == self.incarnation
@@ -229,35 +275,38 @@
             and not attempt.answer_count
             and not disconnected_before_deadline
         ):
-            self._breach(
+            self._record_breach(
                 "one final answer by the due time",
                 f"key {attempt.key}: no answer, request is {request.state.name}",
             )
 
-    def _breach(self, rule: str, detail: str) -> None:
+    def _record_breach(self, rule: str, detail: str) -> None:
         self.breaches.append(Breach(rule, self.events.now, self.name, detail))
 
     # Batches of events
 
     def _submit(self, event: Event) -> None:
         self.pending_events.append(event)
-        if not self.in_batch:
+        if not self.is_processing_batch:
             self._process_batches()
 
     def _process_batches(self) -> None:
-        """Processes pending events in batches; events that a decision causes immediately form the next batch."""
+        """Processes pending events in batches until none are left.
+
+        Events that the decisions of a batch add form the next batch.
+        """
         while self.pending_events and self.is_up:
             events, self.pending_events = self.pending_events, []
-            self.in_batch = True
+            self.is_processing_batch = True
             try:
                 self.controller.process_batch(self.events.now, events, self)
             finally:
-                self.in_batch = False
+                self.is_processing_batch = False
             self._check_memory()
 
     def _check_memory(self) -> None:
         if self.memory_in_use_kb > self.settings.memory_kb:
-            self._breach(
+            self._record_breach(
                 "no fall-over",
                 f"{self.memory_in_use_kb:.0f} kB in use, limit is {self.settings.memory_kb:.0f} kB",
             )
@@ -266,17 +315,19 @@
 
     def _answer(self, request: Request, reply: Reply) -> None:
         attempt = self.attempts.get(request)
-        if attempt is None or attempt.client_gone:
+        if attempt is None or attempt.is_disconnected:
             return
         attempt.answer_count += 1
         if attempt.answer_count > 1:
-            self._breach("one final answer", f"key {attempt.key}: second answer: {reply.kind}")
+            self._record_breach(
+                "one final answer", f"key {attempt.key}: second answer: {reply.kind}"
+            )
             return
         setattr(self.counts, reply.kind, getattr(self.counts, reply.kind) + 1)
         if reply.kind == COMPLETED:
-            took = self.events.now - request.arrived_at
-            self.counts.latency_ratio_sum += took / attempt.request_class.latency_objective
-            if took <= attempt.request_class.latency_objective:
+            latency = self.events.now - request.arrived_at
+            self.counts.latency_ratio_sum += latency / attempt.request_class.latency_objective
+            if latency <= attempt.request_class.latency_objective:
                 self.counts.in_time += attempt.request_class.weight
         self.events.after(0, attempt.on_reply, attempt, reply)
 
@@ -305,21 +356,22 @@
         if run.attempt.request_class.effect is not Effect.IDEMPOTENT:
             self.effect_counts[run.attempt.key] = self.effect_counts.get(run.attempt.key, 0) + 1
             if self.effect_counts[run.attempt.key] > 1:
-                self._breach("no effect twice", f"key {run.attempt.key}")
-        # A request that was answered while it ran still has its effect.
+                self._record_breach("no effect twice", f"key {run.attempt.key}")
+        # A request that was answered while it was running has its effect, but gets no second answer.
         if not run.attempt.answer_count:
             self._answer(run.request, Reply(COMPLETED))
         self._finish(run.request, Outcome.OK)
 
     def _finish(self, request: Request, outcome: Outcome) -> None:
+        """Releases a request that has run, answers its duplicates and notifies the controller."""
         self._release(request)
         self.pending_events.append(ExecutionFinished(request, outcome))
-        for other in self.coalesced.pop(request, []):
+        for other in self.waiting_duplicates.pop(request, []):
             if (attempt := self.attempts.get(other)) is not None and not attempt.answer_count:
                 self._answer(other, Reply(COMPLETED if outcome is Outcome.OK else TERMINATED))
             self._release(other)
             self.pending_events.append(ExecutionFinished(other, outcome))
-        if not self.in_batch:
+        if not self.is_processing_batch:
             self._process_batches()
 
     def reject(
@@ -334,7 +386,7 @@
         if not request.was_dispatched:
             self._release(request)
         elif (run := self.runs.get(request)) is not None and run.is_waiting:
-            # A run that waits for a call ends when its request has been answered.
+            # A run that waits for its dependency call ends as soon as its request is answered.
             self.events.after(0, self._cancel_at_call, run, self.incarnation)
 
     def _cancel_at_call(self, run: Run, incarnation: int) -> None:
@@ -354,24 +406,27 @@
     def coalesce(self, request: Request) -> None:
         original = request.duplicate_of
         if original in self.runs:
-            self.coalesced.setdefault(original, []).append(request)
-        else:  # the original is finished; its result is known for as long as its key is stored
-            done = self.effect_counts.get(self.attempts[request].key, 0) > 0
-            self._answer(request, Reply(COMPLETED if done else TERMINATED))
+            self.waiting_duplicates.setdefault(original, []).append(request)
+        else:  # the original has ended; it was completed if its effect was executed
+            is_completed = self.effect_counts.get(self.attempts[request].key, 0) > 0
+            self._answer(request, Reply(COMPLETED if is_completed else TERMINATED))
             self._release(request)
             self.pending_events.append(
-                ExecutionFinished(request, Outcome.OK if done else Outcome.ERROR)
+                ExecutionFinished(request, Outcome.OK if is_completed else Outcome.ERROR)
             )
 
     def register_key(self, request: Request, lifetime: int) -> None:
         attempt = self.attempts.get(request)
         if attempt is not None:
-            self.keys[attempt.request_class.name, attempt.key] = request, self.events.now + lifetime
+            self.stored_keys[attempt.request_class.name, attempt.key] = (
+                request,
+                self.events.now + lifetime,
+            )
 
     def release_key(self, request: Request) -> None:
-        for name, (owner, _) in list(self.keys.items()):
+        for name, (owner, _) in list(self.stored_keys.items()):
             if owner is request:
-                del self.keys[name]
+                del self.stored_keys[name]
 
     def call_dependency(self, request: Request, timeout_at: int) -> None:
         run = self.runs[request]
@@ -390,6 +445,7 @@
         )
 
     def _on_call_result(self, run: Run, number: int, outcome: Outcome, incarnation: int) -> None:
+        """Handles the result of call `number`, unless a timeout or another result preceded it."""
         if (
             incarnation != self.incarnation
             or run.call_number != number
@@ -397,7 +453,7 @@
             or run.request not in self.runs
         ):
             return
-        run.call_number += 1
+        run.call_number += 1  # a later result of this call is ignored
         if outcome is Outcome.OK:
             run.is_waiting = False
             run.number = self.machine.start(
@@ -414,7 +470,7 @@
         )
 
     def report_health(self, healthy: bool) -> None:
-        self.healthy = healthy
+        self.is_healthy = healthy
 
     def report_load(self, value: float) -> None:
         self.load_report = value
@@ -424,13 +480,13 @@
 
     def set_timer(self, after: int) -> None:
         self.timer_generation += 1
-        self.events.after(after, self._timer, self.incarnation, self.timer_generation)
+        self.events.after(after, self._on_timer, self.incarnation, self.timer_generation)
 
-    def _timer(self, incarnation: int, generation: int) -> None:
+    def _on_timer(self, incarnation: int, generation: int) -> None:
         if incarnation != self.incarnation or generation != self.timer_generation:
             return
-        if self.is_silent:
-            self.events.after(100, self._timer, incarnation, generation)
+        if self.is_silent:  # the controller gets no timer events until the silence ends
+            self.events.after(100, self._on_timer, incarnation, generation)
             return
         self._submit(TimerExpired(self.machine.core_use, self.machine.run_queue))
 
@@ -439,4 +495,5 @@
 
 
 def new_controller(settings: ServerSettings, now: int) -> Controller:
+    """Creates the real controller at the simulated time `now`."""
     return Controller(settings, now)
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -1,7 +1,10 @@
-"""Simulates a fleet: takes a scenario and a seed, and returns the results of the clients' requests second by
-second, with every violation of the rules that `Server` checks (see `Breach`).
+"""Simulates a fleet of app servers with their routers and clients. Times are in tenths of a ms.
 
-A seed gives the same result on every machine: nothing depends on a clock or on hash order."""
+`play` takes a scenario and a seed. It returns the results of the clients' requests for each second,
+and every violation of the rules that `Server` checks (see `Breach`).
+
+A scenario and a seed give the same result on every machine: nothing depends on a clock or on hash
+order."""
 
 from __future__ import annotations
 
@@ -26,39 +29,44 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSpec:
-    """A request class. Times are in tenths of a ms; `share`: relative share of the requests; `work`: mean
-    core time."""
+    """A request class, and the distribution of its requests."""
 
     name: str
-    share: float
-    work: int
+    share: float  # share of the requests, relative to the other classes
+    work: int  # mean time on one core at full speed
     latency_objective: int
     timeout: int
     weight: float = 1.0
-    effect: str = "repeatable"
+    effect: str = "repeatable"  # a key of EFFECTS_BY_NAME
     calls_dependency: bool = False
+    # Fraction of the weight that a request has if its dependency call is skipped.
     skipped_call_weight_share: float = 0.0
     work_variability: float = 1.0  # 0: constant work, 1: exponentially distributed work
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
+    """A fleet, its load and the faults to inject.
+
+    `Machine` defines the thresholds and `contention`, `ServerSettings` the limits of the controller.
+    """
+
     request_classes: tuple[RequestClassSpec, ...]
-    servers: int = 20
-    routers: int = 10
-    sites: tuple[str, ...] = ("recife",)
-    cores: int = 4
-    memory_kb: float = 1e6
+    servers: int = 20  # number of app servers
+    routers: int = 10  # number of routers
+    sites: tuple[str, ...] = ("recife",)  # the app servers are distributed evenly over the sites
+    cores: int = 4  # per app server
+    memory_kb: float = 1e6  # per app server
     load: float = 0.8  # offered work as a multiple of the capacity of all cores
-    length: int = 60 * SECOND
+    length: int = 60 * SECOND  # time during which requests are created
     cold_speed: float = 0.5  # speed of a cold machine as a fraction of its full speed
-    warm_up: int = 5 * SECOND
+    warm_up: int = 5 * SECOND  # time for which a machine is cold after a restart
     crowding_threshold: float = 8.0
     contention: float = 0.02
     collapse_threshold: float = 60.0
-    collapse_multiple: float = 4.0
+    collapse_multiple: float = 4.0  # see `ServerSettings`
     slots: int = 0  # calls that the shared dependency handles at once; 0: no dependency
-    call_time: int = 100  # mean duration of a call of the dependency
+    call_time: int = 100  # mean duration of a dependency call
     max_retry_after: int = SECOND
     drain_grace: int = SECOND
     behavior: RoutingBehavior = RoutingBehavior()
@@ -67,61 +75,95 @@
 
     @property
     def mean_work(self) -> float:
-        return sum(each.share * each.work for each in self.request_classes) / sum(
-            each.share for each in self.request_classes
+        """Mean work of a request over all request classes."""
+        return sum(spec.share * spec.work for spec in self.request_classes) / sum(
+            spec.share for spec in self.request_classes
         )
 
 
 @dataclass(slots=True)
 class Sample:
-    """State of all servers at one time."""
+    """State of all servers at one time.
+
+    Attributes:
+        at: time of the sample.
+        p_a: mean admission probability of the running servers; 1 for baselines, which have none.
+        in_flight: number of open requests of all servers.
+        busy: fraction of the cores of all servers that is in use.
+        running_count: number of running servers.
+    """
 
     at: int
-    p_a: (
-        float  # mean admission probability of the running servers; 1 for baselines, which have none
-    )
-    in_flight: int  # open requests
-    busy: float  # fraction of the cores in use
+    p_a: float
+    in_flight: int
+    busy: float
     running_count: int
 
 
 @dataclass(slots=True)
 class Result:
-    seconds: dict[int, SecondStats]
+    """Results of a simulation run.
+
+    Attributes:
+        stats_by_second: results by the second in which the requests were created.
+        samples: state of the servers every SAMPLE_INTERVAL.
+        breaches: all violations of the rules.
+        processed_event_count: number of processed events.
+        completed: number of replies COMPLETED that servers sent.
+        denied: number of replies DENIED that servers sent.
+        terminated: number of replies TERMINATED that servers sent.
+        wasted: estimated fraction of core time that was not spent on requests that met their
+            latency objective. The estimate assumes the scenario's mean work for each of these.
+        dependency_call_count: number of accepted dependency calls.
+        core_use_by_server: fraction of cores in use, by sample and server; -1 for a server that is
+            down.
+    """
+
+    stats_by_second: dict[int, SecondStats]
     samples: list[Sample]
     breaches: list[Breach]
-    events: int
+    processed_event_count: int
     completed: int
     denied: int
     terminated: int
-    wasted: float  # fraction of core time spent on requests that missed their latency objective
-    calls: int
-    # Fraction of cores in use, by sample and server; -1 for a server that is down.
+    wasted: float
+    dependency_call_count: int
     core_use_by_server: list[list[float]] = field(default_factory=list)
 
     def share(self, first: int = 0, end: int | None = None) -> float:
-        """Weight of the requests completed within their objective over the weight of all requests created,
-        for the seconds from `first` until before `end`."""
+        """Returns the share of weight that was completed in time; 1 if no requests were created.
+
+        It is the weight of the requests completed within their latency objective, divided by the
+        weight of all requests. Requests created in the seconds from `first` until before `end` are
+        included.
+        """
         rows = [
-            row for at, row in self.seconds.items() if at >= first and (end is None or at < end)
+            row
+            for second, row in self.stats_by_second.items()
+            if second >= first and (end is None or second < end)
         ]
         wanted = sum(row.wanted for row in rows)
         return sum(row.benefit for row in rows) / wanted if wanted else 1.0
 
     def worst(self, span: int = 10) -> float:
-        """Lowest share over `span` consecutive seconds."""
-        last = max(self.seconds, default=0)
-        return min((self.share(at, at + span) for at in range(max(1, last - span))), default=1.0)
+        """Returns the lowest `share` of any `span` consecutive seconds."""
+        last = max(self.stats_by_second, default=0)
+        return min(
+            (self.share(second, second + span) for second in range(max(1, last - span))),
+            default=1.0,
+        )
 
 
 class Simulation:
+    """A fleet that runs one scenario."""
+
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
         self.events = EventQueue()
         self.rng = random.Random(f"world {seed}")
         self.breaches: list[Breach] = []
-        self.effects: dict[int, int] = {}
-        self.seconds: dict[int, SecondStats] = {}
+        self.effect_counts: dict[int, int] = {}
+        self.stats_by_second: dict[int, SecondStats] = {}
         self.samples: list[Sample] = []
         self.core_use_by_server: list[list[float]] = []
         self.rate_factor, self.router_rate_factors = 1.0, {}
@@ -139,45 +181,45 @@
             if scenario.slots
             else None
         )
-        self.request_classes = [self._request_class(each) for each in scenario.request_classes]
+        self.request_classes = [self._make_request_class(spec) for spec in scenario.request_classes]
         make_controller = (
             new_controller if scenario.policy == "design" else BASELINES_BY_NAME[scenario.policy]
         )
         self.servers = [
             Server(
-                f"n{at}",
-                scenario.sites[at * len(scenario.sites) // scenario.servers],
+                f"n{index}",
+                scenario.sites[index * len(scenario.sites) // scenario.servers],
                 self.events,
-                self._settings(at),
+                self._server_settings(index),
                 make_controller,
                 self.dependency,
-                self._machine,
+                self._make_machine,
                 self.breaches,
-                self.effects,
+                self.effect_counts,
             )
-            for at in range(scenario.servers)
+            for index in range(scenario.servers)
         ]
-        self.cold_servers: set[str] = set()
-        # (time from which on they are listed, listed servers); routers see listings with a delay.
+        self.cold_servers: set[str] = set()  # names of the servers whose next machine starts cold
+        # (time of the listing, listed servers), oldest first; routers use listings with a delay.
         self.listings: list[tuple[int, list[Server]]] = []
-        self.routers = [self._router(at) for at in range(scenario.routers)]
+        self.routers = [self._make_router(index) for index in range(scenario.routers)]
 
-    def _request_class(self, each: RequestClassSpec) -> RequestClass:
+    def _make_request_class(self, spec: RequestClassSpec) -> RequestClass:
         return RequestClass(
-            each.name,
-            each.weight,
-            each.latency_objective,
-            each.timeout,
-            EFFECTS_BY_NAME[each.effect],
-            deduplication_window=2 * each.timeout if each.effect == "deduplicated" else 0,
-            calls_dependency=each.calls_dependency and self.scenario.slots > 0,
-            skipped_call_weight_share=each.skipped_call_weight_share,
+            spec.name,
+            spec.weight,
+            spec.latency_objective,
+            spec.timeout,
+            EFFECTS_BY_NAME[spec.effect],
+            deduplication_window=2 * spec.timeout if spec.effect == "deduplicated" else 0,
+            calls_dependency=spec.calls_dependency and self.scenario.slots > 0,
+            skipped_call_weight_share=spec.skipped_call_weight_share,
         )
 
-    def _settings(self, at: int) -> ServerSettings:
+    def _server_settings(self, index: int) -> ServerSettings:
         scenario = self.scenario
         return ServerSettings(
-            seed=random.Random(f"server {self.seed} {at}").getrandbits(60),
+            seed=random.Random(f"server {self.seed} {index}").getrandbits(60),
             cores=scenario.cores,
             memory_kb=scenario.memory_kb,
             running_memory_factor=2.0,
@@ -195,7 +237,7 @@
             dependency_call_span=SECOND if scenario.slots else 0,
         )
 
-    def _machine(self, server: Server) -> Machine:
+    def _make_machine(self, server: Server) -> Machine:
         scenario = self.scenario
         if server.machine is not None:
             self.replaced_core_time += server.machine.core_time_used
@@ -212,7 +254,7 @@
             lambda: self._on_collapse(server),
         )
 
-    def _router(self, at: int) -> Router:
+    def _make_router(self, index: int) -> Router:
         scenario = self.scenario
         rate = (
             scenario.load
@@ -222,42 +264,44 @@
             / scenario.mean_work
             / max(1, scenario.routers)
         )
-        rng = random.Random(f"router {self.seed} {at}")
+        rng = random.Random(f"router {self.seed} {index}")
         return Router(
-            at,
+            index,
             self.events,
             rng,
             scenario.behavior,
-            lambda time: self._listed_servers(at, time),
-            self._draw,
-            lambda now: rate * self.rate_factor * self.router_rate_factors.get(at, 1.0),
-            self.seconds,
+            lambda time: self._listed_servers(index, time),
+            self._draw_request,
+            lambda now: rate * self.rate_factor * self.router_rate_factors.get(index, 1.0),
+            self.stats_by_second,
         )
 
-    def _draw(self, rng: random.Random) -> tuple[RequestClass, int, int]:
-        at = rng.choices(
-            range(len(self.request_classes)), [each.share for each in self.scenario.request_classes]
+    def _draw_request(self, rng: random.Random) -> tuple[RequestClass, int, int]:
+        index = rng.choices(
+            range(len(self.request_classes)), [spec.share for spec in self.scenario.request_classes]
         )[0]
-        each = self.scenario.request_classes[at]
-        work = each.work * (
-            1 - each.work_variability + each.work_variability * rng.expovariate(1.0)
+        spec = self.scenario.request_classes[index]
+        work = spec.work * (
+            1 - spec.work_variability + spec.work_variability * rng.expovariate(1.0)
         )
-        return self.request_classes[at], max(1, round(work)), each.timeout
+        return self.request_classes[index], max(1, round(work)), spec.timeout
 
     # Listings of servers
 
     def _update_listing(self) -> None:
-        running = [each for each in self.servers if each.is_up and not each.is_draining]
+        running = [server for server in self.servers if server.is_up and not server.is_draining]
         self.listings.append((self.events.now, running))
 
     def _listed_servers(self, router: int, time: int) -> list[Server]:
-        at = len(self.listings) - 1
-        while at > 0 and self.listings[at][0] > time:
-            at -= 1
-        servers = self.listings[at][1]
-        # A cut affects the routers with odd numbers, which detect unreachable servers by themselves.
+        """Returns the servers that a router finds listed at `time`."""
+        index = len(self.listings) - 1
+        while index > 0 and self.listings[index][0] > time:
+            index -= 1
+        servers = self.listings[index][1]
+        # A cut affects the routers with odd numbers. They detect that the servers are unreachable,
+        # and send them no requests.
         if self.unreachable_sites and router % 2:
-            servers = [each for each in servers if each.site not in self.unreachable_sites]
+            servers = [server for server in servers if server.site not in self.unreachable_sites]
         return servers
 
     # Faults
@@ -267,7 +311,9 @@
         after = self.events.after
         if fault.kind in SERVER_FAULT_KINDS:
             candidates = [
-                each for each in self.servers if each.is_up and fault.site in ("", each.site)
+                server
+                for server in self.servers
+                if server.is_up and fault.site in ("", server.site)
             ]
             chosen = rng.sample(
                 candidates, min(len(candidates), max(1, round(fault.share * len(candidates))))
@@ -278,22 +324,22 @@
             self.rate_factor *= fault.factor
             after(fault.duration, self._end_surge, fault.factor)
         elif fault.kind == "outlet" and self.routers:
-            at = rng.randrange(len(self.routers))
-            self.router_rate_factors[at] = fault.factor
-            after(fault.duration, self.router_rate_factors.pop, at, None)
+            index = rng.randrange(len(self.routers))
+            self.router_rate_factors[index] = fault.factor
+            after(fault.duration, self.router_rate_factors.pop, index, None)
         elif fault.kind == "cut":
             self.unreachable_sites.add(fault.site or self.scenario.sites[0])
             after(
                 fault.duration, self.unreachable_sites.discard, fault.site or self.scenario.sites[0]
             )
         elif fault.kind == "release":
-            for at, server in enumerate(self.servers):
+            for index, server in enumerate(self.servers):
                 self.events.put(
-                    now + fault.duration * at // len(self.servers), self._replace, server
+                    now + fault.duration * index // len(self.servers), self._replace_server, server
                 )
         elif self.dependency is not None and fault.kind == "index-slow":
-            self.dependency.slowness = fault.factor
-            after(fault.duration, setattr, self.dependency, "slowness", 1.0)
+            self.dependency.duration_factor = fault.factor
+            after(fault.duration, setattr, self.dependency, "duration_factor", 1.0)
         elif self.dependency is not None and fault.kind == "index-down":
             self.dependency.fail_all()
             after(fault.duration, self.dependency.restore)
@@ -307,9 +353,9 @@
             self._kill(server)
             after(fault.duration, self._boot, server)
         elif fault.kind == "flap":
-            for at in range(0, max(1, fault.duration), FLAP_PERIOD):
-                after(at, self._kill, server)
-                after(at + FLAP_PERIOD // 2, self._boot, server)
+            for offset in range(0, max(1, fault.duration), FLAP_PERIOD):
+                after(offset, self._kill, server)
+                after(offset + FLAP_PERIOD // 2, self._boot, server)
         elif fault.kind == "silence":
             server.is_silent = True
             after(
@@ -358,7 +404,7 @@
                 "no fall-over",
                 self.events.now,
                 server.name,
-                f"{server.machine.running} runs on {self.scenario.cores} cores",
+                f"{server.machine.run_count} runs on {self.scenario.cores} cores",
             )
         )
         self.events.after(0, self._kill, server)
@@ -370,7 +416,7 @@
             server.boot(cold=True)
             self._update_listing()
 
-    def _replace(self, server: Server) -> None:
+    def _replace_server(self, server: Server) -> None:
         if server.is_up:
             grace = 2 * self.scenario.drain_grace
             server.drain(grace)
@@ -380,21 +426,21 @@
 
     # Simulation run
 
-    def _sample(self) -> None:
-        self.events.after(SAMPLE_INTERVAL, self._sample)
-        running = [each for each in self.servers if each.is_up]
+    def _take_sample(self) -> None:
+        self.events.after(SAMPLE_INTERVAL, self._take_sample)
+        running = [server for server in self.servers if server.is_up]
         probabilities = [
-            each.controller.admission_probability
-            for each in running
-            if hasattr(each.controller, "admission_probability")
+            server.controller.admission_probability
+            for server in running
+            if hasattr(server.controller, "admission_probability")
         ]
-        core_use = [each.machine.core_use if each.is_up else -1.0 for each in self.servers]
+        core_use = [server.machine.core_use if server.is_up else -1.0 for server in self.servers]
         self.samples.append(
             Sample(
                 self.events.now,
                 sum(probabilities) / len(probabilities) if probabilities else 1.0,
-                sum(len(each.attempts) for each in running),
-                sum(max(0.0, each) for each in core_use) / len(core_use),
+                sum(len(server.attempts) for server in running),
+                sum(max(0.0, fraction) for fraction in core_use) / len(core_use),
                 len(running),
             )
         )
@@ -409,33 +455,38 @@
             router.start()
         for fault in scenario.faults:
             self.events.put(fault.at, self._inject, fault)
-        self._sample()
+        self._take_sample()
         self.events.run(scenario.length)
-        # No new requests are created; open ones are answered or time out.
+        # Afterwards no requests are created, and open requests are answered or time out.
         for router in self.routers:
             router.rate = lambda now: 0.0
-        longest = max(each.timeout for each in scenario.request_classes)
-        self.events.run(scenario.length + longest + SECOND)
+        longest_timeout = max(spec.timeout for spec in scenario.request_classes)
+        self.events.run(scenario.length + longest_timeout + SECOND)
         return self._result()
 
     def _result(self) -> Result:
-        counts = [each.counts for each in self.servers]
-        busy = self.replaced_core_time + sum(each.machine.core_time_used for each in self.servers)
-        useful_work = sum(row.in_time for row in self.seconds.values()) * self.scenario.mean_work
+        counts = [server.counts for server in self.servers]
+        core_time_used = self.replaced_core_time + sum(
+            server.machine.core_time_used for server in self.servers
+        )
+        useful_work = (
+            sum(row.in_time for row in self.stats_by_second.values()) * self.scenario.mean_work
+        )
         last = self.scenario.length // SECOND
         return Result(
-            {at: row for at, row in sorted(self.seconds.items()) if at < last},
+            {second: row for second, row in sorted(self.stats_by_second.items()) if second < last},
             self.samples,
             self.breaches,
             self.events.processed_count,
-            sum(each.completed for each in counts),
-            sum(each.denied for each in counts),
-            sum(each.terminated for each in counts),
-            max(0.0, 1 - useful_work / busy) if busy else 0.0,
+            sum(server_counts.completed for server_counts in counts),
+            sum(server_counts.denied for server_counts in counts),
+            sum(server_counts.terminated for server_counts in counts),
+            max(0.0, 1 - useful_work / core_time_used) if core_time_used else 0.0,
             self.dependency.call_count if self.dependency else 0,
             self.core_use_by_server,
         )
 
 
 def play(scenario: Scenario, seed: int) -> Result:
+    """Runs a scenario with a seed and returns its results."""
     return Simulation(scenario, seed).play()
--- a/lilacwalk/experiments/planner.py
+++ b/lilacwalk/experiments/planner.py
@@ -84,7 +84,7 @@
     """Returns the measures of a run. `share` is the weight of the requests completed within their objective
     over the weight of all requests created, without the first 2 s. `after` is the same from 2 s after the end
     of the last fault; 1 if there are no faults."""
-    rows = result.seconds.values()
+    rows = result.stats_by_second.values()
     request_count = max(1, sum(row.wished for row in rows))
     answer_count = max(1, result.completed + result.denied + result.terminated)
     ends = [(each.at + each.time) // SECOND + 2 for each in scenario.fault]
@@ -100,7 +100,7 @@
         "breaches": float(len(result.breaches)),
         "busy": sum(each.busy for each in samples if each) / len(samples),
         "p_a": sum(each.p_a for each in samples if each) / len(samples),
-        "calls": float(result.calls),
+        "calls": float(result.dependency_call_count),
     }
 
 
--- a/lilacwalk/experiments/runner.py
+++ b/lilacwalk/experiments/runner.py
@@ -66,7 +66,7 @@
     result = play(planned.scenario.build(), planned.seed)
     figures = compute_measures(planned.scenario, result)
     rows = {name: [] for name in SERIES}
-    for second, row in result.seconds.items():
+    for second, row in result.stats_by_second.items():
         for name in SERIES:
             rows[name].append(second if name == "second" else getattr(row, name))
     metadata = {
--- a/tests/emulator/test_models.py
+++ b/tests/emulator/test_models.py
@@ -68,7 +68,7 @@
     machine.stop(stopped)
     machine.stop(stopped)
     events.run(1_000)
-    assert ended == ["kept"] and machine.running == 0 and kept != stopped
+    assert ended == ["kept"] and machine.run_count == 0 and kept != stopped
     assert machine.core_time_used == pytest.approx(100, abs=2)
 
 
--- a/tests/emulator/test_play.py
+++ b/tests/emulator/test_play.py
@@ -40,7 +40,7 @@
                 row.refused,
                 row.lost,
             )
-            for at, row in result.seconds.items()
+            for at, row in result.stats_by_second.items()
         ]
     ) + repr([each.p_a for each in result.samples])
 
@@ -93,7 +93,7 @@
         ),
         4,
     )
-    assert result.calls and result.share(12, 16) > 0.85 and not result.breaches
+    assert result.dependency_call_count and result.share(12, 16) > 0.85 and not result.breaches
 
 
 def test_faults_that_start_at_the_same_time_cause_no_violation(scenario):
@@ -114,7 +114,7 @@
 
 def test_simulation_without_traffic_ends_without_requests(scenario):
     result = play(scenario(load=0.0), 1)
-    assert not result.seconds and not result.breaches and result.share() == 1.0
+    assert not result.stats_by_second and not result.breaches and result.share() == 1.0
 
 
 def test_service_recovers_after_a_crash_at_the_start_and_after_a_crash_of_all_servers(scenario):
