--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,7 +17,7 @@
 from multiprocessing import Pool
 
 from benchmarks.table import Table
-from lilacwalk.emulator.datagrams import World
+from lilacwalk.emulator.datagrams import SimulatedFleet
 from lilacwalk.membership.failure_detector import FailureDetector, with_report
 from lilacwalk.membership.member import Member
 from lilacwalk.membership.messages import Health, MessageType
@@ -109,8 +109,8 @@
 
 def start_fleet(
     count: int, seed: int, variant: str, **options
-) -> tuple[World, list[str], int | None]:
-    world = World(seed, machine=VARIANTS[variant], **options)
+) -> tuple[SimulatedFleet, list[str], int | None]:
+    world = SimulatedFleet(seed, membership_type=VARIANTS[variant], **options)
     names = [f"n{number}" for number in range(count)]
     for number, name in enumerate(names):
         world.add(name, SITES[number * 3 // count], seeds=names[: min(number, 2)])
@@ -189,12 +189,15 @@
     count, seed, loss, variant, seconds = task
     world, names, _ = start_fleet(count, seed, variant, loss=loss, count_bytes=count <= 100)
     world.run(30 * SECOND)
-    counts_before = [dict(node.machine.counts) for node in world.up()]
-    sent_before = sum(node.sent for node in world.up()), sum(node.sent_bytes for node in world.up())
+    counts_before = [dict(node.membership.counts) for node in world.running_nodes()]
+    sent_before = (
+        sum(node.sent_count for node in world.running_nodes()),
+        sum(node.sent_bytes for node in world.running_nodes()),
+    )
     world.run(seconds * SECOND)
-    nodes = world.up()
+    nodes = world.running_nodes()
     refuted = sum(
-        node.machine.counts["refutations"] - earlier.get("refutations", 0)
+        node.membership.counts["refutations"] - earlier.get("refutations", 0)
         for node, earlier in zip(nodes, counts_before, strict=True)
     )
     false_deaths = len(
@@ -207,7 +210,7 @@
     )
     hours = count * seconds / 3_600
     sent = (
-        sum(node.sent for node in nodes) - sent_before[0],
+        sum(node.sent_count for node in nodes) - sent_before[0],
         sum(node.sent_bytes for node in nodes) - sent_before[1],
     )
     return hours, refuted, false_deaths, sent[0] / count / seconds, sent[1] / count / seconds
@@ -257,16 +260,16 @@
         world, names, _ = start_fleet(count, 1, "lilacwalk", count_bytes=True)
         world.run(30 * SECOND)
         sent_before = (
-            sum(node.sent for node in world.up()),
-            sum(node.sent_bytes for node in world.up()),
+            sum(node.sent_count for node in world.running_nodes()),
+            sum(node.sent_bytes for node in world.running_nodes()),
         )
         measured_from, seconds = time.process_time(), 20
-        for node in world.up():  # metrics change continuously, as under load
-            node.machine.update_metadata(world.now, load_permille=500)
+        for node in world.running_nodes():  # metrics change continuously, as under load
+            node.membership.update_metadata(world.now, load_permille=500)
         world.run(seconds * SECOND)
         cpu_seconds = time.process_time() - measured_from
-        datagrams = sum(node.sent for node in world.up()) - sent_before[0]
-        sent_bytes = sum(node.sent_bytes for node in world.up()) - sent_before[1]
+        datagrams = sum(node.sent_count for node in world.running_nodes()) - sent_before[0]
+        sent_bytes = sum(node.sent_bytes for node in world.running_nodes()) - sent_before[1]
         rows.append(
             {
                 "members": count,
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -1,11 +1,13 @@
-"""Members of a fleet in simulated time: the real `Membership`, an event queue in tenths of a millisecond, and
-links that lose, delay and duplicate datagrams and can be cut.
+"""Members of a fleet in simulated time. Times are in tenths of a ms unless a name ends with `_ms`.
 
-A seed gives the same events on every machine: nothing here depends on a clock or on hash order.
+Each member runs the real `Membership`. The simulated links lose, delay and duplicate datagrams, and
+can be cut.
 
-Assumptions: a datagram takes `delay` plus up to `jitter` tenths of a ms, each is lost independently of the
-others, and a member handles a datagram in zero simulated time. The effects of a queue, a slow interpreter or
-a full buffer are measured with processes (`testing/fleet.py`), not here."""
+A seed gives the same events on every machine: nothing depends on a clock or on hash order.
+
+Assumptions: a datagram takes `delay` plus up to `jitter`, datagrams are lost independently of each
+other, and a member handles a datagram in zero simulated time. The effects of a queue, a slow
+interpreter or a full buffer are measured with processes (`testing/fleet.py`), not here."""
 
 from __future__ import annotations
 
@@ -24,22 +26,40 @@
 
 @dataclass(eq=False, slots=True)
 class Node:
+    """A process of the simulated fleet, which runs one member.
+
+    Attributes:
+        name: the member's name. An appended ' distinguishes a second process under the same name.
+        site: the member's site.
+        address: host and port.
+        membership: the state machine of the member; None if the process is not running.
+        is_paused: whether the process is suspended; arriving datagrams are then buffered.
+        buffered: datagrams in the socket buffer of a paused process.
+        next_wake_at: time of the next scheduled tick; 1 << 62 if there is none.
+        clock_offset_ms: offset of the member's wall clock from simulated time.
+        persisted_state: incarnation and known members when the process was killed, if it was.
+        sent_count: number of datagrams sent.
+        sent_bytes: bytes sent with protocol headers, if the fleet counts them.
+        events: membership events that the member has reported.
+    """
+
     name: str
     site: str
     address: tuple[str, int]
-    machine: Membership | None = None
-    paused: bool = False
-    # Datagrams in the socket buffer of a paused process.
+    membership: Membership | None = None
+    is_paused: bool = False
     buffered: list[Datagram] = field(default_factory=list)
     next_wake_at: int = 1 << 62
-    clock_ms: int = 0  # offset of the member's wall clock from simulated time
+    clock_offset_ms: int = 0
     persisted_state: tuple[int, list[GossipUpdate]] | None = None
-    sent: int = 0
+    sent_count: int = 0
     sent_bytes: int = 0
     events: list[MembershipEvent] = field(default_factory=list)
 
 
-class World:
+class SimulatedFleet:
+    """A fleet of members that exchange datagrams over simulated links."""
+
     def __init__(
         self,
         seed: int,
@@ -47,36 +67,45 @@
         delay: int = 5,
         jitter: int = 10,
         loss: float = 0.0,
-        double: float = 0.0,
-        most: int = 2_000,
-        forget: int = 36_000_000,
+        duplication: float = 0.0,
+        max_members: int = 2_000,
+        forget_after: int = 36_000_000,
         count_bytes: bool = False,
-        machine: Callable[..., Membership] = Membership,
+        membership_type: Callable[..., Membership] = Membership,
         max_buffered: int = 1_000,
     ) -> None:
-        """Times are in tenths of a ms.
-
-        `interval`: probe interval; `loss`, `double`: probabilities that a datagram is lost or duplicated;
-        `most`: limit on members in a view; `forget`: time after which an absent member is forgotten;
-        `count_bytes`: whether sent bytes are counted; `machine`: class of the members' state machine;
-        `max_buffered`: datagrams that the socket buffer of a paused member holds."""
+        """Creates a fleet without members.
+
+        Args:
+            seed: seed of all random numbers.
+            interval: probe interval.
+            delay: one-way network delay.
+            jitter: maximum additional delay.
+            loss: probability that a datagram is lost.
+            duplication: probability that a datagram is duplicated.
+            max_members: maximum number of members in a view.
+            forget_after: time after which a member removes an absent member from its view.
+            count_bytes: whether sent bytes are counted, for which each datagram is encoded.
+            membership_type: the class `Membership`, or a variant of it.
+            max_buffered: number of datagrams that the socket buffer of a paused process holds.
+        """
         self.rng = random.Random(seed)
         self.interval, self.delay, self.jitter = interval, delay, jitter
-        self.loss, self.double, self.most, self.forget, self.count_bytes = (
+        self.loss, self.duplication, self.max_members, self.forget_after, self.count_bytes = (
             loss,
-            double,
-            most,
-            forget,
+            duplication,
+            max_members,
+            forget_after,
             count_bytes,
         )
-        self.machine, self.max_buffered = machine, max_buffered
+        self.membership_type, self.max_buffered = membership_type, max_buffered
         self.now, self.sequence_number = 0, 0
         self.event_heap: list[tuple] = []
         self.nodes: dict[str, Node] = {}
         self.at_address: dict[tuple[str, int], Node] = {}
-        self.cuts: set[tuple[str, str]] = set()  # (from, to): names of members
-        # Loss probability of datagrams from and to a member, by its name.
-        self.lossy: dict[str, float] = {}
+        self.cut_links: set[tuple[str, str]] = set()  # (sender, receiver): names of nodes
+        # Additional loss probability of datagrams from and to a node, by its name.
+        self.loss_by_node: dict[str, float] = {}
 
     # Members
 
@@ -85,13 +114,22 @@
         name: str,
         site: str = "s",
         seeds: Iterable[str] = (),
-        clock_ms: int = 0,
+        clock_offset_ms: int = 0,
         address: tuple[str, int] | None = None,
-        keep: bool = False,
+        restores_state: bool = False,
         state: NodeState = NodeState.READY,
     ) -> Node:
-        """Starts a member under this name, and replaces one that runs under it. With `keep`, the member
-        starts with its persisted state."""
+        """Starts a process under this name, in place of a process that runs under it.
+
+        Args:
+            name: see `Node`.
+            site: the member's site.
+            seeds: names of nodes that the member contacts first; the nodes must exist.
+            clock_offset_ms: offset of the member's wall clock from simulated time.
+            address: host and port; by default, those of an earlier process, or unused ones.
+            restores_state: whether the member starts with its persisted state.
+            state: the node state that the member announces.
+        """
         node = self.nodes.get(name)
         if node is None:
             node = self.nodes[name] = Node(
@@ -101,8 +139,10 @@
             self.at_address.pop(node.address, None)
             node.address = address
         self.at_address[node.address] = node
-        node.clock_ms, node.paused, node.buffered = clock_ms, False, []
-        incarnation, members = node.persisted_state if keep and node.persisted_state else (0, [])
+        node.clock_offset_ms, node.is_paused, node.buffered = clock_offset_ms, False, []
+        incarnation, members = (
+            node.persisted_state if restores_state and node.persisted_state else (0, [])
+        )
         seed_addresses = tuple(self.nodes[seed].address for seed in seeds)
         config = MemberConfig(
             node.name.split("'")[0],
@@ -110,60 +150,66 @@
             node.address,
             seed_addresses,
             self.interval,
-            self.forget,
+            self.forget_after,
             0.34,
-            self.most,
+            self.max_members,
         )
-        node.machine = self.machine(
+        node.membership = self.membership_type(
             config,
             random.Random(self.rng.getrandbits(64)),
             self.now,
-            WALL_CLOCK_START_MS + self.now // 10 + clock_ms,
+            WALL_CLOCK_START_MS + self.now // 10 + clock_offset_ms,
             incarnation,
             members,
         )
-        node.machine.update_metadata(self.now, state=state)
+        node.membership.update_metadata(self.now, state=state)
         node.next_wake_at = 1 << 62
         self._schedule_tick(node, self.now + self.rng.randrange(self.interval // 10 + 1))
         return node
 
     def kill(self, name: str) -> None:
+        """Ends a process without a leave message; a later one may restore its state."""
         node = self.nodes[name]
-        if node.machine is not None:
+        if node.membership is not None:
             node.persisted_state = (
-                node.machine.identity.incarnation,
-                [member.update() for member in node.machine.view.known()],
+                node.membership.identity.incarnation,
+                [member.update() for member in node.membership.view.known()],
             )
-        node.machine, node.buffered = None, []
+        node.membership, node.buffered = None, []
 
     def pause(self, name: str) -> None:
-        self.nodes[name].paused = True
+        """Suspends a process until `resume`; arriving datagrams are buffered."""
+        self.nodes[name].is_paused = True
 
     def resume(self, name: str) -> None:
+        """Resumes a paused process, which then receives the buffered datagrams."""
         node = self.nodes[name]
-        node.paused = False
+        node.is_paused = False
         buffered, node.buffered = node.buffered, []
         for datagram in buffered:
             self._schedule(self.now, self._arrive, node, datagram)
         self._schedule_tick(node, self.now)
 
     def leave(self, name: str) -> None:
+        """Makes a member announce that it leaves, and ends its process."""
         node = self.nodes[name]
-        node.machine.leave()
+        node.membership.leave()
         self._apply_outputs(node)
-        node.machine = None
+        node.membership = None
 
     # Links
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
+        """Cuts the links from all sources to all destinations; with `both`, also the reverse ones."""
         for source in sources:
             for destination in destinations:
-                self.cuts.add((source, destination))
+                self.cut_links.add((source, destination))
                 if both:
-                    self.cuts.add((destination, source))
+                    self.cut_links.add((destination, source))
 
     def heal(self) -> None:
-        self.cuts.clear()
+        """Restores all links that are cut."""
+        self.cut_links.clear()
 
     # Time
 
@@ -175,50 +221,50 @@
         time = max(time, self.now)
         if time < node.next_wake_at:
             node.next_wake_at = time
-            self._schedule(time, self._tick, node, node.machine, time)
+            self._schedule(time, self._tick, node, node.membership, time)
 
-    def _tick(self, node: Node, machine: Membership, time: int) -> None:
-        if node.machine is not machine or machine is None or node.next_wake_at != time:
+    def _tick(self, node: Node, membership: Membership, time: int) -> None:
+        if node.membership is not membership or membership is None or node.next_wake_at != time:
             return
         node.next_wake_at = 1 << 62
-        if node.paused:
+        if node.is_paused:
             return
-        machine.tick(self.now)
+        membership.tick(self.now)
         self._apply_outputs(node)
 
     def _arrive(self, node: Node, datagram: Datagram) -> None:
-        if node.machine is None:
+        if node.membership is None:
             return
-        if node.paused:
+        if node.is_paused:
             if len(node.buffered) < self.max_buffered:
                 node.buffered.append(datagram)
             return
-        node.machine.receive(datagram, self.now)
+        node.membership.receive(datagram, self.now)
         self._apply_outputs(node)
 
     def _apply_outputs(self, node: Node) -> None:
-        machine = node.machine
-        for send in machine.take_datagrams():
+        membership = node.membership
+        for send in membership.take_datagrams():
             self._send(node, send.address, send.datagram)
-        node.events += machine.take_events()
-        self._schedule_tick(node, machine.next_deadline())
+        node.events += membership.take_events()
+        self._schedule_tick(node, membership.next_deadline())
 
     def _send(self, node: Node, to: tuple[str, int], datagram: Datagram) -> None:
-        node.sent += 1
+        node.sent_count += 1
         if self.count_bytes:
             node.sent_bytes += len(encode(datagram)) + HEADER_BYTES
         destination = self.at_address.get(to)
-        if destination is None or (node.name, destination.name) in self.cuts:
+        if destination is None or (node.name, destination.name) in self.cut_links:
             return
         source_loss, destination_loss = (
-            self.lossy.get(node.name, 0.0),
-            self.lossy.get(destination.name, 0.0),
+            self.loss_by_node.get(node.name, 0.0),
+            self.loss_by_node.get(destination.name, 0.0),
         )
         delivery_probability = (1 - self.loss) * (1 - source_loss) * (1 - destination_loss)
         copies = (
             0
             if self.rng.random() >= delivery_probability
-            else 1 + (self.rng.random() < self.double)
+            else 1 + (self.rng.random() < self.duplication)
         )
         for _ in range(copies):
             self._schedule(
@@ -228,17 +274,22 @@
                 datagram,
             )
 
-    def run(self, time: int) -> None:
-        until = self.now + time
+    def run(self, duration: int) -> None:
+        """Runs the simulation for `duration`."""
+        until = self.now + duration
         while self.event_heap and self.event_heap[0][0] <= until:
             self.now, _, action, arguments = heapq.heappop(self.event_heap)
             action(*arguments)
         self.now = until
 
-    def run_until(self, condition: Callable[[], bool], most: int, step: int = 0) -> int | None:
-        """Runs until the condition holds. Returns the time taken, or None if it did not hold within `most`."""
+    def run_until(self, condition: Callable[[], bool], timeout: int, step: int = 0) -> int | None:
+        """Runs until the condition holds, and returns the simulated time that this took.
+
+        The condition is checked every `step`, by default a tenth of the probe interval. Returns
+        None if it does not hold within `timeout`.
+        """
         started_at, step = self.now, step or self.interval // 10
-        while self.now - started_at <= most:
+        while self.now - started_at <= timeout:
             if condition():
                 return self.now - started_at
             self.run(step)
@@ -246,25 +297,32 @@
 
     # Actual state, and the members' views of it
 
-    def up(self) -> list[Node]:
+    def running_nodes(self) -> list[Node]:
+        """Returns the nodes whose process runs and is not paused."""
         return [
-            node for node in self.nodes.values() if node.machine is not None and not node.paused
+            node
+            for node in self.nodes.values()
+            if node.membership is not None and not node.is_paused
         ]
 
     def present_names(self, node: Node) -> set[str]:
-        return {member.name for member in node.machine.view.present}
+        """Returns the names of the members that are present in the node's view."""
+        return {member.name for member in node.membership.view.present}
 
     def all_settled(self) -> bool:
-        """Whether all views have the same digest and contain exactly the running members, none of them
-        suspected."""
-        up = self.up()
-        running_names = {node.machine.name for node in up}
-        first = up[0].machine.view.digest
-        return all(node.machine.view.digest == first for node in up) and all(
-            {member.name for member in node.machine.view.present} == running_names
-            and not node.machine.failure_detector.suspicions
-            for node in up
+        """Whether the views of all running nodes are equal and correct.
+
+        Their digests are equal, exactly the running members are present, and none is suspected.
+        """
+        nodes = self.running_nodes()
+        running_names = {node.membership.name for node in nodes}
+        first_digest = nodes[0].membership.view.digest
+        return all(node.membership.view.digest == first_digest for node in nodes) and all(
+            {member.name for member in node.membership.view.present} == running_names
+            and not node.membership.failure_detector.suspicions
+            for node in nodes
         )
 
     def absent_from_all_views(self, *names: str) -> bool:
-        return all(not self.present_names(node) & set(names) for node in self.up())
+        """Whether none of these members is present in the view of any running node."""
+        return all(not self.present_names(node) & set(names) for node in self.running_nodes())
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lilacwalk.emulator.datagrams import World
+from lilacwalk.emulator.datagrams import SimulatedFleet
 from lilacwalk.membership.config import MemberConfig
 from lilacwalk.membership.messages import (
     Datagram,
@@ -27,7 +27,7 @@
 
 def fleet(count, seed=1, sites=("recife", "natal", "caruaru"), settle=True, **options):
     """Returns a simulated fleet, distributed evenly over the sites and joined through n0."""
-    world = World(seed, **options)
+    world = SimulatedFleet(seed, **options)
     for index, name in enumerate(member_names(count)):
         world.add(name, sites[index * len(sites) // count], seeds=["n0"] if index else [])
     if settle:
@@ -38,7 +38,7 @@
 
 def total_count(world, key):
     """Returns the sum of one counter over all running members."""
-    return sum(node.machine.counts[key] for node in world.up())
+    return sum(node.membership.counts[key] for node in world.running_nodes())
 
 
 def make_membership(name="n1", now=0, wall=1_000, stored=0, seeds=(("10.0.0.9", 9),), **options):
--- a/tests/membership/test_simulated.py
+++ b/tests/membership/test_simulated.py
@@ -32,7 +32,8 @@
     assert duration is not None
     assert duration <= 20 * SECOND
     assert all(
-        world.present_names(node) == set(member_names(12)) - set(killed) for node in world.up()
+        world.present_names(node) == set(member_names(12)) - set(killed)
+        for node in world.running_nodes()
     )
 
 
@@ -44,19 +45,20 @@
     world.add("n3", "natal", ["n0"], address=new_address)
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
     assert all(
-        node.machine.view.get("n3").address == world.nodes["n3"].address for node in world.up()
+        node.membership.view.get("n3").address == world.nodes["n3"].address
+        for node in world.running_nodes()
     )
     assert total_count(world, "dead") == 0
 
 
 def test_a_clock_set_back_by_years_without_a_disk_does_not_lower_the_incarnation():
     world = fleet(6)
-    before = world.nodes["n2"].machine.identity.incarnation
+    before = world.nodes["n2"].membership.identity.incarnation
     world.kill("n2")
     world.run(20 * SECOND)
-    world.add("n2", "recife", ["n0"], clock_ms=-100_000_000_000)
+    world.add("n2", "recife", ["n0"], clock_offset_ms=-100_000_000_000)
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
-    assert world.nodes["n2"].machine.identity.incarnation > before
+    assert world.nodes["n2"].membership.identity.incarnation > before
 
 
 def test_a_member_paused_for_longer_than_a_suspicion_refutes_and_declares_no_member_dead():
@@ -68,8 +70,8 @@
     world.resume("n5")
     assert world.run_until(world.all_settled, 15 * SECOND) is not None
     world.run(30 * SECOND)
-    assert total_count(world, "dead") == before + world.nodes["n5"].machine.counts["dead"]
-    assert world.nodes["n5"].machine.counts["dead"] == 0
+    assert total_count(world, "dead") == before + world.nodes["n5"].membership.counts["dead"]
+    assert world.nodes["n5"].membership.counts["dead"] == 0
 
 
 def test_a_stall_of_the_local_process_causes_no_death():
@@ -79,7 +81,7 @@
     world.run(int(1.4 * SECOND))
     world.resume("n1")
     world.run(20 * SECOND)
-    assert world.nodes["n1"].machine.counts["dead"] == 0
+    assert world.nodes["n1"].membership.counts["dead"] == 0
     assert world.all_settled()
 
 
@@ -99,7 +101,8 @@
     world.cut(member_names(12)[:4], member_names(12)[4:])
     world.run(40 * SECOND)
     verdicts = {
-        name: world.nodes[name].machine.conclusion(world.now).verdict for name in member_names(12)
+        name: world.nodes[name].membership.conclusion(world.now).verdict
+        for name in member_names(12)
     }
     assert [verdicts[name] for name in member_names(12)] == ["minority"] * 4 + ["whole"] * 8
     for name in member_names(12)[4:]:
@@ -134,7 +137,9 @@
         world.cut(sites[one], sites[other])
     world.run(30 * SECOND)
     together = set(sites[healed_first[0]] + sites[healed_first[1]])
-    world.cuts = {(one, other) for one, other in world.cuts if not {one, other} <= together}
+    world.cut_links = {
+        (one, other) for one, other in world.cut_links if not {one, other} <= together
+    }
     world.run(15 * SECOND)
     assert all(world.present_names(world.nodes[name]) == together for name in together)
     world.heal()
@@ -146,14 +151,14 @@
     world.cut(["n1"], ["n2"], both=False)
     world.run(120 * SECOND)
     assert total_count(world, "dead") == 0
-    assert world.nodes["n1"].machine.view.get("n2").reached_via
+    assert world.nodes["n1"].membership.view.get("n2").reached_via
 
 
 def test_a_member_that_receives_but_cannot_send_is_unsure_and_declares_no_member_dead():
     world = fleet(8)
     world.cut(["n3"], [name for name in member_names(8) if name != "n3"], both=False)
     world.run(30 * SECOND)
-    machine = world.nodes["n3"].machine
+    machine = world.nodes["n3"].membership
     assert machine.conclusion(world.now).verdict == "unsure"
     assert machine.counts["dead"] == 0
     assert "not answered" in machine.conclusion(world.now).reason
@@ -165,14 +170,14 @@
     world = fleet(8)
     world.cut(member_names(8)[1:], ["n0"])
     world.run(5 * SECOND)
-    machine = world.nodes["n0"].machine
+    machine = world.nodes["n0"].membership
     assert machine.conclusion(world.now).verdict == "alone"
     assert machine.counts["suspect"] == 0
 
 
 def test_a_member_with_thirty_percent_loss_neither_is_declared_dead_nor_declares_others_dead():
     world = fleet(12)
-    world.lossy["n4"] = 0.3
+    world.loss_by_node["n4"] = 0.3
     world.run(1_800 * SECOND)
     assert total_count(world, "dead") == 0
 
@@ -193,7 +198,7 @@
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
     assert not any(
         event.change == "dead" and event.member != "n6"
-        for node in world.up()
+        for node in world.running_nodes()
         for event in node.events
     )
 
@@ -203,7 +208,9 @@
     for index, name in enumerate(member_names(8)):
         world.leave(name)
         world.run(2 * SECOND)
-        assert all(node.machine.view.get(name).health is Health.LEFT for node in world.up())
+        assert all(
+            node.membership.view.get(name).health is Health.LEFT for node in world.running_nodes()
+        )
         world.add(name, world.nodes[name].site, [member_names(8)[(index + 1) % 8]])
         world.run(3 * SECOND)
     assert world.run_until(world.all_settled, 20 * SECOND) is not None
@@ -214,12 +221,12 @@
     world = fleet(6)
     world.add("n2'", "recife", ["n0"])
     world.run(40 * SECOND)
-    first, second = world.nodes["n2"].machine, world.nodes["n2'"].machine
+    first, second = world.nodes["n2"].membership, world.nodes["n2'"].membership
     assert second.identity.yielded_to is not None
     assert first.identity.yielded_to is None
     assert all(
-        node.machine.view.get("n2").address == world.nodes["n2"].address
-        for node in world.up()
+        node.membership.view.get("n2").address == world.nodes["n2"].address
+        for node in world.running_nodes()
         if node.name != "n2'"
     )
     assert second.conclusion(world.now).reason == "another process holds this name"
@@ -230,7 +237,9 @@
     for name in member_names(12):
         world.kill(name)
     for name in member_names(12):
-        world.add(name, world.nodes[name].site, ["n0"], clock_ms=-86_400_000, keep=True)
+        world.add(
+            name, world.nodes[name].site, ["n0"], clock_offset_ms=-86_400_000, restores_state=True
+        )
         world.run(5 * SECOND)
     assert world.run_until(world.all_settled, 30 * SECOND) is not None
 
@@ -240,7 +249,7 @@
     world.kill("n0")
     world.kill("n3")
     world.run(20 * SECOND)
-    world.add("n3", "natal", ["n0"], keep=True)
+    world.add("n3", "natal", ["n0"], restores_state=True)
     assert world.run_until(world.all_settled, 30 * SECOND) is not None
 
 
@@ -248,37 +257,37 @@
     world = fleet(12)
     world.cut(member_names(12)[:6], member_names(12)[6:])
     world.run(40 * SECOND)
-    for node in world.up():
-        node.machine.update_metadata(world.now, state=NodeState.UNHEALTHY)
+    for node in world.running_nodes():
+        node.membership.update_metadata(world.now, state=NodeState.UNHEALTHY)
     withdrawn = set()
     for _ in range(100):
         world.run(SECOND // 10)
-        for node in world.up():
-            if node.machine.may_withdraw(world.now) and node.name not in withdrawn:
+        for node in world.running_nodes():
+            if node.membership.may_withdraw(world.now) and node.name not in withdrawn:
                 withdrawn.add(node.name)
-                node.machine.update_metadata(world.now, withdrawn=True)
+                node.membership.update_metadata(world.now, withdrawn=True)
     assert len(withdrawn) <= withdrawal_limit(12, 0.34)
 
 
 def test_when_all_members_are_unhealthy_exactly_the_share_withdraws():
     world = fleet(12)
     withdrawn = set()
-    for node in world.up():
-        node.machine.update_metadata(world.now, state=NodeState.UNHEALTHY)
+    for node in world.running_nodes():
+        node.membership.update_metadata(world.now, state=NodeState.UNHEALTHY)
     for _ in range(300):
         world.run(SECOND // 10)
-        for node in world.up():
-            if node.machine.may_withdraw(world.now) and node.name not in withdrawn:
+        for node in world.running_nodes():
+            if node.membership.may_withdraw(world.now) and node.name not in withdrawn:
                 withdrawn.add(node.name)
-                node.machine.update_metadata(world.now, withdrawn=True)
+                node.membership.update_metadata(world.now, withdrawn=True)
     assert len(withdrawn) == withdrawal_limit(12, 0.34)
 
 
 def test_every_table_stays_bounded_in_a_fleet_larger_than_the_view():
-    world = fleet(30, settle=False, most=10)
+    world = fleet(30, settle=False, max_members=10)
     world.run(60 * SECOND)
-    for node in world.up():
-        machine = node.machine
+    for node in world.running_nodes():
+        machine = node.membership
         assert len(machine.view.members) <= 10
         assert len(machine.exchange.digests) <= 30
         assert len(machine.events) <= 256
@@ -298,14 +307,18 @@
     ),
 )
 def test_after_any_faults_the_views_of_connected_members_converge_to_the_truth(seed, faults):
-    world = fleet(7, seed, settle=False, loss=0.1, double=0.1)
+    world = fleet(7, seed, settle=False, loss=0.1, duplication=0.1)
     for fault, index, tenths in faults:
         name = f"n{index}"
         node = world.nodes[name]
-        if fault in ("kill", "leave", "pause") and node.machine is not None and not node.paused:
+        if (
+            fault in ("kill", "leave", "pause")
+            and node.membership is not None
+            and not node.is_paused
+        ):
             getattr(world, fault)(name)
-        elif fault == "restore" and (node.machine is None or node.paused):
-            world.resume(name) if node.machine is not None else world.add(
+        elif fault == "restore" and (node.membership is None or node.is_paused):
+            world.resume(name) if node.membership is not None else world.add(
                 name, node.site, ["n0", "n1"]
             )
         elif fault == "cut":
@@ -315,9 +328,9 @@
         world.run(tenths * SECOND // 10)
     world.heal()
     for node in world.nodes.values():
-        if node.paused:
+        if node.is_paused:
             world.resume(node.name)
-        elif node.machine is None:
+        elif node.membership is None:
             world.add(node.name, node.site, ["n0", "n1"])
     world.loss = 0.0
     assert world.run_until(world.all_settled, 60 * SECOND) is not None
