--- a/lilacwalk/commands/experiment.py
+++ b/lilacwalk/commands/experiment.py
@@ -58,8 +58,8 @@
     from lilacwalk.operator.errors import UnusableFileError
 
     try:
-        definition = runner.read(path)
-        return definition, list(planner.plays(definition))
+        definition = runner.read_experiment(path)
+        return definition, list(planner.plan_runs(definition))
     except UnusableFileError as error:
         exit_unusable(error)
     except planner.BadValueError as error:
@@ -81,9 +81,11 @@
         def advance(_planned: object, _is_new: object) -> None:
             progress_bar.update(1)
 
-        results = runner.run(planned_runs, Path(folder), runner.revision(), processes, advance)
-    results_by_cell = runner.gathered(planned_runs, results)
-    return results_by_cell, planner.unmet(definition, results_by_cell)
+        results = runner.load_or_run(
+            planned_runs, Path(folder), runner.revision(), processes, advance
+        )
+    results_by_cell = runner.estimates_by_cell(planned_runs, results)
+    return results_by_cell, planner.find_unmet_expectations(definition, results_by_cell)
 
 
 def format_table(results_by_cell: dict, measure_names: tuple[str, ...]) -> str:
@@ -133,7 +135,7 @@
     results_by_cell, unmet = run_missing(definition, planned_runs, folder, processes)
     from lilacwalk.experiments import charts, runner
 
-    page = charts.page(
+    page = charts.render_page(
         Path(path).stem,
         definition,
         planned_runs,
@@ -157,7 +159,7 @@
     revision = runner.revision()
     stored_count = 0
     for planned in planned_runs:
-        is_stored = runner.kept(Path(folder), planned.digest, revision) is not None
+        is_stored = runner.load_measures(Path(folder), planned.digest, revision) is not None
         stored_count += is_stored
         print(f"{'kept   ' if is_stored else 'missing'} seed {planned.seed} {planned.cell}")
     print(f"{stored_count} of {len(planned_runs)} kept by {revision}")
@@ -174,13 +176,13 @@
     definition, planned_runs = load_experiment(path)
     from lilacwalk.experiments import planner, runner
 
-    current = runner.run(planned_runs, Path(folder), runner.revision(), processes)
+    current = runner.load_or_run(planned_runs, Path(folder), runner.revision(), processes)
     measures = next(iter(current.values()))
     if measure not in measures:
         message = f"--measure: expected one of {', '.join(sorted(measures))}, got {measure}"
         raise click.UsageError(message)
     earlier = run_revision(path, revision, processes)
-    for cell in planner.cells(definition):
+    for cell in planner.list_cells(definition):
         cell_runs = [planned for planned in planned_runs if planned.cell == cell]
         earlier_by_seed = {
             planned.seed: earlier[planned.digest][measure]
@@ -188,7 +190,7 @@
             if earlier.get(planned.digest)
         }
         current_by_seed = {planned.seed: current[planned.digest][measure] for planned in cell_runs}
-        difference, verdict = planner.compared(earlier_by_seed, current_by_seed)
+        difference, verdict = planner.compare_by_seed(earlier_by_seed, current_by_seed)
         print(f"{cell}: {measure} {difference} against {revision}: {verdict}")
 
 
@@ -221,8 +223,8 @@
                 exit_unusable(f"lilacwalk: revision {revision} cannot run {path}: {reason}")
             results = {}
             for file in folder.glob("*.parquet"):
-                digest, made_by = file.stem.split("-", 1)
-                results[digest] = runner.kept(folder, digest, made_by)
+                digest, program_revision = file.stem.split("-", 1)
+                results[digest] = runner.load_measures(folder, digest, program_revision)
             return results
 
 
--- a/lilacwalk/commands/sites.py
+++ b/lilacwalk/commands/sites.py
@@ -180,10 +180,10 @@
 
 def write_report(directory: str, descriptions: list[dict[str, Any]]) -> None:
     """Writes the HTML report; if a library is not installed, exits with code 2."""
-    from lilacwalk.experiments.site_report import write
+    from lilacwalk.experiments.site_report import write_table_and_page
 
     try:
-        print(f"report={write(directory, descriptions)}", file=sys.stderr)
+        print(f"report={write_table_and_page(directory, descriptions)}", file=sys.stderr)
     except ImportError as error:
         exit_unusable(f"lilacwalk: {error}: run pip install 'lilacwalk[experiments]'")
 
--- a/lilacwalk/commands/storage.py
+++ b/lilacwalk/commands/storage.py
@@ -158,7 +158,7 @@
     """Export all rows to the Parquet file TARGET. Requires the extra `experiments`."""
     recovered = recover_store(require_block(operator_file, "store").directory)
     try:
-        from lilacwalk.experiments.store_export import export as export_rows
+        from lilacwalk.experiments.store_export import export_rows
     except ImportError as error:
         exit_unusable(f"lilacwalk: {error}: install the packages in requirements-experiments.txt")
     print(f"rows={export_rows(recovered.state, target)}")
--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -50,8 +50,8 @@
 SECOND = 10_000
 TICK_INTERVAL = 250  # tenths of a ms
 MAX_MEMORY_FRACTION = 0.9  # fraction of the server's memory above which requests are rejected
-# A request is answered at the latest this long before its deadline, in tenths of a ms: one tick plus
-# the time to send the answer.
+# A request is answered at the latest this long before its deadline, in tenths of a ms: one tick
+# plus the time to send the answer.
 DEADLINE_MARGIN = 300
 
 
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -200,7 +200,7 @@
     # Links
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str], both: bool = True) -> None:
-        """Cuts the links from all sources to all destinations; with `both`, also the reverse ones."""
+        """Cuts the links from all sources to all destinations; with `both`, also the reverse."""
         for source in sources:
             for destination in destinations:
                 self.cut_links.add((source, destination))
--- a/lilacwalk/emulator/events.py
+++ b/lilacwalk/emulator/events.py
@@ -37,7 +37,7 @@
         return len(self.current_bucket) - self.next_position + sum(map(len, self.buckets.values()))
 
     def put(self, time: int, action: Callable, *arguments) -> None:
-        """Schedules a call of `action` at `time`, or at the current time if `time` is in the past."""
+        """Schedules a call of `action` at `time`, or at the current time if that is later."""
         event = (max(time, self.now), next(self.sequence_numbers), action, arguments)
         index = event[0] // self.bucket_width
         if index <= self.current_bucket_index:
--- a/lilacwalk/emulator/faults.py
+++ b/lilacwalk/emulator/faults.py
@@ -2,7 +2,7 @@
 
 crash       app server processes and their machines stop, and start cold after `duration`
 silence     app servers accept requests and answer none for `duration`; running requests continue
-hang        machines execute no request for `duration`; their app servers continue to admit and answer
+hang        machines execute no request for `duration`; app servers continue to admit and answer
 slow        machines run at `factor` of their speed for `duration`
 index-slow  calls to the dependency take `factor` times as long for `duration`
 index-down  the dependency is down for `duration`
@@ -58,8 +58,9 @@
 
     def __str__(self) -> str:
         return (
-            f"{self.kind} at {self.at / SECOND:g}s for {self.duration / SECOND:g}s share {self.share:g} "
-            f"factor {self.factor:g}{' site ' + self.site if self.site else ''}"
+            f"{self.kind} at {self.at / SECOND:g}s for {self.duration / SECOND:g}s "
+            f"share {self.share:g} factor {self.factor:g}"
+            f"{' site ' + self.site if self.site else ''}"
         )
 
 
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -62,7 +62,7 @@
         self.run_count = 0  # runs that are neither complete nor stopped
         # Core time used by runs, in tenths of a ms of one core at full speed.
         self.core_time_used = 0.0
-        # Incremented whenever the next completion is rescheduled; events of earlier ones are ignored.
+        # Incremented when the next completion is rescheduled; events scheduled before are ignored.
         self.generation = 0
         self.is_paused = False
 
@@ -139,7 +139,7 @@
         return self.speed * contention_factor * cold_factor * min(1.0, self.cores / self.run_count)
 
     def _advance(self) -> None:
-        """Adds the progress since `updated_at`; must precede each change of the rate."""
+        """Adds the progress since `updated_at`; must precede each change that affects the rate."""
         elapsed = self.events.now - self.updated_at
         if elapsed > 0:
             rate = self.current_rate
@@ -154,7 +154,10 @@
         self._schedule_next_completion()
 
     def _schedule_next_completion(self) -> None:
-        """Updates the rate and schedules the next completion; must follow each change of the rate."""
+        """Updates the rate and schedules the next completion.
+
+        Must be called after each change that affects the rate.
+        """
         self.generation += 1
         self.current_rate = self.rate()
         while self.runs and self.runs[0][1] in self.cancelled_runs:
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -90,7 +90,8 @@
         servers: returns the servers that were listed at a time.
         draw_request: returns request class, work and timeout of the next request.
         rate: returns the requests per second at a time.
-        stats_by_second: results by the second in which the request was created; all routers share them.
+        stats_by_second: results by the second in which the request was created, shared by all
+            routers.
         outstanding: number of outstanding attempts by server.
         retry_tokens: retries that the router may send now.
         request_count: number of requests created.
@@ -233,7 +234,7 @@
     def _on_round_failure(
         self, request: ClientRequest, reply: Reply, may_have_effect: bool = False
     ) -> None:
-        """Starts another round after a delay if that is allowed; otherwise the request has failed."""
+        """Starts another round after a delay, or counts the request as rejected or lost."""
         now = self.events.now
         delay = (
             reply.retry_after
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -94,8 +94,9 @@
 
 @dataclass(slots=True)
 class Breach:
-    """A violation of a rule by the server `who` at the time `at`; its `repr` is stored with results.
+    """A violation of a rule by the server `who` at the time `at`.
 
+    The `repr` of violations is stored with the results.
     The rules are: each attempt gets one final answer; the answer is sent by the deadline; the side
     effect of a request is not executed twice; the server does not exceed its memory and does not
     collapse ("no fall-over").
@@ -357,7 +358,7 @@
             self.effect_counts[run.attempt.key] = self.effect_counts.get(run.attempt.key, 0) + 1
             if self.effect_counts[run.attempt.key] > 1:
                 self._record_breach("no effect twice", f"key {run.attempt.key}")
-        # A request that was answered while it was running has its effect, but gets no second answer.
+        # A request that was answered while it was running has its effect, but no second answer.
         if not run.attempt.answer_count:
             self._answer(run.request, Reply(COMPLETED))
         self._finish(run.request, Outcome.OK)
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -48,7 +48,7 @@
 class Scenario:
     """A fleet, its load and the faults to inject.
 
-    `Machine` defines the thresholds and `contention`, `ServerSettings` the limits of the controller.
+    For fields without a comment see `Machine`, `ServerSettings` and `RoutingBehavior`.
     """
 
     request_classes: tuple[RequestClassSpec, ...]
--- a/lilacwalk/experiments/__init__.py
+++ b/lilacwalk/experiments/__init__.py
@@ -1,3 +1,4 @@
-"""Experiments in simulated time and reports of plans: tables as Parquet, charts in HTML pages.
+"""Experiments in simulated time, failover plan reports and store exports.
 
-Needs the extra `experiments`."""
+Tables are written as Parquet files, charts in HTML pages. Requires the packages of the extra
+`experiments`."""
--- a/lilacwalk/experiments/charts.py
+++ b/lilacwalk/experiments/charts.py
@@ -1,8 +1,7 @@
-"""HTML page of an experiment: its table, a chart of each measure over the varied settings, and service over
-time.
+"""HTML page of an experiment: its table, charts over the first varied setting, and one over time.
 
-The page needs no network. Lines differ by markers and line styles, so that charts are readable in black and
-white."""
+The page loads nothing from the network. Lines differ in markers and line styles, so that the charts
+are readable in black and white."""
 
 from __future__ import annotations
 
@@ -11,8 +10,8 @@
 from pathlib import Path
 
 from lilacwalk.experiments.config import Experiment
-from lilacwalk.experiments.planner import Cell, Figure, PlannedRun
-from lilacwalk.experiments.runner import interpreter, series
+from lilacwalk.experiments.planner import Cell, Estimate, PlannedRun
+from lilacwalk.experiments.runner import describe_interpreter, load_series
 
 STYLE = (
     "<style>body{font:15px sans-serif;margin:2em;max-width:72em}table{border-collapse:collapse}"
@@ -22,20 +21,20 @@
 LINE_STYLES = ("-", "--", ":", "-.")
 MARKERS = "osD^vP*X"
 AXIS_LABELS = {
-    "share": "weight completed in time, share of all",
-    "worst": "the same in the worst 10 s",
+    "share": "share of weight completed in time",
+    "worst": "share of weight completed in time, worst 10 s",
     "wasted": "share of core time wasted",
     "tries": "attempts per request",
     "denied": "rejections, share of answers",
     "load": "offered load, multiple of capacity",
     "servers": "app servers",
-    "late": "age of the list of servers, s",
+    "late": "age of the list of servers",
 }
 CHARTED_MEASURES = ("share", "worst", "wasted", "tries")
 
 
 def render_svg(draw) -> str:
-    """Draws a chart and returns it as SVG for the page."""
+    """Returns a chart as an SVG element; `draw` is called with the matplotlib axes to draw on."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -53,26 +52,29 @@
 
 
 def chart_by_first_setting(
-    experiment: Experiment, results: dict[Cell, dict[str, Figure]], measure: str
+    experiment: Experiment, results: dict[Cell, dict[str, Estimate]], measure: str
 ) -> str:
-    """Chart of a measure over the first varied setting, with a line for each combination of the others."""
+    """Returns the SVG chart of a measure over the first varied setting.
+
+    The chart has one line for each combination of values of the other varied settings.
+    """
     first = experiment.vary[0]
     is_numeric = all(value.replace(".", "", 1).isdecimal() for value in first.values)
 
     def draw(axes) -> None:
         lines: dict[tuple, list[tuple]] = {}
-        for cell, figures in results.items():
+        for cell, estimates in results.items():
             values = dict(cell.values)
             value = values.pop(first.what)
             position = float(value) if is_numeric else first.values.index(value)
-            lines.setdefault(tuple(values.items()), []).append((position, figures[measure]))
+            lines.setdefault(tuple(values.items()), []).append((position, estimates[measure]))
         for index, (settings, points) in enumerate(lines.items()):
-            points.sort(key=lambda each: each[0])
+            points.sort(key=lambda point: point[0])
             positions = [position for position, _ in points]
-            means = [figure.mean for _, figure in points]
+            means = [estimate.mean for _, estimate in points]
             error_bars = [
-                [figure.mean - figure.low for _, figure in points],
-                [figure.high - figure.mean for _, figure in points],
+                [estimate.mean - estimate.low for _, estimate in points],
+                [estimate.high - estimate.mean for _, estimate in points],
             ]
             axes.errorbar(
                 positions,
@@ -96,15 +98,18 @@
 
 
 def chart_over_time(
-    experiment: Experiment, plays: list[PlannedRun], folder: Path, made_by: str
+    experiment: Experiment, planned_runs: list[PlannedRun], folder: Path, program_revision: str
 ) -> str:
-    """Chart of service in each second for the first seed: a line for each of the first cells, with faults
-    marked."""
-    first_plays = [each for each in plays if each.seed == 1][: len(MARKERS)]
+    """Returns the SVG chart of the share of weight completed in time, by second, for seed 1.
+
+    The chart has one line for each of the first cells, as many as there are MARKERS, and shows the
+    time of each fault. The results of these runs must be stored in `folder`.
+    """
+    first_runs = [planned for planned in planned_runs if planned.seed == 1][: len(MARKERS)]
 
     def draw(axes) -> None:
-        for index, each in enumerate(first_plays):
-            data = series(folder, each.digest, made_by)
+        for index, planned in enumerate(first_runs):
+            data = load_series(folder, planned.digest, program_revision)
             share = [
                 benefit / wanted if wanted else 1.0
                 for benefit, wanted in zip(data["benefit"], data["wanted"], strict=True)
@@ -118,41 +123,53 @@
                 marker=MARKERS[index],
                 markevery=5,
                 markersize=4,
-                label=str(each.cell),
+                label=str(planned.cell),
             )
         for fault in experiment.scenario.fault:
             axes.axvspan(fault.at / 10_000, (fault.at + fault.time) / 10_000, color="0.9", zorder=0)
             axes.text(fault.at / 10_000, 1.02, fault.kind, fontsize=8)
-        axes.set_xlabel("second in which the request was created")
-        axes.set_ylabel("weight completed in time, share of all")
+        axes.set_xlabel("second in which the requests were created")
+        axes.set_ylabel("share of weight completed in time")
         axes.set_ylim(0, 1.08)
         axes.legend(frameon=False, fontsize=8)
 
     return render_svg(draw)
 
 
-def page(
+def render_page(
     title: str,
     experiment: Experiment,
-    plays: list[PlannedRun],
-    results: dict[Cell, dict[str, Figure]],
+    planned_runs: list[PlannedRun],
+    results: dict[Cell, dict[str, Estimate]],
     unmet: list[str],
     folder: Path,
-    made_by: str,
+    program_revision: str,
 ) -> str:
-    names = sorted({name for figures in results.values() for name in figures})
+    """Returns the HTML page.
+
+    Args:
+        title: title of the page.
+        experiment: the experiment.
+        planned_runs: all planned runs; their results must be stored in `folder`.
+        results: estimates by cell and measure.
+        unmet: messages about expectations that are not met.
+        folder: directory of the stored results.
+        program_revision: revision of the program that simulated the runs.
+    """
+    names = sorted({name for estimates in results.values() for name in estimates})
     parts = [
         "<!doctype html><meta charset=utf-8>",
         f"<title>{html.escape(title)}</title>",
         STYLE,
         f"<h1>{html.escape(title)}</h1><p>{html.escape(experiment.question)}",
-        f"<p>Simulated time, with the real controller. {experiment.seeds} seeds per cell; means, and "
-        f"95% confidence intervals by bootstrap. Program revision {made_by}, {html.escape(interpreter())}.",
+        f"<p>Simulated with the real controller, {experiment.seeds} seeds per cell. The table "
+        "shows means with 95% confidence intervals by bootstrap. "
+        f"Program revision {program_revision}, {html.escape(describe_interpreter())}.",
     ]
     if unmet:
         parts.append(
             "<h2>Unmet expectations</h2><ul>"
-            + "".join(f"<li class=no>{html.escape(each)}" for each in unmet)
+            + "".join(f"<li class=no>{html.escape(message)}" for message in unmet)
             + "</ul>"
         )
     if experiment.vary:
@@ -160,12 +177,13 @@
             chart_by_first_setting(experiment, results, measure) for measure in CHARTED_MEASURES
         ]
     parts += [
-        "<h2>Service over time, first seed</h2>",
-        chart_over_time(experiment, plays, folder, made_by),
+        "<h2>Share of weight completed in time, by second, for the first seed</h2>",
+        chart_over_time(experiment, planned_runs, folder, program_revision),
         "<h2>All measures</h2><table><tr><th>cell" + "".join(f"<th>{name}" for name in names),
     ]
-    for cell, figures in results.items():
+    for cell, estimates in results.items():
         parts.append(
-            f"<tr><td>{html.escape(str(cell))}" + "".join(f"<td>{figures[name]}" for name in names)
+            f"<tr><td>{html.escape(str(cell))}"
+            + "".join(f"<td>{estimates[name]}" for name in names)
         )
     return "\n".join([*parts, "</table>"])
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -1,6 +1,8 @@
-"""Records of an experiment file. The file has the syntax of the operator's file and is read by the same reader:
+"""Records of an experiment file.
 
-    question "does p_a hold a fleet beyond its cores?"
+The file has the syntax of the operator's file and is read by the same reader, for example:
+
+    question "does admission control protect a fleet whose load exceeds its capacity?"
     scenario {
         servers 20
         load 0.8
@@ -29,7 +31,9 @@
         when decides=design load=2
     }
 
-Times are in tenths of a ms."""
+Records have times in tenths of a ms. Field names are the keywords of the file; each `build`
+converts a record to the type of the emulator that it describes. Each `faults` returns the errors
+that involve several fields, as pairs of keyword and expected value; see `operator.block_reader`."""
 
 from __future__ import annotations
 
@@ -58,7 +62,7 @@
     "p_a",
     "calls",
 )
-VARIES = (
+VARIABLE_SETTINGS = (
     "load",
     "servers",
     "routers",
@@ -74,14 +78,16 @@
     "late",
     "faults",
 )
-DECIDES = ("design", *BASELINES_BY_NAME)
+POLICIES = ("design", *BASELINES_BY_NAME)
 
 
 def unit(name: str, **limits) -> Meta:
+    """Returns a field's metadata: the unit of its value in the file, and limits of the value."""
     return Meta(extra={"unit": name}, **limits)
 
 
 def one_of(words: tuple[str, ...]) -> Meta:
+    """Returns the metadata of a field that accepts only these words."""
     return Meta(pattern="^(" + "|".join(words) + ")$")
 
 
@@ -92,6 +98,21 @@
 
 
 class Group(Struct, frozen=True, kw_only=True):
+    """Block `group`: a request class.
+
+    Attributes:
+        name: name of the class.
+        share: share of the requests, relative to the other classes.
+        work: mean time on one core at full speed.
+        slo: latency objective.
+        timeout: time from the creation of a request to its deadline.
+        benefit: weight of a request completed within the objective.
+        effect: whether a request may run twice, see `EFFECTS_BY_NAME`.
+        calls: whether a request calls the dependency.
+        skip_benefit: fraction of the weight that a request has without its dependency call.
+        spread: 0 for constant work, 1 for exponentially distributed work.
+    """
+
     ARGUMENTS: ClassVar = ("name",)
     name: Annotated[str, Meta(pattern=NAME)]
     share: Fraction
@@ -120,6 +141,8 @@
 
 
 class Fault(Struct, frozen=True, kw_only=True):
+    """Block `fault`; see `emulator.faults.Fault`, whose attribute `duration` is `time` here."""
+
     ARGUMENTS: ClassVar = ("kind",)
     kind: Annotated[str, one_of(FAULT_KINDS)]
     at: Time
@@ -133,8 +156,22 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
-    """Block `scenario`. Field names are the keywords of the experiment file; `build` converts them to the
-    attributes of the simulation's `Scenario`."""
+    """Block `scenario`; see `emulator.simulation.Scenario` for the fields not described here.
+
+    Attributes:
+        group: request classes.
+        fault: faults to inject.
+        cold: speed of a cold machine as a fraction of its full speed.
+        come_back: maximum retry-after time of a rejection.
+        choice: how routers choose a server, see `emulator.proxies`.
+        tries: maximum number of attempts per round.
+        budget: retry tokens that a router gets per request.
+        returns: how often a client repeats a request after a failed round.
+        heeds: whether routers and clients obey retry-after times and `no_retry_elsewhere`.
+        marks: whether retries are marked as such.
+        late: age of the list of servers that routers use.
+        decides: admission policy, one of POLICIES.
+    """
 
     group: tuple[Group, ...]
     fault: tuple[Fault, ...] = ()
@@ -156,20 +193,21 @@
     heeds: bool = True
     marks: bool = True
     late: Time = SECOND
-    decides: Annotated[str, one_of(DECIDES)] = "design"
+    decides: Annotated[str, one_of(POLICIES)] = "design"
 
     def faults(self) -> list[tuple[str, str]]:
-        total = sum(each.share for each in self.group)
-        problems = [] if total > 0 else [("group", "groups whose shares sum to more than 0")]
+        """Returns the errors that involve several fields; see the module."""
+        total_share = sum(group.share for group in self.group)
+        problems = [] if total_share > 0 else [("group", "groups whose shares sum to more than 0")]
         problems += [
             ("fault", f"a time before the end of the scenario, {self.length / SECOND:g} s")
-            for each in self.fault
-            if each.at >= self.length
+            for fault in self.fault
+            if fault.at >= self.length
         ]
         problems += [
-            ("fault", f"one of the sites {', '.join(self.sites)}, not {each.site}")
-            for each in self.fault
-            if each.site and each.site not in self.sites
+            ("fault", f"one of the sites {', '.join(self.sites)}, not {fault.site}")
+            for fault in self.fault
+            if fault.site and fault.site not in self.sites
         ]
         return problems
 
@@ -184,7 +222,7 @@
             list_delay=self.late,
         )
         return SimulatedScenario(
-            tuple(each.build() for each in self.group),
+            tuple(group.build() for group in self.group),
             self.servers,
             self.routers,
             self.sites,
@@ -197,22 +235,31 @@
             call_time=self.call_time,
             max_retry_after=self.come_back,
             behavior=behavior,
-            faults=tuple(each.build() for each in self.fault),
+            faults=tuple(fault.build() for fault in self.fault),
             policy=self.decides,
         )
 
 
 class Vary(Struct, frozen=True, kw_only=True):
-    """A setting to vary. `faults` takes the values `yes` and `no`: with and without the faults of the
-    scenario."""
+    """Block `vary`: a setting of the scenario, and the values to simulate.
+
+    The setting `faults` has the values `yes` and `no`: with and without the faults of the scenario.
+    """
 
     ARGUMENTS: ClassVar = ("what",)
-    what: Annotated[str, one_of(VARIES)]
+    what: Annotated[str, one_of(VARIABLE_SETTINGS)]
     values: Annotated[tuple[str, ...], unit("words")]
 
 
 class Expect(Struct, frozen=True, kw_only=True):
-    """Bounds on the mean of a measure over the seeds, in the cells that `when` selects (all without `when`)."""
+    """Block `expect`: bounds on the mean of a measure over the seeds.
+
+    Attributes:
+        measure: one of MEASURES.
+        least: lower bound; None if there is none.
+        most: upper bound; None if there is none.
+        when: words NAME=VALUE; the bounds apply to the cells with all of these values.
+    """
 
     ARGUMENTS: ClassVar = ("measure",)
     measure: Annotated[str, one_of(MEASURES)]
@@ -222,6 +269,11 @@
 
 
 class Experiment(Struct, frozen=True, kw_only=True):
+    """An experiment file.
+
+    Each combination of values of the settings in `vary` is simulated with the seeds 1 to `seeds`.
+    """
+
     question: str
     scenario: Scenario
     vary: tuple[Vary, ...] = ()
@@ -229,6 +281,7 @@
     expect: tuple[Expect, ...] = ()
 
     def faults(self) -> list[tuple[str, str]]:
+        """Returns the errors that involve several fields; see the module."""
         names = [each.what for each in self.vary]
         problems = [
             ("vary", f"{name} once, not twice")
@@ -236,16 +289,17 @@
             if names.count(name) > 1
         ]
         values_by_name = {each.what: each.values for each in self.vary}
-        for each in self.expect:
-            if each.least is None and each.most is None:
+        for expectation in self.expect:
+            if expectation.least is None and expectation.most is None:
                 problems.append(("expect", "least or most in this block"))
-            for word in each.when:
+            for word in expectation.when:
                 name, _, value = word.partition("=")
                 if value not in values_by_name.get(name, ()):
                     problems.append(
                         (
                             "expect",
-                            f"when NAME=VALUE with a varied setting and one of its values, not {word}",
+                            "when NAME=VALUE with a varied setting and one of its values, "
+                            f"not {word}",
                         )
                     )
         return problems
--- a/lilacwalk/experiments/site_report.py
+++ b/lilacwalk/experiments/site_report.py
@@ -1,4 +1,6 @@
-"""Reports plans for the loss of sites: a Parquet table, and an HTML page with a chart."""
+"""Writes reports of failover plans for the loss of sites: a Parquet table and an HTML page.
+
+A plan is a dictionary that `failover.plan_report.describe_plan` returns."""
 
 from __future__ import annotations
 
@@ -14,8 +16,12 @@
 COLUMNS = ("loss", "kind", "name", "value")
 
 
-def rows(plans: list[dict]) -> list[tuple]:
-    """Rows in long form, one value per row, so that plans of different files fit in one table."""
+def plan_rows(plans: list[dict]) -> list[tuple]:
+    """Returns the table rows, with the values of COLUMNS.
+
+    Each row has one value, so that plans with different sites fit into one table. The value of
+    `more_cores` is -1 if no number of cores makes the plan sufficient.
+    """
     table_rows = []
     for plan in plans:
         loss = "+".join(plan["lost"])
@@ -33,8 +39,8 @@
     return table_rows
 
 
-def chart(plans: list[dict]) -> bytes:
-    """Bar chart (PNG) of the utilisation of each site after each loss, with the limit of 1."""
+def render_chart(plans: list[dict]) -> bytes:
+    """Returns a bar chart of each site's utilisation after each loss, as PNG data."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -54,11 +60,13 @@
     axes.set_xticks(
         [loss + 0.4 - width / 2 for loss in range(len(plans))],
         [
-            "lose " + " and ".join(plan["lost"]) + ("" if plan["holds"] else "\n(does not hold)")
+            "loss of "
+            + " and ".join(plan["lost"])
+            + ("" if plan["holds"] else "\n(not survivable)")
             for plan in plans
         ],
     )
-    axes.set_ylabel("utilisation after (work over cores)")
+    axes.set_ylabel("utilisation after the loss (work / cores)")
     axes.set_ylim(0, 1.1)
     axes.legend(
         loc="upper center",
@@ -73,14 +81,16 @@
     return data.getvalue()
 
 
-def page(plans: list[dict], chart_png: bytes) -> str:
+def render_page(plans: list[dict], chart_png: bytes) -> str:
+    """Returns the HTML page with the chart and a table of the plans."""
     parts = [
         "<!doctype html><meta charset=utf-8><title>Loss of a site</title>",
         STYLE,
         "<h1>Loss of a site</h1>",
         f'<img alt="utilisation after each loss" src="data:image/png;base64,'
         f'{base64.b64encode(chart_png).decode()}">',
-        "<table><tr><th>lost<th>holds<th>binding<th>more cores<th>load goes to<th>refused",
+        "<table><tr><th>lost sites<th>survivable<th>binding constraint<th>more cores needed"
+        "<th>shares of the lost load<th>rejected",
     ]
     for plan in plans:
         shares = ", ".join(f"{name} {share:.0%}" for name, share in plan["shares"].items())
@@ -88,7 +98,7 @@
             ", ".join(f"{name} {share:.1%}" for name, share in plan["refused"].items() if share)
             or "nothing"
         )
-        mark = "yes" if plan["holds"] else '<span class="no">no</span>'
+        survivable = "yes" if plan["holds"] else '<span class="no">no</span>'
         cells = [
             " and ".join(plan["lost"]),
             plan["binding"],
@@ -96,24 +106,32 @@
             shares,
             refused,
         ]
-        lost, binding, more_cores, destinations, refused_cell = map(html.escape, cells)
+        lost, binding, more_cores, share_texts, rejected = map(html.escape, cells)
         parts.append(
-            f"<tr><td>{lost}<td>{mark}<td>{binding}<td>{more_cores}<td>{destinations}<td>{refused_cell}"
+            f"<tr><td>{lost}<td>{survivable}<td>{binding}<td>{more_cores}<td>{share_texts}"
+            f"<td>{rejected}"
         )
     return "\n".join([*parts, "</table>"])
 
 
-def write(folder: str, plans: list[dict]) -> str:
-    """Writes table and page to a folder and returns the path of the page. Raises ImportError if the extra
-    `experiments` is not installed."""
+def write_table_and_page(folder: str, plans: list[dict]) -> str:
+    """Writes the table and the page to a folder, which is created if it does not exist.
+
+    Returns:
+        The path of the page.
+
+    Raises:
+        ImportError: a package of the extra `experiments` is not installed.
+        OSError: a file cannot be written.
+    """
     import pyarrow
     from pyarrow import parquet
 
     path = Path(folder)
     path.mkdir(parents=True, exist_ok=True)
-    columns = list(zip(*rows(plans), strict=True))
+    columns = list(zip(*plan_rows(plans), strict=True))
     parquet.write_table(
         pyarrow.table(dict(zip(COLUMNS, map(list, columns), strict=True))), path / "sites.parquet"
     )
-    (path / "sites.html").write_text(page(plans, chart(plans)), encoding="utf-8")
+    (path / "sites.html").write_text(render_page(plans, render_chart(plans)), encoding="utf-8")
     return str(path / "sites.html")
--- a/lilacwalk/experiments/store_export.py
+++ b/lilacwalk/experiments/store_export.py
@@ -1,4 +1,6 @@
-"""Exports the rows of a store as a Parquet file. Imports pyarrow, so app servers must not import this module."""
+"""Exports the rows of a store as a Parquet file.
+
+The module imports pyarrow, so app servers must not import it."""
 
 from __future__ import annotations
 
@@ -19,8 +21,13 @@
 )
 
 
-def export(state: State, target: str) -> int:
-    names = {int(each): each.name.lower() for each in Table}
+def export_rows(state: State, target: str) -> int:
+    """Writes all rows to the file `target`, and returns their number. Raises OSError.
+
+    Expired rows are included. The columns `until_ms` and `at_ms` are Unix times in ms, at which the
+    row expires (0: never) and was written.
+    """
+    names = {int(table): table.name.lower() for table in Table}
     rows = [
         {
             "table": names.get(row.table, str(row.table)),
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -22,8 +22,8 @@
 
 
 def test_runs_cover_the_grid_of_cells_and_complete_each_seed_before_the_next(file):
-    experiment = runner.read(file())
-    plays = list(planner.plays(experiment))
+    experiment = runner.read_experiment(file())
+    plays = list(planner.plan_runs(experiment))
     assert [(each.seed, str(each.cell)) for each in plays[:5]] == [
         (1, "load=0.4 decides=design"),
         (1, "load=0.4 decides=fixed"),
@@ -47,44 +47,44 @@
 )
 def test_problem_of_a_file_is_reported_with_file_and_expectation(file, more, message):
     with pytest.raises(UnusableFileError) as completed:
-        runner.read(file(more=more))
+        runner.read_experiment(file(more=more))
     assert message in str(completed.value) and "small.exp:" in str(completed.value)
 
 
 @pytest.mark.parametrize("loads", ("0.4 much", "0.4 -1", "0.4 99"))
 def test_invalid_value_of_a_varied_setting_is_rejected(file, loads):
     with pytest.raises(planner.BadValueError):
-        list(planner.plays(runner.read(file(loads=loads))))
+        list(planner.plan_runs(runner.read_experiment(file(loads=loads))))
     assert command("run", file(loads=loads)).returncode == 2
 
 
 def test_stored_runs_are_not_repeated_and_a_partial_experiment_resumes_to_the_same_result(
     file, tmp_path
 ):
-    plays = list(planner.plays(runner.read(file())))
+    plays = list(planner.plan_runs(runner.read_experiment(file())))
     revision = runner.revision()
     new_flags = []
-    whole = runner.run(
+    whole = runner.load_or_run(
         plays, tmp_path / "whole", revision, 1, lambda each, new: new_flags.append(new)
     )
-    runner.run(plays[:3], tmp_path / "half", revision, 1)
+    runner.load_or_run(plays[:3], tmp_path / "half", revision, 1)
     # A file that a killed run left incomplete.
     (tmp_path / "half" / f"{plays[4].digest}-{revision}.parquet").write_bytes(b"torn")
     (tmp_path / "half" / f"{plays[4].digest}-{revision}.parquet").unlink()
-    again = runner.run(
+    again = runner.load_or_run(
         plays, tmp_path / "half", revision, 2, lambda each, new: new_flags.append(new)
     )
     assert again == whole and new_flags.count(False) == 3 and new_flags.count(True) == 13
-    assert runner.series(tmp_path / "half", plays[7].digest, revision) == runner.series(
+    assert runner.load_series(tmp_path / "half", plays[7].digest, revision) == runner.load_series(
         tmp_path / "whole", plays[7].digest, revision
     )
 
 
 def test_results_of_another_revision_are_not_used(file, tmp_path):
-    plays = list(planner.plays(runner.read(file(loads="0.4", seeds=1))))
-    runner.run(plays, tmp_path, "older", 1)
-    assert runner.kept(tmp_path, plays[0].digest, "older")
-    assert runner.kept(tmp_path, plays[0].digest, "newer") is None
+    plays = list(planner.plan_runs(runner.read_experiment(file(loads="0.4", seeds=1))))
+    runner.load_or_run(plays, tmp_path, "older", 1)
+    assert runner.load_measures(tmp_path, plays[0].digest, "older")
+    assert runner.load_measures(tmp_path, plays[0].digest, "newer") is None
 
 
 def test_concurrent_runs_in_one_folder_give_the_same_output_and_leave_no_partial_files(
@@ -141,24 +141,30 @@
 def test_interval_contains_the_mean_and_is_narrower_with_more_seeds():
     rng = random.Random(1)
     few, many = ([rng.gauss(1, 0.2) for _ in range(count)] for count in (5, 80))
-    narrow, wide = planner.interval(many), planner.interval(few)
+    narrow, wide = planner.estimate_mean(many), planner.estimate_mean(few)
     assert (
         narrow.low < narrow.mean < narrow.high and wide.high - wide.low > narrow.high - narrow.low
     )
-    assert planner.interval(few) == planner.interval(reversed(few))
+    assert planner.estimate_mean(few) == planner.estimate_mean(reversed(few))
 
 
 def test_difference_is_reported_only_when_the_interval_excludes_zero():
     one = {seed: 0.5 + 0.01 * (seed % 3) for seed in range(12)}
-    assert planner.compared(one, {seed: value + 0.1 for seed, value in one.items()})[1] == "more"
-    assert planner.compared(one, {seed: value - 0.1 for seed, value in one.items()})[1] == "less"
+    assert (
+        planner.compare_by_seed(one, {seed: value + 0.1 for seed, value in one.items()})[1]
+        == "more"
+    )
+    assert (
+        planner.compare_by_seed(one, {seed: value - 0.1 for seed, value in one.items()})[1]
+        == "less"
+    )
     noise = {seed: value + (0.05 if seed % 2 else -0.05) for seed, value in one.items()}
-    assert planner.compared(one, noise)[1].startswith("no difference")
-    assert "too few" in planner.compared({1: 0.1, 2: 0.1}, {1: 0.9, 2: 0.9})[1]
-    assert planner.compared({1: 0.1}, {2: 0.9})[1] == "no seed in common"
+    assert planner.compare_by_seed(one, noise)[1].startswith("no difference")
+    assert "too few" in planner.compare_by_seed({1: 0.1, 2: 0.1}, {1: 0.9, 2: 0.9})[1]
+    assert planner.compare_by_seed({1: 0.1}, {2: 0.9})[1] == "no seed in common"
 
 
 def test_shipped_experiment_files_can_be_read():
     for path in sorted((ROOT / "experiments").glob("*.exp")):
-        experiment = runner.read(str(path))
-        assert experiment.question and list(planner.plays(experiment))
+        experiment = runner.read_experiment(str(path))
+        assert experiment.question and list(planner.plan_runs(experiment))
