--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -61,26 +61,28 @@
     Subclasses override which requests are admitted, how many run at once and in which order.
     """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        self.server, self.now = server, now
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        self.settings, self.now = settings, now
         self.sink: DecisionSink = None  # type: ignore[assignment]  # set by process_batch
-        self.queued: list[Request] = []
+        self.queued: list[Request] = []  # admitted requests that are not started
         self.open_requests: dict[Request, None] = {}
-        self.running: dict[Request, None] = {}
+        self.running: dict[Request, None] = {}  # without requests that wait for a dependency call
         self.calls_in_progress = 0
         self.memory_in_use_kb = 0.0
-        self.deadlines: list[tuple[int, int, Request]] = []  # heap of (time, number, request)
+        # Heap of (time at which the request must be answered, sequence number, request).
+        self.deadlines: list[tuple[int, int, Request]] = []
         self.sequence_numbers = count()
-        self.drain_deadline = 0
+        self.drain_deadline = 0  # 0 until a drain starts
 
     # Policy, overridden by subclasses
 
     def should_admit(self, request: Request) -> bool:
+        """Returns whether the policy admits a request that fits into memory and its deadline."""
         return True
 
     def concurrency_limit(self) -> float:
         """Returns how many requests may run at once."""
-        return float(self.server.cores)
+        return float(self.settings.cores)
 
     def record_completion(self, request: Request, duration: int) -> None:
         """Handles a completed request; `duration`: tenths of a ms since its arrival."""
@@ -146,8 +148,8 @@
         if request.duplicate_of is not None and self._handle_duplicate(request):
             return
         exceeds_memory = (
-            self.memory_in_use_kb + request.memory_kb * (self.server.running_memory_factor - 1)
-            > MAX_MEMORY_FRACTION * self.server.memory_kb
+            self.memory_in_use_kb + request.memory_kb * (self.settings.running_memory_factor - 1)
+            > MAX_MEMORY_FRACTION * self.settings.memory_kb
         )
         if (
             exceeds_memory
@@ -162,7 +164,7 @@
         self.queued.append(request)
 
     def _handle_duplicate(self, request: Request) -> bool:
-        """Coalesces or rejects a duplicate; returns False if it must run as a new request."""
+        """Coalesces or rejects a duplicate; returns False if it is to be handled as a new request."""
         original = request.duplicate_of
         if original.was_dispatched:
             request.state = RequestState.COALESCED
@@ -219,7 +221,7 @@
             RequestState.RUNNING,
         )
         self.running[request] = None
-        self.memory_in_use_kb += request.memory_kb * (self.server.running_memory_factor - 1)
+        self.memory_in_use_kb += request.memory_kb * (self.settings.running_memory_factor - 1)
         self.sink.dispatch(request)
 
     def _reject(self, request: Request) -> None:
@@ -228,6 +230,7 @@
         self.sink.reject(request, 0, False)
 
     def _expire(self, request: Request) -> None:
+        """Fails or rejects a request that has not been answered shortly before its deadline."""
         if request.answered:
             return
         request.answered = True
@@ -237,11 +240,12 @@
             self._reject(request)
 
     def _finish(self, request: Request) -> None:
+        """Releases the resources of a request, and its key if it was never started."""
         if request in self.queued:
             self.queued.remove(request)
         self.running.pop(request, None)
         self.memory_in_use_kb -= request.memory_kb * (
-            self.server.running_memory_factor if request.was_dispatched else 1
+            self.settings.running_memory_factor if request.was_dispatched else 1
         )
         request.state = RequestState.FINISHED
         self.open_requests.pop(request, None)
@@ -261,7 +265,9 @@
     """
 
     def should_admit(self, request: Request) -> bool:
-        return len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.server.cores
+        return (
+            len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.settings.cores
+        )
 
 
 class GradientLimit(Baseline):
@@ -273,10 +279,10 @@
     and 200. It does not change while the queue and the running requests use less than half of it.
     """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         self.limit, self.long_average, self.short_average, self.sample_count = (
-            2.0 * server.cores,
+            2.0 * settings.cores,
             0.0,
             0.0,
             0,
@@ -304,10 +310,10 @@
 class CoDel(Baseline):
     """CoDel whose interval is the shortest latency objective and whose target is a tenth of it."""
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         shortest_objective = min(
-            request_class.latency_objective for request_class in server.request_classes
+            request_class.latency_objective for request_class in settings.request_classes
         )
         self.target, self.interval = shortest_objective // 10, shortest_objective
         self.above_since: int | None = None
@@ -337,20 +343,20 @@
     completed run. The bucket holds up to twice as many tokens as there are cores.
     """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         self.mean_run_time = (
-            min(request_class.latency_objective for request_class in server.request_classes) / 4
+            min(request_class.latency_objective for request_class in settings.request_classes) / 4
         )
-        self.tokens, self.refilled_at = float(server.cores), now
+        self.tokens, self.refilled_at = float(settings.cores), now
 
     def record_completion(self, request: Request, duration: int) -> None:
         self.mean_run_time += 0.02 * (self.now - request.dispatched_at - self.mean_run_time)
 
     def should_admit(self, request: Request) -> bool:
-        rate = self.server.cores / max(1.0, self.mean_run_time)
+        rate = self.settings.cores / max(1.0, self.mean_run_time)
         self.tokens = min(
-            2.0 * self.server.cores, self.tokens + rate * (self.now - self.refilled_at)
+            2.0 * self.settings.cores, self.tokens + rate * (self.now - self.refilled_at)
         )
         self.refilled_at = self.now
         if self.tokens < 1:
@@ -365,13 +371,13 @@
     `work_of` returns the work of a request in tenths of a ms; the simulated server sets it.
     """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         self.work_of: Callable[[Request], int] = lambda request: request.work_hint
 
     def _remaining_time(self) -> float:
         """Estimates the time to complete the running requests, if half the work of each remains."""
-        return sum(self.work_of(request) / 2 for request in self.running) / self.server.cores
+        return sum(self.work_of(request) / 2 for request in self.running) / self.settings.cores
 
     def should_admit(self, request: Request) -> bool:
         work_ahead = sum(
@@ -380,8 +386,8 @@
             if self._weight_per_work(other) >= self._weight_per_work(request)
         )
         expected_wait = (
-            self._remaining_time() + work_ahead / self.server.cores
-            if len(self.running) >= self.server.cores
+            self._remaining_time() + work_ahead / self.settings.cores
+            if len(self.running) >= self.settings.cores
             else 0.0
         )
         return self.now + expected_wait + self.work_of(request) <= request.objective_deadline
--- a/lilacwalk/emulator/dependency.py
+++ b/lilacwalk/emulator/dependency.py
@@ -18,6 +18,8 @@
 
 
 class Dependency:
+    """A dependency with a limited number of slots for calls; see the module."""
+
     def __init__(
         self,
         events: EventQueue,
@@ -49,6 +51,7 @@
 
     @property
     def in_flight(self) -> int:
+        """Number of calls in progress or queued."""
         return self.active_count + len(self.queue)
 
     def call(self, on_complete: Callable[[Outcome], None]) -> bool:
--- a/lilacwalk/emulator/events.py
+++ b/lilacwalk/emulator/events.py
@@ -20,6 +20,8 @@
 
 
 class EventQueue:
+    """Calls scheduled actions in order of time; `now` is the simulated time."""
+
     def __init__(self, bucket_width: int = BUCKET_WIDTH) -> None:
         self.now = 0
         self.bucket_width = bucket_width
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -4,8 +4,8 @@
 speed. Context switches cost nothing up to `crowding_threshold` runs per core. Each run above it
 reduces the speed of the whole machine by the fraction `contention`, down to a twentieth, as
 contention for caches and locks does. A cold machine runs at `cold_speed` of its speed for
-`warm_up`, whatever its load. When more than `collapse_threshold` runs per core are started, the
-machine calls `on_collapse`, whose owner stops the machine and loses its runs.
+`warm_up`, whatever its load. When the number of runs per core exceeds `collapse_threshold`, the
+machine calls `on_collapse`; the simulation then restarts the server, and the runs are lost.
 
 The tests check the machine against closed forms: the mean time of a run in an M/G/1 queue with
 processor sharing is s / (1 - ρ) for a mean service time s and a utilization ρ, whatever the
@@ -24,6 +24,8 @@
 
 
 class Machine:
+    """A machine that shares its cores equally among its runs; see the module."""
+
     def __init__(
         self,
         events: EventQueue,
@@ -47,6 +49,7 @@
             collapse_threshold,
             on_collapse,
         )
+        # `cold_speed` applies until `warm_at`.
         self.cold_speed, self.warm_at = cold_speed, events.now + warm_up
         if warm_up:
             events.after(warm_up, self._on_speed_change)
@@ -109,6 +112,7 @@
         self._schedule_next_completion()
 
     def set_speed(self, speed: float) -> None:
+        """Sets the speed; 1.0 is full speed."""
         self._advance()
         self.speed = speed
         self._schedule_next_completion()
@@ -167,6 +171,7 @@
             self.events.after(max(0, -int(-delay // 1)), self._complete_due_runs, self.generation)
 
     def _complete_due_runs(self, generation: int) -> None:
+        """Completes the due runs, unless the completion was rescheduled after `generation`."""
         if generation != self.generation:
             return
         self._advance()
--- a/lilacwalk/emulator/proxies.py
+++ b/lilacwalk/emulator/proxies.py
@@ -110,6 +110,7 @@
     request_count: int = 0
 
     def start(self) -> None:
+        """Starts to create requests."""
         self._schedule_next_request()
 
     def _schedule_next_request(self) -> None:
@@ -134,6 +135,7 @@
         self._start_round(request)
 
     def _stats(self, request: ClientRequest) -> SecondStats:
+        """Returns the results of the second in which the request was created."""
         return self.stats_by_second.setdefault(request.created_at // SECOND, SecondStats())
 
     # One round of attempts
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -126,7 +126,7 @@
 
     `make_controller` creates the controller from the settings and the current time; `make_machine`
     creates a machine for each start of the server. `effect_counts` is shared by all servers and
-    holds how often the side effect of each idempotency key was executed.
+    counts the executions of the side effect by idempotency key.
     """
 
     name: str
@@ -150,12 +150,12 @@
     load_report: float | None = None  # the controller's last load report
     controller: Controller | Baseline | None = None
     machine: Machine | None = None
-    runs: dict[Request, Run] = field(default_factory=dict)
+    runs: dict[Request, Run] = field(default_factory=dict)  # executions in progress
     # Stored idempotency keys: (request class, key) to (original request, expiry).
     stored_keys: dict[tuple[str, int], tuple[Request, int]] = field(default_factory=dict)
     # Duplicates that wait for the result, by original request.
     waiting_duplicates: dict[Request, list[Request]] = field(default_factory=dict)
-    attempts: dict[Request, Attempt] = field(default_factory=dict)
+    attempts: dict[Request, Attempt] = field(default_factory=dict)  # attempts of open requests
     pending_events: list[Event] = field(default_factory=list)  # events of the next batch
     counts: Counts = field(default_factory=Counts)
     is_processing_batch: bool = False  # whether the controller is processing a batch
@@ -204,6 +204,7 @@
                 self.events.after(0, attempt.on_reply, attempt, Reply(LOST))
 
     def drain(self, grace: int) -> None:
+        """Starts a drain that ends after `grace`."""
         self.is_draining = True
         self._submit(DrainStarted(self.events.now + grace))
 
@@ -222,7 +223,7 @@
             self.read_delay, self._read_attempt, attempt, self.events.now, self.incarnation
         )
 
-    def _read_attempt(self, attempt: Attempt, arrived: int, incarnation: int) -> None:
+    def _read_attempt(self, attempt: Attempt, arrived_at: int, incarnation: int) -> None:
         if incarnation != self.incarnation or self.is_silent:
             if incarnation != self.incarnation:
                 attempt.on_reply(attempt, Reply(LOST))
@@ -235,7 +236,7 @@
                 original = entry[0]
         request = Request(
             attempt.request_class,
-            arrived,
+            arrived_at,
             now,
             attempt.deadline,
             attempt.memory_kb,
@@ -315,6 +316,10 @@
     # Decision sink
 
     def _answer(self, request: Request, reply: Reply) -> None:
+        """Sends and counts a reply, unless the client has disconnected.
+
+        A second answer is not sent, but recorded as a violation.
+        """
         attempt = self.attempts.get(request)
         if attempt is None or attempt.is_disconnected:
             return
@@ -333,6 +338,7 @@
         self.events.after(0, attempt.on_reply, attempt, reply)
 
     def _release(self, request: Request) -> None:
+        """Removes a request and its execution, and frees their memory."""
         attempt = self.attempts.pop(request, None)
         if attempt is not None:
             self.memory_in_use_kb -= attempt.memory_kb * (
--- a/lilacwalk/emulator/simulation.py
+++ b/lilacwalk/emulator/simulation.py
@@ -146,7 +146,10 @@
         return sum(row.benefit for row in rows) / wanted if wanted else 1.0
 
     def worst(self, span: int = 10) -> float:
-        """Returns the lowest `share` of any `span` consecutive seconds."""
+        """Returns the lowest `share` of `span` consecutive seconds.
+
+        If the run is longer than `span` + 1 seconds, its last two seconds are excluded.
+        """
         last = max(self.stats_by_second, default=0)
         return min(
             (self.share(second, second + span) for second in range(max(1, last - span))),
@@ -166,6 +169,7 @@
         self.stats_by_second: dict[int, SecondStats] = {}
         self.samples: list[Sample] = []
         self.core_use_by_server: list[list[float]] = []
+        # Factors on the request rate of all routers, and of single routers by their number.
         self.rate_factor, self.router_rate_factors = 1.0, {}
         self.unreachable_sites: set[str] = set()
         self.replaced_core_time = 0.0  # core time used by machines that have been replaced
@@ -238,6 +242,7 @@
         )
 
     def _make_machine(self, server: Server) -> Machine:
+        """Returns a new machine for a server; it is cold except at the server's first start."""
         scenario = self.scenario
         if server.machine is not None:
             self.replaced_core_time += server.machine.core_time_used
@@ -277,6 +282,7 @@
         )
 
     def _draw_request(self, rng: random.Random) -> tuple[RequestClass, int, int]:
+        """Returns a random request's class, work and timeout."""
         index = rng.choices(
             range(len(self.request_classes)), [spec.share for spec in self.scenario.request_classes]
         )[0]
@@ -289,6 +295,7 @@
     # Listings of servers
 
     def _update_listing(self) -> None:
+        """Adds a listing of the servers that are running and not draining."""
         running = [server for server in self.servers if server.is_up and not server.is_draining]
         self.listings.append((self.events.now, running))
 
@@ -307,6 +314,7 @@
     # Faults
 
     def _inject(self, fault: Fault) -> None:
+        """Starts a fault and schedules its end."""
         now, rng = self.events.now, self.rng
         after = self.events.after
         if fault.kind in SERVER_FAULT_KINDS:
@@ -387,6 +395,7 @@
     def _if_same_incarnation(
         self, server: Server, incarnation: int, action: Callable[[], None]
     ) -> None:
+        """Calls `action` unless the server is down or was restarted since this incarnation."""
         if server.is_up and server.incarnation == incarnation:
             action()
 
@@ -399,6 +408,7 @@
             self._update_listing()
 
     def _on_collapse(self, server: Server) -> None:
+        """Records a violation, stops the server and restarts it after 5 s."""
         self.breaches.append(
             Breach(
                 "no fall-over",
@@ -411,12 +421,14 @@
         self.events.after(5 * SECOND, self._boot, server)
 
     def _boot(self, server: Server) -> None:
+        """Starts a server that is down, with a cold machine."""
         if not server.is_up:
             self.cold_servers.add(server.name)
             server.boot(cold=True)
             self._update_listing()
 
     def _replace_server(self, server: Server) -> None:
+        """Drains a running server, then restarts it."""
         if server.is_up:
             grace = 2 * self.scenario.drain_grace
             server.drain(grace)
@@ -447,6 +459,7 @@
         self.core_use_by_server.append(core_use)
 
     def play(self) -> Result:
+        """Runs the scenario until all requests are answered or have timed out."""
         scenario = self.scenario
         for server in self.servers:
             server.boot()
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -49,8 +49,8 @@
 from lilacwalk.emulator.simulation import Scenario as SimulatedScenario
 from lilacwalk.membership.config import NAME
 
-SECOND = 10_000
-MEASURES = (
+SECOND = 10_000  # tenths of a ms
+MEASURES = (  # see `planner.compute_measures`
     "share",
     "worst",
     "after",
@@ -62,7 +62,7 @@
     "p_a",
     "calls",
 )
-VARIABLE_SETTINGS = (
+VARIABLE_SETTINGS = (  # fields of `Scenario`; `faults`: whether faults are injected
     "load",
     "servers",
     "routers",
@@ -78,7 +78,7 @@
     "late",
     "faults",
 )
-POLICIES = ("design", *BASELINES_BY_NAME)
+POLICIES = ("design", *BASELINES_BY_NAME)  # `design` is the real controller
 
 
 def unit(name: str, **limits) -> Meta:
--- a/lilacwalk/experiments/planner.py
+++ b/lilacwalk/experiments/planner.py
@@ -110,13 +110,13 @@
     rows = result.stats_by_second.values()
     request_count = max(1, sum(row.wished for row in rows))
     answer_count = max(1, result.completed + result.denied + result.terminated)
-    ends = [(fault.at + fault.time) // SECOND + 2 for fault in scenario.fault]
-    after = max(ends, default=0)
+    recovery_seconds = [(fault.at + fault.time) // SECOND + 2 for fault in scenario.fault]
+    first_recovered = max(recovery_seconds, default=0)
     samples = result.samples or [None]
     return {
         "share": result.share(2),
         "worst": result.worst(),
-        "after": result.share(after) if after else 1.0,
+        "after": result.share(first_recovered) if first_recovered else 1.0,
         "wasted": result.wasted,
         "tries": sum(row.tries for row in rows) / request_count,
         "denied": result.denied / answer_count,
