--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -164,7 +164,7 @@
         self.queued.append(request)
 
     def _handle_duplicate(self, request: Request) -> bool:
-        """Coalesces or rejects a duplicate; returns False if it is to be handled as a new request."""
+        """Coalesces or rejects a duplicate; returns False if it is a new request after all."""
         original = request.duplicate_of
         if original.was_dispatched:
             request.state = RequestState.COALESCED
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -31,7 +31,7 @@
     Attributes:
         name: the member's name. An appended ' distinguishes a second process under the same name.
         site: the member's site.
-        address: host and port.
+        address: host and port, from which the process sends and at which it receives.
         membership: the state machine of the member; None if the process is not running.
         is_paused: whether the process is suspended; arriving datagrams are then buffered.
         buffered: datagrams in the socket buffer of a paused process.
@@ -100,9 +100,9 @@
         )
         self.membership_type, self.max_buffered = membership_type, max_buffered
         self.now, self.sequence_number = 0, 0
-        self.event_heap: list[tuple] = []
+        self.event_heap: list[tuple] = []  # (time, sequence number, action, arguments)
         self.nodes: dict[str, Node] = {}
-        self.at_address: dict[tuple[str, int], Node] = {}
+        self.nodes_by_address: dict[tuple[str, int], Node] = {}
         self.cut_links: set[tuple[str, str]] = set()  # (sender, receiver): names of nodes
         # Additional loss probability of datagrams from and to a node, by its name.
         self.loss_by_node: dict[str, float] = {}
@@ -136,9 +136,9 @@
                 name, site, address or ("10.0.0.1", 1_000 + len(self.nodes))
             )
         elif address is not None:
-            self.at_address.pop(node.address, None)
+            self.nodes_by_address.pop(node.address, None)
             node.address = address
-        self.at_address[node.address] = node
+        self.nodes_by_address[node.address] = node
         node.clock_offset_ms, node.is_paused, node.buffered = clock_offset_ms, False, []
         incarnation, members = (
             node.persisted_state if restores_state and node.persisted_state else (0, [])
@@ -253,7 +253,7 @@
         node.sent_count += 1
         if self.count_bytes:
             node.sent_bytes += len(encode(datagram)) + HEADER_BYTES
-        destination = self.at_address.get(to)
+        destination = self.nodes_by_address.get(to)
         if destination is None or (node.name, destination.name) in self.cut_links:
             return
         source_loss, destination_loss = (
--- a/lilacwalk/storage/journal.py
+++ b/lilacwalk/storage/journal.py
@@ -77,7 +77,7 @@
         self.limits = limits
         self.mode = JournalMode.NORMAL
         self.mode_changes: list[ModeChange] = []
-        self._mode_since = now  # time of the last mode change or failed retry
+        self._mode_since = now  # time at which the mode was last set
         self.files = StoreFiles(file_names, log_bytes)
         # The batch, and the records that are not persisted yet
         self.batch: list[bytes] = []
@@ -331,7 +331,7 @@
             self._mode_since = now
             self.mode_changes.append(ModeChange(mode, reason))
         elif mode is not JournalMode.NORMAL:
-            self._mode_since = now  # the next retry is due DISK_RETRY_DELAY from now
+            self._mode_since = now
 
     # Snapshots
 
