--- a/lilacwalk/emulator/baselines.py
+++ b/lilacwalk/emulator/baselines.py
@@ -1,21 +1,23 @@
 """Simpler admission policies with the controller's interface, for comparison with the controller.
 
-All of them keep these rules: one final answer by the deadline, no effect twice (duplicates are coalesced with
-the original request), and the memory limit. They differ in the requests that they admit. Each runs at most
-`concurrency_limit()` requests at once; the others wait in one queue, first in, first out unless stated
-otherwise.
+All policies follow these rules: each request gets one final answer by its deadline, no effect is
+executed twice (duplicates are coalesced with the original request), and the memory limit is not
+exceeded. The policies differ in the requests that they admit. Each runs at most
+`concurrency_limit()` requests at once; further admitted requests wait in one queue, which is first
+in, first out unless stated otherwise.
 
 AdmitAll       admits every request; the length of the queue is not limited
-FixedLimit     limits the number of requests in progress; rejects the others at once
-GradientLimit  a limit that follows the gradient of response time, as published for adaptive concurrency limits:
-               new = limit * clamp(tolerance * long / short, 0.5, 1) + room for a queue, smoothed
-CoDel          rejects the request at the head of the queue when queueing time has been over a target for an
-               interval; the interval shrinks with the square root of the number of drops (RFC 8289, applied to
-               requests in place of packets)
-TokenBucket    admits at the rate of a token bucket, with a burst
-Oracle         knows the work of each request and what the machine runs: admits requests that can still meet their
-               latency objective, and runs the one with the highest weight per work first. It does not know future
-               arrivals."""
+FixedLimit     limits the number of requests in progress and rejects further ones
+GradientLimit  adapts the limit to the gradient of response time, as published for adaptive
+               concurrency limits: new = limit * clamp(tolerance * long / short, 0.5, 1) + allowance
+               for a queue, smoothed; long and short are averages of the response time
+CoDel          rejects the request at the head of the queue when queueing time has exceeded a target
+               for an interval; the interval shrinks with the square root of the number of drops
+               (RFC 8289, applied to requests in place of packets)
+TokenBucket    admits requests at the rate of a token bucket, with bursts of twice the cores
+Oracle         knows the actual work of each request: admits requests that can still meet their
+               latency objective, and runs the one with the highest weight per work first. It does
+               not know future arrivals."""
 
 from __future__ import annotations
 
@@ -48,41 +50,48 @@
 SECOND = 10_000
 TICK_INTERVAL = 250  # tenths of a ms
 MAX_MEMORY_FRACTION = 0.9  # fraction of the server's memory above which requests are rejected
-# Time before its deadline at which a request is answered, in tenths of a ms: one tick and the time to send
-# the answer.
+# A request is answered at the latest this long before its deadline, in tenths of a ms: one tick
+# plus the time to send the answer.
 DEADLINE_MARGIN = 300
 
 
 class Baseline:
-    """Subclasses decide which requests are admitted and how many run at once."""
+    """An admission policy with the controller's interface, which admits every request.
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        self.server, self.now = server, now
+    Subclasses override which requests are admitted, how many run at once and in which order.
+    """
+
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        self.settings, self.now = settings, now
         self.sink: DecisionSink = None  # type: ignore[assignment]  # set by process_batch
-        self.queued: list[Request] = []
+        self.queued: list[Request] = []  # admitted requests that are not started
         self.open_requests: dict[Request, None] = {}
-        self.running: dict[Request, None] = {}
+        self.running: dict[Request, None] = {}  # without requests that wait for a dependency call
         self.calls_in_progress = 0
         self.memory_in_use_kb = 0.0
+        # Heap of (time at which the request must be answered, sequence number, request).
         self.deadlines: list[tuple[int, int, Request]] = []
         self.sequence_numbers = count()
-        self.drain_deadline = 0
+        self.drain_deadline = 0  # 0 until a drain starts
 
     # Policy, overridden by subclasses
 
     def should_admit(self, request: Request) -> bool:
+        """Returns whether the policy admits a request that fits into memory and its deadline."""
         return True
 
     def concurrency_limit(self) -> float:
-        return float(self.server.cores)
+        """Returns how many requests may run at once."""
+        return float(self.settings.cores)
 
     def record_completion(self, request: Request, duration: int) -> None:
-        pass
+        """Handles a completed request; `duration`: tenths of a ms since its arrival."""
 
     def prune_queue(self) -> None:
         """Rejects queued requests that should not run; called before requests are started."""
 
     def next_request(self) -> Request:
+        """Returns the queued request to start next; the queue is not empty."""
         return self.queued[0]
 
     # Interface of the controller
@@ -139,8 +148,8 @@
         if request.duplicate_of is not None and self._handle_duplicate(request):
             return
         exceeds_memory = (
-            self.memory_in_use_kb + request.memory_kb * (self.server.running_memory_factor - 1)
-            > MAX_MEMORY_FRACTION * self.server.memory_kb
+            self.memory_in_use_kb + request.memory_kb * (self.settings.running_memory_factor - 1)
+            > MAX_MEMORY_FRACTION * self.settings.memory_kb
         )
         if (
             exceeds_memory
@@ -155,12 +164,13 @@
         self.queued.append(request)
 
     def _handle_duplicate(self, request: Request) -> bool:
+        """Coalesces or rejects a duplicate; returns False if it is a new request after all."""
         original = request.duplicate_of
         if original.was_dispatched:
             request.state = RequestState.COALESCED
             self.sink.coalesce(request)
             return True
-        # The original is still queued: the duplicate is rejected, and the client may retry.
+        # While the original is queued, the duplicate is rejected, and the client may retry later.
         if original.state is not RequestState.FINISHED:
             self._reject(request)
             return True
@@ -211,7 +221,7 @@
             RequestState.RUNNING,
         )
         self.running[request] = None
-        self.memory_in_use_kb += request.memory_kb * (self.server.running_memory_factor - 1)
+        self.memory_in_use_kb += request.memory_kb * (self.settings.running_memory_factor - 1)
         self.sink.dispatch(request)
 
     def _reject(self, request: Request) -> None:
@@ -220,6 +230,7 @@
         self.sink.reject(request, 0, False)
 
     def _expire(self, request: Request) -> None:
+        """Fails or rejects a request that has not been answered shortly before its deadline."""
         if request.answered:
             return
         request.answered = True
@@ -229,11 +240,12 @@
             self._reject(request)
 
     def _finish(self, request: Request) -> None:
+        """Releases the resources of a request, and its key if it was never started."""
         if request in self.queued:
             self.queued.remove(request)
         self.running.pop(request, None)
         self.memory_in_use_kb -= request.memory_kb * (
-            self.server.running_memory_factor if request.was_dispatched else 1
+            self.settings.running_memory_factor if request.was_dispatched else 1
         )
         request.state = RequestState.FINISHED
         self.open_requests.pop(request, None)
@@ -246,22 +258,31 @@
 
 
 class FixedLimit(Baseline):
-    """Limits requests in progress to twice the number of cores, so that up to one request per core is queued
-    when all cores are busy."""
+    """Limits requests in progress to twice the number of cores.
+
+    Queued requests and dependency calls count as in progress, so that at most one request per core
+    is queued while all cores are busy.
+    """
 
     def should_admit(self, request: Request) -> bool:
-        return len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.server.cores
+        return (
+            len(self.queued) + len(self.running) + self.calls_in_progress < 2 * self.settings.cores
+        )
 
 
 class GradientLimit(Baseline):
-    """Gradient concurrency limit: the limit is multiplied by 1.5 times the long-term over the short-term mean
-    duration, bounded to 0.5 to 1, plus the square root of the limit as room for a queue. Changes are smoothed
-    with weight 0.2; the limit stays between 1 and 200."""
+    """Gradient concurrency limit.
+
+    The target is limit * clamp(1.5 * long / short, 0.5, 1) + sqrt(limit), where long and short are
+    the long-term and short-term mean time from arrival to completion, and the square root is the
+    allowance for a queue. The limit approaches the target with weight 0.2 per completion, between 1
+    and 200. It does not change while the queue and the running requests use less than half of it.
+    """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         self.limit, self.long_average, self.short_average, self.sample_count = (
-            2.0 * server.cores,
+            2.0 * settings.cores,
             0.0,
             0.0,
             0,
@@ -279,7 +300,7 @@
         self.long_average += long_weight * (duration - self.long_average)
         self.short_average += max(1 / self.sample_count, 0.1) * (duration - self.short_average)
         if self.long_average > 2 * self.short_average:
-            self.long_average *= 0.95  # lets the long average recover after load has fallen
+            self.long_average *= 0.95  # lowers the long average faster after load has fallen
         gradient = max(0.5, min(1.0, 1.5 * self.long_average / max(1.0, self.short_average)))
         target_limit = self.limit * gradient + sqrt(self.limit)
         if len(self.queued) + len(self.running) >= self.limit / 2:
@@ -287,12 +308,12 @@
 
 
 class CoDel(Baseline):
-    """The interval is the shortest latency objective; the target is a tenth of it."""
+    """CoDel whose interval is the shortest latency objective and whose target is a tenth of it."""
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         shortest_objective = min(
-            request_class.latency_objective for request_class in server.request_classes
+            request_class.latency_objective for request_class in settings.request_classes
         )
         self.target, self.interval = shortest_objective // 10, shortest_objective
         self.above_since: int | None = None
@@ -316,24 +337,26 @@
 
 
 class TokenBucket(Baseline):
-    """Refills at the rate at which the cores finish runs of mean duration.
+    """Token bucket, refilled at the rate at which the cores can complete runs of mean duration.
 
-    The mean starts at a quarter of the shortest latency objective and is updated with each completed run."""
+    The mean starts at a quarter of the shortest latency objective and is updated with each
+    completed run. The bucket holds up to twice as many tokens as there are cores.
+    """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         self.mean_run_time = (
-            min(request_class.latency_objective for request_class in server.request_classes) / 4
+            min(request_class.latency_objective for request_class in settings.request_classes) / 4
         )
-        self.tokens, self.refilled_at = float(server.cores), now
+        self.tokens, self.refilled_at = float(settings.cores), now
 
     def record_completion(self, request: Request, duration: int) -> None:
         self.mean_run_time += 0.02 * (self.now - request.dispatched_at - self.mean_run_time)
 
     def should_admit(self, request: Request) -> bool:
-        rate = self.server.cores / max(1.0, self.mean_run_time)
+        rate = self.settings.cores / max(1.0, self.mean_run_time)
         self.tokens = min(
-            2.0 * self.server.cores, self.tokens + rate * (self.now - self.refilled_at)
+            2.0 * self.settings.cores, self.tokens + rate * (self.now - self.refilled_at)
         )
         self.refilled_at = self.now
         if self.tokens < 1:
@@ -343,15 +366,18 @@
 
 
 class Oracle(Baseline):
-    """`work_of` returns the actual work of a request; the simulated server sets it."""
+    """Policy that knows the actual work of each request.
+
+    `work_of` returns the work of a request in tenths of a ms; the simulated server sets it.
+    """
 
-    def __init__(self, server: ServerSettings, now: int) -> None:
-        super().__init__(server, now)
+    def __init__(self, settings: ServerSettings, now: int) -> None:
+        super().__init__(settings, now)
         self.work_of: Callable[[Request], int] = lambda request: request.work_hint
 
     def _remaining_time(self) -> float:
-        """Estimated time to finish the running requests, if half of the work of each remains."""
-        return sum(self.work_of(request) / 2 for request in self.running) / self.server.cores
+        """Estimates the time to complete the running requests, if half the work of each remains."""
+        return sum(self.work_of(request) / 2 for request in self.running) / self.settings.cores
 
     def should_admit(self, request: Request) -> bool:
         work_ahead = sum(
@@ -360,8 +386,8 @@
             if self._weight_per_work(other) >= self._weight_per_work(request)
         )
         expected_wait = (
-            self._remaining_time() + work_ahead / self.server.cores
-            if len(self.running) >= self.server.cores
+            self._remaining_time() + work_ahead / self.settings.cores
+            if len(self.running) >= self.settings.cores
             else 0.0
         )
         return self.now + expected_wait + self.work_of(request) <= request.objective_deadline
