--- a/benchmarks/bgp_restarts.py
+++ b/benchmarks/bgp_restarts.py
@@ -78,8 +78,10 @@
         return started_at
 
     def check_not_announced(self, speaker: Speaker, announcements: int) -> None:
-        """Counts a violation if the router has received an announcement since there were
-        `announcements`, or holds a route."""
+        """Counts a violation if the router holds a route or has received further announcements.
+
+        `announcements` is the number of announcements that it had received earlier.
+        """
         speaker.query(lambda state: None)
         self.violations += self.router.count("announced") != announcements or bool(self.router.held)
 
--- a/benchmarks/site_plan.py
+++ b/benchmarks/site_plan.py
@@ -1,5 +1,5 @@
-"""Time to compute a failover plan, from three small sites to 30 sites of 100 nodes each, and how
-far a placement changes when the load of one failover target changes.
+"""Time to compute a failover plan, from three small sites to 30 sites of 100 nodes each, and the
+share of a failed site's load that moves when the load of one failover target changes.
 
     python -m benchmarks.site_plan"""
 
@@ -92,10 +92,10 @@
 
 
 def measure_sensitivity(place, rng: random.Random) -> tuple[float, float]:
-    """Returns how far a placement changes with the load of one target, and its worst utilisation.
+    """Returns how sensitive a placement is to the load of one target, and its worst utilisation.
 
-    The first figure is the median share of the failed site's load that goes to another target when
-    one target's load changes by 5%, the second the 99th percentile of the highest utilisation.
+    The first figure is the median share of the failed site's load that moves to another target when
+    one target's load rises by 5%, the second the 99th percentile of the highest utilisation.
     """
     moved_shares, max_utilisations = [], []
     for _ in range(60):
--- a/lilacwalk/commands/announce.py
+++ b/lilacwalk/commands/announce.py
@@ -48,7 +48,10 @@
 
 
 def run_speaker(operator_file: str, config: BgpConfig) -> int:
-    """Runs a speaker until a stop is requested or its thread ends; returns the exit code."""
+    """Runs a speaker until a stop is requested; returns the exit code.
+
+    The end of the speaker's thread is noticed only at the next line or signal.
+    """
     from lilacwalk.bgp.admin import create_admin_socket
     from lilacwalk.bgp.speaker_io import Speaker
 
@@ -78,7 +81,10 @@
 
 
 def apply_states(state_input: NodeStateInput, speaker: Speaker, operator_file: str) -> None:
-    """Passes node states to the speaker until a stop is requested or the speaker has ended."""
+    """Passes node states to the speaker until a stop is requested.
+
+    Also returns at the next line or signal after the end of the speaker's thread.
+    """
     from lilacwalk.bgp.announcement_policy import NodeStatus
 
     statuses_by_name = {
--- a/lilacwalk/operator/field_schema.py
+++ b/lilacwalk/operator/field_schema.py
@@ -104,7 +104,9 @@
     except msgspec.ValidationError as error:
         raise InvalidWordError(expected=_expected_from_error(schema, str(error))) from error
     except TypeError:
-        return value  # msgspec does not support the type; the unit's converter checked the value
+        # msgspec does not support the type. `convert_word` has checked the form of each word; bounds
+        # are not checked.
+        return value
 
 
 def _expected_from_error(schema: FieldSchema, message: str) -> str:
--- a/lilacwalk/overload/decision_sink.py
+++ b/lilacwalk/overload/decision_sink.py
@@ -8,9 +8,11 @@
 
 
 class DecisionSink(Protocol):
-    """Carries out the controller's decisions, each at the time of the current batch.
+    """Carries out the controller's decisions.
 
-    Times and durations are in tenths of a millisecond.
+    The controller handles the events of one point in time together, as a batch. Its decisions take
+    effect at the time of the batch, to which "now" and durations in the methods refer. Times and
+    durations are in tenths of a millisecond.
     """
 
     def dispatch(self, request: Request, /) -> None:
@@ -53,9 +55,9 @@
         """Sends a load report to clients; `LoadReportKind` defines the meaning of `value`."""
 
     def close_idle_connections(self, after: int, /) -> None:
-        """Closes client connections once they have been idle for `after`; if it is 0, closes none.
+        """Closes client connections that have been idle for `after`, until the next such decision.
 
-        The decision holds until the next one.
+        If `after` is 0, only the idle limits of the frontends apply.
         """
 
     def set_timer(self, after: int, /) -> None:
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -56,8 +56,8 @@
         self._limiter = limiter
         self._termination = termination
         self._deadline_margin = deadline_margin
-        # While calls are congested and at their limit, classes that would lose less weight by
-        # skipping their calls skip them.
+        # The greatest weight that a class with dependency calls loses if a call is skipped. While
+        # calls are congested and at their limit, classes that would lose less skip their calls.
         self._greatest_lost_weight = max(
             (
                 weight_lost_by_skipping(each)
@@ -133,7 +133,7 @@
         )
 
     def _must_skip(self, request_class: RequestClass) -> bool:
-        """Whether requests of the class must skip their calls in favor of classes that lose more.
+        """Whether requests of the class must skip their calls in favor of classes that lose more weight by skipping.
 
         This applies only while calls are congested and no further call is permitted.
         """
--- a/lilacwalk/overload/events.py
+++ b/lilacwalk/overload/events.py
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The timer set by the controller has expired; carries the executor's latest gauges."""
+    """The timer set by the controller has expired. Contains the executor's latest gauges."""
 
     core_use: float  # fraction of the cores that is in use
     run_queue: float  # number of runnable requests, including running ones
--- a/lilacwalk/overload/load_reporter.py
+++ b/lilacwalk/overload/load_reporter.py
@@ -21,10 +21,12 @@
 OUTSTANDING_SHARE = 0.65
 MINIMUM_TOKENS = 0.2  # minimum number of tokens granted to each client, except in slow start
 MAXIMUM_TOKEN_FACTOR = 10.0  # maximum of the factor by which tokens are multiplied
-TOKEN_FACTOR_GROWTH = 1.1  # multiplies the token factor at each report while cores are free
-TOKEN_FACTOR_DECAY = 0.8  # multiplies the token factor at each report while cores are busy
-# The share of the heaviest client is measured if the activity of all clients together is above this
-# number of requests; otherwise the clients are assumed to have equal shares.
+# Applied to the token factor at each report while cores are free and no request is queued.
+TOKEN_FACTOR_GROWTH = 1.1
+TOKEN_FACTOR_DECAY = 0.8  # applied to the token factor at each other report
+# The most active client's share of the recent requests is measured if the activities of all clients
+# add up to more than this number of requests; otherwise all clients are assumed to have equal
+# shares.
 MINIMUM_MEASURED_ACTIVITY = 5
 MAXIMUM_UNREAD_SHARE = 0.7  # maximum fraction by which the unread delay reduces the tokens
 TOKEN_PRECISION = 10_000  # in slow start, tokens are rounded down to multiples of 1/10,000
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -10,7 +10,8 @@
 # Executions count as stalled if none has made progress for this multiple of the expected time
 # between the ends of two executions. The probability of such a gap without a stall is e^-9.
 STALL_GAP_MULTIPLE = 9
-STALL_TIMER_PERIODS = 4  # number of timer periods that are added to this time
+# Number of timer periods added to the time after which executions count as stalled.
+STALL_TIMER_PERIODS = 4
 
 
 class StallDetector:
--- a/lilacwalk/server/__init__.py
+++ b/lilacwalk/server/__init__.py
@@ -2,7 +2,7 @@
 
 `startup` builds the `EventLoop`, which owns one object for each concern: `RequestLifecycle`,
 `ExecutorSession`, `DependencyCalls`, `DecisionApplier`, `Subsystems` and `Drain`. The optional
-subsystems are in `integrations` and are imported only if the operator's file configures them. The
-controller in `lilacwalk.overload` decides on all requests to which `RequestScreening` does not
-respond before.
+subsystems are in `integrations` and are imported only if the operator's file configures them.
+`RequestScreening` responds to some requests itself; the controller in `lilacwalk.overload` decides
+on all others.
 """
--- a/lilacwalk/server/decision_applier.py
+++ b/lilacwalk/server/decision_applier.py
@@ -133,7 +133,7 @@
         self.advertised_capacity = value
 
     def close_idle_connections(self, after: int) -> None:
-        """Sets the idle time after which frontends close connections; 0 means their own limits."""
+        """Sets the idle time after which frontends close connections; 0: their own limits apply."""
         self.close_idle_after = after
 
     def set_timer(self, after: int) -> None:
--- a/lilacwalk/server/drain.py
+++ b/lilacwalk/server/drain.py
@@ -84,9 +84,9 @@
         self._close_connections()
 
     def in_flight_summary(self) -> str:
-        """Returns log fields with the numbers of requests, executions and calls in flight.
+        """Returns log fields on requests in flight, open requests, executions, calls and memory.
 
-        All should be 0 at the end of a drain.
+        All should be 0 at the end of a drain. Without a controller, only the first is returned.
         """
         in_flight = len(self._event_loop.requests.in_flight)
         controller = self._event_loop.controller
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -96,8 +96,8 @@
                 raise
         self.storage_state = ""
         self.draining_peers = 0  # number of other members that are draining
-        # Ratio of all members, present and dead, to the present ones, to which the clients of dead
-        # members move.
+        # Number of all members, present and dead, divided by the number of present members. Clients
+        # of dead members move to the present ones, whose load grows by this factor.
         self.load_multiplier = 1.0
         self.reported_state: NodeStatus | None = None
         self.next_report_at = 0
--- a/lilacwalk/server/integrations/retry_storms.py
+++ b/lilacwalk/server/integrations/retry_storms.py
@@ -100,8 +100,8 @@
     def evaluate(self, controller: Controller, now: int, load_multiplier: float) -> None:
         """Passes the queue delay to the damper and logs changes of its stage.
 
-        `load_multiplier` is the ratio of all members of the fleet, present and dead, to the present
-        ones, to which the clients of dead members move.
+        `load_multiplier` is the number of all members of the fleet, present and dead, divided by
+        the number of present ones, to which the clients of dead members move.
         """
         self._now = now
         # If no request is running, the queue delay is 0. Expected execution times must not be used
--- a/lilacwalk/server/integrations/site_failover.py
+++ b/lilacwalk/server/integrations/site_failover.py
@@ -152,8 +152,8 @@
     def _apply_commands(self, planner: FailoverPlanner, membership: Membership, now: int) -> None:
         """Applies the operator commands that the metadata of the known members contain.
 
-        Each command applies on all members, whichever of them it was issued on. It ends when no
-        member's metadata contains it any more.
+        Each command applies on all members, whichever of them it was issued on. A hold or
+        drain ends when it expires or is released, not when it disappears from the metadata.
         """
         unix_now = unix_milliseconds()
         gossiped = (
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -1,4 +1,4 @@
-"""The process configuration: a JSON file, read at start and, for its addresses, at each SIGHUP."""
+"""Reads the process configuration, a JSON file. A SIGHUP applies only its changed addresses."""
 
 from __future__ import annotations
 
--- a/lilacwalk/server/request_lifecycle.py
+++ b/lilacwalk/server/request_lifecycle.py
@@ -70,7 +70,7 @@
     def close_idle_after(self) -> int:
         """Idle time after which connections are closed, in tenths of a millisecond.
 
-        If it is 0, the frontend uses its own limit.
+        If it is 0, the frontends' own idle limits apply.
         """
         return self._event_loop.decision_applier.close_idle_after
 
--- a/lilacwalk/server/startup.py
+++ b/lilacwalk/server/startup.py
@@ -52,7 +52,7 @@
         **other_limits: Values by name that replace those of the `Limits` from the configuration.
 
     Raises:
-        ConfigurationError: A value is invalid, or the address to listen on is in use.
+        ConfigurationError: A value is invalid, or the listener cannot be opened.
     """
     server, limits = decode_configuration(config)
     limits = replace(limits, **other_limits)
--- a/lilacwalk/simulator_adapter/host.py
+++ b/lilacwalk/simulator_adapter/host.py
@@ -54,8 +54,8 @@
     def process_batch(self, time_ms: float, lines: Sequence[NumberedLine]) -> list[str]:
         """Processes all messages of one simulated time, and returns the lines of the reply.
 
-        If a controller fails, the reply ends with a `die` line, and the events of servers after it
-        are not processed.
+        If a controller fails, the reply ends with a `die` line, and the events of the
+        servers that follow in the batch are not processed.
 
         Raises:
             WireError: A line does not follow the protocol.
