--- a/benchmarks/bgp_restarts.py
+++ b/benchmarks/bgp_restarts.py
@@ -70,7 +70,7 @@
         self.listener_close_times: list[float] = []
 
     def set_status(self, speaker: Speaker, status: NodeStatus) -> float:
-        """Reports a status to the speaker, and returns the time before the report."""
+        """Reports a status to the speaker, and returns the time at which the report began."""
         self.status_changes += 1
         self.state = status.value
         started_at = time.monotonic()
--- a/benchmarks/cold_budget.py
+++ b/benchmarks/cold_budget.py
@@ -20,7 +20,7 @@
 from lilacwalk.testing.fleet import ProcessFleet
 from lilacwalk.testing.proxy_client import ProxyClient
 
-# Seconds. WINDOW is that of the mean number of calls in flight.
+# Seconds. The number of calls in flight is averaged over WINDOW.
 CALL_TIME, WINDOW, LOAD_TIME = 0.02, 1.0, 6.0
 
 
--- a/benchmarks/fleet_server.py
+++ b/benchmarks/fleet_server.py
@@ -5,8 +5,8 @@
 
 cost: memory, CPU and response time of an app server without fleet membership, and as one of 4 and
 of 24 members, under the same load.
-floor: the executors of eight of twelve announcing app servers end at the same time. How many of the
-twelve are withdrawn at once, with and without `withdraw-share`."""
+floor: the executors of eight of twelve announcing app servers end at the same time. Counts how many
+of the twelve are withdrawn at once, with and without `withdraw-share`."""
 
 from __future__ import annotations
 
--- a/benchmarks/storage_engines.py
+++ b/benchmarks/storage_engines.py
@@ -168,7 +168,7 @@
 
 
 def measure_kills(engine_name: str, count: int) -> tuple:
-    """Kills the writing process `count` times; each process opens the files of the one before."""
+    """Kills the writing process `count` times; each process opens the files of its predecessor."""
     rng = random.Random(7)
     lost = wrong = gaps = failed_starts = written = 0
     acknowledged, start_times = 0, []
--- a/lilacwalk/commands/experiment.py
+++ b/lilacwalk/commands/experiment.py
@@ -19,7 +19,7 @@
     from lilacwalk.experiments.config import Experiment
 
 EXIT_EXPECTATION_FAILED = 3
-MAX_ERROR_CHARACTERS = 300  # shown of another revision's standard error, from its end
+MAX_ERROR_CHARACTERS = 300  # shown from the end of another revision's standard error
 
 
 @click.group()
--- a/lilacwalk/commands/storage.py
+++ b/lilacwalk/commands/storage.py
@@ -40,7 +40,7 @@
     from lilacwalk.storage.disk import Directory
     from lilacwalk.storage.recovery import recover
 
-    if not Path(directory).is_dir():  # `Directory` would create it
+    if not Path(directory).is_dir():  # `Directory` would create the directory
         exit_unusable(f"lilacwalk: cannot read the store {directory}: no such directory")
     try:
         disk = Directory(directory)
--- a/lilacwalk/limits.py
+++ b/lilacwalk/limits.py
@@ -26,7 +26,7 @@
 MIN_SEND_BUFFER_BYTES = 16_384  # enough for four results
 MAX_SEND_BUFFER_BYTES = 163_840  # enough for the results of all open requests of a connection
 MEMORY_PARTS = 8  # number of equal parts of the memory that remains after PROGRAM_BYTES
-CONNECTION_MEMORY_PARTS = 5  # number of these parts for connections and their send buffers
+CONNECTION_MEMORY_PARTS = 5  # number of memory parts for connections and their send buffers
 
 
 @dataclass(frozen=True)
@@ -127,10 +127,10 @@
     housekeeping_interval: int = SECOND // 20
     #: Time at the end of a drain that is reserved for sending the last responses.
     drain_flush_margin: int = 3 * SECOND // 10
-    #: Time within which a proxy has to close a connection after it was asked to.
+    #: Time within which a proxy has to close a connection after the request to close it.
     close_request_timeout: int = 2 * SECOND
-    #: Time for which requests that a proxy has sent may still arrive after it was asked to close
-    #: the connection in a drain.
+    #: Time for which requests that a proxy has sent may still arrive, in a drain, after the request
+    #: to close the connection.
     drain_settle_time: int = SECOND // 10
     #: Maximum time for which a half-closed connection is read.
     half_close_linger: int = SECOND // 5
@@ -183,6 +183,6 @@
         raise SettingValueError(
             name="memory_mb",
             value=limits["memory_mb"],
-            problem=f"leaves less than {PROGRAM_BYTES // 4 // MEGABYTE} MB beside the program",
+            problem=f"is below the minimum of {PROGRAM_BYTES * 5 // 4 // MEGABYTE} MB",
         )
     return int(memory / MEMORY_PARTS)
--- a/lilacwalk/operator/field_schema.py
+++ b/lilacwalk/operator/field_schema.py
@@ -2,7 +2,7 @@
 
 A record is a frozen `msgspec.Struct`, and each of its fields corresponds to a keyword. A field of a
 record type is a block; a tuple of records is a block that may occur several times. The annotations
-of a field specify its unit and its bounds.
+of a field specify its unit, which is the format of its word, and its bounds.
 """
 
 from __future__ import annotations
@@ -104,8 +104,8 @@
     except msgspec.ValidationError as error:
         raise InvalidWordError(expected=_expected_from_error(schema, str(error))) from error
     except TypeError:
-        # msgspec does not support the type. `convert_word` has checked the form of each word; bounds
-        # are not checked.
+        # msgspec does not support the type. `convert_word` has checked the form of the word; the
+        # bounds are not checked.
         return value
 
 
--- a/lilacwalk/overload/decision_sink.py
+++ b/lilacwalk/overload/decision_sink.py
@@ -28,7 +28,7 @@
         """
 
     def fail(self, request: Request, /) -> None:
-        """Responds that the outcome of the request is unknown."""
+        """Responds that the request's outcome is unknown or that it did not finish in time."""
 
     def cancel(self, request: Request, /) -> None:
         """Cancels a running execution whose result is no longer needed."""
--- a/lilacwalk/overload/model.py
+++ b/lilacwalk/overload/model.py
@@ -70,7 +70,7 @@
     """Time limits, weight and other properties that all requests of a class have in common."""
 
     name: str
-    weight: float  # value of a response in time, relative to other classes
+    weight: float  # value of a response that meets its objective, relative to other classes
     latency_objective: int  # time from the arrival of a request in which it should be answered
     timeout: int  # time from the arrival of a request after which a response is useless
     effect: Effect = Effect.IDEMPOTENT
@@ -126,7 +126,7 @@
     max_retry_after: int = 0  # 0 means that rejections are sent without a retry-after
     # Fraction of its weight that a request retains if its tenant has no credit.
     over_quota_weight_share: float = 1.0
-    # Whether the weight of a class is that per unit of work instead of that per request.
+    # Whether the weight of a class applies per unit of work instead of per request.
     weight_scales_with_work: bool = False
     timer_quantum: int = 10  # resolution of the host's timers
 
@@ -135,7 +135,8 @@
 class Request:
     """One request, from its arrival until all its resources are released.
 
-    The host sets the fields up to `duplicate_of`; the controller writes the others.
+    The host sets the fields up to `duplicate_of`; the controller writes the others. It also changes
+    `duplicate_of` if the original is itself a duplicate or ended without being executed.
     """
 
     request_class: RequestClass
--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -47,7 +47,7 @@
     def record_timer(self) -> None:
         """Records a timer event, which shows whether this process itself was paused.
 
-        If the event is late by more than two timer periods, the process did not run. This time does
+        If the event is late by more than two timer periods, the process did not run. The delay does
         not count as time without progress of executions.
         """
         now = self._context.now
--- a/lilacwalk/server/drain.py
+++ b/lilacwalk/server/drain.py
@@ -86,7 +86,8 @@
     def in_flight_summary(self) -> str:
         """Returns log fields on requests in flight, open requests, executions, calls and memory.
 
-        All should be 0 at the end of a drain. Without a controller, only the first is returned.
+        At the end of a drain, all but the memory should be 0; the memory includes idempotency keys
+        that have not expired. Without a controller, only `in_flight` is returned.
         """
         in_flight = len(self._event_loop.requests.in_flight)
         controller = self._event_loop.controller
--- a/lilacwalk/server/event_loop.py
+++ b/lilacwalk/server/event_loop.py
@@ -49,7 +49,7 @@
     """A handler to call at `due`; timers due at the same time run in the order they were set."""
 
     due: int  # Unix time in tenths of a millisecond
-    order: int  # the number of timers set before
+    order: int  # the number of timers set earlier
     handler: Callable[..., object]
     arguments: tuple
 
@@ -186,9 +186,9 @@
         self.schedule(due, self._controller_timer_expired)
 
     def _controller_timer_expired(self) -> None:
-        """Passes the event to the controller with the gauges that the executor reported last.
+        """Adds the event, with the gauges that the executor reported last, to the next batch.
 
-        Does not wait for a report that is late.
+        Does not wait for a late report of gauges.
         """
         gauges = self.executor.gauges
         self.controller_events.append(TimerExpired(gauges.core_use, gauges.run_queue))
--- a/lilacwalk/server/executor_session.py
+++ b/lilacwalk/server/executor_session.py
@@ -90,7 +90,7 @@
         self.send_commands(entry, encode_dispatch(entry.id, entry.class_name, entry.body))
 
     def request_gauges(self) -> None:
-        """Sends a gauge poll; the response also acknowledges all commands sent before.
+        """Sends a gauge poll; the response also acknowledges all commands sent earlier.
 
         Has no effect while no link is ready.
         """
--- a/lilacwalk/server/integrations/membership.py
+++ b/lilacwalk/server/integrations/membership.py
@@ -153,7 +153,7 @@
         """Reports changes of state after an iteration of the event loop, and metrics when due.
 
         Args:
-            facts: the fields of `readiness.Facts`, in this order.
+            facts: the fields of `readiness.Facts`, in their order.
             now: the current time in tenths of a millisecond.
             admission_probability: the controller's admission probability.
             core_use: the fraction of the cores that is in use.
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -43,7 +43,7 @@
     """A value in the configuration is missing or invalid."""
 
     def __init__(self, problem: str) -> None:
-        """`problem` names the value and states what is wrong with it."""
+        """`problem` names the value and states why it is invalid."""
         super().__init__(f"configuration: {problem}")
         self.problem = problem
 
@@ -143,4 +143,4 @@
         LookupError,
         OverflowError,
     ) as error:
-        raise InvalidConfigurationError(str(error)) from error
+        raise InvalidConfigurationError(f"invalid settings, limits or seed: {error}") from error
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -189,7 +189,8 @@
     def _store_opened(self, recovered_effects: list[RecoveredEffect]) -> None:
         """Restores the state of earlier incarnations, which is empty if the store did not open.
 
-        The learned state is restored only into a controller that started less than a second ago.
+        The learned state is restored only into a controller that started less than a second ago
+        or that starts later.
         """
         event_loop = self._event_loop
         event_loop.requests.effect_gate.restore(recovered_effects)
@@ -229,7 +230,8 @@
     def _start_devices(self, config: EdgeConfig) -> None:
         """Creates the frontend for devices and starts it.
 
-        If there is a store, it starts only after the store's sessions have been read.
+        If there is a store, the frontend starts only when the store has been read or cannot be
+        opened.
         """
         persist_sessions = None
         if self.persistence is not None:
--- a/lilacwalk/settings.py
+++ b/lilacwalk/settings.py
@@ -114,7 +114,7 @@
     if value is not None and value != "":
         return parse_number(name, value)
     if default is None:
-        raise SettingsError(name=name, problem="is missing")
+        raise SettingsError(name=name, problem="is missing; expected a number")
     return default
 
 
@@ -163,7 +163,9 @@
     """
     value = settings.get(name, {})
     if not isinstance(value, dict):
-        raise SettingsError(name=name, problem="is not an object")
+        raise SettingsError(
+            name=name, problem=f"has type {type(value).__name__}; expected an object"
+        )
     return value
 
 
@@ -231,7 +233,9 @@
         for index, fields in enumerate(read_list(settings, "classes"))
     ]
     if not request_classes:
-        raise SettingsError(name="classes", problem="is missing or empty")
+        raise SettingsError(
+            name="classes", problem="is missing or empty; expected at least one request class"
+        )
     return request_classes
 
 
@@ -243,7 +247,11 @@
     timeout_ms = timeout / TENTHS_PER_MILLISECOND
     latency_objective = tenths_rounded_down(read_number(fields, "aim_ms", timeout_ms))
     if timeout < 1 or latency_objective < 1:
-        raise SettingsError(name=f"class {name}", problem="has a hard_limit_ms or aim_ms below 0.1")
+        raise SettingsError(
+            name=f"class {name}",
+            problem=f"has hard_limit_ms={fields['hard_limit_ms']} and "
+            f"aim_ms={fields.get('aim_ms', 'unset')}; expected at least 0.1 each",
+        )
     return RequestClass(
         name=name,
         weight=read_number(fields, "worth", 1.0),
--- a/lilacwalk/simulator_adapter/host.py
+++ b/lilacwalk/simulator_adapter/host.py
@@ -111,7 +111,7 @@
 ) -> Event | None:
     """Returns the event of a message; None if the message refers to an unknown request.
 
-    A request is unknown if it was removed from the instance after it finished.
+    A request is unknown if it was never received, or was removed after it finished.
     """
     match message:
         case "incoming":
--- a/lilacwalk/simulator_adapter/instance.py
+++ b/lilacwalk/simulator_adapter/instance.py
@@ -47,7 +47,7 @@
         self._requests.add(_request_id(fields), request)
 
     def find_request(self, fields: Mapping[str, str]) -> Request | None:
-        """Returns the request with the identifier in a message's fields; None if it was removed.
+        """Returns the request with the identifier in a message's fields; None if it is unknown.
 
         Raises:
             WireError: The message has no identifier.
--- a/lilacwalk/simulator_adapter/session.py
+++ b/lilacwalk/simulator_adapter/session.py
@@ -12,7 +12,7 @@
 BATCH_START = "tick"
 BATCH_END = "go"
 REPLY_END = "ok\n"
-MAX_QUOTED_CHARACTERS = 40  # of a line that an error message quotes
+MAX_QUOTED_CHARACTERS = 40  # number of characters that an error message quotes from a line
 
 
 class Session:
