--- a/lilacwalk/commands/device.py
+++ b/lilacwalk/commands/device.py
@@ -110,8 +110,9 @@
         return parse_endpoint(address), bytes.fromhex(token)
     except ValueError as error:
         message = (
-            "expected ADDRESS as 192.0.2.1:5700 or [2001:db8::1]:5700, and --token as an even number "
-            f"of hexadecimal digits; got ADDRESS {address} and a token of {len(token)} characters"
+            "expected ADDRESS as 192.0.2.1:5700 or [2001:db8::1]:5700, and --token as an even "
+            f"number of hexadecimal digits; got ADDRESS {address} and a token of {len(token)} "
+            "characters"
         )
         raise click.UsageError(message) from error
 
--- a/lilacwalk/overload/dependency_scheduler.py
+++ b/lilacwalk/overload/dependency_scheduler.py
@@ -133,7 +133,7 @@
         )
 
     def _must_skip(self, request_class: RequestClass) -> bool:
-        """Whether requests of the class must skip their calls in favor of classes that lose more weight by skipping.
+        """Whether requests of the class must skip their calls, as other classes would lose more.
 
         This applies only while calls are congested and no further call is permitted.
         """
--- a/lilacwalk/overload/server_load.py
+++ b/lilacwalk/overload/server_load.py
@@ -58,7 +58,7 @@
         return MEMORY_LIMIT_SHARE * self.server.memory_kb
 
     def execution_memory_kb(self, request: Request) -> float:
-        """The memory that a request needs after its dispatch, in addition to `request.memory_kb`."""
+        """The memory that a request needs after its dispatch, in addition to its `memory_kb`."""
         return request.memory_kb * (self.server.running_memory_factor - 1)
 
     def begin_execution(self, request: Request, now: int) -> None:
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -143,4 +143,5 @@
         LookupError,
         OverflowError,
     ) as error:
-        raise InvalidConfigurationError(f"invalid settings, limits or seed: {error}") from error
+        problem = f"invalid settings, limits or seed: {error}"
+        raise InvalidConfigurationError(problem) from error
