--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -1,4 +1,7 @@
-"""Reads the process configuration, a JSON file. A SIGHUP applies only its changed addresses."""
+"""Reads the process configuration, a JSON file.
+
+A SIGHUP applies only changed addresses of the executor, the service registry and the dependency.
+"""
 
 from __future__ import annotations
 
