--- a/benchmarks/bgp_restarts.py
+++ b/benchmarks/bgp_restarts.py
@@ -70,7 +70,7 @@
         self.listener_close_times: list[float] = []
 
     def set_status(self, speaker: Speaker, status: NodeStatus) -> float:
-        """Reports a status to the speaker, and returns the time before the report."""
+        """Reports a status to the speaker, and returns the time at which the report began."""
         self.status_changes += 1
         self.state = status.value
         started_at = time.monotonic()
@@ -78,8 +78,10 @@
         return started_at
 
     def check_not_announced(self, speaker: Speaker, announcements: int) -> None:
-        """Counts a violation if the router has received an announcement since there were
-        `announcements`, or holds a route."""
+        """Counts a violation if the router holds a route or has received further announcements.
+
+        `announcements` is the number of announcements that it had received earlier.
+        """
         speaker.query(lambda state: None)
         self.violations += self.router.count("announced") != announcements or bool(self.router.held)
 
