--- a/tests/overload/conftest.py
+++ b/tests/overload/conftest.py
@@ -1,4 +1,7 @@
-"""A fake host of the controller with a manual clock and a sink that records decisions."""
+"""A fake host of the controller with a manual clock and a sink that records decisions.
+
+Times and durations are in tenths of a millisecond.
+"""
 
 import pytest
 
@@ -59,7 +62,7 @@
         self.controller.process_batch(self.now, list(events), self)
 
     def receive(self, request_class=None, ttl=30_000, **fields):
-        """Passes a new request to the controller and returns it."""
+        """Passes a new request to the controller and returns it; its deadline is `ttl` from now."""
         request = Request(
             request_class or self.server.request_classes[0],
             fields.pop("arrived_at", self.now),
@@ -72,7 +75,10 @@
         return request
 
     def wait(self, duration, core_use=1.0, run_queue=99.0):
-        """Advances the clock, with timer events that carry these gauges."""
+        """Advances the clock by `duration`, with timer events that carry these gauges.
+
+        By default the gauges show that all cores are busy.
+        """
         end = self.now + duration
         while self.now + MAXIMUM_TIMER_PERIOD <= end:
             self.now += MAXIMUM_TIMER_PERIOD
@@ -92,7 +98,7 @@
         ]
 
     def responses(self, request):
-        """Returns the names of the decisions that answered the request."""
+        """Returns the names of the decisions (reject or fail) that answered the request."""
         return [
             decision[0]
             for decision in self.recorded
--- a/tests/overload/test_admission.py
+++ b/tests/overload/test_admission.py
@@ -1,13 +1,16 @@
-"""The admission probability and the random admission of requests."""
+"""The admission probability and the random admission of requests.
+
+Times are in tenths of a millisecond.
+"""
 
 from lilacwalk.overload.admission import CONTROL_PERIOD, MINIMUM_ADMISSION_PROBABILITY
 from lilacwalk.overload.events import ClientGone
 
 
-def serve_slowly(host, periods, execution_time):
-    """Receives requests at a constant rate on full cores; each finishes `execution_time` later."""
+def serve_slowly(host, control_periods, execution_time):
+    """Receives a request every 0.1 s on busy cores; each finishes `execution_time` later."""
     running = []
-    for _ in range(periods * CONTROL_PERIOD // 1000):
+    for _ in range(control_periods * CONTROL_PERIOD // 1000):
         running.append((host.now, host.receive()))
         host.wait(1000)
         while running and running[0][0] + execution_time <= host.now:
@@ -16,16 +19,19 @@
                 host.finish(request)
 
 
-def test_slow_responses_lower_the_admission_probability_and_rejections_are_immediate(host):
-    serve_slowly(host, periods=12, execution_time=9_000)
+def test_slow_responses_lower_the_admission_probability_and_most_rejections_are_immediate(host):
+    serve_slowly(host, control_periods=12, execution_time=9_000)
     assert host.controller.admission_probability < 0.9
-    delays = [time - request.read_at for request, time in host.rejected_at.items()]
-    assert delays
-    assert delays.count(0) >= 0.7 * len(delays)
+    rejection_delays = [time - request.read_at for request, time in host.rejected_at.items()]
+    assert rejection_delays
+    assert rejection_delays.count(0) >= 0.7 * len(rejection_delays)
+
 
+def test_late_responses_after_the_queue_has_emptied_do_not_lower_the_admission_probability(host):
+    """After a burst, late responses alone would cause rejections although the queue is empty again.
 
-def test_a_queue_that_has_drained_does_not_lower_the_admission_probability(host):
-    """Requests that waited in the queue finish late, although no request is queued any more."""
+    Here the clients of all queued requests disconnect; then the two running requests finish late.
+    """
     host.controller.parts.latency.mean_execution_time = 2_000
     requests = [host.receive() for _ in range(10)]
     assert len(host.controller.queue) == 8
@@ -36,9 +42,9 @@
         host.finish(request)
     assert not host.controller.queue
     assert host.controller.parts.latency.ratio_sum / host.controller.parts.latency.ratio_count > 0.9
-    before = host.controller.admission_probability
+    probability_before = host.controller.admission_probability
     host.wait(CONTROL_PERIOD)
-    assert host.controller.admission_probability >= before
+    assert host.controller.admission_probability >= probability_before
 
 
 def test_admission_probability_rises_from_its_minimum_while_cores_are_free_and_nothing_finishes(
@@ -57,7 +63,7 @@
     assert host.controller.admission_probability == 1
 
 
-def test_a_control_period_without_responses_on_full_cores_keeps_the_admission_probability(host):
+def test_the_admission_probability_stays_the_same_without_responses_while_cores_are_busy(host):
     host.controller.parts.admission.admission_probability = 0.5
     host.receive()
     host.wait(CONTROL_PERIOD)
--- a/tests/overload/test_admission_gate.py
+++ b/tests/overload/test_admission_gate.py
@@ -1,4 +1,7 @@
-"""Rejection of requests on arrival."""
+"""Rejection of requests on arrival.
+
+Times are in tenths of a millisecond.
+"""
 
 from lilacwalk.overload.events import DrainStarted
 
@@ -8,11 +11,13 @@
     host.controller.parts.latency.mean_execution_time = 9_000
     for _ in range(3):
         host.receive()
-    last = host.receive()
-    assert host.responses(last) == ["reject"]
+    infeasible = host.receive()
+    assert host.responses(infeasible) == ["reject"]
 
 
-def test_retries_elsewhere_are_forbidden_under_shortage_and_for_retries(host):
+def test_a_rejection_forbids_retries_elsewhere_under_shortage_or_of_a_retry_but_not_in_a_drain(
+    host,
+):
     admission = host.controller.parts.admission
     admission.admission_probability = 0.0
     assert host.do_not_retry_elsewhere[host.receive()] is True
--- a/tests/overload/test_concurrency_limit.py
+++ b/tests/overload/test_concurrency_limit.py
@@ -1,4 +1,7 @@
-"""The limit on concurrent executions."""
+"""The limit on concurrent executions.
+
+Times are in tenths of a millisecond.
+"""
 
 
 def test_executions_are_limited_and_the_limit_grows_only_while_cores_are_free(host):
@@ -7,7 +10,8 @@
     host.wait(1_000)
     assert len(host.decisions("dispatch")) == 2
     host.wait(500, core_use=0.2, run_queue=0.0)
-    assert len(host.decisions("dispatch")) == 4  # half of the collapse point, two per core
+    # The limit has reached its maximum: half of `collapse_multiple` for each core.
+    assert len(host.decisions("dispatch")) == 4
     assert len([request for request in requests if request.answered]) == 0
 
 
--- a/tests/overload/test_deduplication.py
+++ b/tests/overload/test_deduplication.py
@@ -1,16 +1,21 @@
-"""Coalescing of duplicates, and idempotency keys."""
+"""Coalescing of duplicates, and idempotency keys.
+
+Times are in tenths of a millisecond.
+"""
 
 from lilacwalk.overload.events import ClientGone
 
 
-def test_a_deduplicated_request_is_executed_once(make_host, deduplicated_class):
+def test_duplicates_of_a_running_and_of_a_finished_request_are_coalesced_and_not_executed(
+    make_host, deduplicated_class
+):
     host = make_host(request_classes=[deduplicated_class])
     first = host.receive()
     duplicate = host.receive(duplicate_of=first)
     host.finish(first)
-    late = host.receive(duplicate_of=first)
+    late_duplicate = host.receive(duplicate_of=first)
     assert host.decisions("dispatch") == [first]
-    assert host.decisions("coalesce") == [duplicate, late]
+    assert host.decisions("coalesce") == [duplicate, late_duplicate]
     assert host.decisions("register_key") == [first]
 
 
@@ -26,7 +31,9 @@
     assert host.decisions("coalesce") == [duplicate]
 
 
-def test_a_duplicate_is_executed_if_the_original_was_not(make_host, deduplicated_class):
+def test_a_duplicate_is_executed_if_the_original_was_abandoned_before_its_dispatch(
+    make_host, deduplicated_class
+):
     host = make_host(request_classes=[deduplicated_class], cores=1)
     blocker, first = host.receive(), host.receive()
     duplicate = host.receive(duplicate_of=first)
@@ -36,9 +43,10 @@
     assert host.decisions("register_key")[-1] is duplicate
 
 
-def test_a_duplicate_of_an_executed_request_fails_and_is_never_rejected(
+def test_a_running_request_and_its_duplicate_fail_at_the_deadline_and_are_not_rejected(
     make_host, deduplicated_class
 ):
+    """A rejection states that the request was not executed, but its execution may have ended."""
     host = make_host(request_classes=[deduplicated_class])
     first = host.receive()
     duplicate = host.receive(duplicate_of=first)
@@ -46,13 +54,13 @@
     assert host.responses(first) == host.responses(duplicate) == ["fail"]
 
 
-def test_the_window_starts_on_arrival_and_its_end_frees_the_memory_of_the_key(
+def test_the_deduplication_window_starts_on_arrival_and_its_end_frees_the_memory_of_the_key(
     make_host, deduplicated_class
 ):
     host = make_host(request_classes=[deduplicated_class], deduplication_entry_kb=100.0)
     first = host.receive(arrived_at=host.now - 2_000)
-    registered = next(decision for decision in host.recorded if decision[0] == "register_key")
-    assert 48_000 <= registered[2] <= 48_100
+    registration = next(decision for decision in host.recorded if decision[0] == "register_key")
+    assert 48_000 <= registration[2] <= 48_100
     host.finish(first)
     assert host.controller.memory_kb == 100
     host.wait(49_000)
--- a/tests/overload/test_dependency_limiter.py
+++ b/tests/overload/test_dependency_limiter.py
@@ -1,10 +1,15 @@
-"""The limit on concurrent dependency calls."""
+"""The limit on concurrent dependency calls.
+
+Times are in tenths of a millisecond.
+"""
 
 from lilacwalk.overload.events import CallFinished, CallRequested
 from lilacwalk.overload.model import Outcome
 
 
-def test_an_abandoned_call_uses_the_call_limit_until_its_linger_time_ends(make_host, make_class):
+def test_an_abandoned_call_counts_towards_the_limit_until_its_linger_time_ends(
+    make_host, make_class
+):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=1.5,
@@ -19,9 +24,7 @@
     assert len(host.decisions("call_dependency")) == 2
 
 
-def test_with_half_a_concurrent_call_allowed_the_next_call_waits_after_the_first(
-    make_host, make_class
-):
+def test_at_a_limit_of_half_a_call_a_pause_separates_two_calls(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True)],
         dependency_call_share=0.5,
@@ -36,7 +39,7 @@
     assert host.decisions("call_dependency") == [first, second]
 
 
-def test_congestion_lengthens_the_pause_between_calls_if_less_than_one_is_allowed(
+def test_congestion_lengthens_the_pause_between_calls_at_a_limit_below_one_call(
     make_host, make_class
 ):
     host = make_host(
@@ -56,7 +59,7 @@
     assert host.decisions("call_dependency") == [first, second]
 
 
-def test_a_slow_dependency_lowers_the_limit_until_it_recovers(make_host, make_class):
+def test_a_slow_dependency_lowers_the_limit_and_its_recovery_restores_it(make_host, make_class):
     host = make_host(
         request_classes=[make_class(calls_dependency=True, skipped_call_weight_share=0.5)],
         dependency_call_share=6.0,
@@ -96,7 +99,8 @@
     host.now += 300
     host.process(CallFinished(probe, Outcome.OK, 300))
     rejected = host.receive()
-    assert host.responses(rejected) == ["reject"]  # one probe per second until the mean falls
+    # At most one probe per second is admitted until the mean call time falls.
+    assert host.responses(rejected) == ["reject"]
     for _ in range(40):
         host.wait(11_000)
         probe = host.receive()
--- a/tests/overload/test_dependency_scheduler.py
+++ b/tests/overload/test_dependency_scheduler.py
@@ -1,10 +1,13 @@
-"""Dependency calls that are made, skipped or retried."""
+"""Dependency calls that are made, skipped or retried.
+
+Times are in tenths of a millisecond.
+"""
 
 from lilacwalk.overload.events import CallFinished, CallRequested
 from lilacwalk.overload.model import Effect, Outcome
 
 
-def test_a_call_that_may_have_executed_is_not_retried_for_non_idempotent_requests(
+def test_a_non_idempotent_call_is_retried_unless_the_dependency_may_have_executed_it(
     make_host, make_class
 ):
     host = make_host(
@@ -14,13 +17,14 @@
     request = host.receive()
     host.process(CallRequested(request))
     host.process(CallFinished(request, Outcome.REJECTED, 50))
-    assert host.decisions("call_dependency") == [request, request]  # the first was not executed
+    # The call is retried, as the dependency did not execute it.
+    assert host.decisions("call_dependency") == [request, request]
     host.process(CallFinished(request, Outcome.CONNECTION_LOST, 50))
     assert host.decisions("call_dependency") == [request, request]
     assert host.responses(request) == ["fail"]
 
 
-def test_during_congestion_requests_that_lose_less_weight_skip_their_calls(make_host, make_class):
+def test_during_congestion_a_request_that_loses_less_weight_skips_its_call(make_host, make_class):
     needs = make_class(name="needs", calls_dependency=True, weight=3.0)
     can_skip = make_class(name="can skip", calls_dependency=True, skipped_call_weight_share=0.6)
     host = make_host(request_classes=[needs, can_skip], cores=4, dependency_call_share=3.0)
--- a/tests/overload/test_feasibility.py
+++ b/tests/overload/test_feasibility.py
@@ -1,4 +1,7 @@
-"""Feasibility of answering requests in time."""
+"""Feasibility of answering requests in time.
+
+Times are in tenths of a millisecond.
+"""
 
 import pytest
 
@@ -6,28 +9,29 @@
 from lilacwalk.overload.model import Effect, Outcome, Request
 
 
-def test_late_requests_of_little_weight_are_dispatched_only_on_free_cores(make_host, make_class):
+def test_a_late_request_of_little_weight_is_dispatched_only_on_free_cores(make_host, make_class):
     host = make_host(request_classes=[make_class(late_weight_share=0.2)])
     host.wait(1_000, core_use=1.0)
-    busy = host.receive(arrived_at=host.now - 9_500)
+    received_while_busy = host.receive(arrived_at=host.now - 9_500)
     host.wait(1_000, core_use=0.1, run_queue=0.0)
-    free = host.receive(arrived_at=host.now - 9_500)
-    assert host.responses(busy) == ["reject"]
-    assert host.decisions("dispatch") == [free]
+    received_while_free = host.receive(arrived_at=host.now - 9_500)
+    assert host.responses(received_while_busy) == ["reject"]
+    assert host.decisions("dispatch") == [received_while_free]
 
 
 @pytest.mark.parametrize("effect", list(Effect))
 @pytest.mark.parametrize(
     ("calls", "slow_calls", "slow_executions"),
     [(1, 1, 0), (1, 30, 0), (1, 0, 60), (0, 0, 60)],
-    ids=["first call", "first 30 calls", "executions with calls", "executions"],
+    ids=["first call", "first 30 calls", "first 60 executions with calls", "first 60 executions"],
 )
 def test_slow_calls_and_executions_at_the_start_do_not_cause_permanent_rejections(
     make_host, make_class, effect, calls, slow_calls, slow_executions
 ):
     """The first calls or executions take about the latency objective or longer, all others do not.
 
-    Estimates from the first ones must not reject all requests, as nothing would correct them then.
+    If all requests were rejected on estimates from the first ones, no further measurement would
+    correct the estimates.
     """
     host = make_host(
         request_classes=[make_class(calls_dependency=bool(calls), effect=effect)],
@@ -35,12 +39,12 @@
         dependency_call_span=50_000,
     )
     controller = host.controller
-    earlier = Request(host.server.request_classes[0], host.now, host.now, host.now, 1.0)
+    finished_request = Request(host.server.request_classes[0], host.now, host.now, host.now, 1.0)
     for _ in range(slow_calls):
         controller.parts.dependency.record_call_time(9_300)
     for _ in range(slow_executions):
-        controller.parts.latency.record_execution(earlier, 20_000)
-    served = []
+        controller.parts.latency.record_execution(finished_request, 20_000)
+    answered_in_time = []
     for _ in range(200):  # one after the other, with pauses
         request = host.receive()
         if not host.responses(request):
@@ -51,7 +55,7 @@
                 host.process(CallFinished(request, Outcome.OK, 200))
             host.wait(300, run_queue=1.0)
             host.finish(request)
-            served.append(not host.responses(request))
+            answered_in_time.append(not host.responses(request))
         host.wait(1_000, core_use=0.1, run_queue=0.0)
-    assert served.count(True) > 100
-    assert all(served[-50:])
+    assert answered_in_time.count(True) > 100
+    assert all(answered_in_time[-50:])
--- a/tests/overload/test_stall_detector.py
+++ b/tests/overload/test_stall_detector.py
@@ -1,17 +1,20 @@
-"""Detection of stalled executions."""
+"""Detection of stalled executions.
+
+Times are in tenths of a millisecond.
+"""
 
 from lilacwalk.overload.events import ExecutorLinkChanged, TimerExpired
 from lilacwalk.overload.model import Outcome, RequestState
 
 
-def test_a_stall_rejects_all_requests_until_an_execution_makes_progress(host):
+def test_all_requests_are_rejected_from_the_start_of_a_stall_until_an_execution_ends(host):
     running = [host.receive(), host.receive()]
     queued = host.receive()
     host.wait(9_000 * 2)
     assert host.controller.stalled
     assert all(host.responses(request) == ["reject"] for request in [*running, queued])
-    late = host.receive()
-    assert host.responses(late) == ["reject"]
+    received_during_stall = host.receive()
+    assert host.responses(received_during_stall) == ["reject"]
     assert host.decisions("report_health")[-1] is False
     host.finish(running[0], Outcome.CANCELLED)
     assert host.decisions("report_health")[-1] is True
--- a/tests/overload/test_termination.py
+++ b/tests/overload/test_termination.py
@@ -1,4 +1,7 @@
-"""Termination of requests: deadlines, rejections and cancellation."""
+"""Termination of requests: deadlines, rejections and cancellation.
+
+Times are in tenths of a millisecond.
+"""
 
 import pytest
 
@@ -6,7 +9,7 @@
 from lilacwalk.overload.model import Effect, Outcome, StopMode
 
 
-def test_a_request_past_its_objective_is_rejected_and_its_execution_cancelled(make_host):
+def test_a_request_about_to_miss_its_objective_is_rejected_and_its_execution_cancelled(make_host):
     host = make_host(stop_mode=StopMode.DROP)
     request = host.receive()
     host.wait(9_900)
@@ -17,13 +20,13 @@
 @pytest.mark.parametrize("effect", list(Effect))
 def test_each_request_is_answered_once_by_its_deadline(make_host, make_class, effect):
     host = make_host(request_classes=[make_class(effect=effect, late_weight_share=0.2)])
-    running, other, queued = (
+    running, other_running, queued = (
         host.receive(ttl=20_000),
         host.receive(ttl=20_000),
         host.receive(ttl=20_000),
     )
     host.wait(20_000)
-    for request in (running, other, queued):
+    for request in (running, other_running, queued):
         assert len(host.responses(request)) == 1
     if effect is not Effect.IDEMPOTENT:
         assert host.responses(running) == ["fail"]
@@ -31,7 +34,7 @@
     assert host.controller.running == 1
 
 
-def test_a_request_read_at_its_deadline_is_rejected_at_once(host):
+def test_a_request_read_just_before_its_deadline_is_rejected_at_once(host):
     assert host.responses(host.receive(ttl=1)) == ["reject"]
 
 
@@ -45,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    "server",
+    "server_settings",
     [
         {},
         {"cores": 1},
@@ -57,11 +60,12 @@
         {"stop_mode": StopMode.PAUSE},
     ],
 )
-def test_each_request_is_answered_once_with_unusual_settings_and_a_clock_jump(
-    make_host, make_class, server
+def test_each_request_is_answered_once_in_a_drain_with_unusual_settings_and_a_clock_jump(
+    make_host, make_class, server_settings
 ):
     host = make_host(
-        request_classes=[make_class(calls_dependency=True, late_weight_share=0.0)], **server
+        request_classes=[make_class(calls_dependency=True, late_weight_share=0.0)],
+        **server_settings,
     )
     requests = [host.receive() for _ in range(12)]
     host.process(DrainStarted(host.now + 60_000))
