--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,8 +20,9 @@
 
 ROOT = Path(__file__).parent.parent
 PEER_TIMEOUT_SECONDS = 10.0  # a peer that receives nothing for this long fails its test
-# Latency objectives and stall detection take longer than PEER_TIMEOUT_SECONDS, so that they affect
-# no test.
+# The latency objectives of the classes that tests use exceed PEER_TIMEOUT_SECONDS, so that they
+# affect no test. No test uses the class "quick": its objective, the shortest one, sets the initial
+# mean execution time (a quarter of it, 2 s), on which stall detection depends.
 SETTINGS = {
     "classes": [
         {
@@ -83,7 +84,7 @@
         sock.settimeout(PEER_TIMEOUT_SECONDS)
 
     def receive_message(self):
-        """Returns the next message; None if the peer closed the connection."""
+        """Returns the next message; None if the other end closed the connection."""
         while not self.pending_messages:
             chunk = self.sock.recv(65536)
             if not chunk:
@@ -92,7 +93,7 @@
         return self.pending_messages.pop(0)
 
     def reset(self):
-        """Closes the connection with a TCP reset."""
+        """Closes the connection with a TCP reset, which a linger time of 0 causes."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
@@ -268,7 +269,7 @@
         return self
 
     def replace_listeners(self, *keys):
-        """Opens new listeners for the peers with these configuration keys; writes the file."""
+        """Replaces the listeners with these configuration keys; writes the configuration file."""
         for key in keys:
             listener = socket.create_server(("127.0.0.1", 0))
             self.listeners.append(listener)
@@ -279,7 +280,11 @@
         )
 
     def accept_executor_link(self, state="steady", ready=True):
-        """Accepts a link as the executor and, if `ready`, completes the replay fence."""
+        """Accepts a link as the executor and, if `ready`, completes the replay fence.
+
+        The replay fence is the server's first gauge request on a link. Its response shows that the
+        executor has replayed all its events.
+        """
         executor = LinePeer(self.executor_listener, ("SCHED", "IODONE"))
         executor.open_words = executor.receive("OPEN")[0]
         if ready:
@@ -295,6 +300,7 @@
         return ProxyClient(self.address)
 
     def end(self):
+        """Ends the server and closes the listeners."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
         if self.thread is not None and self.thread.is_alive():
@@ -311,7 +317,7 @@
 
 @pytest.fixture(autouse=True)
 def executor_readers_end_with_their_test():
-    """Fails a test that leaves a thread behind that reconnects to its executor forever.
+    """Fails a test that leaves a thread running which reconnects to its executor forever.
 
     Such a thread would connect to a later test that is given the same port, and send nothing.
     """
@@ -324,6 +330,7 @@
 
 @pytest.fixture
 def make_harness(tmp_path):
+    """Creates harnesses that are ended after the test."""
     harnesses = []
 
     def make(**options):
@@ -344,7 +351,10 @@
 
 
 def execute_request(harness, proxy, tag, event_number, result=b"result", **submit_options):
-    """Executes a request; returns the words and body of its dispatch, and its response."""
+    """Executes a request; returns the words and body of its dispatch, and its response.
+
+    The executor reports the end of the execution in its event `event_number`.
+    """
     proxy.submit(tag, **submit_options)
     words, body = harness.executor.receive("SCHED")
     harness.executor.send(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
@@ -362,13 +372,16 @@
     return request_id
 
 
-def next_dispatched(harness):
+def next_dispatched_id(harness):
     """Returns the id of the next dispatched request."""
     return harness.executor.receive("SCHED")[0][1]
 
 
 def wait_until_processed(proxy):
-    """Waits until everything sent earlier is processed and all timers due by then have run."""
+    """Waits until the server has processed all earlier messages of this proxy.
+
+    All timers that are due by then have run as well.
+    """
     proxy.send(b"PROBE", b"99")
     assert proxy.receive_response()[0] == 99
 
@@ -387,7 +400,7 @@
 
 
 def control_clock(harness):
-    """Returns a function that advances the server's clock, which simulates a process stall."""
+    """Returns a function that advances the server's clock, which simulates a pause of the process."""
     offset_ns = [0]
     harness.event_loop.clock = Clock(
         lambda: time.time_ns() + offset_ns[0], lambda: time.monotonic_ns() + offset_ns[0]
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -18,7 +18,7 @@
     control_clock,
     execute_request,
     finish_execution,
-    next_dispatched,
+    next_dispatched_id,
     request_dependency_call,
     wait_until_processed,
 )
@@ -168,7 +168,7 @@
     # This connection is closed, so housekeeping has checked both.
     assert other_proxy.receive_response() is None
     decode_allowed.set()
-    finish_execution(harness_with_idle_proxies, 1, next_dispatched(harness_with_idle_proxies))
+    finish_execution(harness_with_idle_proxies, 1, next_dispatched_id(harness_with_idle_proxies))
     assert sender.receive_response()[:2] == (1, "done")
 
 
@@ -184,7 +184,7 @@
     # This connection is closed, so housekeeping has checked both.
     assert other_proxy.receive_response() is None
     sender.sock.sendall(request[-40:])
-    finish_execution(harness_with_idle_proxies, 1, next_dispatched(harness_with_idle_proxies))
+    finish_execution(harness_with_idle_proxies, 1, next_dispatched_id(harness_with_idle_proxies))
     assert sender.receive_response()[:2] == (2, "done")
 
 
@@ -202,7 +202,7 @@
     assert sender.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     new_proxy = harness_with_idle_proxies.connect_proxy()
     new_proxy.submit(1, i="00000000000000ee")
-    assert next_dispatched(harness_with_idle_proxies) == "00000000000000ee"
+    assert next_dispatched_id(harness_with_idle_proxies) == "00000000000000ee"
 
 
 def test_unread_bytes_keep_an_idle_connection_open(make_harness):
@@ -250,7 +250,7 @@
     harness = make_harness(limits={"message_timeout": 1_000}).start()
     harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.submit(1)
-    running_id = next_dispatched(harness)
+    running_id = next_dispatched_id(harness)
     control_clock(harness)(5.0)
     partial = proxy.encode_submit(2)
     proxy.sock.sendall(partial[:20])
@@ -261,7 +261,7 @@
     finish_execution(harness, 1, running_id)
     assert proxy.receive_response()[:2] == (1, "done")
     proxy.sock.sendall(partial[20:])
-    finish_execution(harness, 2, next_dispatched(harness))
+    finish_execution(harness, 2, next_dispatched_id(harness))
     assert proxy.receive_response()[:2] == (2, "done")
 
 
@@ -273,7 +273,7 @@
     harness.executor, first_proxy = harness.accept_executor_link(), harness.connect_proxy()
     resource.prlimit(harness.process.pid, resource.RLIMIT_NOFILE, (256, 256))
     first_proxy.submit(1)
-    long_request_id = next_dispatched(harness)
+    long_request_id = next_dispatched_id(harness)
     idle_proxies = []
     for _ in range(300):  # over the descriptor limit; each sends a valid message
         idle_proxies.append(harness.connect_proxy())
@@ -281,7 +281,7 @@
     for number in range(2, 12):
         new_proxy = harness.connect_proxy()
         new_proxy.submit(1, "look")
-        request_id = next_dispatched(harness)
+        request_id = next_dispatched_id(harness)
         dependency = request_dependency_call(harness, 2 * number, request_id)
         dependency.send(f"{request_id} HIT 1", b"!")
         finish_execution(harness, 2 * number + 1, request_id)
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -14,7 +14,7 @@
     PEER_TIMEOUT_SECONDS,
     SETTINGS,
     finish_execution,
-    next_dispatched,
+    next_dispatched_id,
     request_dependency_call,
     submit_until_dependency_call,
 )
@@ -227,11 +227,11 @@
         harness = make_harness(index="{}:{}".format(*full_listener.getsockname())).start()
         harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
         proxy.submit(1, "look")
-        request_id = next_dispatched(harness)
+        request_id = next_dispatched_id(harness)
         harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
         for number in range(2, 6):
             proxy.submit(number)
-            finish_execution(harness, number, next_dispatched(harness))
+            finish_execution(harness, number, next_dispatched_id(harness))
             assert proxy.receive_response()[:2] == (number, "done")
         full_listener.settimeout(PEER_TIMEOUT_SECONDS)
         accepted, filler_addresses = None, [filler.getsockname() for filler in fillers]
@@ -254,7 +254,7 @@
     """Both calls carry the id of the same request, so their replies cannot be distinguished."""
     proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = next_dispatched(harness)
+    request_id = next_dispatched_id(harness)
     first_connection = request_dependency_call(harness, 1, request_id, b"1")
     first_connection.send(f"{request_id} HIT 1", b"a")
     assert harness.executor.receive("IODONE")[1] == b"a"
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -5,7 +5,7 @@
 from lilacwalk.event_queue import EventQueue
 from lilacwalk.protocols.proxy_listener import ProxyListener
 from lilacwalk.server import startup
-from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, finish_execution, next_dispatched
+from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, finish_execution, next_dispatched_id
 
 
 def test_requests_in_the_backlog_of_a_closing_listener_are_answered(make_harness):
@@ -14,7 +14,7 @@
     ).start()
     harness.executor, first_proxy = harness.accept_executor_link(), harness.connect_proxy()
     first_proxy.submit(1)
-    running_id = next_dispatched(harness)
+    running_id = next_dispatched_id(harness)
     # These connections stay in the listen backlog, as the server has no free connection slot.
     waiting_proxies = [harness.connect_proxy() for _ in range(4)]
     for proxy in waiting_proxies:
@@ -28,7 +28,7 @@
     for number, proxy in enumerate(waiting_proxies, 2):
         assert proxy.receive_response()[:2] == (0, "closing")
         # The request is executed since it arrived within the drain grace period.
-        finish_execution(harness, number, next_dispatched(harness))
+        finish_execution(harness, number, next_dispatched_id(harness))
         assert proxy.receive_response()[:2] == (1, "done")
         proxy.sock.close()
     harness.thread.join(PEER_TIMEOUT_SECONDS)
--- a/tests/protocols/test_registry.py
+++ b/tests/protocols/test_registry.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from tests.conftest import PEER_TIMEOUT_SECONDS, finish_execution, next_dispatched
+from tests.conftest import PEER_TIMEOUT_SECONDS, finish_execution, next_dispatched_id
 
 
 def test_reports_continue_during_a_drain_with_the_status_critical(make_harness):
@@ -24,7 +24,7 @@
     harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     for number in range(1, 4):  # requests do not wait for the registry
         proxy.submit(number)
-        finish_execution(harness, number, next_dispatched(harness))
+        finish_execution(harness, number, next_dispatched_id(harness))
         assert proxy.receive_response()[:2] == (number, "done")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as registry:
         registry.bind(address)
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -10,12 +10,14 @@
 from tests.conftest import (
     PEER_TIMEOUT_SECONDS,
     finish_execution,
-    next_dispatched,
+    next_dispatched_id,
     wait_until_processed,
 )
 
 
-def test_a_drain_answers_all_received_requests_and_ends_in_time(make_harness):
+def test_a_drain_answers_all_received_requests_and_ends_in_time_despite_further_signals(
+    make_harness,
+):
     harness = make_harness().spawn()
     executor = harness.accept_executor_link()
     proxy, idle_proxy = harness.connect_proxy(), harness.connect_proxy()
@@ -25,7 +27,8 @@
     started_at = time.monotonic()
     harness.process.send_signal(signal.SIGTERM)
     harness.process.send_signal(signal.SIGTERM)
-    harness.process.send_signal(signal.SIGHUP)  # the file has not changed
+    # This signal reloads the configuration file, which has not changed.
+    harness.process.send_signal(signal.SIGHUP)
     executor.send("REAP 1 00000000000000aa success 1 1", b"a")
     statuses = {
         response[0]: response[1] for response in (proxy.receive_response() for _ in range(3))
@@ -39,7 +42,7 @@
     assert time.monotonic() - started_at < 1.5
 
 
-def test_a_second_start_of_the_drain_does_not_change_its_end(make_harness):
+def test_a_second_start_of_a_drain_does_not_change_its_end_time(make_harness):
     harness = make_harness(stop_ms=60_000).start()
     harness.accept_executor_link()
     proxy, stop_times = harness.connect_proxy(), []
@@ -125,7 +128,7 @@
         with pytest.raises((TimeoutError, ConnectionError)):
             send_probes_forever(stuck_proxy)
     proxy.submit(1)
-    running_id, started_at = next_dispatched(harness), time.monotonic()
+    running_id, started_at = next_dispatched_id(harness), time.monotonic()
     harness.process.send_signal(signal.SIGTERM)
     assert proxy.receive_response()[:2] == (0, "closing")
     finish_execution(harness, 1, running_id, b"x" * 4096)
@@ -153,7 +156,7 @@
     wait_until_processed(proxy)
     assert os.read(read_end, 1 << 20).strip() == b""  # the pipe has room again
     proxy.submit(1)
-    running_id = next_dispatched(harness)
+    running_id = next_dispatched_id(harness)
     harness.process.send_signal(signal.SIGTERM)
     assert proxy.receive_response()[:2] == (0, "closing")
     finish_execution(harness, 1, running_id)
--- a/tests/server/test_event_loop.py
+++ b/tests/server/test_event_loop.py
@@ -6,10 +6,10 @@
 from lilacwalk.overload.model import Outcome
 from lilacwalk.server import startup
 from lilacwalk.server.event_loop import ComponentFailedError
-from tests.conftest import SETTINGS, finish_execution, next_dispatched
+from tests.conftest import SETTINGS, finish_execution, next_dispatched_id
 
 
-def test_an_error_in_the_event_loop_ends_it(make_harness):
+def test_a_failed_component_or_an_exception_ends_the_event_loop(make_harness):
     event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     event_loop.event_queue.fail("a component failed")
     with pytest.raises(ComponentFailedError):
@@ -19,7 +19,7 @@
         event_loop.run()
 
 
-def test_timers_do_not_wait_for_a_long_queue(make_harness):
+def test_a_due_timer_does_not_wait_until_a_long_event_queue_is_empty(make_harness):
     event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     order = []
     event_loop.schedule(event_loop.now, order.append, "due")
@@ -30,10 +30,10 @@
     assert order.index("due") <= 100
 
 
-def test_two_servers_in_one_process_keep_their_settings_apart(make_harness):
+def test_two_servers_in_one_process_do_not_share_settings(make_harness):
     """Both servers have the same class names, but only the strict one deduplicates requests.
 
-    Two requests with the same key run once on the strict server and twice on the loose one.
+    Two requests with one key are executed once on the strict server and twice on the loose one.
     """
     strict = make_harness().start()
     loose = make_harness(
@@ -48,11 +48,11 @@
         harness.executor, harness.proxy = harness.accept_executor_link(), harness.connect_proxy()
         for tag in (1, 2):
             harness.proxy.submit(tag, "once", k="k1")
-    first = next_dispatched(strict)
-    both = [next_dispatched(loose) for _ in range(2)]
-    assert first != both[0] != both[1]
-    finish_execution(strict, 1, first, b"strict")
-    for number, request_id in enumerate(both, 1):
+    strict_id = next_dispatched_id(strict)
+    loose_ids = [next_dispatched_id(loose) for _ in range(2)]
+    assert strict_id != loose_ids[0] != loose_ids[1]
+    finish_execution(strict, 1, strict_id, b"strict")
+    for number, request_id in enumerate(loose_ids, 1):
         finish_execution(loose, number, request_id, b"loose")
     assert {strict.proxy.receive_response()[3] for _ in range(2)} == {b"strict"}
     assert {loose.proxy.receive_response()[3] for _ in range(2)} == {b"loose"}
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -11,12 +11,14 @@
     PEER_TIMEOUT_SECONDS,
     execute_request,
     finish_execution,
-    next_dispatched,
+    next_dispatched_id,
     request_dependency_call,
 )
 
 
-def test_probes_are_answered_before_the_executor_is_up_and_registry_reports_after_it(make_harness):
+def test_probes_are_answered_before_the_executor_is_up_but_registry_reports_start_after_it(
+    make_harness,
+):
     harness = make_harness().start()
     executor, proxy = harness.accept_executor_link(ready=False), harness.connect_proxy()
     proxy.send(b"PROBE", b"1", b"x=1")
@@ -41,12 +43,12 @@
     assert proxy.receive_response()[0] == 1
     harness.executor.reset()
     executor = harness.accept_executor_link(ready=False)
-    assert executor.open_words == ["OPEN", "1"]
+    assert executor.open_words == ["OPEN", "1"]  # the number of the last event received
     executor.send("BOOTED steady 9000")
-    fence = executor.receive("SYSINFO")[0][1]
+    fence_id = executor.receive("SYSINFO")[0][1]
     executor.send(f"REAP 1 {1:016x} success 1 1", b"a")  # already handled, now replayed
     executor.send(f"REAP 2 {2:016x} success 1 1", b"b")
-    executor.send(f"INFO {fence} 0.5 1")
+    executor.send(f"INFO {fence_id} 0.5 1")
     words, body = executor.receive("SCHED")
     assert words[1] == f"{3:016x}"
     assert body == b"hello"
@@ -70,7 +72,7 @@
     )
 
 
-def test_a_resent_call_result_that_is_rejected_does_not_end_the_execution(harness):
+def test_a_resent_call_result_that_the_executor_rejects_does_not_end_the_execution(harness):
     proxy = harness.connect_proxy()
     proxy.submit(1, "look")
     request_id = harness.executor.receive("SCHED")[0][1]
@@ -98,7 +100,7 @@
     assert dependency.receive("GET")[0][1] == request_id
 
 
-def test_a_resent_dispatch_that_is_rejected_ends_the_request(harness):
+def test_a_resent_dispatch_that_the_executor_rejects_ends_its_request(harness):
     proxy = harness.connect_proxy()
     proxy.submit(1)
     words, _ = harness.executor.receive("SCHED")
@@ -121,7 +123,7 @@
     assert [executor.receive(verb)[0][1] for verb in ("SCHED", "PREEMPT")] == [words[1]] * 2
 
 
-def test_rejected_dispatches_get_errors_and_few_log_lines(harness, caplog):
+def test_requests_whose_dispatch_the_executor_rejects_get_errors_and_few_log_lines(harness, caplog):
     proxy = harness.connect_proxy()
     for tag in (1, 3, 4):
         proxy.submit(tag)
@@ -139,7 +141,7 @@
     """Waits for the server's next gauge poll and responds, which acknowledges earlier commands."""
     proxy = harness.connect_proxy()
     proxy.submit(1)
-    request_id = next_dispatched(harness)
+    request_id = next_dispatched_id(harness)
     words, _ = harness.executor.receive("SYSINFO")
     harness.executor.send(f"INFO {words[1]} 0.1 1")
     # Events of a link are handled in order: once the end of the execution has been handled, the
@@ -152,26 +154,26 @@
     """Guards against a second execution if the first one ends between replay and resending."""
     proxy = harness.connect_proxy()
     proxy.submit(1, "once", k="k1")
-    first = next_dispatched(harness)
+    first_id = next_dispatched_id(harness)
     poll_gauges(harness, 1)
     proxy.submit(2)
-    second = next_dispatched(harness)  # no gauge poll has acknowledged this dispatch
+    second_id = next_dispatched_id(harness)  # no gauge poll has acknowledged this dispatch
     harness.executor.reset()
     # The first execution ends only after the replay on this link.
     harness.executor = harness.accept_executor_link()
-    finish_execution(harness, 2, first)
-    assert next_dispatched(harness) == second
-    finish_execution(harness, 3, second)
+    finish_execution(harness, 2, first_id)
+    assert next_dispatched_id(harness) == second_id
+    finish_execution(harness, 3, second_id)
     assert sorted(proxy.receive_response()[:2] for _ in range(2)) == [(1, "done"), (2, "done")]
     proxy.submit(3)
-    assert next_dispatched(harness) not in (first, second)
+    assert next_dispatched_id(harness) not in (first_id, second_id)
 
 
 def test_an_acknowledged_call_result_is_not_resent_for_the_next_call(harness):
     """Guards against a second call that ends with the result of the first one."""
     proxy = harness.connect_proxy()
     proxy.submit(1, "look")
-    request_id = next_dispatched(harness)
+    request_id = next_dispatched_id(harness)
     dependency = request_dependency_call(harness, 1, request_id, b"one")
     dependency.send(f"{request_id} HIT 1", b"1")
     assert harness.executor.receive("IODONE")[1] == b"1"
@@ -194,5 +196,5 @@
     assert executor.receive_message() is None
     harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     proxy.submit(1)
-    finish_execution(harness, 1, next_dispatched(harness))
+    finish_execution(harness, 1, next_dispatched_id(harness))
     assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -12,7 +12,7 @@
     PEER_TIMEOUT_SECONDS,
     finish_execution,
     format_address,
-    next_dispatched,
+    next_dispatched_id,
     wait_until_processed,
 )
 
@@ -37,7 +37,7 @@
     new_dependency = harness.accept_dependency_connection()
     assert new_dependency.receive("GET")[1] == b"2"
     harness.config_path.write_text("{")
-    # The file is incomplete, so that the reload fails and the current configuration stays.
+    # The file is incomplete, so that the reload fails and the current configuration stays in use.
     harness.process.send_signal(signal.SIGHUP)
     harness.process.send_signal(signal.SIGHUP)
     new_dependency.send("00000000000000aa HIT 1", b"!")
@@ -46,7 +46,8 @@
     assert proxy.receive_response()[1::2] == ("done", b"r")
 
 
-def test_a_new_registry_gets_a_report_at_once(make_harness):
+def test_a_new_registry_gets_a_report_immediately_after_the_reload(make_harness):
+    # The interval of 60 s between reports is longer than the test.
     harness = make_harness(limits={"report_interval": 600_000}).start()
     harness.accept_executor_link()
     assert harness.registry.recv(100) == b"alive n1 passing"
@@ -90,5 +91,5 @@
     )
     wait_until_processed(proxy)
     proxy.submit(1)
-    finish_execution(harness, 1, next_dispatched(harness))
+    finish_execution(harness, 1, next_dispatched_id(harness))
     assert proxy.receive_response()[:2] == (1, "done")
--- a/tests/server/test_request_lifecycle.py
+++ b/tests/server/test_request_lifecycle.py
@@ -10,7 +10,7 @@
     NOTHING_IN_FLIGHT,
     execute_request,
     finish_execution,
-    next_dispatched,
+    next_dispatched_id,
     request_dependency_call,
     submit_until_dependency_call,
     wait_until_processed,
@@ -63,7 +63,7 @@
         lambda proxy: proxy.sock.close(),
     ],
 )
-def test_a_request_whose_client_is_gone_is_cancelled_and_not_answered(
+def test_a_request_whose_client_withdraws_it_or_disconnects_is_cancelled_and_not_answered(
     harness, withdraw_or_disconnect
 ):
     proxy, other_proxy = harness.connect_proxy(), harness.connect_proxy()
@@ -78,7 +78,7 @@
         assert proxy.receive_response()[0] == 2
 
 
-def test_after_every_kind_of_end_nothing_is_counted_as_in_flight(harness):
+def test_after_each_way_in_which_a_request_can_end_nothing_is_counted_as_in_flight(harness):
     proxy, disconnecting_proxy = harness.connect_proxy(), harness.connect_proxy()
     for tag, outcome in enumerate(("success", "failure", "interrupted", "nothing"), 1):
         proxy.submit(tag)
@@ -111,7 +111,7 @@
     def __init__(self, harness, during_call):
         self.harness, self.proxy = harness, harness.connect_proxy()
         self.proxy.submit(1, "look")
-        self.request_id = next_dispatched(harness)
+        self.request_id = next_dispatched_id(harness)
         self.event_number, self.dependency = 1, None
         if during_call:
             self.dependency, self.event_number = (
@@ -167,6 +167,7 @@
         (during_call, *pair)
         for during_call, names in ((False, EVENTS_DURING_EXECUTION), (True, EVENTS_DURING_CALL))
         for pair in permutations(names, 2)
+        # In these pairs, the first event makes the second one impossible.
         if pair
         not in (
             ("client_disconnects", "client_withdraws"),
@@ -180,7 +181,7 @@
 ):
     """Guards against leaked or doubly released requests if two ends of a request coincide."""
     request, harness.has_lost_link = RequestToEnd(harness, during_call), False
-    client_gone, execution_ended = (
+    client_end_events, execution_end_events = (
         {"client_withdraws", "client_disconnects"},
         {"execution_succeeds", "execution_is_interrupted"},
     )
@@ -195,7 +196,7 @@
             harness.event_loop.event_queue.process_in_one_iteration(events[1])
     if harness.has_lost_link:
         harness.executor = harness.accept_executor_link()
-    if not execution_ended & {first, second}:
+    if not execution_end_events & {first, second}:
         outcome = "interrupted 3 0" if during_call else "success 3 1"
         harness.executor.send(
             f"REAP {request.event_number} {request.request_id} {outcome}",
@@ -204,7 +205,7 @@
     other_proxy = harness.connect_proxy()
     other_proxy.submit(1)
     # After a lost link, the server resends a dispatch that the executor has not acknowledged.
-    while (dispatched_id := next_dispatched(harness)) == request.request_id:
+    while (dispatched_id := next_dispatched_id(harness)) == request.request_id:
         pass
     finish_execution(harness, request.event_number + 1, dispatched_id)
     assert other_proxy.receive_response()[:2] == (1, "done")
@@ -213,8 +214,9 @@
         response_tags = []
         while (response := request.proxy.receive_response())[0] != 9:
             response_tags.append(response[0])
-        assert response_tags == ([] if first in client_gone else [1]) or (
-            second in client_gone and response_tags in ([], [1])
+        # If the request is withdrawn after the first event, the response may have been sent before.
+        assert response_tags == ([] if first in client_end_events else [1]) or (
+            second in client_end_events and response_tags in ([], [1])
         )
     harness.event_loop.event_queue.process_in_one_iteration()
     wait_until_processed(other_proxy)
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     "text",
     [
-        None,
+        None,  # the file does not exist
         "{",
         "[]",
         '{"settings": {"classes": [{"hard_limit_ms": 9}]}, "limits": {"memory_mb": 17}}',
@@ -28,7 +28,9 @@
         '{"settings": {"classes": [{}]}}',
     ],
 )
-def test_an_invalid_configuration_file_prints_one_line_and_exits_with_2(tmp_path, capsys, text):
+def test_a_missing_or_invalid_configuration_file_prints_one_line_and_the_exit_code_is_2(
+    tmp_path, capsys, text
+):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,9 +34,10 @@
 
 
 def as_plain_data(server):
+    """Returns the settings as a dict, whose values compare by content."""
     return vars(server) | {
-        "request_classes": [vars(each) for each in server.request_classes],
-        "tenants": [vars(each) for each in server.tenants],
+        "request_classes": [vars(record) for record in server.request_classes],
+        "tenants": [vars(record) for record in server.tenants],
     }
 
 
@@ -51,6 +52,6 @@
 @pytest.mark.parametrize(
     "fields", [{}, {"effect": "odd"}, {"effect": ""}, {"effect": None}, {"effect": 3}]
 )
-def test_a_request_class_with_an_unknown_effect_is_non_idempotent(fields):
+def test_a_request_class_with_a_missing_or_unknown_effect_is_non_idempotent(fields):
     settings = {"classes": [{"name": "a", "aim_ms": 1800.0, "hard_limit_ms": 4600.0} | fields]}
     assert decode_server_settings(settings, 7).request_classes[0].effect is Effect.NON_IDEMPOTENT
