--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -400,7 +400,7 @@
 
 
 def control_clock(harness):
-    """Returns a function that advances the server's clock, which simulates a pause of the process."""
+    """Returns a function that advances the server's clock, to simulate a pause of the process."""
     offset_ns = [0]
     harness.event_loop.clock = Clock(
         lambda: time.time_ns() + offset_ns[0], lambda: time.monotonic_ns() + offset_ns[0]
--- a/tests/deploy/test_run_line.py
+++ b/tests/deploy/test_run_line.py
@@ -58,7 +58,7 @@
     request_id = harness.executor.receive("SCHED")[0][1]
     harness.executor.send(f"REAP 1 {request_id} success 1 2", b"ok")
     assert harness.proxy.receive_response()[1] == "done"
-    # Once a report has been sent, the socket for reports is bound to a port as well.
+    # Once a report has been sent, the UDP socket for reports is bound to a port as well.
     assert harness.registry.recv(100) == b"alive n1 passing"
     yield harness
     harness.end()
@@ -84,7 +84,7 @@
         if target.startswith("socket:["):
             inodes.add(target[8:-1])
     sockets = []
-    others = set(inodes)
+    other_inodes = set(inodes)
     for protocol in ("tcp", "udp", "tcp6", "udp6"):
         for line in Path(f"/proc/{pid}/net/{protocol}").read_text().splitlines()[1:]:
             words = line.split()
@@ -94,11 +94,11 @@
                     socket.inet_ntoa(struct.pack("<I", int(host, 16))) if len(host) == 8 else host
                 )
                 sockets.append((protocol, (name, int(port, 16)), words[3]))
-                others.discard(words[9])
-    return sockets, others
+                other_inodes.discard(words[9])
+    return sockets, other_inodes
 
 
-def test_the_command_becomes_one_python_process_without_children(running_harness):
+def test_the_run_line_becomes_one_python_process_without_children(running_harness):
     pid = running_harness.process.pid
     words = Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")
     assert Path(f"/proc/{pid}/exe").resolve().name.startswith("python")
@@ -112,8 +112,8 @@
 
 
 def test_only_the_proxy_port_listens_and_all_sockets_are_tcp_or_udp_over_ipv4(running_harness):
-    sockets, others = list_sockets(running_harness.process.pid)
-    assert not others, "a socket that is neither TCP nor UDP"
+    sockets, other_inodes = list_sockets(running_harness.process.pid)
+    assert not other_inodes, "a socket that is neither TCP nor UDP"
     assert {protocol for protocol, *_ in sockets} <= {"tcp", "udp"}
     listening = [
         address for protocol, address, state in sockets if protocol == "tcp" and state == "0A"
@@ -147,13 +147,15 @@
     request_id = running_harness.executor.receive("SCHED")[0][1]
     running_harness.executor.send(f"REAP 2 {request_id} success 1 2", b"ok")
     assert running_harness.proxy.receive_response()[1] == "done"
-    sockets, others = list_sockets(running_harness.process.pid)
+    sockets, other_inodes = list_sockets(running_harness.process.pid)
     assert child_processes(running_harness.process.pid) == []
-    assert not others
+    assert not other_inodes
     assert sorted(state for _, _, state in sockets) == sorted(state for _, _, state in before)
 
 
-def test_a_plain_start_imports_few_modules(make_harness, monkeypatch):
+def test_a_plain_start_imports_few_external_modules_and_no_module_of_an_optional_subsystem(
+    make_harness, monkeypatch
+):
     """Imports take most of the time of a start, and restarted app servers share the cores.
 
     The test counts the modules and measures no time.
@@ -177,10 +179,10 @@
         "pydantic",
     }
     assert not heavy & {name.split(".")[0] for name in loaded}
-    own = {name for name in loaded if name.split(".")[0] == "lilacwalk"}
-    assert {name.split(".")[1] for name in own if "." in name} <= OWN_PACKAGES | OWN_MODULES
-    assert not [name for name in own if name.startswith(OPTIONAL_MODULES)]
-    external = [name for name in loaded if name not in own]
-    roots = {name.split(".")[0] for name in external}
-    assert roots - sys.stdlib_module_names <= THIRD_PARTY | INSTALLATION
-    assert len(external) <= MAX_EXTERNAL_MODULES
+    own_modules = {name for name in loaded if name.split(".")[0] == "lilacwalk"}
+    assert {name.split(".")[1] for name in own_modules if "." in name} <= OWN_PACKAGES | OWN_MODULES
+    assert not [name for name in own_modules if name.startswith(OPTIONAL_MODULES)]
+    external_modules = [name for name in loaded if name not in own_modules]
+    external_packages = {name.split(".")[0] for name in external_modules}
+    assert external_packages - sys.stdlib_module_names <= THIRD_PARTY | INSTALLATION
+    assert len(external_modules) <= MAX_EXTERNAL_MODULES
--- a/tests/docs/test_named_paths.py
+++ b/tests/docs/test_named_paths.py
@@ -1,4 +1,4 @@
-"""The pages that tell how the code is built name only modules that exist."""
+"""The README and the pages on architecture and on-call name only what exists in the tree."""
 
 import re
 from pathlib import Path
@@ -26,4 +26,4 @@
         ]
     )
     assert paths
-    assert not missing, f"{page} names what is not there: {missing}"
+    assert not missing, f"{page} names paths or modules that do not exist: {missing}"
--- a/tests/frontends/test_proxy_housekeeping.py
+++ b/tests/frontends/test_proxy_housekeeping.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*5\r\n$6\r\nSUB", encode_array(b"PROBE", b"1") + b"*"])
-def test_a_connection_without_a_complete_message_is_closed_and_an_idle_proxy_is_not(
+def test_a_connection_that_sent_nothing_or_a_partial_message_is_closed_and_an_idle_proxy_is_not(
     make_harness, sent
 ):
     harness = make_harness(limits={"message_timeout": 1_000}).start()
@@ -60,7 +60,7 @@
     assert peer_socket.recv(1) == b""
 
 
-def test_over_the_high_water_mark_idle_connections_are_closed_before_new_ones(make_harness):
+def test_above_the_high_water_mark_idle_connections_are_closed_before_new_ones(make_harness):
     harness = make_harness(
         limits={"connections": 12, "connection_high_water": 8, "new_connection_age": 600_000}
     ).start()
@@ -78,7 +78,7 @@
         assert execute_request(harness, proxy, 1, event_number)[2][:2] == (1, "done")
 
 
-def test_over_the_high_water_mark_connections_without_a_message_are_closed_before_idle_proxies(
+def test_above_the_high_water_mark_connections_without_a_message_are_closed_before_idle_proxies(
     make_harness,
 ):
     harness = make_harness(
@@ -98,9 +98,11 @@
 def test_a_proxy_with_a_request_is_served_during_a_flood_of_connections(make_harness):
     harness = make_harness(limits={"connections": 12, "connection_high_water": 8}).start()
     harness.executor = harness.accept_executor_link()
-    flood = [socket.create_connection(harness.address, PEER_TIMEOUT_SECONDS) for _ in range(40)]
+    flooding_sockets = [
+        socket.create_connection(harness.address, PEER_TIMEOUT_SECONDS) for _ in range(40)
+    ]
     assert execute_request(harness, harness.connect_proxy(), 1, 1)[2][:2] == (1, "done")
-    assert len(flood) == 40
+    assert len(flooding_sockets) == 40
 
 
 def test_a_close_request_is_sent_on_an_idle_connection_but_not_on_one_in_use(make_harness):
@@ -121,17 +123,17 @@
 
 @pytest.fixture
 def harness_with_idle_proxies(make_harness):
-    """A server with two idle proxies that did not close their connections when requested to.
+    """A server with two idle proxies that have not closed their connections as requested.
 
     `pass_close_timeout` advances the clock until the time for closing has passed.
     """
-    info = SETTINGS["family_info"] | {"caller_idle_ms": 1000.0}
+    family_info = SETTINGS["family_info"] | {"caller_idle_ms": 1000.0}
     limits = {
         "close_request_timeout": 10_000,
         "half_close_linger": 100_000,
         "message_timeout": 100_000,
     }
-    harness = make_harness(settings={"family_info": info}, limits=limits).start()
+    harness = make_harness(settings={"family_info": family_info}, limits=limits).start()
     harness.executor, harness.idle_proxies = (
         harness.accept_executor_link(),
         [harness.connect_proxy() for _ in range(2)],
@@ -165,7 +167,7 @@
     sender.submit(1)
     assert decode_started.wait(PEER_TIMEOUT_SECONDS)
     harness_with_idle_proxies.pass_close_timeout()
-    # This connection is closed, so housekeeping has checked both.
+    # The server has closed this connection, so housekeeping has checked both.
     assert other_proxy.receive_response() is None
     decode_allowed.set()
     finish_execution(harness_with_idle_proxies, 1, next_dispatched_id(harness_with_idle_proxies))
@@ -181,7 +183,7 @@
     # A response to the probe shows that the partial request has been read as well.
     assert sender.receive_response()[:2] == (1, "healthy")
     harness_with_idle_proxies.pass_close_timeout()
-    # This connection is closed, so housekeeping has checked both.
+    # The server has closed this connection, so housekeeping has checked both.
     assert other_proxy.receive_response() is None
     sender.sock.sendall(request[-40:])
     finish_execution(harness_with_idle_proxies, 1, next_dispatched_id(harness_with_idle_proxies))
@@ -191,7 +193,7 @@
 def test_a_request_that_crosses_the_half_close_is_not_executed_and_causes_no_reset(
     harness_with_idle_proxies,
 ):
-    """Closing the socket while the request is unread would reset the connection."""
+    """If the server closed the socket with the request unread, the connection would be reset."""
     sender, other_proxy = harness_with_idle_proxies.idle_proxies
     harness_with_idle_proxies.pass_close_timeout()
     assert sender.receive_response() is None
@@ -208,7 +210,7 @@
 def test_unread_bytes_keep_an_idle_connection_open(make_harness):
     event_loop, _ = startup.build(make_harness().process_config, EventQueue())
     server_socket, peer_socket = socket.socketpair()
-    # Its reader thread is not started, so the bytes stay unread.
+    # The reader thread of this connection is not started, so the bytes stay unread.
     connection = Connection(
         server_socket, "router", event_loop.limits, event_loop.event_queue, event_loop.listener
     )
@@ -252,15 +254,15 @@
     proxy.submit(1)
     running_id = next_dispatched_id(harness)
     control_clock(harness)(5.0)
-    partial = proxy.encode_submit(2)
-    proxy.sock.sendall(partial[:20])
+    encoded_request = proxy.encode_submit(2)
+    proxy.sock.sendall(encoded_request[:20])
     silent_proxy = harness.connect_proxy()
     # `silent_proxy` connected after the partial message was sent; its end shows that the message
     # timeout has expired for both.
     assert silent_proxy.receive_response() is None
     finish_execution(harness, 1, running_id)
     assert proxy.receive_response()[:2] == (1, "done")
-    proxy.sock.sendall(partial[20:])
+    proxy.sock.sendall(encoded_request[20:])
     finish_execution(harness, 2, next_dispatched_id(harness))
     assert proxy.receive_response()[:2] == (2, "done")
 
--- a/tests/overload/conftest.py
+++ b/tests/overload/conftest.py
@@ -77,7 +77,7 @@
     def wait(self, duration, core_use=1.0, run_queue=99.0):
         """Advances the clock by `duration`, with timer events that carry these gauges.
 
-        By default the gauges show that all cores are busy.
+        The default gauges show that all cores are busy.
         """
         end = self.now + duration
         while self.now + MAXIMUM_TIMER_PERIOD <= end:
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -35,7 +35,7 @@
     assert harness.executor.receive("IODONE")[1] == b"!"
 
 
-def test_a_call_on_a_connection_that_breaks_is_retried_on_a_new_one(harness):
+def test_a_call_of_an_idempotent_request_is_retried_after_its_connection_is_reset(harness):
     proxy = harness.connect_proxy()
     proxy.submit(1, "look")
     request_id = harness.executor.receive("SCHED")[0][1]
@@ -60,7 +60,7 @@
     assert proxy.receive_response()[0] == 1
 
 
-def test_an_idle_connection_is_closed_and_opened_again_when_needed(make_harness):
+def test_an_idle_connection_is_closed_and_the_next_call_opens_a_new_one(make_harness):
     harness = make_harness(limits={"dependency_idle_timeout": 500}).start()
     harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     for tag in (1, 2):
@@ -82,7 +82,7 @@
     client = DependencyClient(
         address, Limits.from_configuration({"settings": SETTINGS}), event_queue
     )
-    client.on_call_finished = "call_finished"
+    client.on_call_finished = "call_finished"  # never called: tests read what is posted
     return client, event_queue
 
 
@@ -131,18 +131,18 @@
         client.close()
 
 
-def test_an_at_most_once_call_takes_a_new_connection():
+def test_an_at_most_once_call_is_sent_on_a_new_connection():
     """If an idle connection breaks, it is unknown whether the peer has received the call."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client, event_queue = make_client(listener.getsockname())
         listener.settimeout(PEER_TIMEOUT_SECONDS)
-        socks = []
+        dependency_sockets = []
         for request_id, at_most_once in (("a", False), ("b", False), ("c", True)):
             client.start_call(DependencyCall(request_id, 100, b"", at_most_once))
             if request_id != "b":
-                socks.append(listener.accept()[0])
-            assert socks[-1].recv(100).startswith(b"GET %b " % request_id.encode())
-            socks[-1].sendall(b"%b SHED\r\n" % request_id.encode())
+                dependency_sockets.append(listener.accept()[0])
+            assert dependency_sockets[-1].recv(100).startswith(b"GET %b " % request_id.encode())
+            dependency_sockets[-1].sendall(b"%b SHED\r\n" % request_id.encode())
             connection, call, outcome, _ = event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
             assert outcome is Outcome.REJECTED
             client.call_finished(connection, 0)
@@ -203,7 +203,7 @@
     assert harness.executor.receive("IODONE")[1] == b"2"
 
 
-def test_a_connection_closed_while_idle_is_replaced_without_failing_a_call(harness):
+def test_a_call_after_the_dependency_closed_the_idle_connection_is_made_on_a_new_one(harness):
     proxy = harness.connect_proxy()
     for tag in (1, 2):
         request_id = submit_until_dependency_call(harness, proxy, tag, tag)
@@ -234,23 +234,23 @@
             finish_execution(harness, number, next_dispatched_id(harness))
             assert proxy.receive_response()[:2] == (number, "done")
         full_listener.settimeout(PEER_TIMEOUT_SECONDS)
-        accepted, filler_addresses = None, [filler.getsockname() for filler in fillers]
-        while accepted is None:
+        call_socket, filler_addresses = None, [filler.getsockname() for filler in fillers]
+        while call_socket is None:
             sock, peer = full_listener.accept()
             if peer not in filler_addresses:
-                accepted = sock
-        accepted.settimeout(PEER_TIMEOUT_SECONDS)
-        assert accepted.recv(100).startswith(f"GET {request_id} ".encode())
-        accepted.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
+                call_socket = sock
+        call_socket.settimeout(PEER_TIMEOUT_SECONDS)
+        assert call_socket.recv(100).startswith(f"GET {request_id} ".encode())
+        call_socket.sendall(f"{request_id} HIT 1\r\n!\r\n".encode())
         assert harness.executor.receive("IODONE")[1] == b"!"
         finish_execution(harness, 6, request_id)
         assert proxy.receive_response()[:2] == (1, "done")
-        for sock in (*fillers, accepted):
+        for sock in (*fillers, call_socket):
             sock.close()
 
 
-@pytest.mark.parametrize("second", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
-def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(harness, second):
+@pytest.mark.parametrize("duplicate_reply", [b"HIT 5\r\nolder\r\n", b"SLOW\r\n", b"BROKEN\r\n"])
+def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call(harness, duplicate_reply):
     """Both calls carry the id of the same request, so their replies cannot be distinguished."""
     proxy = harness.connect_proxy()
     proxy.submit(1, "look")
@@ -259,7 +259,7 @@
     first_connection.send(f"{request_id} HIT 1", b"a")
     assert harness.executor.receive("IODONE")[1] == b"a"
     # A duplicate reply arrives just before the next call is made.
-    first_connection.sock.sendall(f"{request_id} ".encode() + second)
+    first_connection.sock.sendall(f"{request_id} ".encode() + duplicate_reply)
     next_connection = request_dependency_call(harness, 2, request_id, b"2")
     next_connection.send(f"{request_id} HIT 1", b"b")
     assert harness.executor.receive("IODONE")[1] == b"b"
--- a/tests/protocols/test_proxy_codec.py
+++ b/tests/protocols/test_proxy_codec.py
@@ -29,7 +29,9 @@
         dict(body=b"x" * 20_000),
     ],
 )
-def test_a_malformed_request_gets_an_error_on_its_tag(harness, invalid_fields):
+def test_an_invalid_request_gets_an_error_with_its_tag_and_the_next_one_is_served(
+    harness, invalid_fields
+):
     proxy = harness.connect_proxy()
     proxy.submit(3, **invalid_fields)
     assert proxy.receive_response()[:2] == (3, "error")
--- a/tests/protocols/test_proxy_connection.py
+++ b/tests/protocols/test_proxy_connection.py
@@ -21,11 +21,19 @@
     assert response[1] == "done"
 
 
-def test_a_proxy_that_floods_delays_only_itself(make_harness):
+def test_a_proxy_that_floods_the_server_is_read_no_further_than_two_unprocessed_batches(
+    make_harness,
+):
+    """Otherwise the messages of one proxy would fill the event queue and delay all other proxies.
+
+    The reader thread needs a credit for each batch; the event loop returns it after processing.
+    """
     event_loop, (listener, *_) = startup.build(make_harness().process_config, EventQueue())
     listener.start()
-    with socket.create_connection(listener.address, PEER_TIMEOUT_SECONDS) as flood:
-        flood.sendall(b"".join(encode_array(b"PROBE", b"%d" % tag) for tag in range(1, 500)))
+    with socket.create_connection(listener.address, PEER_TIMEOUT_SECONDS) as flooding_socket:
+        flooding_socket.sendall(
+            b"".join(encode_array(b"PROBE", b"%d" % tag) for tag in range(1, 500))
+        )
         (connection,) = event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS).arguments
         batches = [event_loop.event_queue.get(timeout=PEER_TIMEOUT_SECONDS) for _ in range(2)]
         assert [len(batch.arguments[1]) for batch in batches] == [32, 32]
@@ -51,10 +59,11 @@
             assert proxy.receive_response()[:2] == (tag, "error")
 
     send_rejected_requests(harness.connect_proxy())
-    before = int((process / "statm").read_text().split()[1])
+    resident_before = int((process / "statm").read_text().split()[1])
     proxies = [harness.connect_proxy() for _ in range(100)]
     for proxy in proxies:
         send_rejected_requests(proxy)
+    # Both sizes are in pages of 4 KB.
     size, resident = [int(pages) for pages in (process / "statm").read_text().split()[:2]]
     assert size * 4 < 400_000  # KB; a heap per thread would reserve 64 MB for each
-    assert (resident - before) * 4 < 2_500
+    assert (resident - resident_before) * 4 < 2_500
--- a/tests/protocols/test_proxy_listener.py
+++ b/tests/protocols/test_proxy_listener.py
@@ -8,7 +8,7 @@
 from tests.conftest import PEER_TIMEOUT_SECONDS, ProxyClient, finish_execution, next_dispatched_id
 
 
-def test_requests_in_the_backlog_of_a_closing_listener_are_answered(make_harness):
+def test_requests_on_connections_in_the_backlog_of_a_closing_listener_are_answered(make_harness):
     harness = make_harness(
         stop_ms=60_000, limits={"connections": 1, "connection_high_water": 1}
     ).start()
@@ -35,7 +35,7 @@
     assert harness.event_loop.has_ended
 
 
-def test_a_connection_accepted_as_the_listener_closes_is_answered_before_the_end(
+def test_a_request_on_a_connection_accepted_as_the_listener_closes_is_answered(
     make_harness, monkeypatch
 ):
     """The listener may accept a connection just before the event loop starts to drain."""
--- a/tests/protocols/test_resp.py
+++ b/tests/protocols/test_resp.py
@@ -8,7 +8,7 @@
 MESSAGES = [
     [b"SUBMIT", b"7", b"read", b"i=1,m=2", b"a\r\nb*3$"],
     [b"PROBE", b"8", b""],
-    [b"x" * 70],
+    [b"x" * 70],  # longer than the maximum of 64 bytes
 ]
 
 
@@ -25,7 +25,9 @@
 
 
 @pytest.mark.parametrize("split", range(len(ENCODED) + 1))
-def test_a_stream_parses_the_same_wherever_it_is_split_and_too_long_a_part_is_skipped(split):
+def test_a_stream_parses_the_same_wherever_it_is_split_and_a_part_that_is_too_long_is_skipped(
+    split,
+):
     expected = [MESSAGES[0], MESSAGES[1], [None]]
     assert parse([ENCODED[:split], ENCODED[split:]]) == expected
 
--- a/tests/protocols/test_send_buffer.py
+++ b/tests/protocols/test_send_buffer.py
@@ -24,7 +24,7 @@
         harness.connect_proxy(),
         harness.connect_proxy(),
     )
-    with pytest.raises((ConnectionResetError, BrokenPipeError)):  # before all probes are sent
+    with pytest.raises((ConnectionResetError, BrokenPipeError)):  # before all probes have been sent
         send_probes(stuck_proxy)
     assert execute_request(harness, other_proxy, 1, 1)[2][:2] == (1, "done")
 
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -27,7 +27,7 @@
     started_at = time.monotonic()
     harness.process.send_signal(signal.SIGTERM)
     harness.process.send_signal(signal.SIGTERM)
-    # This signal reloads the configuration file, which has not changed.
+    # This signal requests a reload of the configuration file, which has not changed.
     harness.process.send_signal(signal.SIGHUP)
     executor.send("REAP 1 00000000000000aa success 1 1", b"a")
     statuses = {
--- a/tests/simulator_adapter/test_host.py
+++ b/tests/simulator_adapter/test_host.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize("effect", ["unsafe", "odd"])
-def test_requests_are_answered_once_on_a_server_without_load_reports_or_cancellation(effect):
+def test_each_request_is_answered_once_by_a_server_without_load_reports_and_cancellation(effect):
     """Some deployments have such settings; clients then choose a server by its health alone."""
     host = SimulatorHost()
 
@@ -25,10 +25,10 @@
         "family_info.advert=silent family_info.readiness=true feedback.how=piggyback "
         "rules.tip_multiple=8.0 rules.drain_grace_ms=2000.0 rules.answer_slack_ms=80.0",
     )
-    names = set()
+    decision_names = set()
     final_responses = {}
     dispatched = set()
-    gauges = "tick_due who=s ctx=1 health_info=core_use:1.0,on_cores:4"
+    timer_line = "tick_due who=s ctx=1 health_info=core_use:1.0,on_cores:4"
     for turn in range(1, 400):
         lines = [
             f"incoming who=s rid={turn}x{client} class={('read', 'publish')[client % 2]} "
@@ -43,19 +43,20 @@
         )
         lines += [f"work_done who=s rid={rid} disposition=100 lag_ms=300.0" for rid in finished]
         final_responses |= dict.fromkeys(finished, "done")
-        for reply in replies + process(25.0 * turn, *lines, gauges):
+        for reply in replies + process(25.0 * turn, *lines, timer_line):
             name, _, *fields = reply.split(" ")
             rid = fields[0].removeprefix("rid=") if fields else ""
-            names.add(name)
+            decision_names.add(name)
             if name == "serve":
                 assert rid not in dispatched
                 assert rid not in final_responses
                 dispatched.add(rid)
             elif name in ("refuse", "abort"):
                 assert rid not in final_responses
+                # Only reads, which clients 0 and 2 send, may be refused after their dispatch.
                 assert name == "abort" or rid not in dispatched or rid.endswith(("x0", "x2"))
                 final_responses[rid] = name
         replies = []
-    assert not names & {"signal", "abort_work", "go_on", "answer_from"}
+    assert not decision_names & {"signal", "abort_work", "go_on", "answer_from"}
     assert len(final_responses) == 4 * 359
     assert set(final_responses.values()) == {"done", "refuse", "abort"}
--- a/tests/simulator_adapter/test_instances.py
+++ b/tests/simulator_adapter/test_instances.py
@@ -4,14 +4,17 @@
 
 
 def decisions_of(host, at, who, *lines):
-    """Returns the decisions for one instance in a batch."""
+    """Processes the lines in one batch; returns the decisions for the instance `who`."""
     numbered = [NumberedLine(number, line) for number, line in enumerate(lines)]
     reply = host.process_batch(at, numbered)
     return [line for line in reply if f"who={who} " in line]
 
 
 def run_batches(host, who, other_who=None):
-    """Runs fixed batches for one instance, and optionally for another in the same host."""
+    """Processes fixed batches for one instance, and optionally for another in the same host.
+
+    Returns the decisions for the first instance.
+    """
     start = (
         "start who={} nonce64=7 replicas_of_me=4 "
         "classes.count=1 classes.0.name=pay classes.0.aim_ms={} "
@@ -30,25 +33,25 @@
     decisions = decisions_of(host, 10.0, who, own_start, *([other_start] if other_who else []))
     for turn in range(1, 120):
         lines, now = [], 10.0 + 25.0 * turn
-        for each in (who, other_who) if other_who else (who,):
+        for name in (who, other_who) if other_who else (who,):
             if turn % 3:
-                repeats = f" earlier={turn - 1}" if turn % 3 == 2 else ""
+                earlier_field = f" earlier={turn - 1}" if turn % 3 == 2 else ""
                 lines.append(
-                    f"incoming who={each} rid={turn} class=pay owner=acme ttl_ms=2000.0 "
-                    f"footprint=20.0 neighbour={turn % 5}{repeats}"
+                    f"incoming who={name} rid={turn} class=pay owner=acme ttl_ms=2000.0 "
+                    f"footprint=20.0 neighbour={turn % 5}{earlier_field}"
                 )
             if turn > 6:
                 lines.append(
-                    f"work_done who={each} rid={turn - 6} disposition={100 if turn % 7 else 301}"
+                    f"work_done who={name} rid={turn - 6} disposition={100 if turn % 7 else 301}"
                 )
-            lines.append(f"tick_due who={each} ctx=1 health_info=core_use:0.9,on_cores:3")
+            lines.append(f"tick_due who={name} ctx=1 health_info=core_use:0.9,on_cores:3")
         decisions += decisions_of(host, now, who, *lines)
     return decisions
 
 
 def test_the_decisions_of_an_instance_do_not_depend_on_another_instance():
-    one_instance, two_instances = SimulatorHost(), SimulatorHost()
-    decisions = run_batches(one_instance, "a")
+    host_of_one, host_of_two = SimulatorHost(), SimulatorHost()
+    decisions = run_batches(host_of_one, "a")
     assert len(decisions) > 100
     assert any("answer_from" in line for line in decisions)
-    assert run_batches(two_instances, "a", "b") == decisions
+    assert run_batches(host_of_two, "a", "b") == decisions
