--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -130,8 +130,9 @@
         """Starts a drain.
 
         The withdrawal is sent `propagation` before `listener_closes_by` at the latest, so that it
-        has propagated before the listener closes. If time is short, the graceful shutdown
-        phase is shortened, not the propagation time. None as `listener_closes_by` sets no limit.
+        has propagated before the listener closes, or at once if less time than that is left. If
+        time is short, the graceful shutdown phase is shortened first. None as `listener_closes_by`
+        sets no limit.
         """
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE):
             return
@@ -204,7 +205,7 @@
         return Decision(level, reason, next_check)
 
     def _count_flap(self, level: Level, now: int) -> None:
-        """Adds a flap to the penalty if the level is lowered, except in a planned drain."""
+        """Adds a flap to the penalty if the level is lowered, except on a leaving or gone node."""
         if self.node_status in (NodeStatus.LEAVING, NodeStatus.GONE) or level > self.level:
             return
         is_full_withdrawal = level is Level.NONE and self.level is Level.NORMAL
@@ -281,12 +282,13 @@
 
 
 def service_attributes(config: BgpConfig, service: Service, peer: Peer, level: Level) -> Attributes:
-    """Returns the path attributes with which a service is announced to a peer, before the export
-    policy.
+    """Returns the path attributes with which a service is announced to a peer.
 
-    A lowered level is expressed by a higher MED, AS path prepending and the graceful shutdown
-    community (RFC 8326). Routers compare the MED within one neighbouring AS only, but the AS path
-    also beyond it. A router that supports the community assigns its lowest local preference.
+    The export policy is not applied. Every lowered level is announced with the graceful shutdown
+    community (RFC 8326), to which a router that supports it assigns its lowest local preference.
+    Internal peers get local preference 0 in addition. Levels LESS_WANTED and LAST_RESORT also raise
+    the MED and, to external peers, prepend the AS path: routers compare the MED within one
+    neighbouring AS only, but the AS path also between several.
     """
     internal = config.as_ == peer.as_
     attributes = Attributes(
@@ -315,7 +317,8 @@
 def has_next_hop(config: BgpConfig, service: Service, peer: Peer) -> bool:
     """Returns whether a next hop of the service's address family is configured.
 
-    The configuration check covers the node's own services but not those announced for other sites.
+    The configuration check guarantees one for the services of the `announce` block, but not for
+    those announced in place of a failed site.
     """
     try:
         return bool(next_hop(config, service, peer))
@@ -336,5 +339,9 @@
     for candidate in (service.next_hop, peer.next_hop, config.next_hop):
         if candidate is not None and (":" in candidate) == (family == 6):
             return candidate
-    # The configuration check excludes this for the node's own services.
-    raise ValueError(f"no next-hop of the address family of {service.prefix}")
+    # The configuration check prevents this error for services of the `announce` block; those
+    # announced in place of a failed site can cause it.
+    raise ValueError(
+        f"no next-hop for {service.prefix}: expected an IPv{family} address in the service, the "
+        f"peer or the announce block, got {service.next_hop}, {peer.next_hop} and {config.next_hop}"
+    )
--- a/lilacwalk/bgp/attributes.py
+++ b/lilacwalk/bgp/attributes.py
@@ -62,7 +62,7 @@
     Type.LARGE_COMMUNITIES: OPTIONAL | TRANSITIVE,
     Type.ONLY_TO_CUSTOMER: OPTIONAL | TRANSITIVE,
 }
-# Discarded if received from an external peer (RFC 7606 section 7).
+# Types of attributes that are discarded if an external peer sends them (RFC 7606 section 7).
 ONLY_INTERNAL = (
     Type.LOCAL_PREF,
     Type.ORIGINATOR_ID,
@@ -352,8 +352,8 @@
     """Returns the next hop if it can be the address of a host.
 
     Raises:
-        MalformedAttributeError: It cannot; the route is unusable, but the session continues (RFC
-            4271 section 6.3).
+        MalformedAttributeError: The next hop cannot be the address of a host; the route is
+            unusable, but the session continues (RFC 4271 section 6.3).
     """
     if (
         not any(value)
@@ -486,8 +486,9 @@
     """Reconstructs the AS path and aggregator received from a peer without four-octet AS numbers
     (RFC 6793 section 4.2.3).
 
-    Such a peer passes on AS4_PATH and AS4_AGGREGATOR, which speakers before it have added. They
-    replace the aggregator and the part of the AS path in which AS_TRANS stands for other numbers.
+    Such a peer passes on AS4_PATH and AS4_AGGREGATOR, which speakers earlier on the path have
+    added. AS4_AGGREGATOR replaces the aggregator, and AS4_PATH the part of the AS path in which
+    AS_TRANS may have replaced other numbers.
     """
     as4_path, as_path = parsed.values.pop("as4_path", None), parsed.values.get("as_path")
     as4_aggregator = parsed.values.pop("as4_aggregator", None)
--- a/lilacwalk/bgp/capabilities.py
+++ b/lilacwalk/bgp/capabilities.py
@@ -73,7 +73,8 @@
 def decode(data: bytes) -> Capabilities:
     """Parses the value of a capabilities parameter.
 
-    If a capability is repeated with different values, the last one applies (RFC 5492 section 4). A
+    Multiprotocol capabilities are collected. If another capability is repeated with different
+    values, the last one applies (RFC 5492 section 4), except that different roles are an error. A
     known capability whose value has the wrong length is treated as unknown, as the session is still
     useful without it.
 
--- a/lilacwalk/bgp/config.py
+++ b/lilacwalk/bgp/config.py
@@ -2,7 +2,7 @@
 
 Times are in tenths of a millisecond. A field's `unit` names the notation of its value in the file.
 `ARGUMENTS` are the words after a block's keyword, in order; `INLINE` are the keyword-value pairs
-after those.
+that follow the arguments.
 """
 
 from __future__ import annotations
--- a/lilacwalk/bgp/errors.py
+++ b/lilacwalk/bgp/errors.py
@@ -82,7 +82,7 @@
 
 class BgpError(Exception):
     """An error that ends the session; the peer receives a NOTIFICATION with this code, subcode and
-    data.
+    data. `text` is for logs and status reports, and is not sent.
     """
 
     def __init__(self, code: int, subcode: int = 0, data: bytes = b"", text: str = "") -> None:
@@ -91,7 +91,11 @@
 
 
 def reason(code: int, subcode: int) -> str:
-    """Returns `code/subcode`, each by its name if it is known and otherwise as a number."""
+    """Returns the names of a code and a subcode as `code/subcode`.
+
+    An unknown code is written as `code_` and its number, followed by the number of the subcode. An
+    unknown subcode of a known code is written as its number, or left out with the slash if it is 0.
+    """
     try:
         name = Code(code).name.lower()
     except ValueError:
--- a/lilacwalk/bgp/messages.py
+++ b/lilacwalk/bgp/messages.py
@@ -52,7 +52,7 @@
     withdrawn: tuple[Prefix, ...] = ()
     # (attributes, prefixes) of the NLRI field and of MP_REACH_NLRI.
     reachable: tuple[tuple[Attributes, tuple[Prefix, ...]], ...] = ()
-    end_of_rib: int | None = None  # the AFI if this is an End-of-RIB marker (RFC 4724 section 2)
+    end_of_rib: int | None = None  # the AFI of an End-of-RIB marker (RFC 4724 section 2)
     faults: tuple[Fault, ...] = ()  # malformed attributes that do not end the session (RFC 7606)
 
     @property
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -1,8 +1,8 @@
 """State of one peer: its connections (two during a collision), Adj-RIB-In and Adj-RIB-Out.
 
-No I/O: methods take connection events and received messages; `take_actions` returns what the host
-must do. A connection is represented by a `Link` with a number assigned here; the host maps numbers
-to sockets. Times are in tenths of a millisecond.
+No I/O: methods take connection events and received messages; `take_actions` returns the actions
+that the I/O layer (`speaker_io`) must carry out. A connection is represented by a `Link` with a
+number assigned here; the I/O layer maps numbers to sockets. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 FAMILIES = (Afi.IPV4, Afi.IPV6)
 # Minimum time between two answers to refresh requests of a family. Routers request a refresh at
-# most once per session; this delays only a request that an operator repeats.
+# most once per session; the interval delays only a request that an operator repeats.
 MIN_REFRESH_INTERVAL = SECOND
 
 
 class ActionKind(Enum):
-    """What the host must do for an action."""
+    """What the I/O layer must do for an action."""
 
     CONNECT = auto()  # open a connection to the address in `value`
     SEND = auto()  # send the bytes in `value`, in order
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """An action for the host; `value` depends on the kind."""
+    """An action for the I/O layer; `value` depends on the kind."""
 
     kind: ActionKind
     link: int  # number of the link; 0 for LOG
@@ -104,7 +104,7 @@
         self.stale_until = 0  # time at which stale routes are dropped; 0 if there are none
         self.stale_families: tuple[Afi, ...] = ()
         self.last_end: SessionEnd | None = None
-        self.ups = self.downs = 0  # sessions established, and those that have ended since
+        self.ups = self.downs = 0  # numbers of established sessions, and of those that ended
         self.end_of_rib_received: set[int] = set()  # AFIs
         # By family: time of the last answer to a refresh request, and time of the next answer.
         self.refresh_sent_at: dict[Afi, int] = {}
@@ -209,7 +209,7 @@
     # Connection events
 
     def connected(self, number: int, now: int) -> None:
-        """Handles a connection that the host has opened."""
+        """Handles a connection that the I/O layer has opened."""
         if (link := self.find_link(number)) is not None:
             link.session.local_capabilities = self._capabilities()
             self._execute(link, now, link.session.event(Event.TCP_ACKED, now))
@@ -343,7 +343,7 @@
     # Actions of a session
 
     def _execute(self, link: Link, now: int, actions: list[tuple[SessionAction, object]]) -> None:
-        """Carries out the actions of a session; those with I/O become actions for the host."""
+        """Carries out the actions of a session; those with I/O become actions for `speaker_io`."""
         for action, value in actions:
             if action is SessionAction.CONNECT:
                 link.number, link.inbound = next(self.link_numbers), False
@@ -429,9 +429,11 @@
         """Retains the peer's routes as stale, or drops them (RFC 4724 section 4.2, RFC 8538 section
         4).
 
-        They are retained if the peer advertised graceful restart and the connection broke, or the
-        session ended for a reason that both sides treat as a restart. The retention time is the
-        peer's restart time, at most the configured `stale`.
+        The routes of the families in the peer's graceful restart capability are retained if
+        graceful restart is configured, the peer advertised a restart time above 0, and the
+        connection broke or the session ended for a reason that both sides treat as a restart. After
+        `stop` nothing is retained. The retention time is the peer's restart time, at most the
+        configured `stale`.
         """
         restart_config = self.config.graceful_restart
         peer_restart = (
@@ -468,7 +470,7 @@
         self.stale_until = now + min(peer_restart.time * SECOND, restart_config.stale)
 
     def _drop_stale(self, families: Iterable[Afi], cause: str) -> None:
-        """Drops the stale routes of the families; these are all routes if there is no session."""
+        """Drops the stale routes of the families; without a session, all their routes are stale."""
         dropped = 0
         for afi in tuple(families):
             drop = (
--- a/lilacwalk/bgp/policy.py
+++ b/lilacwalk/bgp/policy.py
@@ -195,8 +195,9 @@
         role, customer_as = self.peer.role, attributes.only_to_customer
         if role is None or self.internal:
             return attributes, False
-        # A route with the attribute is a leak if it comes from a customer or RS client (our role is
-        # provider or rs), or from a lateral peer with another AS number than the peer's.
+        # A route with the attribute is a leak if it was received from a customer or RS client (our
+        # role is provider or rs), or from a lateral peer whose AS number the attribute does not
+        # contain.
         if customer_as is not None:
             return attributes, role in (
                 "provider",
--- a/lilacwalk/bgp/prefixes.py
+++ b/lilacwalk/bgp/prefixes.py
@@ -32,7 +32,7 @@
         """Parses a prefix such as 192.0.2.0/24.
 
         Raises:
-            ValueError: Not a prefix, or host bits are set.
+            ValueError: The text is not a prefix, or host bits are set.
         """
         network = ipaddress.ip_network(text)
         return cls(
@@ -59,7 +59,7 @@
     """Returns the 4 or 16 bytes of an address.
 
     Raises:
-        ValueError: Not an IP address.
+        ValueError: The text is not an IP address.
     """
     return ipaddress.ip_address(text).packed
 
--- a/lilacwalk/bgp/readiness.py
+++ b/lilacwalk/bgp/readiness.py
@@ -23,8 +23,8 @@
     """Returns the status that follows from the facts at `now`.
 
     A lost executor link counts as standing still, as an admitted request could not be started. The
-    link is often restored within 20 ms; the announcement policy's hysteresis ignores such short
-    losses.
+    link is often restored within 20 ms; the announcement policy withdraws the node only after
+    `withdraw-after`, by default 2 s.
     """
     if facts.failed:
         return NodeStatus.GONE
--- a/lilacwalk/bgp/routes.py
+++ b/lilacwalk/bgp/routes.py
@@ -57,8 +57,8 @@
         """Stores the prefixes with their attributes.
 
         Raises:
-            PrefixLimitError: There are more than `max_prefixes`. Those stored before remain until
-                the session ends.
+            PrefixLimitError: There would be more than `max_prefixes`. The prefixes stored so far
+                remain until the session ends.
         """
         route = Route(attributes, self.session)
         for prefix in prefixes:
--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -160,7 +160,7 @@
         self.speaker.inbox.put((self.speaker.on_messages, self, batch))
 
     def _discard_input(self) -> None:
-        """Reads and drops further input for up to `close_timeout`.
+        """Reads and drops further input until the peer closes, for up to twice `close_timeout`.
 
         If input is unread when the socket is closed, the operating system sends a reset, which
         could discard our last message before the peer reads it.
@@ -254,7 +254,7 @@
         self.inbox.put((self._set_node_status, status))
 
     def set_level_cap(self, level_cap: Level) -> None:
-        """Limits the announcement level of the ready node."""
+        """Limits the announcement level of a ready node."""
         self.inbox.put((self._set_level_cap, level_cap))
 
     def set_failover_services(self, services: tuple[Service, ...]) -> None:
@@ -532,8 +532,8 @@
     def _accept(self) -> None:
         """Accepts connections, in a thread of its own.
 
-        The next connection is accepted only when the speaker's thread has handled the previous one,
-        so that connections cannot fill the queue.
+        The next connection is accepted when the speaker's thread has handled the previous one, or
+        `Bounds.connect` seconds later, so that connections cannot fill the queue quickly.
         """
         try:
             while not self.ended.is_set():
--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -1,7 +1,7 @@
 """The whole speaker without I/O: combines the peers and the announcement policy.
 
 Each handler takes the time in tenths of a millisecond, which never decreases. `take_actions`
-returns what the host must do, in order.
+returns the actions that the I/O layer (`speaker_io`) must carry out, in order.
 """
 
 from __future__ import annotations
@@ -64,7 +64,8 @@
     def _restart_claims(self) -> tuple[bool, bool]:
         """Returns what the graceful restart capability of an OPEN may state.
 
-        This is whether the process has just started, and whether the node is announced.
+        The values are whether the process started less than the restart time ago, and whether the
+        node is announced.
         """
         restart_config = self.config.graceful_restart
         restarted = restart_config is not None and self.now - self.started_at < restart_config.time
@@ -101,8 +102,9 @@
     def set_failover_services(self, services: tuple[Service, ...], now: int) -> None:
         """Sets the services of other sites to announce.
 
-        They are announced as less wanted while this node is healthy. When the other site recovers,
-        its own announcement is thus preferred at once, however late this node withdraws.
+        They are announced as less wanted, and only while this node's own level is NORMAL. When the
+        other site recovers, its own announcement is thus preferred at once, however late this node
+        withdraws.
         """
         self._advance_clock(now)
         if services == self.failover_services:
@@ -144,7 +146,7 @@
     # Connections
 
     def connected(self, address: tuple[str, int], link: int, now: int) -> None:
-        """Handles the connection that the host has opened for a link of the peer at `address`."""
+        """Handles the connection that was opened for a link of the peer at `address`."""
         self._advance_clock(now)
         if (peer := self._peer_of_link(address, link)) is not None:
             peer.connected(link, now)
@@ -210,7 +212,7 @@
         """Handles all expired timers.
 
         After a stall of the process, the hold timers are postponed, as messages of the peers may
-        not have been read yet, and the `ready-for` period starts anew.
+        not have been read yet, and the `ready-for` or `well-after` period starts anew.
         """
         self._advance_clock(now)
         if now - self.next_tick_due > STALL_THRESHOLD:
@@ -263,7 +265,8 @@
         if level is Level.NONE:
             return {}
         routes = {}
-        # An unhealthy or draining node announces no other site's services.
+        # Only a node at level NORMAL, neither unhealthy nor draining, announces services of other
+        # sites.
         if level is Level.NORMAL:
             routes = {
                 service.prefix: service_attributes(self.config, service, peer, Level.LESS_WANTED)
--- a/lilacwalk/bgp/trie.py
+++ b/lilacwalk/bgp/trie.py
@@ -75,7 +75,7 @@
             self._attach(parent, side, new)
             return None
         node_bits = node.head << node.shift
-        # Number of bits after the part that both prefixes share.
+        # Number of bits that follow the common part of both prefixes.
         common = max(shift, node.shift, (bits ^ node_bits).bit_length())
         if common == shift:  # the new prefix covers the node
             self._attach_child(new, node)
@@ -164,7 +164,7 @@
         return Prefix(self.afi, node.head << node.shift, self.width - node.shift)
 
     def covering(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """Yields all stored prefixes that cover this one, including itself, shortest first."""
+        """Yields all stored prefixes that cover or equal the given prefix, shortest first."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift >= shift and bits >> node.shift == node.head:
             if node.value is not BRANCH:
@@ -174,7 +174,7 @@
     def longest(self, bits: int, length: int | None = None) -> tuple[Prefix, V] | None:
         """Returns the longest stored prefix that covers an address, with its value, or None.
 
-        With `length`, it must cover the prefix of this length instead.
+        With `length`, the stored prefix must cover the prefix of `bits` and `length` instead.
         """
         best, node = None, self.root
         least = 0 if length is None else self.width - length
@@ -185,7 +185,7 @@
         return None if best is None else (self._prefix(best), best.value)  # type: ignore[return-value]
 
     def covered(self, bits: int, length: int) -> Iterator[tuple[Prefix, V]]:
-        """Yields all stored prefixes covered by this one, including itself, in order."""
+        """Yields all stored prefixes that the given prefix covers or equals, in order."""
         shift, node = self.width - length, self.root
         while node is not None and node.shift > shift:
             node = node.one if bits >> node.branch_bit & 1 else node.zero
