--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -15,7 +15,8 @@
 from lilacwalk.edge.coap.blocks import Block
 from lilacwalk.edge.coap.messages import Message, MessageError, Option, Type, uint
 
-ACK_TIMEOUT, ACK_RANDOM_FACTOR, MAX_RETRANSMIT = 2.0, 1.5, 4  # RFC 7252 section 4.8, in seconds
+# RFC 7252 section 4.8; ACK_TIMEOUT is in seconds.
+ACK_TIMEOUT, ACK_RANDOM_FACTOR, MAX_RETRANSMIT = 2.0, 1.5, 4
 BLOCK_BYTES = 1_024
 MAX_BLOCKWISE_ATTEMPTS = 3  # attempts to transfer a body if the server has lost its blocks
 
@@ -62,7 +63,7 @@
 
         Raises:
             TimeoutError: There is no response in time.
-            ValueError: The edge rejected the request.
+            ValueError: The edge rejected the request, or the answer is truncated.
         """
         deadline = time.monotonic() + wait / 1000
         queries = [
@@ -98,7 +99,10 @@
             result += next_reply.payload
             raw = next_reply.first(Option.BLOCK2)
             if raw is None:
-                raise ValueError("answer truncated: a later block has no Block2 option")
+                raise ValueError(
+                    f"answer truncated: requested block {block.number}, got a response "
+                    f"{next_reply.code >> 5}.{next_reply.code & 31:02d} without a Block2 option"
+                )
             block = Block.decode(raw)
         return self._outcome(reply, result)
 
@@ -231,7 +235,10 @@
             if time.monotonic() >= deadline:
                 break
             wait *= 2
-        raise TimeoutError("no response from the edge within the timeout")
+        raise TimeoutError(
+            f"no response from the edge to message {self.message_id} by the deadline or after "
+            f"{MAX_RETRANSMIT} retransmissions"
+        )
 
     def _receive(self, left: float) -> Message | None:
         """Returns the next message, or None if none or an invalid one arrives in `left` seconds."""
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -18,8 +18,8 @@
 class Outcome:
     """The outcome of a request.
 
-    `word` is 0 for completed, 1 for denied (not executed) and 2 for terminated (may have been
-    executed).
+    `word` is 0 for completed, 1 for denied (not executed, or idempotent; may be retried) and 2 for
+    terminated (failed, or may have been executed).
     """
 
     word: int
--- a/lilacwalk/edge/coap/address_validation.py
+++ b/lilacwalk/edge/coap/address_validation.py
@@ -48,7 +48,7 @@
         return hmac.digest(self.secret, timestamp + repr(address).encode(), "sha256")[:MAC_BYTES]
 
     def validate(self, address: tuple, echo: bytes | None, now: int) -> bool:
-        """Returns whether the address has been validated before or is by this echo value."""
+        """Returns whether the address is validated, by an earlier echo value or by `echo`."""
         valid_until = self.validated_until.get(address)
         if valid_until is not None and now < valid_until:
             return True
--- a/lilacwalk/edge/coap/blocks.py
+++ b/lilacwalk/edge/coap/blocks.py
@@ -16,13 +16,15 @@
 class BlockError(Exception):
     """A block cannot be used.
 
-    `incomplete` is true if a block is missing, so that the device has to send the body again from
-    the first block, and false if the body is too large.
+    `incomplete` is true if a block is missing or has the wrong size, so that the device has to send
+    the body again from the first block, and false if the body is too large or there is no room.
     """
 
     def __init__(self, incomplete: bool) -> None:
         super().__init__(
-            "a block of the body is missing" if incomplete else "the body is too large"
+            "a block of the body is missing or has the wrong size"
+            if incomplete
+            else "the body is too large, or there is no room for it"
         )
         self.incomplete = incomplete
 
@@ -93,7 +95,8 @@
         after a missing one drops the body (RFC 7959 section 2.5).
 
         Raises:
-            BlockError: A block is missing or has the wrong size, or the body is too large.
+            BlockError: A block is missing or has the wrong size, the body is too large, or there is
+                no room for it.
         """
         if block.more and len(payload) != block.size:
             raise BlockError(True)
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -140,7 +140,10 @@
         MessageError: The data is not a valid message.
     """
     if len(data) < 4 or data[0] >> 6 != VERSION:
-        raise MessageError("expected a message of CoAP version 1")
+        raise MessageError(
+            f"message of {len(data)} bytes with header {data[:4].hex()}, expected at least 4 bytes "
+            f"and CoAP version {VERSION}"
+        )
     type_, token_length, code_value = Type(data[0] >> 4 & 3), data[0] & 15, data[1]
     mid = int.from_bytes(data[2:4], "big")
     # An invalid ACK or RST is ignored (RFC 7252 section 4.2).
@@ -151,7 +154,11 @@
             reject_mid,
         )
     if code_value == EMPTY and (len(data) > 4 or token_length):
-        raise MessageError("empty message with a token, options or payload", reject_mid)
+        raise MessageError(
+            f"empty message of {len(data)} bytes with a token of {token_length} bytes, expected 4 "
+            "bytes and no token",
+            reject_mid,
+        )
     if 32 <= code_value < 64 or 192 <= code_value < 224 or code_value >> 5 in (1, 6):
         raise MessageError(f"code of the reserved class {code_value >> 5}", reject_mid)
     token, offset, number, options = data[4 : 4 + token_length], 4 + token_length, 0, []
@@ -170,7 +177,7 @@
         offset += length
     payload = data[offset + 1 :]
     if offset < len(data) and not payload:
-        raise MessageError("payload marker without payload", reject_mid)
+        raise MessageError(f"payload marker at byte {offset} without payload", reject_mid)
     return Message(type_, code_value, mid, token, tuple(options), payload)
 
 
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -3,8 +3,11 @@
 Request: POST /x/GROUP?w=MS&k=KEY&s=SUBJECT&c=CUSTOMER, with the body as payload and the device's
 token as option 65001. Responses:
 
-2.04 completed, the result as payload       4.29 denied, with Max-Age as retry delay (RFC 8516)
-5.03 denied while draining, with Max-Age    5.00 terminated; 4.xx invalid request
+2.04  completed, the result as payload
+4.29  denied (may be retried), with Max-Age as retry delay (RFC 8516)
+5.03  denied while draining, with Max-Age
+5.00  terminated (failed, or may have been executed)
+4.xx  invalid request
 
 An answer that is available within `PIGGYBACK_DELAY` is sent with the acknowledgement, a later one
 as a separate response (RFC 7252 section 5.2.2). A retransmission gets the same reply. A repeated
@@ -340,7 +343,7 @@
     ) -> None:
         """Completes a request and its duplicates with the event loop's response.
 
-        `come_back` is in tenths of a millisecond.
+        `come_back` is the delay in tenths of a ms after which a denied request may be retried.
         """
         if request not in self.open:
             return
