--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -246,7 +246,11 @@
             self._refuse(connection, reason)
 
     def _refuse(self, connection: Connection, reason: str, come_back: int = 0) -> None:
-        """Sends a Refused frame and closes the connection; `come_back` is in tenths of a ms."""
+        """Sends a Refused frame and closes the connection.
+
+        `come_back` is the delay in tenths of a ms after which the device should reconnect, or 0 to
+        state none.
+        """
         if not connection.is_closing:
             self._send(connection, frames.encode(Refused(reason, come_back // 10)))
             self._close(connection)
@@ -452,6 +456,9 @@
     ) -> bool:
         """Answers a duplicate with the answer to the first request, now or once there is one.
 
+        If that answer is gone and the effect is not idempotent, the duplicate is answered as
+        terminated, since the first request may have been executed.
+
         Returns False if the request has to be handled as a new one.
         """
         earlier = self.duplicate_detector.find(fingerprint, session, effect, now)
@@ -476,7 +483,10 @@
     def _answer_without_execution(
         self, session: Session, number: int, effect: Effect, word: int, now: int, come_back: int = 0
     ) -> None:
-        """Answers a request that is not submitted; `come_back` is in tenths of a millisecond."""
+        """Answers a request that is not submitted.
+
+        `come_back` is the delay in tenths of a ms after which a denied request may be retried.
+        """
         session.open_request(number, effect, now)
         self._queue_answer(session, number, word, b"", come_back, now)
 
@@ -485,7 +495,7 @@
     ) -> None:
         """Completes a request and its duplicates with the event loop's response.
 
-        `come_back` is in tenths of a millisecond.
+        `come_back` is the delay in tenths of a ms after which a denied request may be retried.
         """
         open_request = session.open.get(number)
         if open_request is None:
--- a/lilacwalk/edge/duplicate_detector.py
+++ b/lilacwalk/edge/duplicate_detector.py
@@ -1,12 +1,13 @@
 """Detects duplicate requests of a device that lost its session, without idempotency keys.
 
-Within one session, two requests with different numbers are always two requests. For a device whose
-numbers outlive its sessions (`has_stable_numbers`), the number alone decides. Otherwise, requests
-of the same device with equal request class, tenant, subject and body within the window are
-duplicates, but only while the earlier one is in flight or its answer has not been acknowledged: a
-device that sends the request again after it acknowledged the answer intends a second one. A false
-positive loses an intended request; a false negative repeats an effect, and only where the request
-class allows it. In doubt, requests are therefore treated as different.
+Within one session, two requests with different numbers are always two requests. In different
+sessions of a device, requests with equal request class, tenant, subject and body within the window
+are duplicates; if the device's numbers outlive its sessions (`has_stable_numbers`), the number is
+compared in place of the body. Requests are duplicates only while the earlier one is in flight or
+its answer has not been acknowledged: a device that sends the request again after it acknowledged
+the answer intends a second one. A false positive loses an intended request; a false negative
+repeats an effect, and only where the request class allows it. In doubt, requests are therefore
+treated as different.
 """
 
 from __future__ import annotations
@@ -19,6 +20,8 @@
 from lilacwalk.edge.frames import Ask
 from lilacwalk.overload.model import Effect
 
+# Values of `Answer.word`. A denied request may be retried; a terminated one has failed or may have
+# been executed.
 COMPLETED, DENIED, TERMINATED = 0, 1, 2
 
 
@@ -41,13 +44,14 @@
         """Creates an empty table of at most `max_entries` requests.
 
         A request is kept for `window`, in tenths of a millisecond. `seed` is that of the
-        fingerprints.
+        hash of the fingerprints.
         """
         self.max_entries, self.window, self.seed = max_entries, window, seed & (1 << 64) - 1
         self.entries: OrderedDict[int, SeenRequest] = OrderedDict()
         # Fingerprints by session and request number.
         self.fingerprints: dict[tuple[int, int], int] = {}
-        # `evicted_early` counts entries evicted within the window, whose duplicates are missed.
+        # `duplicates` counts detected duplicates, `evicted_early` the entries evicted within the
+        # window, whose duplicates are missed.
         self.duplicates = self.evicted_early = 0
 
     def fingerprint(self, device: bytes, has_stable_numbers: bool, ask: Ask) -> int:
--- a/lilacwalk/edge/frames.py
+++ b/lilacwalk/edge/frames.py
@@ -20,7 +20,10 @@
 
 
 class FrameError(Exception):
-    """The input is not a frame; the rest of the connection cannot be decoded."""
+    """The input is not a frame; the rest of the connection cannot be decoded.
+
+    The edge sends the message of the error to the device, as the reason in a Refused frame.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +100,8 @@
 
     order: int  # sequence number of the answer in its session, which the device acknowledges
     number: int  # number of the answered request
-    word: int  # 0 completed, 1 denied, 2 terminated
+    # 0 completed, 1 denied (may be retried), 2 terminated (failed, or may have been executed).
+    word: int
     body: bytes = b""
     come_back: int = 0  # delay in ms after which a denied request may be retried
 
@@ -161,9 +165,12 @@
 
     Raises:
         FrameError: The data is not exactly one item, is truncated, has too many or too deeply
-            nested items, or has a tag, float or indefinite length.
+            nested items, or has a tag, a simple value other than true, false and null, a float, or
+            an indefinite or reserved length.
     """
-    at, remaining, items = 0, [1], 0  # number of items left, by depth
+    # `at` is the position of the next byte, `remaining` the number of items left to read at each
+    # nesting depth, outermost first, and `items` the number of items read.
+    at, remaining, items = 0, [1], 0
     while remaining:
         if not remaining[-1]:
             remaining.pop()
@@ -237,8 +244,8 @@
 class Stream:
     """Splits a byte stream into frames.
 
-    Buffers at most one frame. A length above `max_frame_bytes` is rejected as soon as the header
-    has been received.
+    Buffers at most one frame. A length of 0 or above `max_frame_bytes` is rejected as soon as the
+    header has been received.
     """
 
     max_frame_bytes: int
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -38,15 +38,15 @@
 
 
 class EdgeError(Exception):
-    """The edge cannot be started with this configuration; the message says why."""
+    """The configuration cannot be used at the start or a reload; the message says why."""
 
 
 def read_secrets(path: str) -> list[bytes]:
     """Reads a file with one secret per line.
 
     Raises:
-        EdgeError: The file cannot be read, is readable by others than its owner, or has an
-            invalid secret.
+        EdgeError: The file cannot be read, grants a permission to others than its owner, or has no
+            secret or an invalid one.
     """
     try:
         with open(path, encoding="ascii") as file:
@@ -68,8 +68,8 @@
     """Creates the TLS context of the listener.
 
     Raises:
-        EdgeError: A file cannot be read, certificate and key do not match, or others than its
-            owner may read the key.
+        EdgeError: A file cannot be read, certificate and key do not match, or the key
+            file grants a permission to others than its owner.
     """
     tls_context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     tls_context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -235,7 +235,10 @@
     def send_answer(
         self, session: Session, number: int, word: int, body: bytes, come_back: int
     ) -> None:
-        """Queues the answer to a request; `come_back` is in tenths of a millisecond."""
+        """Queues the answer to a request.
+
+        `come_back` is the delay in tenths of a ms after which a denied request may be retried.
+        """
         self.post(self._send_answer, session, number, word, body, come_back)
 
     def _send_answer(
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -1,7 +1,8 @@
 """The state of one session: requests in flight and answers that the device has not acknowledged.
 
-A session outlives its connections. Each request number gets exactly one answer, which is kept until
-the device acknowledges it and is sent again, byte for byte, on the next connection.
+A session outlives its connections. Each request number gets exactly one answer, or none if the
+device cancels the request. An answer is kept until the device acknowledges it, and is sent again,
+byte for byte, on the next connection.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
     """State of a received request number in its session."""
 
     NEW = auto()
-    IN_FLIGHT = auto()  # received before, not answered yet
-    ANSWERED = auto()  # answered before; the answer is not acknowledged yet
-    ACKNOWLEDGED = auto()  # answered and acknowledged before
+    IN_FLIGHT = auto()  # already received, not answered yet
+    ANSWERED = auto()  # already answered; the answer is not acknowledged yet
+    ACKNOWLEDGED = auto()  # already answered and the answer acknowledged, or the request cancelled
     WINDOW_EXCEEDED = auto()  # beyond the number of requests that the session may have in flight
 
 
@@ -97,7 +98,7 @@
     def classify(self, ask: Ask) -> RequestStatus:
         """Classifies a received request; a new one raises the highest number.
 
-        Numbers only increase, so that a number below the highest one was received before.
+        Numbers only increase, so that a number up to the highest one has already been received.
         """
         if ask.number in self.open:
             return RequestStatus.IN_FLIGHT
@@ -124,7 +125,9 @@
     def answer(
         self, number: int, word: int, body: bytes, come_back: int
     ) -> UnacknowledgedAnswer | None:
-        """Completes a request with an answer that awaits acknowledgement; `come_back` is in ms.
+        """Completes a request with an answer that awaits acknowledgement.
+
+        `come_back` is the delay in ms after which a denied request may be retried.
 
         Returns None if no request with this number is in flight.
         """
@@ -141,11 +144,11 @@
         return pending
 
     def acknowledge(self, upto: int, now: int) -> list[UnacknowledgedAnswer]:
-        """Removes and returns the answers up to sequence number `upto` that the device has
-        acknowledged.
+        """Removes and returns the acknowledged answers, in order of their sequence numbers.
 
-        Answers that were not sent on the current connection are not acknowledged, whatever the
-        device claims.
+        The device acknowledges all answers up to sequence number `upto`. The first answer that was
+        not sent on the current connection (`sent_at` is None) and all later ones are kept, whatever
+        the device claims.
         """
         acknowledged = []
         while self.unacknowledged and (first := next(iter(self.unacknowledged))) <= upto:
--- a/lilacwalk/edge/session_codec.py
+++ b/lilacwalk/edge/session_codec.py
@@ -1,8 +1,10 @@
 """Encodes sessions for the persistent store, and decodes them.
 
 One stored row holds the whole session, so that it is never restored in part: the requests in flight
-and the unacknowledged answers. After a restart, requests in flight are answered with their stored
-result, as terminated if they may have been executed, or as denied if they were not started.
+and the unacknowledged answers. After a restart, a request in flight is answered with its result if
+that was stored. Otherwise, it is answered as terminated, which means that the outcome is unknown,
+if it may have been executed and is not idempotent, and as denied, which means that the device may
+retry it, if it was not started or is idempotent.
 """
 
 from __future__ import annotations
--- a/lilacwalk/edge/sessions.py
+++ b/lilacwalk/edge/sessions.py
@@ -80,7 +80,7 @@
     def _evict(self, candidates, reason: str) -> bool:
         """Removes the candidate with the lowest eviction cost, and returns whether there was one.
 
-        Sessions with a connection or with requests in flight are never evicted.
+        Sessions with a connection or with requests in flight are not evicted here.
         """
         idle = [each for each in candidates if each.connection is None and not each.open]
         if not idle:
@@ -104,7 +104,7 @@
         """Adds the size of a new answer of the session, or a negative size for acknowledged ones.
 
         Beyond the limit, other disconnected sessions with answers are removed in order of their
-        eviction cost.
+        eviction cost, also if they have requests in flight.
         """
         self.unacknowledged_bytes += size
         if self.unacknowledged_bytes <= self.max_bytes:
--- a/lilacwalk/edge/tokens.py
+++ b/lilacwalk/edge/tokens.py
@@ -18,8 +18,11 @@
 class TokenError(Exception):
     """The token is invalid; the message is the reason.
 
-    The reason is `unreadable`, `unknown` (signed with another secret, by another node, or guessed)
-    or `expired`.
+    The reason is sent to the device if its device token is invalid, not for a session token.
+
+    `unreadable`: the length does not match the format. `unknown`: no secret yields the MAC, as the
+    token was signed with another secret, by another node or for another kind, or was guessed.
+    `expired`: the expiry time has passed.
     """
 
 
