--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -150,7 +150,8 @@
     reject_mid = mid if type_ in (Type.CON, Type.NON) else None
     if token_length > MAX_TOKEN_BYTES or len(data) < 4 + token_length:
         raise MessageError(
-            f"token of {token_length} bytes is truncated or above {MAX_TOKEN_BYTES} bytes",
+            f"token of {token_length} bytes with {len(data) - 4} bytes left, expected at most "
+            f"{MAX_TOKEN_BYTES} bytes and no truncation",
             reject_mid,
         )
     if code_value == EMPTY and (len(data) > 4 or token_length):
@@ -160,7 +161,10 @@
             reject_mid,
         )
     if 32 <= code_value < 64 or 192 <= code_value < 224 or code_value >> 5 in (1, 6):
-        raise MessageError(f"code of the reserved class {code_value >> 5}", reject_mid)
+        raise MessageError(
+            f"code {code_value >> 5}.{code_value & 31:02d}, expected a class other than 1 and 6",
+            reject_mid,
+        )
     token, offset, number, options = data[4 : 4 + token_length], 4 + token_length, 0, []
     while offset < len(data) and data[offset] != 0xFF:
         delta, length = data[offset] >> 4, data[offset] & 15
@@ -170,7 +174,8 @@
         number += delta
         if offset + length > len(data) or len(options) == MAX_OPTIONS:
             raise MessageError(
-                f"option {number} is truncated, or there are more than {MAX_OPTIONS} options",
+                f"option {number} of {length} bytes at byte {offset} of {len(data)} is truncated, "
+                f"or there are more than {MAX_OPTIONS} options",
                 reject_mid,
             )
         options.append((number, data[offset : offset + length]))
@@ -194,7 +199,9 @@
     extension_length = value - 12
     if value == 15 or offset + extension_length > len(data):
         raise MessageError(
-            f"option header has the reserved value 15 or is truncated at byte {offset}", reject_mid
+            f"option header with value {value} at byte {offset} of {len(data)}: value 15 is "
+            "reserved, or the extension is truncated",
+            reject_mid,
         )
     return int.from_bytes(data[offset : offset + extension_length], "big") + (
         13 if extension_length == 1 else 269
