--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -115,7 +115,7 @@
             NodeStatus.COLD,
             NodeStatus.WARMING,
         ):
-            # The node has restarted: of its history only the flap penalty is kept.
+            # The node has restarted: only the flap penalty of its history remains.
             self.unhealthy_since, self.was_ready = None, False
         if (
             previous is NodeStatus.READY
@@ -329,8 +329,8 @@
 def next_hop(config: BgpConfig, service: Service, peer: Peer) -> str:
     """Returns the next hop with which a service is announced to a peer.
 
-    This is the first one of the service's address family among the next hops of the service, of the
-    peer and of the `announce` block.
+    The result is the first one of the service's address family among the next hops of the service,
+    of the peer and of the `announce` block.
 
     Raises:
         ValueError: None of them has the service's address family.
--- a/lilacwalk/bgp/config.py
+++ b/lilacwalk/bgp/config.py
@@ -54,7 +54,7 @@
     longest: Annotated[int, unit("duration", ge=SECOND // 10, le=24 * 3600 * SECOND)] = 30 * SECOND
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid keywords, each with what is expected."""
+        """Returns the invalid keywords, each with the expected value."""
         found = []
         if self.reuse >= self.suppress:
             found.append(("reuse", f"less than suppress, which is {self.suppress}"))
@@ -78,7 +78,7 @@
     prepend: PrependCount = 3
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid keywords, each with what is expected."""
+        """Returns the invalid keywords, each with the expected value."""
         if self.withdraw_after < self.less_wanted_after:
             return [("withdraw-after", "at least less-wanted-after")]
         return []
@@ -114,7 +114,7 @@
     le: Annotated[int, Meta(ge=0, le=128)] | None = None
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid keywords, each with what is expected."""
+        """Returns the invalid keywords, each with the expected value."""
         assert isinstance(self.prefix, Prefix)
         width = WIDTH[self.prefix.afi]
         low = self.prefix.length if self.ge is None else self.ge
@@ -191,7 +191,7 @@
     local_address: Address | None = None  # source address of connections to this peer
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid keywords, each with what is expected."""
+        """Returns the invalid keywords, each with the expected value."""
         found = hold_faults(self.hold_time)
         if self.strict_role and self.role is None:
             found.append(("strict-role", "a role in the same block"))
@@ -227,7 +227,7 @@
     peer: tuple[Peer, ...] = ()
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid keywords, each with what is expected."""
+        """Returns the invalid keywords, each with the expected value."""
         found = hold_faults(self.hold_time)
         for kind, names in (
             ("service", [each.prefix for each in self.service]),
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -129,9 +129,9 @@
     def _capabilities(self) -> Capabilities:
         """Returns the capabilities to advertise.
 
-        They are built for each OPEN, as its graceful restart capability must be true when it is
-        sent. A node that does not serve claims no preserved forwarding state; its peer then drops
-        the routes from before the restart at once (RFC 4724 section 4.2).
+        The capabilities are built for each OPEN, as its graceful restart capability must be true
+        when it is sent. A node that does not serve claims no preserved forwarding state; its peer
+        then drops the routes from before the restart at once (RFC 4724 section 4.2).
         """
         restart = None
         if (restart_config := self.config.graceful_restart) is not None:
@@ -213,7 +213,7 @@
         if (link := self.find_link(number)) is not None:
             link.session.local_capabilities = self._capabilities()
             self._execute(link, now, link.session.event(Event.TCP_ACKED, now))
-        else:  # already given up by a collision or the connect retry timer
+        else:  # the link was closed by a collision or the connect retry timer
             self.actions.append(Action(ActionKind.CLOSE, number))
 
     def connection_lost(self, number: int, now: int, cause: str = "connection lost") -> None:
@@ -301,8 +301,8 @@
         """Resolves connection collisions, then passes the OPEN to the session (RFC 4271 section
         6.8).
 
-        The connection opened by the side with the higher BGP identifier is kept; with equal
-        identifiers the AS number decides (RFC 6286 section 2.3). An established session is kept,
+        The connection opened by the side with the higher BGP identifier remains; with equal
+        identifiers the AS number decides (RFC 6286 section 2.3). An established session remains,
         unless the peer has advertised graceful restart: then the new connection shows that the peer
         has restarted (RFC 4724 section 5).
         """
@@ -540,7 +540,7 @@
     def _send_due_refreshes(self, link: Link, now: int) -> None:
         """Sends all routes of each family whose refresh is due.
 
-        They are sent between refresh markers if both sides support RFC 7313.
+        The routes are sent between refresh markers if both sides support RFC 7313.
         """
         enhanced = link.session.negotiated.enhanced_refresh
         for afi in [afi for afi, due in self.refresh_due.items() if due <= now]:
--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -300,7 +300,7 @@
         self.up_since = 0
         self.actions: list[tuple[SessionAction, object]] = []
         self.error: BgpError | None = None  # sent by `_send_notification`
-        self.cease_subcode, self.cease_data = int(Cease.SHUTDOWN), b""  # sent by `_send_cease`
+        self.cease_subcode, self.cease_data = int(Cease.SHUTDOWN), b""  # both sent by `_send_cease`
         self.last_message: object = None  # the last message received
         self.cause = ""
         # Code and subcode of the NOTIFICATION that ended the session.
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -413,7 +413,7 @@
     def _send_block(
         self, address: tuple, message: Message, body_key: tuple, requested_block: Block, now: int
     ) -> None:
-        """Answers a request for a later block of a kept answer."""
+        """Answers a request for a later block of a stored answer."""
         request = self.by_body_key.get(body_key)
         selected = (
             select_block(request.body, requested_block, BLOCK_BYTES)
@@ -462,7 +462,7 @@
             )
         )
 
-    # Kept answers
+    # Stored answers
 
     def _keep_answer(self, request: Request) -> None:
         """Stores an answer for duplicates and requests for further blocks.
--- a/lilacwalk/edge/config.py
+++ b/lilacwalk/edge/config.py
@@ -33,7 +33,7 @@
     mutual: bool = False  # whether each device must present a certificate
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid fields, each with what is expected."""
+        """Returns the invalid fields, each with the expected value."""
         return (
             [("mutual", "an authority beside it")] if self.mutual and self.authority is None else []
         )
@@ -55,17 +55,18 @@
     in_hand: Count = 500
     window: Annotated[int, Meta(ge=1, le=256)] = 16  # requests that one session may have in flight
     body: Size = 2_048  # maximum size of a request body; requests of proxies have the same limit
-    kept: Size = 4_000_000  # bytes of unacknowledged answers of all sessions together
-    kept_each: Size = 131_072  # bytes of unacknowledged answers of one session
+    kept: Size = 4_000_000  # maximum bytes of unacknowledged answers of all sessions together
+    kept_each: Size = 131_072  # maximum bytes of unacknowledged answers of one session
     buffer: Size = 32_768  # unsent bytes on one connection; further answers wait in the session
     session_time: Time = 600 * SECOND  # a session without a connection is removed after this time
     repeat_window: Time = 60 * SECOND  # time for which a request is compared with later ones
     heartbeat: Time = 30 * SECOND  # maximum time between probes of an idle link
-    # Time from the start of a connection until its HELLO frame has been received.
+    # Maximum time from the start of a connection until its HELLO frame has been received.
     hello: Time = 5 * SECOND
-    frame_time: Time = 60 * SECOND  # time from the first byte of a frame to its last
+    frame_time: Time = 60 * SECOND  # maximum time from the first byte of a frame to its last
     slowest: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # minimum bytes per second
-    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = 60  # connections per source in about 10 s
+    # Maximum number of connections per source in about 10 s.
+    arrivals: Annotated[int, Meta(ge=1, le=1_000_000)] = 60
     # Whether to subtract the expected delivery time of the answer from a request's timeout.
     estimates: bool = True
     # Whether to detect duplicate requests across sessions, without relying on idempotency keys.
@@ -73,7 +74,7 @@
     resume: bool = True  # whether a session can be resumed on another connection
 
     def faults(self) -> list[tuple[str, str]]:
-        """Returns the invalid fields, each with what is expected."""
+        """Returns the invalid fields, each with the expected value."""
         if self.kept_each > self.kept:
             return [("kept-each", "no more than kept")]
         return []
--- a/lilacwalk/edge/duplicate_detector.py
+++ b/lilacwalk/edge/duplicate_detector.py
@@ -43,8 +43,8 @@
     def __init__(self, max_entries: int, window: int, seed: int) -> None:
         """Creates an empty table of at most `max_entries` requests.
 
-        A request is kept for `window`, in tenths of a millisecond. `seed` is that of the
-        hash of the fingerprints.
+        A request is stored for `window`, in tenths of a millisecond. `seed` is the seed of the
+        fingerprints.
         """
         self.max_entries, self.window, self.seed = max_entries, window, seed & (1 << 64) - 1
         self.entries: OrderedDict[int, SeenRequest] = OrderedDict()
--- a/lilacwalk/edge/link.py
+++ b/lilacwalk/edge/link.py
@@ -63,8 +63,8 @@
         """Returns the expected time until an answer of this size is delivered, in tenths of a
         millisecond.
 
-        This is half a round trip, the transmission time, and a further round trip for the share of
-        answers that is lost and sent again. No deviation is added: an estimate that is too low
+        The time is half a round trip, the transmission time, and a further round trip for the share
+        of answers that is lost and sent again. No deviation is added: an estimate that is too low
         makes an answer late now and then, one that is too high rejects requests that could have
         been answered.
         """
@@ -76,8 +76,9 @@
     def heartbeat_interval(self, max_interval: int) -> int:
         """Returns the time between probes of an idle link, in tenths of a millisecond.
 
-        It is a multiple of the round trip, so that a stall is detected early, but at least a tenth
-        of `max_interval`, so that probes do not keep the radio of an unreachable device awake.
+        The interval is a multiple of the round trip, so that a stall is detected early, but at
+        least a tenth of `max_interval`, so that probes do not keep the radio of an unreachable
+        device awake.
         """
         return int(
             max(
--- a/lilacwalk/edge/session.py
+++ b/lilacwalk/edge/session.py
@@ -1,7 +1,7 @@
 """The state of one session: requests in flight and answers that the device has not acknowledged.
 
 A session outlives its connections. Each request number gets exactly one answer, or none if the
-device cancels the request. An answer is kept until the device acknowledges it, and is sent again,
+device cancels the request. An answer is stored until the device acknowledges it, and is sent again,
 byte for byte, on the next connection.
 """
 
@@ -30,7 +30,7 @@
 
 @dataclass(eq=False, slots=True)
 class UnacknowledgedAnswer:
-    """An answer that is kept until the device acknowledges it."""
+    """An answer that is stored until the device acknowledges it."""
 
     answer: Answer
     effect: Effect
@@ -147,7 +147,7 @@
         """Removes and returns the acknowledged answers, in order of their sequence numbers.
 
         The device acknowledges all answers up to sequence number `upto`. The first answer that was
-        not sent on the current connection (`sent_at` is None) and all later ones are kept, whatever
+        not sent on the current connection (`sent_at` is None) and all later ones remain, whatever
         the device claims.
         """
         acknowledged = []
