--- a/lilacwalk/bgp/announcement_policy.py
+++ b/lilacwalk/bgp/announcement_policy.py
@@ -122,8 +122,8 @@
             and self.level is Level.NONE
             and status is not NodeStatus.GONE
         ):
-            # The node stopped being ready before it was announced, so `decide` counts no flap. One
-            # is counted here, as only a node that stays ready is stable.
+            # The node stopped being ready before it was announced, so `decide` counts no flap. A
+            # flap is counted here, as only a node that stays ready is stable.
             self.penalty.add(FLAP, now)
 
     def leave(self, now: int, listener_closes_by: int | None) -> None:
--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -83,7 +83,7 @@
             rng: For timer jitter.
             now: The time in tenths of a millisecond.
             restart_claims: Returns what the graceful restart capability may state: whether this
-                process has just started, and whether the node serves.
+                process has just started, and whether the node is announced.
         """
         self.config, self.peer, self.link_numbers, self.rng, self.restart_claims = (
             config,
@@ -130,7 +130,7 @@
         """Returns the capabilities to advertise.
 
         The capabilities are built for each OPEN, as its graceful restart capability must be true
-        when it is sent. A node that does not serve claims no preserved forwarding state; its peer
+        when it is sent. A node that is not announced claims no preserved forwarding state; its peer
         then drops the routes from before the restart at once (RFC 4724 section 4.2).
         """
         restart = None
