--- a/lilacwalk/bgp/peer.py
+++ b/lilacwalk/bgp/peer.py
@@ -1,8 +1,8 @@
 """State of one peer: its connections (two during a collision), Adj-RIB-In and Adj-RIB-Out.
 
-No I/O: methods take connection events and received messages; `take_actions` returns what the host
-must do. A connection is represented by a `Link` with a number assigned here; the host maps numbers
-to sockets. Times are in tenths of a millisecond.
+No I/O: methods take connection events and received messages; `take_actions` returns the actions
+that the I/O layer (`speaker_io`) must carry out. A connection is represented by a `Link` with a
+number assigned here; the I/O layer maps numbers to sockets. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 FAMILIES = (Afi.IPV4, Afi.IPV6)
 # Minimum time between two answers to refresh requests of a family. Routers request a refresh at
-# most once per session; this delays only a request that an operator repeats.
+# most once per session; the interval delays only a request that an operator repeats.
 MIN_REFRESH_INTERVAL = SECOND
 
 
 class ActionKind(Enum):
-    """What the host must do for an action."""
+    """What the I/O layer must do for an action."""
 
     CONNECT = auto()  # open a connection to the address in `value`
     SEND = auto()  # send the bytes in `value`, in order
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """An action for the host; `value` depends on the kind."""
+    """An action for the I/O layer; `value` depends on the kind."""
 
     kind: ActionKind
     link: int  # number of the link; 0 for LOG
@@ -83,7 +83,7 @@
             rng: For timer jitter.
             now: The time in tenths of a millisecond.
             restart_claims: Returns what the graceful restart capability may state: whether this
-                process has just started, and whether the node serves.
+                process has just started, and whether the node is announced.
         """
         self.config, self.peer, self.link_numbers, self.rng, self.restart_claims = (
             config,
@@ -104,7 +104,7 @@
         self.stale_until = 0  # time at which stale routes are dropped; 0 if there are none
         self.stale_families: tuple[Afi, ...] = ()
         self.last_end: SessionEnd | None = None
-        self.ups = self.downs = 0  # sessions established, and those that have ended since
+        self.ups = self.downs = 0  # numbers of established sessions, and of those that ended
         self.end_of_rib_received: set[int] = set()  # AFIs
         # By family: time of the last answer to a refresh request, and time of the next answer.
         self.refresh_sent_at: dict[Afi, int] = {}
@@ -129,9 +129,9 @@
     def _capabilities(self) -> Capabilities:
         """Returns the capabilities to advertise.
 
-        They are built for each OPEN, as its graceful restart capability must be true when it is
-        sent. A node that does not serve claims no preserved forwarding state; its peer then drops
-        the routes from before the restart at once (RFC 4724 section 4.2).
+        The capabilities are built for each OPEN, as its graceful restart capability must be true
+        when it is sent. A node that is not announced claims no preserved forwarding state; its peer
+        then drops the routes from before the restart at once (RFC 4724 section 4.2).
         """
         restart = None
         if (restart_config := self.config.graceful_restart) is not None:
@@ -209,11 +209,11 @@
     # Connection events
 
     def connected(self, number: int, now: int) -> None:
-        """Handles a connection that the host has opened."""
+        """Handles a connection that the I/O layer has opened."""
         if (link := self.find_link(number)) is not None:
             link.session.local_capabilities = self._capabilities()
             self._execute(link, now, link.session.event(Event.TCP_ACKED, now))
-        else:  # already given up by a collision or the connect retry timer
+        else:  # the link was closed by a collision or the connect retry timer
             self.actions.append(Action(ActionKind.CLOSE, number))
 
     def connection_lost(self, number: int, now: int, cause: str = "connection lost") -> None:
@@ -301,8 +301,8 @@
         """Resolves connection collisions, then passes the OPEN to the session (RFC 4271 section
         6.8).
 
-        The connection opened by the side with the higher BGP identifier is kept; with equal
-        identifiers the AS number decides (RFC 6286 section 2.3). An established session is kept,
+        The connection opened by the side with the higher BGP identifier remains; with equal
+        identifiers the AS number decides (RFC 6286 section 2.3). An established session remains,
         unless the peer has advertised graceful restart: then the new connection shows that the peer
         has restarted (RFC 4724 section 5).
         """
@@ -343,7 +343,7 @@
     # Actions of a session
 
     def _execute(self, link: Link, now: int, actions: list[tuple[SessionAction, object]]) -> None:
-        """Carries out the actions of a session; those with I/O become actions for the host."""
+        """Carries out the actions of a session; those with I/O become actions for `speaker_io`."""
         for action, value in actions:
             if action is SessionAction.CONNECT:
                 link.number, link.inbound = next(self.link_numbers), False
@@ -429,9 +429,11 @@
         """Retains the peer's routes as stale, or drops them (RFC 4724 section 4.2, RFC 8538 section
         4).
 
-        They are retained if the peer advertised graceful restart and the connection broke, or the
-        session ended for a reason that both sides treat as a restart. The retention time is the
-        peer's restart time, at most the configured `stale`.
+        The routes of the families in the peer's graceful restart capability are retained if
+        graceful restart is configured, the peer advertised a restart time above 0, and the
+        connection broke or the session ended for a reason that both sides treat as a restart. After
+        `stop` nothing is retained. The retention time is the peer's restart time, at most the
+        configured `stale`.
         """
         restart_config = self.config.graceful_restart
         peer_restart = (
@@ -468,7 +470,7 @@
         self.stale_until = now + min(peer_restart.time * SECOND, restart_config.stale)
 
     def _drop_stale(self, families: Iterable[Afi], cause: str) -> None:
-        """Drops the stale routes of the families; these are all routes if there is no session."""
+        """Drops the stale routes of the families; without a session, all their routes are stale."""
         dropped = 0
         for afi in tuple(families):
             drop = (
@@ -538,7 +540,7 @@
     def _send_due_refreshes(self, link: Link, now: int) -> None:
         """Sends all routes of each family whose refresh is due.
 
-        They are sent between refresh markers if both sides support RFC 7313.
+        The routes are sent between refresh markers if both sides support RFC 7313.
         """
         enhanced = link.session.negotiated.enhanced_refresh
         for afi in [afi for afi, due in self.refresh_due.items() if due <= now]:
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -140,20 +140,31 @@
         MessageError: The data is not a valid message.
     """
     if len(data) < 4 or data[0] >> 6 != VERSION:
-        raise MessageError("expected a message of CoAP version 1")
+        raise MessageError(
+            f"message of {len(data)} bytes with header {data[:4].hex()}, expected at least 4 bytes "
+            f"and CoAP version {VERSION}"
+        )
     type_, token_length, code_value = Type(data[0] >> 4 & 3), data[0] & 15, data[1]
     mid = int.from_bytes(data[2:4], "big")
     # An invalid ACK or RST is ignored (RFC 7252 section 4.2).
     reject_mid = mid if type_ in (Type.CON, Type.NON) else None
     if token_length > MAX_TOKEN_BYTES or len(data) < 4 + token_length:
         raise MessageError(
-            f"token of {token_length} bytes is truncated or above {MAX_TOKEN_BYTES} bytes",
+            f"token of {token_length} bytes with {len(data) - 4} bytes left, expected at most "
+            f"{MAX_TOKEN_BYTES} bytes and no truncation",
             reject_mid,
         )
     if code_value == EMPTY and (len(data) > 4 or token_length):
-        raise MessageError("empty message with a token, options or payload", reject_mid)
+        raise MessageError(
+            f"empty message of {len(data)} bytes with a token of {token_length} bytes, expected 4 "
+            "bytes and no token",
+            reject_mid,
+        )
     if 32 <= code_value < 64 or 192 <= code_value < 224 or code_value >> 5 in (1, 6):
-        raise MessageError(f"code of the reserved class {code_value >> 5}", reject_mid)
+        raise MessageError(
+            f"code {code_value >> 5}.{code_value & 31:02d}, expected a class other than 1 and 6",
+            reject_mid,
+        )
     token, offset, number, options = data[4 : 4 + token_length], 4 + token_length, 0, []
     while offset < len(data) and data[offset] != 0xFF:
         delta, length = data[offset] >> 4, data[offset] & 15
@@ -163,14 +174,15 @@
         number += delta
         if offset + length > len(data) or len(options) == MAX_OPTIONS:
             raise MessageError(
-                f"option {number} is truncated, or there are more than {MAX_OPTIONS} options",
+                f"option {number} of {length} bytes at byte {offset} of {len(data)} is truncated, "
+                f"or there are more than {MAX_OPTIONS} options",
                 reject_mid,
             )
         options.append((number, data[offset : offset + length]))
         offset += length
     payload = data[offset + 1 :]
     if offset < len(data) and not payload:
-        raise MessageError("payload marker without payload", reject_mid)
+        raise MessageError(f"payload marker at byte {offset} without payload", reject_mid)
     return Message(type_, code_value, mid, token, tuple(options), payload)
 
 
@@ -187,7 +199,9 @@
     extension_length = value - 12
     if value == 15 or offset + extension_length > len(data):
         raise MessageError(
-            f"option header has the reserved value 15 or is truncated at byte {offset}", reject_mid
+            f"option header with value {value} at byte {offset} of {len(data)}: value 15 is "
+            "reserved, or the extension is truncated",
+            reject_mid,
         )
     return int.from_bytes(data[offset : offset + extension_length], "big") + (
         13 if extension_length == 1 else 269
