--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -296,8 +296,8 @@
 def run_under_load(name: str, seconds: float) -> None:
     """Runs one case of `measure_under_load` in this process and prints its figures."""
     sys.setswitchinterval(SWITCH_INTERVAL)
-    executor = StandInExecutor(cores=4, work=lambda class_name, body: 0.002)
-    router = BgpRouter(RouterBehaviour(sends=[]))
+    executor = StandInExecutor(cores=4, run_time=lambda class_name, body: 0.002)
+    router = BgpRouter(RouterBehaviour(initial_messages=[]))
     event_loop, components = build(make_process_config(executor.address), EventQueue())
     iteration_starts: list[float] = []
     take_items = event_loop.take_items
@@ -322,7 +322,7 @@
     for component in components:
         component.start()
     if name != "off":
-        router.wait_held("192.0.2.10/32")
+        router.wait_for_routes("192.0.2.10/32")
     updates = generate_updates(100_000) if "100,000" in name else []
     proxy_clients = [ProxyClient(event_loop.listener.address) for _ in range(8)]
     first_iteration, until, requests_sent, updates_sent = (
@@ -334,7 +334,7 @@
     started_at = time.monotonic()
     while (now := time.monotonic()) < until:
         while requests_sent < (now - started_at) * 300:
-            proxy_clients[requests_sent % 8].ask("look")
+            proxy_clients[requests_sent % 8].send_request("look")
             requests_sent += 1
         updates_due = int(min(1.0, (now - started_at) / seconds) * len(updates))
         if updates_due > updates_sent:
--- a/benchmarks/bgp_restarts.py
+++ b/benchmarks/bgp_restarts.py
@@ -81,7 +81,9 @@
         """Counts a violation if the router has received an announcement since there were
         `announcements`, or holds a route."""
         speaker.query(lambda state: None)
-        self.violations += self.router.count("announced") != announcements or bool(self.router.held)
+        self.violations += self.router.count("announced") != announcements or bool(
+            self.router.routes
+        )
 
     def run_process(self) -> None:
         """Starts a speaker, reports random statuses to it, and ends it."""
@@ -100,16 +102,16 @@
         self.check_not_announced(speaker, announcements)
         for _ in range(rng.randrange(0, 3)):
             started_at = self.set_status(speaker, NodeStatus.READY)
-            router.wait(lambda: router.held, "an announcement")
+            router.wait(lambda: router.routes, "an announcement")
             self.announce_delays.append(time.monotonic() - started_at)
             if rng.random() < 0.2:
                 router.drop()  # a lost session: the router removes its routes
                 router.wait(
                     lambda sessions=router.count("up"): router.count("up") > sessions, "a session"
                 )
-                router.wait(lambda: router.held, "an announcement")
+                router.wait(lambda: router.routes, "an announcement")
             started_at = self.set_status(speaker, rng.choice(NOT_READY))
-            router.wait(lambda: not router.held, "a withdrawal")
+            router.wait(lambda: not router.routes, "a withdrawal")
             self.withdraw_delays.append(time.monotonic() - started_at)
             self.check_not_announced(speaker, router.count("announced"))
         self.end(speaker)
@@ -119,7 +121,7 @@
         router, rng = self.router, self.rng
         if rng.random() < 0.5:
             self.set_status(speaker, NodeStatus.READY)
-            router.wait(lambda: router.held, "an announcement")
+            router.wait(lambda: router.routes, "an announcement")
         draw = rng.random()
         if draw < 0.25:  # a crash: the router detects it only by the end of the connection
             self.crashes += 1
@@ -127,11 +129,11 @@
             speaker.ended.wait(10.0)
         elif draw < 0.6:
             self.drains += 1
-            was_announced, closes_before = bool(router.held), len(self.listener_close_times)
+            was_announced, closes_before = bool(router.routes), len(self.listener_close_times)
             started_at, self.state = time.monotonic(), "leaving"
             self.status_changes += 1
             speaker.leave(3_000)
-            router.wait(lambda: not router.held, "a withdrawal")
+            router.wait(lambda: not router.routes, "a withdrawal")
             withdrawn_at = time.monotonic()
             if was_announced:
                 self.drain_delays.append(withdrawn_at - started_at)
@@ -149,7 +151,7 @@
         else:
             speaker.end()
         self.state = "cold"
-        router.wait(lambda: not router.held, "an end")
+        router.wait(lambda: not router.routes, "an end")
 
     @staticmethod
     def _crash() -> None:
--- a/benchmarks/cold_budget.py
+++ b/benchmarks/cold_budget.py
@@ -33,9 +33,9 @@
             each = fleet.add(f"n{number}")
             each.dependency, each.call_share = dependency, share
             each.executor = StandInExecutor(
-                2, lambda class_name, body: 0.004, calls=("look",), cold=True
+                2, lambda class_name, body: 0.004, calling_classes=("look",), booting=True
             )
-        fleet.write = lambda each: each.file.write_text("")  # type: ignore[method-assign]
+        fleet.write_operator_file = lambda each: each.operator_file_path.write_text("")  # type: ignore[method-assign]
         fleet.start(*fleet.processes, wait=False)
         fleet.wait(
             lambda: all("event=executor_up" in fleet.log(name) for name in fleet.processes),
@@ -58,7 +58,7 @@
             share * size,
             max(dependency.mean_concurrency(WINDOW, 0.05)),
             dependency.max_in_flight,
-            dependency.calls_made,
+            dependency.call_count,
         )
     finally:
         fleet.end()
@@ -83,7 +83,7 @@
     end_at = due_at + LOAD_TIME
     while (due_at := due_at + rng.expovariate(rate)) < end_at:
         time.sleep(max(0.0, due_at - time.monotonic()))
-        proxy_client.ask("look", wait_ms=1500)
+        proxy_client.send_request("look", wait_ms=1500)
     proxy_client.end()
 
 
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -383,7 +383,7 @@
     while (now := time.monotonic()) < end_at:
         while rows[sent_count % count][4] <= now:
             row = rows[sent_count % count]
-            row[3][row[0].ask("look", b"x")] = now
+            row[3][row[0].send_request("look", b"x")] = now
             row[1].sendall(row[0].taken())
             row[4] = now + 1.0
             sent_count += 1
@@ -456,7 +456,7 @@
     )
     executor = StandInExecutor(
         2,
-        work=lambda class_name, body: EXECUTION_TIMES[class_name],
+        run_time=lambda class_name, body: EXECUTION_TIMES[class_name],
         result=lambda class_name, body: body[:64],
     )
     event_queue = EventQueue()
@@ -521,8 +521,8 @@
                 "late": late,
                 "sizes": memory_samples,
                 "counts": counts,
-                "twice": sum(executions > 1 for executions in executor.ran.values()),
-                "ran": executor.finished,
+                "twice": sum(executions > 1 for executions in executor.run_counts.values()),
+                "ran": executor.finished_runs,
                 "unanswered": len(deadlines) if devices else 0,
                 "seconds": rate,
             }
@@ -583,8 +583,8 @@
         json.dumps(
             {
                 "words": counts,
-                "stalls": proxy.stalls,
-                "resets": proxy.resets,
+                "stalls": proxy.stalled_chunks,
+                "resets": proxy.reset_count,
                 "doubled": duplicate_answers,
             }
         )
@@ -599,7 +599,7 @@
     while (now := time.monotonic()) < started_at + seconds:
         if len(sent) < (now - started_at) * rate:
             proxy_client = min(
-                rng.sample(proxy_clients, 2), key=lambda each: len(each.asked) - len(each.answers)
+                rng.sample(proxy_clients, 2), key=lambda each: len(each.sent_at) - len(each.answers)
             )
             class_name = rng.choice(CLASS_MIX)
             fields = {"k": f"r{len(sent)}"} if class_name == "swap" else {}
@@ -607,7 +607,7 @@
                 (
                     class_name,
                     proxy_client,
-                    proxy_client.ask(
+                    proxy_client.send_request(
                         class_name, b"x", 4_000 if class_name != "look" else 2_000, **fields
                     ),
                 )
--- a/benchmarks/fleet_server.py
+++ b/benchmarks/fleet_server.py
@@ -47,10 +47,10 @@
     for _ in range(count):
         due_at += 1 / rate
         time.sleep(max(0.0, due_at - time.monotonic()))
-        tags.append(proxy_client.ask("look"))
+        tags.append(proxy_client.send_request("look"))
     for tag in tags:
         answered_at, _, _ = proxy_client.answer(tag)
-        response_times.append((answered_at - proxy_client.asked[tag]) * 1000)
+        response_times.append((answered_at - proxy_client.sent_at[tag]) * 1000)
     megabytes, cpu_after = process_usage(pid)
     proxy_client.end()
     return (
@@ -71,8 +71,8 @@
                 for number in range(members):
                     fleet.add(f"n{number}", seeds=["n0"])
                 if members == 1:
-                    fleet.write = (  # type: ignore[method-assign]
-                        lambda each: each.file.write_text("")
+                    fleet.write_operator_file = (  # type: ignore[method-assign]
+                        lambda each: each.operator_file_path.write_text("")
                     )
                     fleet.start("n0", wait=False)
                     log = fleet.processes["n0"].directory / "log"
@@ -104,30 +104,30 @@
         ("withdraw-share 0.34, fleet partitioned", "0.34", True),
     ):
         for seed in (1, 2, 3):
-            outage = Outage(plan=False, seed=seed, load=0.05)
-            write = outage.rig.write
+            outage = Outage(has_plan=False, seed=seed, load=0.05)
+            write = outage.process_fleet.write_operator_file
 
             def write_with_share(process, write=write, withdraw_share=withdraw_share) -> None:
                 write(process)
-                text = process.file.read_text()
-                process.file.write_text(
+                text = process.operator_file_path.read_text()
+                process.operator_file_path.write_text(
                     text.replace("fleet {", f"fleet {{\n    withdraw-share {withdraw_share}", 1)
                 )
 
-            outage.rig.write = write_with_share  # type: ignore[method-assign]
+            outage.process_fleet.write_operator_file = write_with_share  # type: ignore[method-assign]
             try:
                 outage.start()
-                names = list(outage.rig.processes)
+                names = list(outage.process_fleet.processes)
                 if partitioned:
-                    outage.rig.cut(names[:6], names[6:])
+                    outage.process_fleet.cut(names[:6], names[6:])
                     time.sleep(5.0)
                 failed = names[:4] + names[6:10]
                 for name in failed:
-                    outage.rig.processes[name].executor.end()
+                    outage.process_fleet.processes[name].executor.end()
                 max_withdrawn, end_at = 0, time.monotonic() + 8.0
                 while time.monotonic() < end_at:
                     max_withdrawn = max(
-                        max_withdrawn, sum(not router.held for router in outage.routers.values())
+                        max_withdrawn, sum(not router.routes for router in outage.routers.values())
                     )
                     time.sleep(0.02)
                 rows.append((label, seed, len(failed), max_withdrawn))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -340,7 +340,7 @@
 
 def are_declared_dead(fleet, names: list[str]) -> bool:
     """Whether all running members list these members as dead."""
-    for view in fleet.all_shown().values():
+    for view in fleet.all_views().values():
         if view is None:
             return False
         healths = {row["name"]: row["health"] for row in view["members"]}
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -26,16 +26,16 @@
 
 def measure_iterations(name: str, seed: int, members: int) -> list[float]:
     """The times of the iterations in microseconds; without `members`, the server is in no fleet."""
-    fleet = ProcessFleet(seed, 1_000, "serve", store=False)
+    fleet = ProcessFleet(seed, 1_000, "serve", has_store=False)
     try:
         for number in range(max(1, members)):
             fleet.add(f"n{number}", seeds=["n0"])
         server = fleet.processes["n0"]
         server.iteration_times_path = server.directory / "passes"
-        server.extra = OPERATOR_LINES[name].format(directory=server.directory)
+        server.extra_statements = OPERATOR_LINES[name].format(directory=server.directory)
         if not members:
-            fleet.write = (  # type: ignore[method-assign]
-                lambda each: each.file.write_text(each.extra)
+            fleet.write_operator_file = (  # type: ignore[method-assign]
+                lambda each: each.operator_file_path.write_text(each.extra_statements)
             )
         fleet.start(*fleet.processes, wait=bool(members))
         fleet.wait(
@@ -51,7 +51,7 @@
             due_at += 1 / RATE
             time.sleep(max(0.0, due_at - time.monotonic()))
             class_name, fields = ("swap", {"k": f"k{number}"}) if number % 2 else ("look", {})
-            tags.append(proxy_client.ask(class_name, b"%d" % number, **fields))
+            tags.append(proxy_client.send_request(class_name, b"%d" % number, **fields))
         for tag in tags:
             proxy_client.answer(tag)
         proxy_client.end()
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -63,7 +63,7 @@
 
 def measure_restart(directory: Path) -> list[float]:
     """The seconds until each process is ready, after all were killed and started again."""
-    executors = [StandInExecutor(2, cold=True) for _ in range(PROCESSES)]
+    executors = [StandInExecutor(2, booting=True) for _ in range(PROCESSES)]
     addresses, configs = find_free_addresses(PROCESSES), []
     for number, (executor, (host, port)) in enumerate(zip(executors, addresses, strict=True)):
         configs.append(directory / f"{number}.json")
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -30,29 +30,30 @@
 
 def run(load: float, form: str, seed: int) -> dict:
     outage = Outage(
-        plan=form != "no plan",
+        has_plan=form != "no plan",
         load=load,
         seed=seed,
-        guests=form != "failover traffic not distinguished",
-        guest_worth=0.2 if "worth" in form else 1.0,
+        separates_failover_traffic=form != "failover traffic not distinguished",
+        failover_benefit=0.2 if "worth" in form else 1.0,
     )
     if form in ("proportional", "at-once"):
-        outage.rig.program = ("benchmarks.site_forms", form, "--")
+        outage.process_fleet.program = ("benchmarks.site_forms", form, "--")
     try:
         outage.start()
         wait_until(outage, LOST_AT)
-        outage.lose("recife")
+        outage.power_off("recife")
         wait_until(outage, BACK_AT)
         outage.bring_back("recife")
         wait_until(outage, END)
         all_sites, lost_site, other_sites = (
-            outage.shares(sites) for sites in (SITES, SITES[:1], SITES[1:])
+            outage.benefit_ratios(sites) for sites in (SITES, SITES[:1], SITES[1:])
         )
-        rows = outage.rows(LOST_AT + 3, BACK_AT)
+        rows = outage.counts_between(LOST_AT + 3, BACK_AT)
         offered = sum(sum(row.offered.values()) for row in rows)
-        failed = sum(sum(row.other.values()) for row in rows)
+        failed = sum(sum(row.failed.values()) for row in rows)
         denied = {
-            class_name: outage.denied(LOST_AT + 3, BACK_AT, class_name) for class_name in BENEFIT
+            class_name: outage.denied_ratio(LOST_AT + 3, BACK_AT, class_name)
+            for class_name in BENEFIT
         }
         return {
             "all sites": all_sites,
--- a/benchmarks/storage_lives.py
+++ b/benchmarks/storage_lives.py
@@ -44,9 +44,9 @@
         seconds_per_kill = (time.monotonic() - began) / kills
         soak.start()
         for key in unfinished:
-            counts["finished after the last start"] += soak.ask("swap", key)[0] != "later"
+            counts["finished after the last start"] += soak.send_and_wait("swap", key)[0] != "later"
         for key in soak.rng.sample(completed, min(SENT_AGAIN, len(completed))):
-            counts[f"completed before, sent again: {soak.ask('swap', key)[0]}"] += 1
+            counts[f"completed before, sent again: {soak.send_and_wait('swap', key)[0]}"] += 1
         counts["effects"] = sum(soak.effects.values())
         return counts, soak.count_duplicates_within(DEDUPLICATION_WINDOW), seconds_per_kill
     finally:
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -47,11 +47,11 @@
 
 def run_silent(task: tuple[str, str, int]) -> tuple:
     defence, behaviour, seed = task
-    rig = ProcessFleet(seed, 500, "serve", store=False)
+    rig = ProcessFleet(seed, 500, "serve", has_store=False)
     try:
         server = rig.add("n0")
         statement = DEFENCES[defence]
-        server.extra = "" if statement is None else f"storms {{\n    {statement}\n}}\n"
+        server.extra_statements = "" if statement is None else f"storms {{\n    {statement}\n}}\n"
         server.cpus = CORES
         cold_until = [0.0]
         executions = [0]
@@ -133,17 +133,21 @@
 def run_third(task: tuple[str, bool, int]) -> tuple:
     """Runs with a defence; without `has_view`, the app servers have no `fleet` block."""
     defence, has_view, seed = task
-    rig = ProcessFleet(seed, 200, "serve", store=False)
+    rig = ProcessFleet(seed, 200, "serve", has_store=False)
     names = [f"n{at}" for at in range(12)]
     try:
         for name in names:
             server = rig.add(name, seeds=names[:2])
             statement = DEFENCES[defence]
-            server.extra = "" if statement is None else f"storms {{\n    {statement}\n}}\n"
+            server.extra_statements = (
+                "" if statement is None else f"storms {{\n    {statement}\n}}\n"
+            )
             server.cpus, server.max_retry_after_ms = 1, 5000.0
             server.executor = StandInExecutor(1, lambda class_name, body: EXECUTION_TIME)
         if not has_view:
-            rig.write = lambda each: each.file.write_text(each.extra)  # type: ignore[method-assign]
+            rig.write_operator_file = lambda each: each.operator_file_path.write_text(
+                each.extra_statements
+            )  # type: ignore[method-assign]
         rig.start(*names, wait=has_view)
         for name in names:
             rig.wait(
--- a/lilacwalk/testing/__init__.py
+++ b/lilacwalk/testing/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for the other side of each protocol: for tests, fault-injection scenarios and benchmarks."""
+"""Stand-ins for the peers of an app server, and fleets of real processes.
+
+Tests, fault-injection scenarios and benchmarks use them.
+"""
--- a/lilacwalk/testing/accept_loop.py
+++ b/lilacwalk/testing/accept_loop.py
@@ -1,4 +1,4 @@
-"""Accepts connections for a stand-in server and serves each in its own thread."""
+"""The accept loop of stand-in servers, with one thread per connection."""
 
 from __future__ import annotations
 
@@ -7,10 +7,13 @@
 from collections.abc import Callable
 
 
-def serve_each(
+def serve_connections(
     listener: socket.socket, is_ended: Callable[[], bool], serve: Callable[[socket.socket], None]
 ) -> None:
-    """Accepts until `is_ended` is true or the listener is closed."""
+    """Calls `serve` with each accepted connection, in a daemon thread of its own.
+
+    Returns when the listener is closed, or when `is_ended` returns true before the next accept.
+    """
     while not is_ended():
         try:
             sock, _ = listener.accept()
--- a/lilacwalk/testing/datagram_switch.py
+++ b/lilacwalk/testing/datagram_switch.py
@@ -1,6 +1,9 @@
-"""A switch for datagrams between fleet members, with faults. Each member advertises its port on the switch.
-The switch forwards a datagram from that port to the address where the member listens, or loses, delays or
-duplicates it, as the current faults require. The source address identifies the sender."""
+"""A switch for datagrams between fleet members, with fault injection.
+
+Each member advertises the address of its port on the switch. The switch forwards a datagram that
+arrives at this port to the address at which the member listens, or loses, delays or duplicates the
+datagram according to the current faults. The source address of a datagram identifies its sender.
+"""
 
 from __future__ import annotations
 
@@ -21,31 +24,34 @@
 class Faults:
     """Faults of one direction between two members, or of all datagrams to and from one member.
 
-    `delay` and `jitter` are in seconds, `loss` and `double` are probabilities per datagram.
+    `cut` loses all datagrams. `loss` and `duplication` are probabilities per datagram, `delay` and
+    `jitter` are in seconds; the actual delay is between `delay` and `delay + jitter`.
     """
 
     cut: bool = False
     loss: float = 0.0
     delay: float = 0.0
     jitter: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class Port:
-    name: str
-    near: socket.socket  # receives the datagrams of the other members
+    """A member's port on the switch."""
+
+    name: str  # the member's name
+    sock: socket.socket  # receives the datagrams that the other members send to this one
     listen_address: tuple[str, int]  # the address at which the member itself listens
-    sent: int = 0
+    sent_datagrams: int = 0  # sent by the member to other members
     sent_bytes: int = 0
-    faults: Faults = field(default_factory=Faults)  # faults of all datagrams from and to the member
+    faults: Faults = field(default_factory=Faults)  # of all datagrams from and to the member
 
 
-class Stream:
+class TcpForwarder:
     """Forwards one member's TCP connections to one peer, such as a BGP router.
 
-    While the link is cut, connections stay open and no data passes, as when a real link breaks. Data in
-    transit is delivered after the cut.
+    While the link is cut, connections stay open and no data passes, as when a real link breaks.
+    Data in transit is delivered once the link is restored.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -59,6 +65,7 @@
         threading.Thread(target=self._accept, name="switch-stream", daemon=True).start()
 
     def cut(self, cut: bool = True) -> None:
+        """Cuts the link, or restores it if `cut` is false."""
         if cut:
             self.connected.clear()
         else:
@@ -77,27 +84,27 @@
     def _accept(self) -> None:
         while not self.ended:
             try:
-                near, _ = self.listener.accept()
-                self.connected.wait()  # a connection begun during a cut opens after it
-                far = socket.create_connection(self.target, 2.0)
+                sock, _ = self.listener.accept()
+                self.connected.wait()  # the peer sees a connection only once the link is up
+                target_sock = socket.create_connection(self.target, 2.0)
             except OSError:
                 if self.ended:
                     return
                 continue
-            far.settimeout(None)
-            self.socks += [near, far]
-            for one, other in ((near, far), (far, near)):
-                threading.Thread(target=self._copy, args=(one, other), daemon=True).start()
+            target_sock.settimeout(None)
+            self.socks += [sock, target_sock]
+            for source, destination in ((sock, target_sock), (target_sock, sock)):
+                threading.Thread(target=self._copy, args=(source, destination), daemon=True).start()
 
-    def _copy(self, one: socket.socket, other: socket.socket) -> None:
+    def _copy(self, source: socket.socket, destination: socket.socket) -> None:
         try:
-            while data := one.recv(READ_BYTES):
+            while data := source.recv(READ_BYTES):
                 self.connected.wait()
-                other.sendall(data)
+                destination.sendall(data)
         except OSError:
             pass
-        self.connected.wait()  # a close is delivered only after the cut, like data
-        for sock in (one, other):
+        self.connected.wait()  # like data, a close is delivered only while the link is up
+        for sock in (source, destination):
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
@@ -112,33 +119,38 @@
         self.link_faults: dict[tuple[str, str], Faults] = {}
         self.selector = selectors.DefaultSelector()
         self.lock = threading.Lock()
-        self.due: list[tuple] = []
-        self.order = count()
+        # heap of (delivery time, sequence number, destination port, datagram)
+        self.delayed: list[tuple] = []
+        self.sequence_numbers = count()  # keep the heap order of equal delivery times
         self.counts: Counter[str] = Counter()
-        self.wake_in, self.wake_out = socket.socketpair()
-        self.selector.register(self.wake_out, selectors.EVENT_READ, None)
+        self.wake_sender, self.wake_receiver = socket.socketpair()
+        self.selector.register(self.wake_receiver, selectors.EVENT_READ, None)
         self.ended = False
         threading.Thread(target=self._run, name="switch", daemon=True).start()
 
     def add(self, name: str, listen_address: tuple[str, int]) -> tuple[str, int]:
-        """Adds a member; returns the address at which the others reach it."""
-        near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_194_304)
-        near.bind(("127.0.0.1", 0))
-        near.setblocking(False)
-        port = Port(name, near, listen_address)
+        """Adds a member; returns the address of its port, which the member advertises.
+
+        `listen_address` is the address at which the member listens and from which it sends.
+        """
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_194_304)
+        sock.bind(("127.0.0.1", 0))
+        sock.setblocking(False)
+        port = Port(name, sock, listen_address)
         with self.lock:
             self.ports[name], self.by_listen_address[listen_address] = port, port
-        self.selector.register(near, selectors.EVENT_READ, port)
-        self.wake_in.send(b".")
-        return near.getsockname()
+        self.selector.register(sock, selectors.EVENT_READ, port)
+        self.wake_sender.send(b".")
+        return sock.getsockname()
 
-    def faults(self, one: str, other: str) -> Faults:
-        """The faults of datagrams from `one` to `other`."""
+    def faults(self, sender: str, receiver: str) -> Faults:
+        """The faults of datagrams from `sender` to `receiver`; the caller may change them."""
         with self.lock:
-            return self.link_faults.setdefault((one, other), Faults())
+            return self.link_faults.setdefault((sender, receiver), Faults())
 
     def heal(self) -> None:
+        """Removes all faults."""
         with self.lock:
             self.link_faults.clear()
             for port in self.ports.values():
@@ -146,58 +158,67 @@
 
     def end(self) -> None:
         self.ended = True
-        self.wake_in.send(b".")
+        self.wake_sender.send(b".")
 
     def _run(self) -> None:
         while not self.ended:
-            wait = max(0.0, self.due[0][0] - time.monotonic()) if self.due else None
+            wait = max(0.0, self.delayed[0][0] - time.monotonic()) if self.delayed else None
             for key, _ in self.selector.select(wait):
                 if key.data is None:
-                    self.wake_out.recv(64)
+                    self.wake_receiver.recv(64)
                 else:
                     self._read(key.data)
             now = time.monotonic()
-            while self.due and self.due[0][0] <= now:
-                _, _, port, data = heapq.heappop(self.due)
+            while self.delayed and self.delayed[0][0] <= now:
+                _, _, port, data = heapq.heappop(self.delayed)
                 self._deliver(port, data)
         for port in self.ports.values():
-            port.near.close()
-        for each in (self.wake_in, self.wake_out, self.selector):
-            each.close()
+            port.sock.close()
+        for resource in (self.wake_sender, self.wake_receiver, self.selector):
+            resource.close()
 
     def _read(self, port: Port) -> None:
         for _ in range(64):
             try:
-                data, source = port.near.recvfrom(READ_BYTES)
+                data, source = port.sock.recvfrom(READ_BYTES)
             except OSError:
                 return
             sender = self.by_listen_address.get(source)
             if sender is None:
-                self.counts["stranger"] += 1  # not a member: sent by a test, forwarded unchanged
+                self.counts["stranger"] += 1  # not a member: a test sent it, and no fault applies
                 self._deliver(port, data)
                 continue
-            sender.sent += 1
+            sender.sent_datagrams += 1
             sender.sent_bytes += len(data)
             self._forward(sender, port, data)
 
     def _forward(self, sender: Port, port: Port, data: bytes) -> None:
         rng, link_faults = self.rng, self.link_faults.get((sender.name, port.name))
-        each = [sender.faults, port.faults, *([link_faults] if link_faults is not None else [])]
-        lost = any(rng.random() < faults.loss for faults in each if faults.loss)
-        if lost or any(faults.cut for faults in each):
+        all_faults = [
+            sender.faults,
+            port.faults,
+            *([link_faults] if link_faults is not None else []),
+        ]
+        lost = any(rng.random() < faults.loss for faults in all_faults if faults.loss)
+        if lost or any(faults.cut for faults in all_faults):
             self.counts["lost"] += 1
             return
-        copies = 1 + any(rng.random() < faults.double for faults in each if faults.double)
+        copies = 1 + any(
+            rng.random() < faults.duplication for faults in all_faults if faults.duplication
+        )
         for _ in range(copies):
-            delay = sum(faults.delay + rng.uniform(0, faults.jitter) for faults in each)
+            delay = sum(faults.delay + rng.uniform(0, faults.jitter) for faults in all_faults)
             if delay:
-                heapq.heappush(self.due, (time.monotonic() + delay, next(self.order), port, data))
+                heapq.heappush(
+                    self.delayed,
+                    (time.monotonic() + delay, next(self.sequence_numbers), port, data),
+                )
             else:
                 self._deliver(port, data)
 
     def _deliver(self, port: Port, data: bytes) -> None:
         self.counts["carried"] += 1
         try:
-            port.near.sendto(data, port.listen_address)
+            port.sock.sendto(data, port.listen_address)
         except OSError:
             self.counts["undelivered"] += 1
--- a/lilacwalk/testing/disk.py
+++ b/lilacwalk/testing/disk.py
@@ -1,5 +1,7 @@
-"""A disk in memory with faults: a crash may lose, tear or corrupt the data that was not synced, and
-operations fail with a given error."""
+"""An in-memory disk with fault injection.
+
+A crash may lose, truncate or corrupt data that was not synced. Operations fail with given errors.
+"""
 
 from __future__ import annotations
 
@@ -16,43 +18,46 @@
 class FaultyDisk:
     """An in-memory disk with fault injection.
 
-    The machine crashes in operation number `crash_at`, counted from 1; 0 means never. The seed determines how
-    much of that operation is done. After the crash, a file holds all its synced data and a prefix of any length
-    of its unsynced data, in which one bit may be flipped. Zero bytes may follow, and a file whose name was not
-    synced may be missing.
+    The machine crashes in operation number `crash_at`, counted from 1; 0 means never. The seed
+    determines how much of that operation is done before the crash. After the crash, a file contains
+    all its synced data and a prefix of any length of its unsynced data, in which one bit may be
+    flipped. Zero bytes may follow, and a file whose name was not synced may be missing.
     """
 
     def __init__(self, seed: int = 0, crash_at: int = 0) -> None:
-        self.rng, self.crash_at, self.steps = random.Random(seed), crash_at, 0
+        self.rng, self.crash_at, self.operation_count = random.Random(seed), crash_at, 0
         self.files: dict[str, bytearray] = {}
-        self.synced: dict[str, int] = {}
+        self.synced_sizes: dict[str, int] = {}  # bytes of each file that survive a crash
         self.synced_names: dict[str, bool] = {}  # whether the file's name survives a crash
-        self.fails: dict[str, int] = {}  # errno by operation: that operation fails
+        self.errno_by_operation: dict[str, int] = {}  # these operations fail
         self.capacity = 1 << 40  # bytes
 
-    def _step(self, operation: str) -> bool:
-        """Counts the operation; returns whether the machine crashes in it."""
-        self.steps += 1
-        if operation in self.fails:
-            raise OSError(self.fails[operation], f"injected failure of {operation}")
-        return self.steps == self.crash_at
+    def _begin_operation(self, operation: str) -> bool:
+        """Counts the operation; returns whether the machine crashes during the operation.
+
+        Raises OSError if the operation is in `errno_by_operation`.
+        """
+        self.operation_count += 1
+        if operation in self.errno_by_operation:
+            raise OSError(self.errno_by_operation[operation], f"injected failure of {operation}")
+        return self.operation_count == self.crash_at
 
     def crash(self) -> FaultyDisk:
-        """The disk after a restart of the machine: without faults, and with the data that survived."""
+        """Returns the disk after a restart: without faults, and with the data that survived."""
         after = FaultyDisk(self.rng.getrandbits(32))
         for name, data in self.files.items():
             if not self.synced_names.get(name) and self.rng.random() < 0.5:
                 continue
-            synced_size = self.synced.get(name, 0)
+            synced_size = self.synced_sizes.get(name, 0)
             survived = self.rng.randint(synced_size, len(data))
             data_after = bytearray(data[:survived])
             if survived > synced_size and self.rng.random() < 0.3:
-                at = self.rng.randrange(synced_size, survived)
-                data_after[at] ^= 1 << self.rng.randrange(8)
+                index = self.rng.randrange(synced_size, survived)
+                data_after[index] ^= 1 << self.rng.randrange(8)
             if self.rng.random() < 0.2:
                 # space that was allocated but not written
                 data_after += bytes(self.rng.randrange(64))
-            after.files[name], after.synced[name], after.synced_names[name] = (
+            after.files[name], after.synced_sizes[name], after.synced_names[name] = (
                 data_after,
                 len(data_after),
                 True,
@@ -67,7 +72,7 @@
             raise OSError(errno.ENOENT, f"no such file: {name}")
         return bytes(self.files[name])
 
-    def _grow(self, name: str, data: bytes, crashes: bool) -> None:
+    def _extend(self, name: str, data: bytes, crashes: bool) -> None:
         if sum(map(len, self.files.values())) + len(data) > self.capacity:
             self.files[name] += data[: len(data) // 2]
             raise OSError(errno.ENOSPC, f"no space left for {len(data)} bytes in {name}")
@@ -76,46 +81,49 @@
             raise CrashError
 
     def create(self, name: str, data: bytes) -> None:
-        crashes = self._step("create")
-        self.files[name], self.synced[name], self.synced_names[name] = bytearray(), 0, False
-        self._grow(name, data, crashes)
+        crashes = self._begin_operation("create")
+        self.files[name], self.synced_sizes[name], self.synced_names[name] = bytearray(), 0, False
+        self._extend(name, data, crashes)
         self.synced_names[name] = True
 
     def append(self, name: str, data: bytes) -> None:
-        self._grow(name, data, self._step("append"))
+        self._extend(name, data, self._begin_operation("append"))
 
     def sync(self, name: str) -> None:
-        crashes = self._step("sync")
+        crashes = self._begin_operation("sync")
         if crashes and self.rng.random() < 0.5:
             raise CrashError
-        self.synced[name] = len(self.files[name])
+        self.synced_sizes[name] = len(self.files[name])
         if crashes:
             raise CrashError
 
     def publish(self, name: str) -> None:
-        crashes = self._step("publish")
+        crashes = self._begin_operation("publish")
         if crashes and self.rng.random() < 0.5:
             raise CrashError
-        self.synced[name + PARTIAL_SUFFIX] = len(self.files[name + PARTIAL_SUFFIX])
+        self.synced_sizes[name + PARTIAL_SUFFIX] = len(self.files[name + PARTIAL_SUFFIX])
         self.files[name] = self.files.pop(name + PARTIAL_SUFFIX)
-        self.synced[name], self.synced_names[name] = self.synced.pop(name + PARTIAL_SUFFIX), True
+        self.synced_sizes[name], self.synced_names[name] = (
+            self.synced_sizes.pop(name + PARTIAL_SUFFIX),
+            True,
+        )
         if crashes:
             raise CrashError
 
     def truncate(self, name: str, size: int) -> None:
-        if self._step("truncate"):
+        if self._begin_operation("truncate"):
             raise CrashError
         del self.files[name][size:]
-        self.synced[name] = min(self.synced[name], size)
+        self.synced_sizes[name] = min(self.synced_sizes[name], size)
 
     def quarantine(self, name: str) -> None:
-        if self._step("quarantine"):
+        if self._begin_operation("quarantine"):
             raise CrashError
-        for table in (self.files, self.synced, self.synced_names):
+        for table in (self.files, self.synced_sizes, self.synced_names):
             table[f"aside-{name}"] = table.pop(name)  # type: ignore[attr-defined]
 
     def remove(self, name: str) -> None:
-        if self._step("remove"):
+        if self._begin_operation("remove"):
             raise CrashError
-        for table in (self.files, self.synced, self.synced_names):
+        for table in (self.files, self.synced_sizes, self.synced_names):
             table.pop(name, None)  # type: ignore[attr-defined]
--- a/lilacwalk/testing/fleet.py
+++ b/lilacwalk/testing/fleet.py
@@ -1,13 +1,13 @@
-"""A fleet of real processes with a datagram switch between them. It records each member's view over time.
+"""A fleet of real processes, a datagram switch between them and a record of their views.
 
-Each member has a directory with its operator file, log and store. The fleet's `kind` is `run` (the command
-`fleet run`) or `serve` (whole app servers with stand-in executors). Faults:
+Each member has a directory with its operator file, log and store. The fleet's `kind` is `run` (the
+command `fleet run`) or `serve` (whole app servers with stand-in executors). Faults:
 
-- processes are killed, stopped, resumed or started cold;
-- links are cut in one direction or both, lose, delay or duplicate datagrams; a member's BGP session runs over
-  the same link;
-- disks are full (through a limit on the file size of the process) or unreadable;
-- clocks have an offset or jump (`testing/process_launcher.py`).
+- Processes are killed, stopped, resumed or started with the state `cold`.
+- Links are cut in one direction or both, or lose, delay or duplicate datagrams. A member's BGP
+  session runs over a link of its own, which `unplug` cuts too.
+- Disks are full (through a limit on the file size of the process).
+- Clocks have an offset or jump (`testing/process_launcher.py`).
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 from lilacwalk.protocols.admin_socket import query
 from lilacwalk.testing.bgp_router import BgpRouter, RouterBehaviour
-from lilacwalk.testing.datagram_switch import Faults, Stream, Switch
+from lilacwalk.testing.datagram_switch import Faults, Switch, TcpForwarder
 from lilacwalk.testing.dependency import SharedDependency
 from lilacwalk.testing.executor import StandInExecutor
 from lilacwalk.testing.site_settings import make_process_config
 
 ROOT = Path(__file__).parent.parent.parent
 POLL_INTERVAL = 0.05  # seconds between two polls of a condition
-START_TIMEOUT = 15.0  # seconds for a start or an exit; only a failing test waits that long
+START_TIMEOUT = 15.0  # seconds for a start or an exit; only a failing test reaches it
 
 
 @dataclass(eq=False, slots=True)
@@ -51,21 +51,25 @@
     advertised_address: tuple[str, int]
     seeds: tuple[str, ...]
     popen: subprocess.Popen | None = None
-    stopped: bool = False
-    full: bool = False
+    stopped: bool = False  # by SIGSTOP
+    disk_full: bool = False  # simulated through a limit on the file size
     executor: StandInExecutor | None = None
-    dependency: SharedDependency | None = None  # shared by members, so it is not ended with them
-    call_share: float = 0.0  # share of the calls in flight that the dependency can bear
-    starts: int = 0
+    dependency: SharedDependency | None = None  # shared with other members: `end` leaves it running
+    call_share: float = (
+        0.0  # the member's share of the calls that the dependency can have in flight
+    )
+    start_count: int = 0
     reserved_socket: socket.socket | None = None  # reserves the port until the first start
-    extra: str = ""  # further lines of the operator file
+    extra_statements: str = ""  # further statements of the operator file
     configured_name: str = ""  # the name in the operator file, if it differs from `name`
-    cpus: int = 2  # kind `serve` only
-    max_retry_after_ms: float = 1000.0  # longest retry-after of a denial
+    cpus: int = 2  # in the process configuration; kind `serve` only
+    max_retry_after_ms: float = 1000.0  # longest retry-after of a denial; kind `serve` only
     router: BgpRouter | None = None  # stand-in BGP peer
-    stream: Stream | None = None  # the link to `router`
-    clock: Path | None = None  # file with the clock's offset in seconds; None: the machine's clock
-    iteration_times_path: Path | None = None  # file for the times of event loop iterations
+    router_link: TcpForwarder | None = (
+        None  # the member's connection to `router`, which `unplug` cuts
+    )
+    clock_path: Path | None = None  # file with the clock's offset in seconds; None: no offset
+    iteration_times_path: Path | None = None  # output file for the times of event loop iterations
 
     @property
     def running(self) -> bool:
@@ -73,203 +77,223 @@
 
     @property
     def socket(self) -> str:
+        """The path of the member's admin socket."""
         return str(self.directory / "s")
 
     @property
-    def file(self) -> Path:
+    def operator_file_path(self) -> Path:
         return self.directory / "conf"
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A member's answer to `show`."""
+    """A member's answer to the admin command `show`."""
 
     at: float  # seconds since the fleet was created
     name: str
-    shown: dict
+    view: dict
 
 
 @dataclass(eq=False)
 class ProcessFleet:
-    """`interval_ms` is the probe interval.
+    """The members' processes, the switch between them and the members' recorded views.
 
-    `end` stops all processes and removes all files. If `keep` names a directory, their files and logs are
-    copied to it first.
+    `interval_ms` is the probe interval. `end` stops all processes and removes all files; if
+    `copy_to` names a directory, `end` copies the files and logs there first.
     """
 
     seed: int = 1
     interval_ms: int = 200
     kind: str = "run"
-    keep: str | None = None
-    store: bool = True
-    program: tuple[str, ...] = ("lilacwalk",)  # module to start, and its first arguments
+    copy_to: str | None = None
+    has_store: bool = True  # whether the fleet block of each operator file has a store
+    program: tuple[str, ...] = ("lilacwalk",)  # the module that is started, and its first arguments
     processes: dict[str, Process] = field(default_factory=dict)
     observations: list[Observation] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         # the prefix is short because the path of a Unix socket is limited to 107 bytes
         self.directory = Path(tempfile.mkdtemp(prefix="lw-"))
-        self.key = self.directory / "key"
+        self.key_path = self.directory / "key"
         self.write_keys(secrets.token_hex(32))
         self.switch = Switch(self.seed)
-        self.began = time.monotonic()
+        self.created_at = time.monotonic()
 
     # Members
 
     def write_keys(self, *keys: str) -> None:
-        self.key.write_text("\n".join(keys) + "\n")
-        self.key.chmod(0o600)
+        """Writes the key file that all members read; each key is 64 hexadecimal digits."""
+        self.key_path.write_text("\n".join(keys) + "\n")
+        self.key_path.chmod(0o600)
 
     def add(
         self,
         name: str,
         site: str = "recife",
         seeds: Iterable[str] = (),
-        extra: str = "",
+        extra_statements: str = "",
         configured_name: str = "",
     ) -> Process:
+        """Adds a member, without starting it; `seeds` are the names of its seed members."""
         directory = self.directory / name
         directory.mkdir()
-        # The port is reserved until the process starts: otherwise the switch could get it for another member.
-        held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        held.bind(("127.0.0.1", 0))
-        listen_address = held.getsockname()
+        # The port is reserved until the process starts: otherwise the switch could use it for the
+        # port of another member.
+        reserved_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        reserved_socket.bind(("127.0.0.1", 0))
+        listen_address = reserved_socket.getsockname()
         advertised_address = self.switch.add(name, listen_address)
-        made = Process(
+        process = Process(
             name,
             site,
             directory,
             listen_address,
             advertised_address,
             tuple(seeds),
-            extra=extra,
+            extra_statements=extra_statements,
             configured_name=configured_name,
-            reserved_socket=held,
+            reserved_socket=reserved_socket,
         )
-        self.processes[name] = made
-        return made
+        self.processes[name] = process
+        return process
 
-    def write(self, each: Process) -> None:
+    def write_operator_file(self, process: Process) -> None:
         """Writes the member's operator file."""
         addresses = [
-            self.processes[seed].advertised_address for seed in each.seeds if seed != each.name
+            self.processes[seed].advertised_address
+            for seed in process.seeds
+            if seed != process.name
         ]
         seeds = "\n".join(f"    seed {host}:{port}" for host, port in addresses)
-        store = f"    store {each.directory}/store\n" if self.store else ""
-        each.file.write_text(
-            f"fleet {{\n    name {each.configured_name or each.name}\n    site {each.site}\n"
-            f"    listen {each.listen_address[0]}:{each.listen_address[1]}\n    advertise {each.advertised_address[0]}:{each.advertised_address[1]}\n"
-            f"    key {self.key}\n{seeds}\n    probe-interval {self.interval_ms}ms\n"
-            f"    socket {each.socket}\n{store}}}\n{each.extra}"
+        store = f"    store {process.directory}/store\n" if self.has_store else ""
+        process.operator_file_path.write_text(
+            f"fleet {{\n    name {process.configured_name or process.name}\n"
+            f"    site {process.site}\n"
+            f"    listen {process.listen_address[0]}:{process.listen_address[1]}\n"
+            f"    advertise {process.advertised_address[0]}:{process.advertised_address[1]}\n"
+            f"    key {self.key_path}\n{seeds}\n    probe-interval {self.interval_ms}ms\n"
+            f"    socket {process.socket}\n{store}}}\n{process.extra_statements}"
         )
 
     def start(self, *names: str, wait: bool = True, state: str = "ready") -> None:
+        """Starts the processes of these members; with `wait`, returns when they answer `show`.
+
+        `state` is the state that a member of kind `run` reports. Raises ValueError if a member runs
+        already, TimeoutError if one does not answer within START_TIMEOUT.
+        """
         for name in names:
-            each = self.processes[name]
-            if each.running:
-                raise ValueError(f"cannot start {name}: it is running")
-            each.starts += 1
-            if each.reserved_socket is not None:
-                each.reserved_socket.close()
-                each.reserved_socket = None
-            self.write(each)
-            each.stopped = False
-            arguments = [sys.executable, "-B", "-m", *self._program(each)]
+            process = self.processes[name]
+            if process.running:
+                raise ValueError(f"cannot start {name}: its process is running already")
+            process.start_count += 1
+            if process.reserved_socket is not None:
+                process.reserved_socket.close()
+                process.reserved_socket = None
+            self.write_operator_file(process)
+            process.stopped = False
+            arguments = [sys.executable, "-B", "-m", *self._program(process)]
             if self.kind == "serve":
                 arguments += [
                     "serve",
                     "--config",
-                    str(self._write_config(each)),
+                    str(self._write_config(process)),
                     "--file",
-                    str(each.file),
+                    str(process.operator_file_path),
                 ]
             else:
-                arguments += ["fleet", "run", "--file", str(each.file)]
-            each.popen = subprocess.Popen(
+                arguments += ["fleet", "run", "--file", str(process.operator_file_path)]
+            process.popen = subprocess.Popen(
                 arguments,
                 cwd=ROOT,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
-                preexec_fn=forbid_file_growth if each.full else None,
+                preexec_fn=forbid_file_growth if process.disk_full else None,
             )
-            # The log goes through a pipe: a process that may not extend files can still write to it.
+            # The process logs to a pipe: its limit on the file size, which simulates a full disk,
+            # would stop its writes to a file.
             threading.Thread(
-                target=append_lines, args=(each.popen.stdout, each.directory / "log"), daemon=True
+                target=append_lines,
+                args=(process.popen.stdout, process.directory / "log"),
+                daemon=True,
             ).start()
             if self.kind == "run":
-                self.tell(name, state)
+                self.send_state(name, state)
         if wait:
             for name in names:
                 self.wait(
                     lambda name=name: self.show(name) is not None, START_TIMEOUT, f"{name} answers"
                 )
 
-    def _program(self, each: Process) -> list[str]:
-        if each.clock is None and each.iteration_times_path is None:
+    def _program(self, process: Process) -> list[str]:
+        if process.clock_path is None and process.iteration_times_path is None:
             return list(self.program)
         program = ["lilacwalk.testing.process_launcher"]
         for option, path in (
-            ("--clock", each.clock),
-            ("--iteration-times", each.iteration_times_path),
+            ("--clock", process.clock_path),
+            ("--iteration-times", process.iteration_times_path),
         ):
             program += [option, str(path)] if path is not None else []
         return [*program, "--"]
 
-    def add_router(self, name: str, service: str, hold: int = 3) -> str:
-        """Adds a stand-in router for the member, and a link to it that can be cut.
+    def add_router(self, name: str, service: str, hold_time: int = 3) -> str:
+        """Adds a stand-in router for the member, and a link between both that can be cut.
 
-        Returns the announce block for the operator file.
+        `hold_time` is in seconds. Returns the announce block for the operator file, which the
+        caller adds to the member's `extra_statements`.
         """
-        each = self.processes[name]
-        each.router = BgpRouter(RouterBehaviour(hold=hold, enforces_hold_time=True))
-        each.stream = Stream(each.router.address)
-        host, port = each.stream.address
+        process = self.processes[name]
+        process.router = BgpRouter(RouterBehaviour(hold_time=hold_time, enforces_hold_time=True))
+        process.router_link = TcpForwarder(process.router.address)
+        host, port = process.router_link.address
         return (
             f"announce {{\n    as 65010\n    router-id 127.0.0.1\n    next-hop 127.0.0.1\n"
-            f"    ready-for 100ms\n    hold-time {hold}s\n    service {service}\n"
-            f"    peer {host}:{port} {{\n        as 65020\n        connect-retry 100ms\n    }}\n}}\n"
+            f"    ready-for 100ms\n    hold-time {hold_time}s\n    service {service}\n"
+            f"    peer {host}:{port} {{\n        as 65020\n"
+            f"        connect-retry 100ms\n    }}\n}}\n"
         )
 
-    def _write_config(self, each: Process) -> Path:
-        if each.executor is None:
-            each.executor = StandInExecutor(2)
-        config = make_process_config(each.executor.address) | {
-            "name": each.configured_name or each.name
+    def _write_config(self, process: Process) -> Path:
+        if process.executor is None:
+            process.executor = StandInExecutor(2)
+        config = make_process_config(process.executor.address) | {
+            "name": process.configured_name or process.name
         }
         info = config["settings"]["family_info"]
-        info["cpus"] = each.cpus
-        config["settings"]["limits"]["max_retry_after_ms"] = each.max_retry_after_ms
-        if each.dependency is not None:
-            config["index"] = "{}:{}".format(*each.dependency.address)
+        info["cpus"] = process.cpus
+        config["settings"]["limits"]["max_retry_after_ms"] = process.max_retry_after_ms
+        if process.dependency is not None:
+            config["index"] = "{}:{}".format(*process.dependency.address)
             class_names = [request_class["name"] for request_class in config["settings"]["classes"]]
             info |= {
                 "below": "common",
-                "calls_by_class": [name in each.executor.calls for name in class_names],
-                "call_share": each.call_share,
+                "calls_by_class": [name in process.executor.calls for name in class_names],
+                "call_share": process.call_share,
                 "calls_over_ms": 1000.0,
             }
-        path = each.directory / "config.json"
+        path = process.directory / "config.json"
         path.write_text(json.dumps(config))
         return path
 
-    def tell(self, name: str, state: str) -> None:
-        each = self.processes[name]
-        assert each.popen is not None and each.popen.stdin is not None
-        each.popen.stdin.write(f"{state}\n".encode())
-        each.popen.stdin.flush()
+    def send_state(self, name: str, state: str) -> None:
+        """Writes the state that a member of kind `run` reports to its standard input."""
+        process = self.processes[name]
+        assert process.popen is not None and process.popen.stdin is not None
+        process.popen.stdin.write(f"{state}\n".encode())
+        process.popen.stdin.flush()
 
     # Faults
 
     def kill(self, *names: str) -> None:
-        """Kills the running processes of these members at once, then waits for all of them to exit."""
-        running = [each for name in names if (each := self.processes[name]).running]
-        for each in running:
-            each.popen.kill()
-        for each in running:
-            each.popen.wait()
+        """Kills those of these members that run, all at once, and waits until they have exited."""
+        running = [process for name in names if (process := self.processes[name]).running]
+        for process in running:
+            process.popen.kill()
+        for process in running:
+            process.popen.wait()
 
     def stop(self, *names: str) -> None:
+        """Stops the processes with SIGSTOP; `resume` continues them."""
         for name in names:
             self.processes[name].popen.send_signal(signal.SIGSTOP)
             self.processes[name].stopped = True
@@ -285,156 +309,185 @@
             self.processes[name].popen.terminate()
         return [self.processes[name].popen.wait(START_TIMEOUT) for name in names]
 
-    def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
-        """Cuts the links from `one` to `other`; if `both`, also those from `other` to `one`."""
-        others = list(other)
-        for here in one:
-            for there in others:
-                self.switch.faults(here, there).cut = True
+    def cut(self, senders: Iterable[str], receivers: Iterable[str], both: bool = True) -> None:
+        """Cuts the links from `senders` to `receivers`; if `both`, also the opposite direction."""
+        receiver_names = list(receivers)
+        for sender in senders:
+            for receiver in receiver_names:
+                self.switch.faults(sender, receiver).cut = True
                 if both:
-                    self.switch.faults(there, here).cut = True
+                    self.switch.faults(receiver, sender).cut = True
 
     def unplug(self, *names: str) -> None:
-        """Cuts the links to all other members and to the routers. Links among `names` stay."""
+        """Cuts the links of these members to all others and to their routers.
+
+        Links among these members stay.
+        """
         self.cut(names, [name for name in self.processes if name not in names])
         for name in names:
-            if (stream := self.processes[name].stream) is not None:
-                stream.cut()
+            if (link := self.processes[name].router_link) is not None:
+                link.cut()
 
     def set_clock(self, name: str, seconds: float) -> None:
         """Sets the offset of the member's clock.
 
-        If `clock` was set before the process started, the offset is in effect at once, otherwise from the next
-        start on.
+        If `clock_path` was set when the process started, the offset takes effect at once, otherwise
+        at the next start.
         """
-        each = self.processes[name]
-        if each.clock is None:
-            each.clock = each.directory / "clock"
-        each.clock.write_text(f"{seconds}")
+        process = self.processes[name]
+        if process.clock_path is None:
+            process.clock_path = process.directory / "clock"
+        process.clock_path.write_text(f"{seconds}")
 
     def impair(self, name: str, **faults: float) -> None:
-        """Sets the faults of all datagrams from and to the member."""
+        """Replaces the faults of all datagrams from and to the member.
+
+        `faults` are the fields of `Faults` that differ from their defaults.
+        """
         self.switch.ports[name].faults = Faults(**faults)
 
     def heal(self) -> None:
+        """Restores all links and removes the faults of all datagrams."""
         self.switch.heal()
-        for each in self.processes.values():
-            if each.stream is not None:
-                each.stream.cut(False)
-
-    def fill(self, name: str, full: bool = True) -> None:
-        """Makes the member's disk full, or not, for the running process and for the next start."""
-        each = self.processes[name]
-        each.full = full
-        if each.running:
+        for process in self.processes.values():
+            if process.router_link is not None:
+                process.router_link.cut(False)
+
+    def set_disk_full(self, name: str, full: bool = True) -> None:
+        """Simulates a full disk, or ends this if `full` is false.
+
+        This takes effect in the running process and at the next start.
+        """
+        process = self.processes[name]
+        process.disk_full = full
+        if process.running:
             max_bytes = 0 if full else resource.RLIM_INFINITY
             resource.prlimit(
-                each.popen.pid, resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY)
+                process.popen.pid, resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY)
             )
 
     # Views of the members
 
     def show(self, name: str) -> dict | None:
-        """The member's answer to `show`; None if it gives none."""
-        each = self.processes[name]
-        if not each.running or each.stopped:
+        """Returns and records the member's answer to `show`; returns None if it does not answer."""
+        process = self.processes[name]
+        if not process.running or process.stopped:
             return None
         try:
-            found = query(each.socket, "show")
+            view = query(process.socket, "show")
         except (OSError, ValueError):
             return None
-        if not isinstance(found, dict) or "error" in found:
+        if not isinstance(view, dict) or "error" in view:
             return None
-        self.observations.append(Observation(time.monotonic() - self.began, name, found))
-        return found
+        self.observations.append(Observation(time.monotonic() - self.created_at, name, view))
+        return view
+
+    def running_names(self) -> list[str]:
+        """The names of the members whose process runs and is not stopped."""
+        return [
+            process.name
+            for process in self.processes.values()
+            if process.running and not process.stopped
+        ]
 
-    def up(self) -> list[str]:
-        """The names of the members that run and are not stopped."""
-        return [each.name for each in self.processes.values() if each.running and not each.stopped]
+    def all_views(self, names: Iterable[str] | None = None) -> dict[str, dict | None]:
+        """The answers to `show` by member name, None where a member does not answer.
 
-    def all_shown(self, names: Iterable[str] | None = None) -> dict[str, dict | None]:
-        return {name: self.show(name) for name in (self.up() if names is None else names)}
+        `names` defaults to all running members.
+        """
+        return {
+            name: self.show(name) for name in (self.running_names() if names is None else names)
+        }
 
     def settled(self, names: Iterable[str] | None = None) -> bool:
-        """Whether the members in `names` have equal views that list exactly these members as present.
+        """Whether the views of these members are equal, settled and complete.
 
-        They must also report that their views are settled. `names` defaults to all running members.
+        A view is complete if it lists exactly these members as present. `names` defaults to all
+        running members.
         """
-        names = list(self.up() if names is None else names)
+        names = list(self.running_names() if names is None else names)
         expected_names = {self.processes[name].configured_name or name for name in names}
-        found = self.all_shown(names)
-        shown = [each for each in found.values() if each is not None]
-        if len(shown) < len(names) or len({each["digest"] for each in shown}) != 1:
+        answers = self.all_views(names)
+        views = [view for view in answers.values() if view is not None]
+        if len(views) < len(names) or len({view["digest"] for view in views}) != 1:
             return False
-        return all(each["settled"] for each in shown) and all(
-            present(each) == expected_names for each in shown
+        return all(view["settled"] for view in views) and all(
+            present_names(view) == expected_names for view in views
         )
 
-    def healths(self, of: str, by: Iterable[str] | None = None) -> dict[str, str]:
-        """The health of `of` in the view of each other member in `by`, by default all running members."""
-        found = {}
-        for name, shown in self.all_shown(by).items():
-            if shown is not None and name != of:
-                rows = {row["name"]: row["health"] for row in shown["members"]}
-                found[name] = rows.get(of, "unknown")
-        return found
+    def healths(self, subject: str, observers: Iterable[str] | None = None) -> dict[str, str]:
+        """The health of the member `subject` in the views of the other members, by member name.
+
+        The health is `unknown` if a view does not list `subject`. `observers` defaults to all
+        running members; those that do not answer are left out.
+        """
+        healths_by_observer = {}
+        for name, view in self.all_views(observers).items():
+            if view is not None and name != subject:
+                healths = {row["name"]: row["health"] for row in view["members"]}
+                healths_by_observer[name] = healths.get(subject, "unknown")
+        return healths_by_observer
 
-    def wait(self, reached: Callable[[], bool], timeout: float, what: str) -> float:
-        """Waits until `reached` is true; returns the seconds that it took.
+    def wait(self, condition: Callable[[], bool], timeout: float, description: str) -> float:
+        """Waits until `condition` returns a true value; returns the seconds of the wait.
 
-        Raises TimeoutError, with the description `what`, after `timeout` seconds.
+        Raises TimeoutError, with `description`, after `timeout` seconds.
         """
-        began = time.monotonic()
-        while not reached():
-            if time.monotonic() - began > timeout:
-                raise TimeoutError(f"condition not reached within {timeout:g} s: {what}")
+        started_at = time.monotonic()
+        while not condition():
+            if time.monotonic() - started_at > timeout:
+                raise TimeoutError(f"condition not met within {timeout:g} s: {description}")
             time.sleep(POLL_INTERVAL)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     def log(self, name: str) -> str:
+        """The text that the member has logged since it was added, over all its starts."""
         return (self.processes[name].directory / "log").read_text()
 
     def address(self, name: str, event: str = "event=started") -> tuple[str, int]:
-        """The address at which an app server listens for proxies since its last start.
+        """The listen address in the line of the member's log that contains `event`.
 
-        With another `event` of its log, the address that this event names. Raises IndexError if the event is
-        not logged yet.
+        By default this is the address at which an app server listens for proxies. The member must
+        log the event once at each start: the line of the last start counts. Raises IndexError if
+        that line is not logged yet.
         """
-        started = [line for line in self.log(name).splitlines() if event in line]
+        lines = [line for line in self.log(name).splitlines() if event in line]
         host, port = (
-            started[self.processes[name].starts - 1].split("listen=")[1].split()[0].split(":")
+            lines[self.processes[name].start_count - 1].split("listen=")[1].split()[0].split(":")
         )
         return host, int(port)
 
     def end(self) -> None:
-        for each in self.processes.values():
-            if each.running:
-                each.popen.kill()
-            if each.popen is not None:
-                each.popen.wait()
-                each.popen.stdin.close()
-            if each.reserved_socket is not None:
-                each.reserved_socket.close()
-            for stand_in in (each.executor, each.stream, each.router):
+        """Stops all processes and stand-ins except shared dependencies, and removes all files."""
+        for process in self.processes.values():
+            if process.running:
+                process.popen.kill()
+            if process.popen is not None:
+                process.popen.wait()
+                process.popen.stdin.close()
+            if process.reserved_socket is not None:
+                process.reserved_socket.close()
+            for stand_in in (process.executor, process.router_link, process.router):
                 if stand_in is not None:
                     stand_in.end()
         self.switch.end()
-        if self.keep is not None:
+        if self.copy_to is not None:
             shutil.copytree(
                 self.directory,
-                self.keep,
+                self.copy_to,
                 dirs_exist_ok=True,
                 ignore=lambda directory, names: [name for name in names if name in ("s", "key")],
             )
         shutil.rmtree(self.directory, ignore_errors=True)
 
 
-def present(shown: dict) -> set[str]:
-    """The members that a view lists as alive or suspect."""
-    return {row["name"] for row in shown["members"] if row["health"] in ("alive", "suspect")}
+def present_names(view: dict) -> set[str]:
+    """The names of the members that a view lists as alive or suspect."""
+    return {row["name"] for row in view["members"] if row["health"] in ("alive", "suspect")}
 
 
 def append_lines(lines: IO[bytes], path: Path) -> None:
+    """Appends each line to the file at once, until the end of `lines`, and closes `lines`."""
     with lines, open(path, "ab") as log:
         for line in lines:
             log.write(line)
@@ -442,7 +495,7 @@
 
 
 def forbid_file_growth() -> None:
-    """In the child: sets the limit on file size to 0, so that writes fail as on a full disk.
+    """Limits the file size of the child process to 0, so that its writes fail as on a full disk.
 
     SIGXFSZ, which such a write raises, is ignored.
     """
--- a/lilacwalk/testing/proxy_client.py
+++ b/lilacwalk/testing/proxy_client.py
@@ -1,5 +1,7 @@
-"""A client of the proxies' protocol. It sends requests and records all answers to each tag, so that tests find
-duplicate answers."""
+"""A client that sends requests to an app server by the protocol of the proxies.
+
+It records all answers to each tag, so that tests find duplicate answers.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +23,22 @@
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.changed = threading.Condition()
-        self.asked: dict[int, float] = {}  # time of sending by tag
+        self.sent_at: dict[int, float] = {}  # monotonic time of sending, by tag
+        # by tag: monotonic arrival time, status word and body of each answer
         self.answers: dict[int, list[tuple[float, str, bytes]]] = {}
         self.retry_after: dict[int, float] = {}  # retry-after of a denial in seconds, by tag
         self.tags = count(1)
-        self.gone = False  # whether the connection is closed
+        self.closed = False  # whether the connection is closed, by either side
         threading.Thread(target=self._read, daemon=True).start()
 
-    def ask(
+    def send_request(
         self, class_name: str, body: bytes = b"hello", wait_ms: int = 1000, **fields: object
     ) -> int:
+        """Sends a request with the next free tag; returns the tag.
+
+        `wait_ms` is the time that the client waits for the answer, in milliseconds. `fields`
+        replace or extend the fields of the message by their names on the wire.
+        """
         tag = next(self.tags)
         fields = {
             "i": f"{0x5000_0000_0000 + next(REQUEST_IDS):016x}",
@@ -42,23 +50,25 @@
         } | fields
         text = ",".join(f"{name}={value}" for name, value in fields.items())
         with self.changed:
-            self.asked[tag] = time.monotonic()
+            self.sent_at[tag] = time.monotonic()
         self.sock.sendall(
             encode_array(b"SUBMIT", b"%d" % tag, class_name.encode(), text.encode(), body)
         )
         return tag
 
     def answer(self, tag: int, timeout: float = 10.0) -> tuple[float, str, bytes]:
-        """The first answer to `tag`: its arrival time, status word and body.
+        """Waits up to `timeout` seconds for the first answer to `tag`.
 
-        Raises TimeoutError if none arrives in time, KeyError if the connection was lost before.
+        Returns its monotonic arrival time, status word and body. Raises TimeoutError if no answer
+        arrives in time, KeyError if the connection is closed first.
         """
         with self.changed:
-            if not self.changed.wait_for(lambda: tag in self.answers or self.gone, timeout):
+            if not self.changed.wait_for(lambda: tag in self.answers or self.closed, timeout):
                 raise TimeoutError(f"no answer to tag {tag} within {timeout:g} s")
             return self.answers[tag][0]
 
     def end(self) -> None:
+        """Closes the connection."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -86,5 +96,5 @@
         except (OSError, FramingError, ValueError):
             pass
         with self.changed:
-            self.gone = True
+            self.closed = True
             self.changed.notify_all()
--- a/lilacwalk/testing/restart_soak.py
+++ b/lilacwalk/testing/restart_soak.py
@@ -1,8 +1,9 @@
-"""One app server with a store and a stand-in executor, which is killed and restarted repeatedly, and a client
-that sends unanswered requests again. Tests and measurements of the data that survives a kill use it.
+"""An app server with a store, which is killed and restarted repeatedly, and a client.
 
-Effects are counted by the request body, so that two attempts of one request count as the same effect although
-their ids differ."""
+The client sends unanswered requests again. Tests and measurements of the data that survives a kill
+use this module. Effects are counted by the request body, so that two attempts of one request count
+as the same effect although their ids differ.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +15,28 @@
 from lilacwalk.testing.fleet import START_TIMEOUT, Process, ProcessFleet
 from lilacwalk.testing.proxy_client import ProxyClient
 
-WAIT_MS = 4_000
+WAIT_MS = 4_000  # time that the client waits for an answer
 
 
 class RestartSoak:
-    """An app server that tests kill and restart.
-
-    `work` is the time of a run in seconds. `end` stops all processes.
-    """
+    """An app server with a stand-in executor, which tests kill and restart."""
 
     def __init__(
-        self, seed: int = 1, work: float = 0.004, cores: int = 2, **store_settings: str
+        self, seed: int = 1, run_time: float = 0.004, cores: int = 2, **store_settings: str
     ) -> None:
-        """`store_settings` are added to the store block, which has settings for its directory and socket already."""
+        """Prepares the app server; `start` starts it.
+
+        `run_time` is the execution time of a request in seconds. `store_settings` are added to the
+        store block, which has settings for its directory and socket already.
+        """
         self.rng = random.Random(seed)
-        self.effects: Counter[bytes] = Counter()
-        self.times: dict[bytes, list[float]] = {}  # monotonic times of each effect, by request body
-        self.work = work
-        self.rig = ProcessFleet(seed, 200, "serve", store=False)
-        self.server: Process = self.rig.add("n0")
+        self.effects: Counter[bytes] = Counter()  # number of executions by request body
+        self.effect_times: dict[
+            bytes, list[float]
+        ] = {}  # monotonic times of the executions, by request body
+        self.run_time = run_time
+        self.process_fleet = ProcessFleet(seed, 200, "serve", has_store=False)
+        self.server: Process = self.process_fleet.add("n0")
         self.server.cpus = cores
         self.server.executor = self._make_executor()
         self.directory = self.server.directory / "kept"
@@ -41,31 +45,37 @@
         self.proxy_client: ProxyClient | None = None
 
     def _make_executor(self) -> StandInExecutor:
-        def run_time(class_name: str, body: bytes) -> float:
+        def record_effect(class_name: str, body: bytes) -> float:
             self.effects[bytes(body)] += 1
-            self.times.setdefault(bytes(body), []).append(time.monotonic())
-            return self.work
+            self.effect_times.setdefault(bytes(body), []).append(time.monotonic())
+            return self.run_time
 
-        return StandInExecutor(self.server.cpus, run_time, lambda class_name, body: b"did " + body)
+        return StandInExecutor(
+            self.server.cpus, record_effect, lambda class_name, body: b"did " + body
+        )
 
     def write_store_block(self, **store_settings: str) -> None:
+        """Sets the store block of the operator file, which takes effect at the next start."""
         lines = "".join(
             f"    {name.replace('_', '-')} {value}\n" for name, value in store_settings.items()
         )
-        self.server.extra = (
+        self.server.extra_statements = (
             f"store {{\n    directory {self.directory}\n    socket {self.socket}\n{lines}}}\n"
         )
 
     def start(self, state: str | None = "state=kept") -> ProxyClient:
-        """Starts the app server and connects a client.
+        """Starts the app server; returns a connected client.
 
-        `state` is a text to wait for in the log first; with None it is enough that the executor is connected.
+        Before the client connects, the executor must be connected and the log must contain `state`,
+        unless that is None.
         """
-        before = len(self._log())
-        self.rig.start("n0", wait=False)
-        for what in ("event=started", "event=executor_up", *([state] if state else [])):
-            self.rig.wait(lambda what=what: what in self._log()[before:], START_TIMEOUT, what)
-        self.proxy_client = ProxyClient(self.rig.address("n0"))
+        previous_length = len(self._log())
+        self.process_fleet.start("n0", wait=False)
+        for text in ("event=started", "event=executor_up", *([state] if state else [])):
+            self.process_fleet.wait(
+                lambda text=text: text in self._log()[previous_length:], START_TIMEOUT, text
+            )
+        self.proxy_client = ProxyClient(self.process_fleet.address("n0"))
         return self.proxy_client
 
     def _log(self) -> str:
@@ -73,63 +83,72 @@
         return path.read_text() if path.exists() else ""
 
     def kill(self) -> None:
-        self.rig.kill("n0")
+        """Kills the app server's process and closes the client; the executor keeps running."""
+        self.process_fleet.kill("n0")
         if self.proxy_client is not None:
             self.proxy_client.end()
 
-    def ask(self, class_name: str, key: str, **fields: object) -> tuple[str, bytes]:
+    def send_and_wait(self, class_name: str, key: str, **fields: object) -> tuple[str, bytes]:
         """Sends a request and waits for its answer; returns the answer's status word and body.
 
-        Both are empty if the connection was lost before the answer arrived.
+        Both are empty if the connection is closed before the answer arrives. `key` is the request
+        body and, for the class `swap`, the idempotency key.
         """
-        tag = self.put(class_name, key, **fields)
+        tag = self.send_request(class_name, key, **fields)
         try:
             _, status, body = self.proxy_client.answer(tag)
         except KeyError:
             return "", b""
         return status, body
 
-    def put(self, class_name: str, key: str, **fields: object) -> int:
-        known = {"k": key} if class_name == "swap" else {}
-        return self.proxy_client.ask(class_name, key.encode(), WAIT_MS, **known, **fields)
+    def send_request(self, class_name: str, key: str, **fields: object) -> int:
+        """Sends a request as `send_and_wait` does; returns its tag without waiting."""
+        key_field = {"k": key} if class_name == "swap" else {}
+        return self.proxy_client.send_request(
+            class_name, key.encode(), WAIT_MS, **key_field, **fields
+        )
 
     def end(self) -> None:
+        """Stops the app server and its executor, and removes all files."""
         if self.proxy_client is not None:
             self.proxy_client.end()
-        self.rig.end()
+        self.process_fleet.end()
 
     # Kills while many requests are in flight
 
     def count_duplicates_within(self, window: float) -> int:
-        """The number of effects that were applied again within `window` seconds of the first time.
+        """The number of requests that were executed again within `window` seconds.
 
-        After the window, an idempotency key may be forgotten.
+        The window begins with the first execution. After it, the app server may discard the
+        request's idempotency key.
         """
-        return sum(each[1] - each[0] <= window for each in self.times.values() if len(each) > 1)
+        return sum(
+            times[1] - times[0] <= window for times in self.effect_times.values() if len(times) > 1
+        )
 
-    def run_until_kill(self, keys: list[str], again: list[str]) -> dict[str, list[str]]:
-        """Sends requests, first for the keys in `again`, and kills the app server after a random time.
+    def run_until_kill(self, keys: list[str], retried_keys: list[str]) -> dict[str, list[str]]:
+        """Sends requests of the class `swap` and kills the app server after 5 to 80 ms.
 
-        The time is between 5 and 80 ms. `again` holds the keys whose earlier requests were not answered or were
-        denied. Returns the keys by the status word of their answer; `""` stands for no answer, `unsent` for a
-        request that was not sent before the kill.
+        The first requests have the keys in `retried_keys`, whose earlier requests were not
+        answered or were denied. Returns the keys by the status word of their answer; the status is
+        `""` if no answer arrived, `unsent` if the request was not sent before the kill.
         """
-        proxy_client, found = self.proxy_client, {}
+        proxy_client, keys_by_status = self.proxy_client, {}
         tags = {}
-        until = time.monotonic() + self.rng.uniform(0.005, 0.08)
-        for key in [*again, *keys]:
+        kill_at = time.monotonic() + self.rng.uniform(0.005, 0.08)
+        for key in [*retried_keys, *keys]:
             try:
-                tags[key] = self.put("swap", key)
+                tags[key] = self.send_request("swap", key)
             except OSError:
                 break
             time.sleep(0.0005)
-            if time.monotonic() > until:
+            if time.monotonic() > kill_at:
                 break
         self.kill()
         with proxy_client.changed:
-            proxy_client.changed.wait_for(lambda: proxy_client.gone, 5.0)
-        for key in [*again, *keys]:
+            proxy_client.changed.wait_for(lambda: proxy_client.closed, 5.0)
+        for key in [*retried_keys, *keys]:
             answers = proxy_client.answers.get(tags.get(key, -1), [])
             status = answers[0][1] if answers else "" if key in tags else "unsent"
-            found.setdefault(status, []).append(key)
-        return found
+            keys_by_status.setdefault(status, []).append(key)
+        return keys_by_status
--- a/lilacwalk/testing/retrying_clients.py
+++ b/lilacwalk/testing/retrying_clients.py
@@ -1,17 +1,23 @@
-"""Clients that retry: requests arrive by a Poisson process, and each is attempted until it is answered or its
-time-out has passed. `RetryBehaviour` says how the clients react to a denial and to a missing answer. The outcomes
-are counted by the second in which the request arrived.
+"""Clients that send requests by a Poisson process and retry them.
 
-The clients can run in a process of their own, so that they do not compete with the measured app server for the
-interpreter:
+Each request is attempted until it is answered or its time-out has passed. `RetryBehaviour` defines
+how the clients react to a denial and to a missing answer. The outcomes are counted by the second in
+which the request arrived at the client.
+
+The clients can run in a process of their own, so that they do not compete with the measured app
+server for the interpreter:
 
     python -m lilacwalk.testing.retrying_clients OPTIONS
 
-OPTIONS is a JSON object with the fields `addresses`, `rate`, `clients`, `behaviour`, `seed` and `class_name`.
-`addresses` names a file with the address of an app server in each line; it is read again while the clients run.
-A client stays with one app server until its connection is lost. The process prints `began` and the monotonic time
-on standard output, stops at the end of its standard input and then prints its counts as one JSON array
-(`RetryingClientsProcess` reads it)."""
+OPTIONS is a JSON object with the fields `addresses`, `rate`, `clients`, `behaviour`, `seed` and
+`class_name`. `addresses` is the path of a file with the address of an app server in each line; the
+process reads the file again while the clients run. A client stays with one app server until its
+connection is closed.
+
+The process prints `began` and the monotonic time of its start on standard output. At the end of its
+standard input it stops the clients and prints their counts as one JSON array, which
+`RetryingClientsProcess` reads.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +45,7 @@
 
     honours_retry_after: bool = True
     marks_retries: bool = True  # retries carry the retry flag
-    request_timeout: float = 6.0  # limit for all attempts of a request together
+    request_timeout: float = 6.0  # for all attempts of a request together
     attempt_timeout: float = 1.0
     # after a missing answer, and after a denial whose retry-after is missing or not honoured
     retry_delay: float = 0.2
@@ -48,13 +54,15 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
+    """A request and its latest attempt; times are in seconds since the start of the clients."""
+
     number: int
-    arrived: float
-    client: int
+    arrived_at: float
+    client: int  # number of the client
     attempts: int = 0
     tag: int = 0
     proxy_client: ProxyClient | None = None
-    until: float = 0.0
+    attempt_deadline: float = 0.0
 
 
 @dataclass(slots=True)
@@ -64,9 +72,9 @@
     requests: Counter[int] = field(default_factory=Counter)
     completed: Counter[int] = field(default_factory=Counter)
     # completed after the request's time-out: wasted work
-    late: Counter[int] = field(default_factory=Counter)
+    completed_late: Counter[int] = field(default_factory=Counter)
     attempts: Counter[int] = field(default_factory=Counter)  # by the second of the attempt
-    # denials, by the tenth of a second at which their retry-after ends
+    # denials by the time at which their retry-after ends, in tenths of a second
     retry_after_times: Counter[int] = field(default_factory=Counter)
 
 
@@ -80,10 +88,10 @@
         seed: int,
         class_name: str = "look",
     ) -> None:
-        """Starts the thread of the clients.
+        """Starts the clients, which share one thread.
 
-        `find_server` returns the address of an app server, or None while there is none. `rate` is the number of
-        requests per second.
+        `find_server` returns the address of an app server, or None while there is none. `rate` is
+        the number of requests per second of all clients together, `clients` the number of clients.
         """
         self.find_server, self.rate, self.behaviour, self.class_name = (
             find_server,
@@ -93,39 +101,42 @@
         )
         self.rng = random.Random(seed)
         self.clients = clients
-        self.proxy_clients: dict[int, ProxyClient] = {}
+        self.proxy_clients: dict[int, ProxyClient] = {}  # by client number
         self.counts = ClientCounts()
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.ended = threading.Event()
-        self.numbers = count(1)
+        self.request_numbers = count(1)
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     @property
     def now(self) -> float:
-        return time.monotonic() - self.began
+        """Seconds since the start."""
+        return time.monotonic() - self.started_at
 
     def end(self) -> None:
+        """Stops the clients and closes their connections."""
         self.ended.set()
         self.thread.join(5.0)
         for proxy_client in self.proxy_clients.values():
             proxy_client.end()
 
     def success_ratio(self, second: int) -> float:
-        """The share of the requests of this second that were completed before their time-out."""
+        """The share of the requests that arrived in this second and were completed in time."""
         return self.counts.completed[second] / max(1, self.counts.requests[second])
 
     # The thread
 
     def _run(self) -> None:
+        # heap of (time of the next attempt, request number, request)
         due: list[tuple[float, int, ClientRequest]] = []
-        in_flight: dict[int, ClientRequest] = {}
+        in_flight: dict[int, ClientRequest] = {}  # by request number
         next_arrival = 0.0
         while not self.ended.is_set():
             now = self.now
             while next_arrival <= now:
                 request = ClientRequest(
-                    next(self.numbers), next_arrival, self.rng.randrange(self.clients)
+                    next(self.request_numbers), next_arrival, self.rng.randrange(self.clients)
                 )
                 self.counts.requests[int(next_arrival)] += 1
                 heapq.heappush(due, (next_arrival, request.number, request))
@@ -133,7 +144,7 @@
             while due and due[0][0] <= now:
                 request = heapq.heappop(due)[2]
                 if (
-                    now - request.arrived < self.behaviour.request_timeout
+                    now - request.arrived_at < self.behaviour.request_timeout
                     and request.attempts < self.behaviour.max_attempts
                 ):
                     if self._attempt(request, now):
@@ -143,60 +154,63 @@
                             due, (now + self.behaviour.retry_delay, request.number, request)
                         )
             for number, request in list(in_flight.items()):
-                if (wait := self._next_step(request, now)) is not None:
+                if (delay := self._next_attempt_delay(request, now)) is not None:
                     del in_flight[number]
-                    if wait >= 0:
-                        heapq.heappush(due, (now + wait, request.number, request))
+                    if delay >= 0:
+                        heapq.heappush(due, (now + delay, request.number, request))
             time.sleep(POLL_INTERVAL)
 
     def _attempt(self, request: ClientRequest, now: float) -> bool:
-        """Sends an attempt; returns whether it could be sent."""
+        """Sends an attempt; returns false if no app server could be reached."""
         request.attempts += 1
         self.counts.attempts[int(now)] += 1
         proxy_client = self.proxy_clients.get(request.client)
         try:
-            if proxy_client is None or proxy_client.gone:
+            if proxy_client is None or proxy_client.closed:
                 address = self.find_server()
                 if address is None:
                     return False
                 proxy_client = self.proxy_clients[request.client] = ProxyClient(address)
-            wait = min(
+            timeout = min(
                 self.behaviour.attempt_timeout,
-                self.behaviour.request_timeout - (now - request.arrived),
+                self.behaviour.request_timeout - (now - request.arrived_at),
             )
-            marked = {"r": 1} if self.behaviour.marks_retries and request.attempts > 1 else {}
-            request.tag = proxy_client.ask(
+            retry_field = {"r": 1} if self.behaviour.marks_retries and request.attempts > 1 else {}
+            request.tag = proxy_client.send_request(
                 self.class_name,
                 b"wish %d" % request.number,
-                max(1, int(wait * 1000)),
+                max(1, int(timeout * 1000)),
                 f=request.client,
-                **marked,
+                **retry_field,
             )
         except (OSError, IndexError):
-            # IndexError: a restarted app server has not logged its address yet
+            # IndexError: a restarted app server has not logged the address for `find_server` yet
             self.proxy_clients.pop(request.client, None)
             return False
-        request.proxy_client, request.until = proxy_client, now + wait
+        request.proxy_client, request.attempt_deadline = proxy_client, now + timeout
         return True
 
-    def _next_step(self, request: ClientRequest, now: float) -> float | None:
-        """Seconds until the next attempt; negative if the request is answered, None while an answer is awaited."""
+    def _next_attempt_delay(self, request: ClientRequest, now: float) -> float | None:
+        """Returns the seconds until the next attempt.
+
+        They are negative if the request is completed, None while its attempt may still be answered.
+        """
         with request.proxy_client.changed:
-            found = request.proxy_client.answers.pop(request.tag, None)
-        if found is None:
-            if request.proxy_client.gone or now > request.until:
+            answers = request.proxy_client.answers.pop(request.tag, None)
+        if answers is None:
+            if request.proxy_client.closed or now > request.attempt_deadline:
                 return self.behaviour.retry_delay
             return None
         retry_after = request.proxy_client.retry_after.pop(request.tag, 0.0)
         if retry_after:
             self.counts.retry_after_times[int(10 * (now + retry_after))] += 1
-        if found[0][1] == "done":
+        if answers[0][1] == "done":
             table = (
                 self.counts.completed
-                if now - request.arrived <= self.behaviour.request_timeout
-                else self.counts.late
+                if now - request.arrived_at <= self.behaviour.request_timeout
+                else self.counts.completed_late
             )
-            table[int(request.arrived)] += 1
+            table[int(request.arrived_at)] += 1
             return -1.0
         return (
             retry_after
@@ -206,7 +220,10 @@
 
 
 class Addresses:
-    """Draws an app server, with equal probability, from a file with one address in each line."""
+    """Draws an app server, with equal probability, from a file with one address in each line.
+
+    A call returns the address, or None if the file is empty.
+    """
 
     def __init__(self, path: str, seed: int) -> None:
         self.path, self.rng = Path(path), random.Random(seed)
@@ -224,7 +241,11 @@
 
 
 class RetryingClientsProcess:
-    """Retrying clients in a process of their own."""
+    """Retrying clients in a process of their own.
+
+    `addresses` is the path of the file with the app servers' addresses; the other arguments are
+    those of `RetryingClients`.
+    """
 
     def __init__(
         self,
@@ -250,17 +271,22 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        self.began = float(self.popen.stdout.readline().split()[1])
+        self.started_at = float(self.popen.stdout.readline().split()[1])
 
     @property
     def now(self) -> float:
-        return time.monotonic() - self.began
+        """Seconds since the start."""
+        return time.monotonic() - self.started_at
 
     def wait_until(self, second: float) -> None:
+        """Sleeps until this many seconds since the start."""
         time.sleep(max(0.0, second - self.now))
 
     def end(self) -> ClientCounts:
-        """Stops the clients and returns their counts. The process is killed if it does not answer."""
+        """Stops the clients and returns their counts.
+
+        The process is killed if it does not exit within 15 s; this raises TimeoutExpired.
+        """
         try:
             text, _ = self.popen.communicate(timeout=15.0)
         finally:
@@ -285,7 +311,7 @@
         options["seed"],
         options["class_name"],
     )
-    print(f"began {clients.began}", flush=True)
+    print(f"began {clients.started_at}", flush=True)
     sys.stdin.read()
     clients.end()
     counts = clients.counts
@@ -294,7 +320,7 @@
             [
                 counts.requests,
                 counts.completed,
-                counts.late,
+                counts.completed_late,
                 counts.attempts,
                 counts.retry_after_times,
             ]
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -1,50 +1,74 @@
-"""Fault-injection scenarios (drills): a script of faults between real processes, and the results expected of them.
-Statements have the syntax of the operator file, one a line. Settings come first, then the steps in their order.
+"""Fault-injection scenarios (drills): scripts of faults in a fleet of real processes.
+
+A script has one statement a line, in the syntax of the operator file. Settings precede the steps,
+and the steps are carried out in their order.
 
     members 12               number of members; they are named n0, n1, …
     sites recife natal       the members are divided equally among the sites, in this order
     probe-interval 200ms
     seeds 2                  number of members, from n0 on, that are the seed members of all
-    seed 7                   seed of all random draws: `third`, loss, order
+    seed 7                   seed of all random draws, such as that of `third` and of lost datagrams
     store no                 members have no store (default: yes)
     kind serve               whole app servers with stand-in executors (default: run)
-    announce yes             with kind serve: each member announces a service to a stand-in router of its own
-    users 75%                app servers on the sites recife, caruaru and natal (r0, …, c0, …, n0, …) with a
-                             failover plan, and users whose load is this share of the capacity of all sites
-    users-late 500ms         time after which a changed announcement takes effect on the users' requests
-    shared 100               with users: swap requests call a dependency of all sites that can bear this number of
-                             calls per second
-    guest-worth 20%          with users: the benefit of failover traffic relative to that of home traffic
-    kept refused             with users: each member has an effect log; the treatment of requests while it cannot
-                             persist effects (refused or marked)
-
-    start WHO                kill WHO             stop WHO             continue WHO
-    leave WHO                tell STATE WHO       fill WHO             empty WHO
-    cut WHO [from WHO]       both directions      mute WHO [to WHO]    one direction: datagrams of WHO
-    loss 30% WHO             delay 20ms WHO       heal                 wait 2s
-    unplug WHO               cuts the whole link, that to the router too; `heal` restores it
+    announce yes             with kind serve: each member announces a service to a stand-in router
+                             of its own
+    users 75%                app servers on the sites recife, caruaru and natal (r0, …, c0, …,
+                             n0, …) with a failover plan, and users whose load is this share of the
+                             capacity of all sites
+    users-late 500ms         time until a changed announcement affects the users' requests
+    shared 100               with users: swap requests call a dependency of all sites that can bear
+                             this number of calls per second
+    guest-worth 20%          with users: the benefit of failover traffic relative to home traffic
+    kept refused             with users: each member has an effect log; the treatment of requests
+                             while it cannot persist effects (refused or marked)
+
+    start WHO                starts processes; with users, the first `start` starts all members and
+                             then the users
+    kill WHO                 kills processes
+    stop WHO                 stops processes with SIGSTOP
+    continue WHO             continues stopped processes
+    leave WHO                ends processes with SIGTERM; their exit code must be 0
+    tell STATE WHO           with kind run: the members report this state
+    fill WHO                 simulates full disks
+    empty WHO                ends the simulation of full disks
+    cut WHO [from WHO]       cuts links in both directions
+    mute WHO [to WHO]        cuts links in one direction: datagrams of WHO are lost
+    loss 30% WHO             loses this share of the datagrams from and to WHO; replaces a delay
+    delay 20ms WHO           delays the datagrams from and to WHO; replaces a loss
+    unplug WHO               cuts all links of WHO, including that to its router
+    heal                     restores all links and removes losses and delays
+    wait 2s
     clock -24h WHO           sets the clock's offset (24h: ahead, 0s: correct again)
-    lose WHO                 power failure: ends process and executor    back WHO
-    slow WHO 3               makes requests on WHO take longer by a factor
-    slow-shared 4            makes calls to the shared dependency take longer by a factor
-    order drain SITE 60s     an operator's order: drain, hold or release
+    lose WHO                 with users: power failure; ends processes and executors
+    back WHO                 with users: starts processes again, with new executors
+    slow WHO 3               with users: multiplies the execution time of requests on WHO
+    slow-shared 4            with users: multiplies the time of calls to the shared dependency
+    order drain SITE 60s     with users: an operator's order: drain, hold or release
 
     expect settled [WHO] within 10s
-    expect health WORD WHO within 8s              in the view of all running members outside of WHO
+    expect health WORD WHO within 8s          in the view of all running members outside of WHO
     expect conclusion WORD WHO within 8s
     expect store WORD WHO within 8s
-    expect disk WORD WHO within 8s                in the view of all running members: kept, full, …
-    expect announced|withdrawn WHO within 8s      according to the routes of their own routers
-    expect stage WORD SITE within 8s              in the view of all running members on other sites
-    expect stood-in|home SITE within 8s           some, or no, node of another site announces its service
-    expect service 95% [SITE] within 10s          share of the offered benefit, over the last two seconds
-    hold WORD WHO 5s                              no running member reports another health in this time
-    hold service 80% [SITE] 5s                    share of the offered benefit, over this time
-    hold denied 5% CLASS 5s                       at most this share of a request class, over this time
-    hold calls 110% 5s                            at most this share of the calls that the dependency can bear
-    hold once                                     no effect was applied twice so far
-
-WHO: names of members or sites, all, third (a third of the members, drawn once), rest (the members not in third)."""
+    expect disk WORD WHO within 8s            in the view of all running members: kept, full, …
+    expect announced|withdrawn WHO within 8s  according to the routes of their own routers
+    expect stage WORD SITE within 8s          in the view of all running members on other sites
+    expect stood-in|home SITE within 8s       some, or no, node of another site announces the
+                                              service of SITE
+    expect service 95% [SITE] within 10s      share of the offered benefit that is completed, over
+                                              two seconds
+    hold WORD WHO 5s                          no running member reports another health of WHO in
+                                              this time
+    hold service 80% [SITE] 5s                share of the offered benefit that is completed, over
+                                              this time
+    hold denied 5% CLASS 5s                   at most this share of a request class is denied, over
+                                              this time
+    hold calls 110% 5s                        at most this share of the calls that the dependency
+                                              can bear, over this time
+    hold once                                 no effect was applied twice so far
+
+WHO: names of members or sites, all, third (a third of the members, drawn once) or rest (the members
+not in third).
+"""
 
 from __future__ import annotations
 
@@ -62,14 +86,15 @@
 from lilacwalk.testing.fleet import ProcessFleet
 from lilacwalk.testing.site_outage import BENEFIT, SITES, Outage
 
-SECOND = 10_000
+SECOND = 10_000  # in the unit of `parse_duration`, 0.1 ms
 HEALTHS = ("alive", "suspect", "dead", "left", "unknown")
 DISKS = ("kept", "full", "read-only", "slow", "failed", "refused", "opening")
 CONCLUSIONS = ("alone", "minority", "whole", "unsure")
 STORES = ("off", "opening", "kept", "not-kept")
-STAGES = tuple(each.value for each in RecoveryStage)
+STAGES = tuple(stage.value for stage in RecoveryStage)
 STATES = ("cold", "warming", "ready", "sick", "standing-still", "leaving")
 ORDERS = ("drain", "hold", "release")
+# first words of steps
 VERBS = (
     "start",
     "kill",
@@ -95,7 +120,8 @@
     "expect",
     "hold",
 )
-WITH_USERS = (
+# verbs of `Step` that need a script with users
+VERBS_WITH_USERS = (
     "lose",
     "back",
     "slow",
@@ -110,28 +136,30 @@
     "slow_shared",
     "hold_calls",
 )
-WITH_ROUTERS = ("announced", "withdrawn", "unplug")
+# verbs of `Step` that need stand-in routers
+VERBS_WITH_ROUTERS = ("announced", "withdrawn", "unplug")
 SERVICE_WINDOW_SECONDS = 2  # one second has too few requests of the rarest class
-MAX_MEMBERS = 64  # processes of 18 MB each on one machine
+MAX_MEMBERS = 64  # each is a process of 18 MB on the same machine
 
 
 class BadScriptError(Exception):
-    """The script has errors; the message lists them, one a line, as `FILE:LINE: word: expected …`."""
+    """A script is invalid; the message lists its errors as `FILE:LINE: word: expected …`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A step of a script; `verb` selects the method `ScenarioRun.do_…` that carries it out."""
+    """A step of a script, which the method of `ScenarioRun` named `do_` and `verb` carries out."""
 
     line: int
     text: str
     verb: str
-    who: tuple[str, ...] = ()
-    other: tuple[str, ...] = ()
-    word: str = ""
-    time: float = 0.0  # seconds
-    # the percentage of `loss`, `service`, `denied` and `calls` as a fraction, or the factor of `slow`, `slow-shared`
-    share: float = 0.0
+    targets: tuple[str, ...] = ()  # the words of the first WHO
+    peers: tuple[str, ...] = ()  # the words of the second WHO, in `cut` and `mute`
+    word: str = ""  # an expected value, a state, a request class or an operator's order
+    duration: float = 0.0  # seconds; in `clock` the offset
+    # the percentage of `loss`, `service`, `denied` and `calls` as a fraction, or the factor of
+    # `slow` and `slow-shared`
+    factor: float = 0.0
 
 
 @dataclass(slots=True)
@@ -147,82 +175,88 @@
     store: bool = True
     kind: str = "run"
     announce: bool = False
-    users: float = 0.0  # share of the capacity of all sites; 0: no users
-    users_late: float = 0.5  # seconds
-    kept: str = ""  # treatment of requests while effects cannot be persisted: `refused`, `marked`; empty: no effect log
+    user_load: float = 0.0  # share of the capacity of all sites; 0: no users
+    route_delay: float = 0.5  # seconds
+    # treatment of requests while effects cannot be persisted, `refused` or `marked`; empty: the
+    # members have no effect log
+    unpersisted_rule: str = ""
     shared: int = 0  # calls per second; 0: no shared dependency
-    guest_worth: float = 1.0
+    failover_benefit: float = 1.0  # relative to the benefit of home traffic
     steps: list[Step] = field(default_factory=list)
 
     @property
     def names(self) -> list[str]:
-        if not self.users:
-            return [f"n{at}" for at in range(self.members)]
-        return [f"{site[0]}{at}" for site in SITES for at in range(self.members // len(SITES))]
+        """The names of the members, in the order of their creation."""
+        if not self.user_load:
+            return [f"n{index}" for index in range(self.members)]
+        return [
+            f"{site[0]}{index}" for site in SITES for index in range(self.members // len(SITES))
+        ]
 
-    def site_of(self, at: int) -> str:
-        return self.sites[at * len(self.sites) // self.members]
+    def site_of(self, index: int) -> str:
+        """The site of the member with this index in `names`."""
+        return self.sites[index * len(self.sites) // self.members]
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether an expectation held, after how many seconds, and the deviation or value that was found."""
+    """The result of an expectation."""
 
     step: Step
-    held: bool
-    took: float
-    found: str = ""
+    is_met: bool
+    seconds: float  # duration of the check
+    finding: str = ""  # the deviation from the expectation, or the measured value
 
 
 def read(path: str) -> Script:
-    """Reads a script. Raises BadScriptError with all its errors."""
+    """Reads a script; raises BadScriptError with all its errors if it is invalid."""
     try:
-        statements, faults = parse_statements(read_text(path))
+        statements, syntax_errors = parse_statements(read_text(path))
     except UnusableFileError as error:
         raise BadScriptError(str(error)) from None
-    found = [(fault.line, fault.word, fault.expected) for fault in faults]
+    errors = [(error.line, error.word, error.expected) for error in syntax_errors]
     script = Script(path)
-    for each in statements:
+    for statement in statements:
         try:
-            if each.block is not None:
-                raise WordError(each.keyword, "a statement without a block")
-            if not apply_setting(script, each):
-                script.steps.append(parse_step(each))
+            if statement.block is not None:
+                raise WordError(statement.keyword, "a statement without a block")
+            if not apply_setting(script, statement):
+                script.steps.append(parse_step(statement))
         except WordError as error:
-            found.append((each.line, error.word, error.expected))
-    if script.users:
+            errors.append((statement.line, error.word, error.expected))
+    if script.user_load:
         script.sites, script.kind = SITES, "serve"
         if script.members % len(SITES):
-            found.append((1, "members", f"a multiple of {len(SITES)} in a script with users"))
+            errors.append((1, "members", f"a multiple of {len(SITES)} in a script with users"))
     if script.announce and script.kind != "serve":
-        found.append((1, "announce", "kind serve in the script"))
-    known = {*script.names, *script.sites, "all", "third", "rest"}
-    for each in script.steps:
-        found += [
-            (each.line, name, "a member, a site, all, third or rest")
-            for name in (*each.who, *each.other)
-            if name not in known
+        errors.append((1, "announce", "kind serve in the script"))
+    known_names = {*script.names, *script.sites, "all", "third", "rest"}
+    for step in script.steps:
+        errors += [
+            (step.line, name, "a member, a site, all, third or rest")
+            for name in (*step.targets, *step.peers)
+            if name not in known_names
         ]
-        if each.verb in WITH_USERS and not script.users:
-            found.append((each.line, each.verb, "a script with users"))
-        if each.verb in ("slow_shared", "hold_calls") and not script.shared:
-            found.append((each.line, each.verb, "a script with a shared dependency"))
-        if each.verb in WITH_ROUTERS and not (script.users or script.announce):
-            found.append((each.line, each.verb, "a script with users, or announce yes"))
+        if step.verb in VERBS_WITH_USERS and not script.user_load:
+            errors.append((step.line, step.verb, "a script with users"))
+        if step.verb in ("slow_shared", "hold_calls") and not script.shared:
+            errors.append((step.line, step.verb, "a script with a shared dependency"))
+        if step.verb in VERBS_WITH_ROUTERS and not (script.user_load or script.announce):
+            errors.append((step.line, step.verb, "a script with users, or announce yes"))
     if len(script.sites) > script.members:
-        found.append((1, "sites", f"at most as many sites as members, {script.members}"))
-    if found:
+        errors.append((1, "sites", f"at most as many sites as members, {script.members}"))
+    if errors:
         raise BadScriptError(
             "\n".join(
                 f"{path}:{line}: {word}: expected {expected}"
-                for line, word, expected in sorted(found)
+                for line, word, expected in sorted(errors)
             )
         )
     return script
 
 
 class WordError(Exception):
-    """A word of a statement is wrong; `expected` describes the allowed words."""
+    """A word of a statement is invalid; `expected` describes the allowed words."""
 
     def __init__(self, word: str, expected: str) -> None:
         super().__init__(word)
@@ -246,42 +280,43 @@
 )
 
 
-def apply_setting(script: Script, each: Statement) -> bool:
-    """Applies a settings line to the script; returns false if the statement is not one."""
-    if each.keyword not in SETTINGS:
+def apply_setting(script: Script, statement: Statement) -> bool:
+    """Applies a setting to the script; returns false if the statement is not a setting."""
+    if statement.keyword not in SETTINGS:
         return False
     if script.steps:
-        raise WordError(each.keyword, "all settings before the first step")
-    if not each.words:
-        raise WordError(each.keyword, "a value after the keyword")
-    word = each.words[0]
-    if each.keyword == "sites":
-        script.sites = tuple(each.words)
-    elif each.keyword == "probe-interval":
+        raise WordError(statement.keyword, "all settings before the first step")
+    if not statement.words:
+        raise WordError(statement.keyword, "a value after the keyword")
+    word = statement.words[0]
+    if statement.keyword == "sites":
+        script.sites = tuple(statement.words)
+    elif statement.keyword == "probe-interval":
         script.interval_ms = int(parse_seconds(word) * 1000)
-    elif each.keyword == "store":
-        script.store = one_of(word, ("yes", "no")) == "yes"
-    elif each.keyword == "announce":
-        script.announce = one_of(word, ("yes", "no")) == "yes"
-    elif each.keyword == "users":
-        script.users = parse_percent(word)
-    elif each.keyword == "guest-worth":
-        script.guest_worth = max(0.01, min(1.0, parse_percent(word)))
-    elif each.keyword == "kept":
-        script.kept = one_of(word, ("refused", "marked"))
-    elif each.keyword == "users-late":
-        script.users_late = parse_seconds(word)
-    elif each.keyword == "kind":
-        script.kind = one_of(word, ("run", "serve"))
+    elif statement.keyword == "store":
+        script.store = require_one_of(word, ("yes", "no")) == "yes"
+    elif statement.keyword == "announce":
+        script.announce = require_one_of(word, ("yes", "no")) == "yes"
+    elif statement.keyword == "users":
+        script.user_load = parse_percent(word)
+    elif statement.keyword == "guest-worth":
+        script.failover_benefit = max(0.01, min(1.0, parse_percent(word)))
+    elif statement.keyword == "kept":
+        script.unpersisted_rule = require_one_of(word, ("refused", "marked"))
+    elif statement.keyword == "users-late":
+        script.route_delay = parse_seconds(word)
+    elif statement.keyword == "kind":
+        script.kind = require_one_of(word, ("run", "serve"))
     else:
-        max_value = MAX_MEMBERS if each.keyword not in ("seed", "shared") else 1 << 31
+        max_value = MAX_MEMBERS if statement.keyword not in ("seed", "shared") else 1 << 31
         if not word.isdecimal() or not 1 <= int(word) <= max_value:
             raise WordError(word, f"a whole number from 1 to {max_value}")
-        setattr(script, each.keyword, int(word))
+        setattr(script, statement.keyword, int(word))
     return True
 
 
 def parse_seconds(word: str) -> float:
+    """Returns a time such as 200ms in seconds; raises WordError."""
     try:
         return parse_duration(word) / SECOND
     except ValueError as error:
@@ -289,32 +324,41 @@
 
 
 def parse_percent(word: str) -> float:
+    """Returns a percentage such as 30% as a fraction; raises WordError."""
     number = word.removesuffix("%")
     if not word.endswith("%") or not number.isdecimal() or int(number) > 200:
         raise WordError(word, "a percentage from 0% to 200%, such as 30%")
     return int(number) / 100
 
 
-def one_of(word: str, words: tuple[str, ...]) -> str:
+def require_one_of(word: str, words: tuple[str, ...]) -> str:
+    """Returns `word`; raises WordError if it is not one of `words`."""
     if word not in words:
         raise WordError(word, "one of " + ", ".join(words))
     return word
 
 
 def require_names(words: list[str], verb: str) -> tuple[str, ...]:
+    """Returns `words`; raises WordError if there are none."""
     if not words:
         raise WordError(verb, "names of members or sites, all, third or rest")
     return tuple(words)
 
 
 def split_at(words: list[str], word: str) -> tuple[list[str], list[str]]:
-    """The words before and after `word`."""
-    at = words.index(word) if word in words else len(words)
-    return words[:at], words[at + 1 :]
-
-
-def parse_step(each: Statement) -> Step:
-    line, text, verb, words = each.line, str(each), each.keyword, list(each.words)
+    """Returns the words before and after `word`; if it is missing, all words are before it."""
+    index = words.index(word) if word in words else len(words)
+    return words[:index], words[index + 1 :]
+
+
+def parse_step(statement: Statement) -> Step:
+    """Returns the step of a statement; raises WordError if the statement is no valid step."""
+    line, text, verb, words = (
+        statement.line,
+        str(statement),
+        statement.keyword,
+        list(statement.words),
+    )
     if verb in (
         "start",
         "kill",
@@ -329,8 +373,8 @@
     ):
         return Step(line, text, verb, require_names(words, verb))
     if verb in ("cut", "mute"):
-        who, other = split_at(words, "from" if verb == "cut" else "to")
-        return Step(line, text, verb, require_names(who, verb), tuple(other))
+        targets, peers = split_at(words, "from" if verb == "cut" else "to")
+        return Step(line, text, verb, require_names(targets, verb), tuple(peers))
     if verb == "heal" and not words:
         return Step(line, text, verb)
     parsers = {
@@ -351,12 +395,12 @@
 
 
 def parse_wait(line: int, text: str, words: list[str]) -> Step:
-    return Step(line, text, "wait", time=parse_seconds(words[0]))
+    return Step(line, text, "wait", duration=parse_seconds(words[0]))
 
 
 def parse_delay(line: int, text: str, words: list[str]) -> Step:
     return Step(
-        line, text, "delay", require_names(words[1:], "delay"), time=parse_seconds(words[0])
+        line, text, "delay", require_names(words[1:], "delay"), duration=parse_seconds(words[0])
     )
 
 
@@ -366,7 +410,7 @@
         text,
         "loss",
         require_names(words[1:], "loss"),
-        share=min(1.0, parse_percent(words[0])),
+        factor=min(1.0, parse_percent(words[0])),
     )
 
 
@@ -377,18 +421,18 @@
         text,
         "clock",
         require_names(words[1:], "clock"),
-        time=sign * parse_seconds(words[0].lstrip("-")),
+        duration=sign * parse_seconds(words[0].lstrip("-")),
     )
 
 
 def parse_slow(line: int, text: str, words: list[str]) -> Step:
     if not words[-1].replace(".", "", 1).isdecimal() or not float(words[-1]):
         raise WordError(words[-1], "a factor above 0, such as 3")
-    return Step(line, text, "slow", require_names(words[:-1], "slow"), share=float(words[-1]))
+    return Step(line, text, "slow", require_names(words[:-1], "slow"), factor=float(words[-1]))
 
 
 def parse_slow_shared(line: int, text: str, words: list[str]) -> Step:
-    return replace(parse_slow(line, text, ["shared", *words[-1:]]), verb="slow_shared", who=())
+    return replace(parse_slow(line, text, ["shared", *words[-1:]]), verb="slow_shared", targets=())
 
 
 def parse_order(line: int, text: str, words: list[str]) -> Step:
@@ -399,33 +443,44 @@
         text,
         "order",
         (words[1],),
-        word=one_of(words[0], ORDERS),
-        time=parse_seconds(words[2]),
+        word=require_one_of(words[0], ORDERS),
+        duration=parse_seconds(words[2]),
     )
 
 
 def parse_tell(line: int, text: str, words: list[str]) -> Step:
-    return Step(line, text, "tell", require_names(words[1:], "tell"), word=one_of(words[0], STATES))
+    return Step(
+        line, text, "tell", require_names(words[1:], "tell"), word=require_one_of(words[0], STATES)
+    )
 
 
 def parse_hold(line: int, text: str, words: list[str]) -> Step:
     if words == ["once"]:
         return Step(line, text, "hold_once")
     if words[0] in ("service", "denied") and len(words) > 2:
-        share, rest, time_ = parse_percent(words[1]), words[2:-1], parse_seconds(words[-1])
+        share, rest, duration = parse_percent(words[1]), words[2:-1], parse_seconds(words[-1])
         if words[0] == "service":
-            return Step(line, text, "hold_service", tuple(rest), share=share, time=time_)
+            return Step(line, text, "hold_service", tuple(rest), factor=share, duration=duration)
         if len(rest) != 1:
             raise WordError(" ".join(rest) or "denied", "exactly one request class and then a time")
         return Step(
-            line, text, "hold_denied", word=one_of(rest[0], tuple(BENEFIT)), share=share, time=time_
+            line,
+            text,
+            "hold_denied",
+            word=require_one_of(rest[0], tuple(BENEFIT)),
+            factor=share,
+            duration=duration,
         )
     if words[0] == "calls" and len(words) == 3:
         return Step(
-            line, text, "hold_calls", share=parse_percent(words[1]), time=parse_seconds(words[2])
+            line,
+            text,
+            "hold_calls",
+            factor=parse_percent(words[1]),
+            duration=parse_seconds(words[2]),
         )
-    who, word = require_names(words[1:-1], "hold"), one_of(words[0], HEALTHS)
-    return Step(line, text, "hold", who, word=word, time=parse_seconds(words[-1]))
+    targets, word = require_names(words[1:-1], "hold"), require_one_of(words[0], HEALTHS)
+    return Step(line, text, "hold", targets, word=word, duration=parse_seconds(words[-1]))
 
 
 def parse_expect(line: int, text: str, words: list[str]) -> Step:
@@ -433,258 +488,282 @@
         raise WordError(
             words[-1], "`within` and a time at the end of the line, such as `within 8s`"
         )
-    what, rest, within = words[0], words[1:-2], parse_seconds(words[-1])
-    if what == "settled":
-        return Step(line, text, "settled", tuple(rest), time=within)
-    if what in ("announced", "withdrawn", "stood-in", "home"):
-        return Step(line, text, what.replace("-", "_"), require_names(rest, what), time=within)
-    if what == "service" and rest:
+    subject, rest, within = words[0], words[1:-2], parse_seconds(words[-1])
+    if subject == "settled":
+        return Step(line, text, "settled", tuple(rest), duration=within)
+    if subject in ("announced", "withdrawn", "stood-in", "home"):
+        return Step(
+            line, text, subject.replace("-", "_"), require_names(rest, subject), duration=within
+        )
+    if subject == "service" and rest:
         return Step(
-            line, text, "service", tuple(rest[1:]), share=parse_percent(rest[0]), time=within
+            line, text, "service", tuple(rest[1:]), factor=parse_percent(rest[0]), duration=within
         )
-    table = {
+    words_by_subject = {
         "health": HEALTHS,
         "conclusion": CONCLUSIONS,
         "store": STORES,
         "stage": STAGES,
         "disk": DISKS,
     }
-    if what not in table or not rest:
+    if subject not in words_by_subject or not rest:
         raise WordError(
-            what,
+            subject,
             "settled, service, announced, withdrawn, stood-in or home; or health, "
             "conclusion, store, disk or stage, followed by the expected value",
         )
     return Step(
         line,
         text,
-        what,
-        require_names(rest[1:], what),
-        word=one_of(rest[0], table[what]),
-        time=within,
+        subject,
+        require_names(rest[1:], subject),
+        word=require_one_of(rest[0], words_by_subject[subject]),
+        duration=within,
     )
 
 
 class ScenarioRun:
-    """Runs the steps of a script; the methods `do_…` carry out one kind of step each."""
+    """A run of a script. The methods `do_…` carry out one kind of step each.
+
+    `copy_to` names a directory to which the files and logs of the processes are copied at the end.
+    """
 
     def __init__(
-        self, script: Script, seed: int, keep: str | None, print_line: Callable[[str], None]
+        self, script: Script, seed: int, copy_to: str | None, print_line: Callable[[str], None]
     ) -> None:
         self.script, self.print_line = script, print_line
         self.outage: Outage | None = None
         names = script.names
-        if script.users:
+        if script.user_load:
             self.outage = Outage(
                 script.members // len(SITES),
-                load=script.users,
+                load=script.user_load,
                 seed=seed,
-                route_delay=script.users_late,
+                route_delay=script.route_delay,
                 interval_ms=script.interval_ms,
-                keep=keep,
-                kept=script.kept,
-                shared=script.shared,
-                guest_worth=script.guest_worth,
+                copy_to=copy_to,
+                unpersisted_rule=script.unpersisted_rule,
+                dependency_rate=script.shared,
+                failover_benefit=script.failover_benefit,
             )
-            self.rig = self.outage.rig
+            self.process_fleet = self.outage.process_fleet
         else:
-            self.rig = ProcessFleet(seed, script.interval_ms, script.kind, keep, script.store)
-            for at, name in enumerate(names):
-                made = self.rig.add(name, script.site_of(at), names[: script.seeds])
+            self.process_fleet = ProcessFleet(
+                seed, script.interval_ms, script.kind, copy_to, script.store
+            )
+            for index, name in enumerate(names):
+                process = self.process_fleet.add(name, script.site_of(index), names[: script.seeds])
                 if script.announce:
-                    made.extra = self.rig.add_router(name, f"192.0.2.{at + 1}/32")
+                    process.extra_statements = self.process_fleet.add_router(
+                        name, f"192.0.2.{index + 1}/32"
+                    )
         self.third = set(random.Random(seed).sample(names, max(1, script.members // 3)))
         self.verdicts: list[Verdict] = []
 
-    def names(self, who: tuple[str, ...]) -> list[str]:
-        found = []
-        for name, each in self.rig.processes.items():
+    def member_names(self, targets: tuple[str, ...]) -> list[str]:
+        """The names of the members that the words of a WHO select."""
+        selected = []
+        for name, process in self.process_fleet.processes.items():
             in_third = name in self.third
             if (
-                name in who
-                or each.site in who
-                or "all" in who
-                or ("third" if in_third else "rest") in who
+                name in targets
+                or process.site in targets
+                or "all" in targets
+                or ("third" if in_third else "rest") in targets
             ):
-                found.append(name)
-        return found
+                selected.append(name)
+        return selected
 
     def run(self) -> list[Verdict]:
-        for each in self.script.steps:
-            self.print_line(f"{time.monotonic() - self.rig.began:8.2f} s  {each.text}")
-            getattr(self, "do_" + each.verb)(each, self.names(each.who))
+        """Carries out all steps; returns the verdicts on the expectations."""
+        for step in self.script.steps:
+            self.print_line(
+                f"{time.monotonic() - self.process_fleet.created_at:8.2f} s  {step.text}"
+            )
+            getattr(self, "do_" + step.verb)(step, self.member_names(step.targets))
         return self.verdicts
 
     # Steps
 
-    def do_start(self, step: Step, who: list[str]) -> None:
-        if self.outage is not None and not self.outage.began:
+    def do_start(self, step: Step, names: list[str]) -> None:
+        if self.outage is not None and not self.outage.started_at:
             self.outage.start()
         else:
-            self.rig.start(*who)
+            self.process_fleet.start(*names)
 
-    def do_kill(self, step: Step, who: list[str]) -> None:
-        self.rig.kill(*who)
+    def do_kill(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.kill(*names)
 
-    def do_stop(self, step: Step, who: list[str]) -> None:
-        self.rig.stop(*who)
+    def do_stop(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.stop(*names)
 
-    def do_continue(self, step: Step, who: list[str]) -> None:
-        self.rig.resume(*who)
+    def do_continue(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.resume(*names)
 
-    def do_leave(self, step: Step, who: list[str]) -> None:
-        codes = self.rig.leave(*who)
+    def do_leave(self, step: Step, names: list[str]) -> None:
+        codes = self.process_fleet.leave(*names)
         if any(codes):
             self.verdicts.append(
                 Verdict(step, False, 0.0, f"exit codes {codes}, expected 0 from each")
             )
 
-    def do_tell(self, step: Step, who: list[str]) -> None:
-        for name in who:
-            self.rig.tell(name, step.word)
+    def do_tell(self, step: Step, names: list[str]) -> None:
+        for name in names:
+            self.process_fleet.send_state(name, step.word)
 
-    def do_fill(self, step: Step, who: list[str]) -> None:
-        for name in who:
-            self.rig.fill(name)
+    def do_fill(self, step: Step, names: list[str]) -> None:
+        for name in names:
+            self.process_fleet.set_disk_full(name)
 
-    def do_empty(self, step: Step, who: list[str]) -> None:
-        for name in who:
-            self.rig.fill(name, False)
+    def do_empty(self, step: Step, names: list[str]) -> None:
+        for name in names:
+            self.process_fleet.set_disk_full(name, False)
 
-    def others(self, step: Step, who: list[str]) -> list[str]:
-        return self.names(step.other) or [name for name in self.rig.processes if name not in who]
+    def peer_names(self, step: Step, names: list[str]) -> list[str]:
+        """The members of the second WHO; without one, all members not in `names`."""
+        return self.member_names(step.peers) or [
+            name for name in self.process_fleet.processes if name not in names
+        ]
 
-    def do_cut(self, step: Step, who: list[str]) -> None:
-        self.rig.cut(who, self.others(step, who))
+    def do_cut(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.cut(names, self.peer_names(step, names))
 
-    def do_mute(self, step: Step, who: list[str]) -> None:
-        self.rig.cut(who, self.others(step, who), both=False)
+    def do_mute(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.cut(names, self.peer_names(step, names), both=False)
 
-    def do_loss(self, step: Step, who: list[str]) -> None:
-        for name in who:
-            self.rig.impair(name, loss=step.share)
+    def do_loss(self, step: Step, names: list[str]) -> None:
+        for name in names:
+            self.process_fleet.impair(name, loss=step.factor)
 
-    def do_delay(self, step: Step, who: list[str]) -> None:
-        for name in who:
-            self.rig.impair(name, delay=step.time)
+    def do_delay(self, step: Step, names: list[str]) -> None:
+        for name in names:
+            self.process_fleet.impair(name, delay=step.duration)
 
-    def do_heal(self, step: Step, who: list[str]) -> None:
-        self.rig.heal()
+    def do_heal(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.heal()
 
-    def do_wait(self, step: Step, who: list[str]) -> None:
-        time.sleep(step.time)
+    def do_wait(self, step: Step, names: list[str]) -> None:
+        time.sleep(step.duration)
 
-    def do_unplug(self, step: Step, who: list[str]) -> None:
-        self.rig.unplug(*who)
+    def do_unplug(self, step: Step, names: list[str]) -> None:
+        self.process_fleet.unplug(*names)
 
-    def do_clock(self, step: Step, who: list[str]) -> None:
-        for name in who:
-            self.rig.set_clock(name, step.time)
+    def do_clock(self, step: Step, names: list[str]) -> None:
+        for name in names:
+            self.process_fleet.set_clock(name, step.duration)
 
-    def do_lose(self, step: Step, who: list[str]) -> None:
-        self.outage.lose(*who)
+    def do_lose(self, step: Step, names: list[str]) -> None:
+        self.outage.power_off(*names)
 
-    def do_back(self, step: Step, who: list[str]) -> None:
-        self.outage.bring_back(*who)
+    def do_back(self, step: Step, names: list[str]) -> None:
+        self.outage.bring_back(*names)
 
-    def do_slow(self, step: Step, who: list[str]) -> None:
-        self.outage.slowness.update(dict.fromkeys(who, step.share))
+    def do_slow(self, step: Step, names: list[str]) -> None:
+        self.outage.slowdown_factors.update(dict.fromkeys(names, step.factor))
 
-    def do_slow_shared(self, step: Step, who: list[str]) -> None:
-        self.outage.dependency.slowness = step.share
+    def do_slow_shared(self, step: Step, names: list[str]) -> None:
+        self.outage.dependency.slowdown_factor = step.factor
 
-    def do_order(self, step: Step, who: list[str]) -> None:
-        name = next(name for name in self.rig.up())
-        found = query(
-            self.rig.processes[name].socket, f"sites {step.word} {step.who[0]} {int(step.time)}"
+    def do_order(self, step: Step, names: list[str]) -> None:
+        name = next(name for name in self.process_fleet.running_names())
+        answer = query(
+            self.process_fleet.processes[name].socket,
+            f"sites {step.word} {step.targets[0]} {int(step.duration)}",
         )
-        if "error" in found:
-            self.record_verdict(Verdict(step, False, 0.0, found["error"]))
+        if "error" in answer:
+            self.record_verdict(Verdict(step, False, 0.0, answer["error"]))
 
     # Expectations
 
-    def do_settled(self, step: Step, who: list[str]) -> None:
+    def do_settled(self, step: Step, names: list[str]) -> None:
         self.wait_until(
-            step, lambda: "" if self.rig.settled(who or None) else self.view_deviation(who)
+            step,
+            lambda: "" if self.process_fleet.settled(names or None) else self.view_deviation(names),
         )
 
-    def do_health(self, step: Step, who: list[str]) -> None:
-        self.wait_until(step, lambda: self.health_deviation(step.word, who))
+    def do_health(self, step: Step, names: list[str]) -> None:
+        self.wait_until(step, lambda: self.health_deviation(step.word, names))
 
-    def do_conclusion(self, step: Step, who: list[str]) -> None:
-        self.wait_until(step, lambda: self.state_deviation("conclusion", step.word, who))
+    def do_conclusion(self, step: Step, names: list[str]) -> None:
+        self.wait_until(step, lambda: self.state_deviation("conclusion", step.word, names))
 
-    def do_store(self, step: Step, who: list[str]) -> None:
-        self.wait_until(step, lambda: self.state_deviation("store", step.word, who))
+    def do_store(self, step: Step, names: list[str]) -> None:
+        self.wait_until(step, lambda: self.state_deviation("store", step.word, names))
 
-    def do_announced(self, step: Step, who: list[str]) -> None:
-        self.wait_until(step, lambda: self.route_deviation(who, True))
+    def do_announced(self, step: Step, names: list[str]) -> None:
+        self.wait_until(step, lambda: self.route_deviation(names, True))
 
-    def do_withdrawn(self, step: Step, who: list[str]) -> None:
-        self.wait_until(step, lambda: self.route_deviation(who, False))
+    def do_withdrawn(self, step: Step, names: list[str]) -> None:
+        self.wait_until(step, lambda: self.route_deviation(names, False))
 
-    def do_stage(self, step: Step, who: list[str]) -> None:
-        self.wait_until(step, lambda: self.stage_deviation(step.who, step.word))
+    def do_stage(self, step: Step, names: list[str]) -> None:
+        self.wait_until(step, lambda: self.stage_deviation(step.targets, step.word))
 
-    def do_stood_in(self, step: Step, who: list[str]) -> None:
+    def do_stood_in(self, step: Step, names: list[str]) -> None:
         self.wait_until(
             step,
             lambda: ""
-            if all(map(self.outage.failover_nodes, step.who))
+            if all(map(self.outage.failover_nodes, step.targets))
             else "no node of another site announces its service",
         )
 
-    def do_home(self, step: Step, who: list[str]) -> None:
+    def do_home(self, step: Step, names: list[str]) -> None:
         self.wait_until(
             step,
             lambda: ", ".join(
                 f"{name} announces the service of {site}"
-                for site in step.who
+                for site in step.targets
                 for name in self.outage.failover_nodes(site)
             ),
         )
 
-    def do_service(self, step: Step, who: list[str]) -> None:
-        first = self.outage.now
+    def do_service(self, step: Step, names: list[str]) -> None:
+        started_at = self.outage.now
 
-        # Only whole seconds after the begin of the step count. The most recent second is left out, as many of its
-        # requests are not answered yet.
+        # Only whole seconds after the start of the step count. The most recent second is left out,
+        # as many of its requests are not answered yet.
         def deviation() -> str:
             end = int(self.outage.now) - 1
-            if end - SERVICE_WINDOW_SECONDS < first:
-                return "too few seconds since the step"
+            if end - SERVICE_WINDOW_SECONDS < started_at:
+                return "too few whole seconds since the start of the step"
             return self.service_deviation(end - SERVICE_WINDOW_SECONDS, end, step)
 
         self.wait_until(step, deviation)
 
-    def do_hold_service(self, step: Step, who: list[str]) -> None:
+    def do_hold_service(self, step: Step, names: list[str]) -> None:
         first, end = self.wait_for_window(step)
-        found = self.service_deviation(first, end, step)
+        deviation = self.service_deviation(first, end, step)
         self.record_verdict(
-            Verdict(step, not found, step.time, found or f"{self.outage.share(first, end):.1%}")
+            Verdict(
+                step,
+                not deviation,
+                step.duration,
+                deviation or f"{self.outage.benefit_ratio(first, end):.1%}",
+            )
         )
 
-    def do_hold_denied(self, step: Step, who: list[str]) -> None:
-        part = self.outage.denied(*self.wait_for_window(step), step.word)
+    def do_hold_denied(self, step: Step, names: list[str]) -> None:
+        ratio = self.outage.denied_ratio(*self.wait_for_window(step), step.word)
         self.record_verdict(
-            Verdict(step, part <= step.share, step.time, f"{part:.1%} of {step.word} denied")
+            Verdict(step, ratio <= step.factor, step.duration, f"{ratio:.1%} of {step.word} denied")
         )
 
-    def do_hold_calls(self, step: Step, who: list[str]) -> None:
-        before, began = self.outage.dependency.calls_made, time.monotonic()
-        time.sleep(step.time)
-        rate = (self.outage.dependency.calls_made - before) / (time.monotonic() - began)
-        part = rate * self.outage.dependency.slowness / self.outage.shared
+    def do_hold_calls(self, step: Step, names: list[str]) -> None:
+        count_before, started_at = self.outage.dependency.call_count, time.monotonic()
+        time.sleep(step.duration)
+        rate = (self.outage.dependency.call_count - count_before) / (time.monotonic() - started_at)
+        ratio = rate * self.outage.dependency.slowdown_factor / self.outage.dependency_rate
         self.record_verdict(
             Verdict(
                 step,
-                part <= step.share,
-                step.time,
-                f"{part:.0%} of the calls that the dependency can bear: {rate:.0f} calls per second",
+                ratio <= step.factor,
+                step.duration,
+                f"{ratio:.0%} of the calls that the dependency can bear: "
+                f"{rate:.0f} calls per second",
             )
         )
 
-    def do_hold_once(self, step: Step, who: list[str]) -> None:
+    def do_hold_once(self, step: Step, names: list[str]) -> None:
         self.record_verdict(
             Verdict(
                 step,
@@ -695,140 +774,167 @@
         )
 
     def wait_for_window(self, step: Step) -> tuple[int, int]:
-        """Waits for the time of the step; returns its first whole second and the one after its last.
+        """Waits for the duration of the step, and until most of its requests are answered.
 
-        It also waits for one second more, after which most requests of the last second are answered.
+        This takes one second more. Returns the first whole second of the step and the second after
+        its last one.
         """
         first = int(self.outage.now) + 1
-        end = first + max(1, int(step.time))
+        end = first + max(1, int(step.duration))
         while self.outage.now < end + 1:
             time.sleep(0.02)
         return first, end
 
-    def do_disk(self, step: Step, who: list[str]) -> None:
+    def do_disk(self, step: Step, names: list[str]) -> None:
         word = "" if step.word == "kept" else step.word
-        self.wait_until(step, lambda: self.reported_deviation(who, "disk", word))
+        self.wait_until(step, lambda: self.reported_deviation(names, "disk", word))
 
-    def do_hold(self, step: Step, who: list[str]) -> None:
-        began = time.monotonic()
-        found = ""
-        while not found and time.monotonic() - began < step.time:
-            found = self.health_deviation(step.word, who)
+    def do_hold(self, step: Step, names: list[str]) -> None:
+        started_at = time.monotonic()
+        deviation = ""
+        while not deviation and time.monotonic() - started_at < step.duration:
+            deviation = self.health_deviation(step.word, names)
             time.sleep(0.02)
-        self.record_verdict(Verdict(step, not found, time.monotonic() - began, found))
+        self.record_verdict(Verdict(step, not deviation, time.monotonic() - started_at, deviation))
+
+    def wait_until(self, step: Step, find_deviation: Callable[[], str]) -> None:
+        """Waits until `find_deviation` returns an empty text, and records the verdict.
 
-    def wait_until(self, step: Step, deviation: Callable[[], str]) -> None:
-        """Waits until `deviation` returns an empty text, at most for the time of the step."""
-        began = time.monotonic()
-        while (found := deviation()) and time.monotonic() - began < step.time:
+        The wait lasts at most for the duration of the step.
+        """
+        started_at = time.monotonic()
+        while (deviation := find_deviation()) and time.monotonic() - started_at < step.duration:
             time.sleep(0.02)
-        self.record_verdict(Verdict(step, not found, time.monotonic() - began, found))
+        self.record_verdict(Verdict(step, not deviation, time.monotonic() - started_at, deviation))
 
     def record_verdict(self, verdict: Verdict) -> None:
         self.verdicts.append(verdict)
         self.print_line(
-            f"{time.monotonic() - self.rig.began:8.2f} s  "
-            + (f"held after {verdict.took:.2f} s" if verdict.held else f"NOT HELD: {verdict.found}")
+            f"{time.monotonic() - self.process_fleet.created_at:8.2f} s  "
+            + (
+                f"held after {verdict.seconds:.2f} s"
+                if verdict.is_met
+                else f"NOT HELD: {verdict.finding}"
+            )
         )
 
-    # Descriptions of the deviation from the expectation; empty if there is none
+    # Each of these methods describes the deviation from an expectation; the text is empty if there
+    # is none.
 
     def service_deviation(self, first: int, end: int, step: Step) -> str:
-        share = self.outage.share(first, end, step.who or SITES)
+        ratio = self.outage.benefit_ratio(first, end, step.targets or SITES)
         return (
             ""
-            if share >= step.share
-            else f"{share:.1%} of the offered benefit, expected at least {step.share:.1%}"
+            if ratio >= step.factor
+            else f"{ratio:.1%} of the offered benefit, expected at least {step.factor:.1%}"
         )
 
-    def route_deviation(self, who: list[str], wanted: bool) -> str:
+    def route_deviation(self, names: list[str], is_expected: bool) -> str:
         return ", ".join(
-            f"the router of {name} holds {'no' if wanted else 'a'} route"
-            for name in who
-            if bool(self.rig.processes[name].router.held) is not wanted
+            f"the router of {name} holds {'no' if is_expected else 'a'} route"
+            for name in names
+            if bool(self.process_fleet.processes[name].router.routes) is not is_expected
         )
 
     def stage_deviation(self, sites: tuple[str, ...], word: str) -> str:
-        for name in self.rig.up():
-            if self.rig.processes[name].site in sites:
+        for name in self.process_fleet.running_names():
+            if self.process_fleet.processes[name].site in sites:
                 continue
             try:
-                found = query(self.rig.processes[name].socket, "sites")
+                answer = query(self.process_fleet.processes[name].socket, "sites")
             except (OSError, ValueError):
                 return f"{name} does not answer"
-            for each in found.get("sites", []):
-                if each["site"] in sites and each["stage"] != word:
-                    return f"{name} reports that {each['site']} is {each['stage']} ({each['why']}), expected {word}"
+            for row in answer.get("sites", []):
+                if row["site"] in sites and row["stage"] != word:
+                    return (
+                        f"{name} reports that {row['site']} is {row['stage']} ({row['why']}), "
+                        f"expected {word}"
+                    )
         return ""
 
-    def health_deviation(self, word: str, who: list[str]) -> str:
-        reporters = [name for name in self.rig.up() if name not in who] or self.rig.up()
-        for name, shown in self.rig.all_shown(reporters).items():
-            if shown is None:
+    def health_deviation(self, word: str, names: list[str]) -> str:
+        observers = [
+            name for name in self.process_fleet.running_names() if name not in names
+        ] or self.process_fleet.running_names()
+        for name, view in self.process_fleet.all_views(observers).items():
+            if view is None:
                 return f"{name} does not answer"
-            healths = {row["name"]: row["health"] for row in shown["members"]}
-            for of in who:
-                if of != name and (health := healths.get(of, "unknown")) != word:
-                    return f"{name} reports that {of} is {health}, expected {word}"
+            healths = {row["name"]: row["health"] for row in view["members"]}
+            for subject in names:
+                if subject != name and (health := healths.get(subject, "unknown")) != word:
+                    return f"{name} reports that {subject} is {health}, expected {word}"
         return ""
 
-    def reported_deviation(self, who: list[str], field_: str, word: str) -> str:
-        for name, shown in self.rig.all_shown().items():
-            if shown is None:
+    def reported_deviation(self, names: list[str], field_: str, word: str) -> str:
+        for name, view in self.process_fleet.all_views().items():
+            if view is None:
                 return f"{name} does not answer"
-            for row in shown["members"]:
-                if row["name"] in who and row[field_] != word:
-                    return f"{name} reports that the {field_} of {row['name']} is {row[field_] or 'kept'}, expected {word or 'kept'}"
+            for row in view["members"]:
+                if row["name"] in names and row[field_] != word:
+                    return (
+                        f"{name} reports that the {field_} of {row['name']} is "
+                        f"{row[field_] or 'kept'}, expected {word or 'kept'}"
+                    )
         return ""
 
-    def state_deviation(self, field_: str, word: str, who: list[str]) -> str:
-        for name, shown in self.rig.all_shown(who).items():
-            if shown is None:
+    def state_deviation(self, field_: str, word: str, names: list[str]) -> str:
+        for name, view in self.process_fleet.all_views(names).items():
+            if view is None:
                 return f"{name} does not answer"
-            if shown[field_] != word:
-                return (
-                    f"{name} reports {field_} {shown[field_]} ({shown['reason']}), expected {word}"
-                )
+            if view[field_] != word:
+                return f"{name} reports {field_} {view[field_]} ({view['reason']}), expected {word}"
         return ""
 
-    def view_deviation(self, who: list[str]) -> str:
-        found = self.rig.all_shown(who or None)
-        shown = [each for each in found.values() if each is not None]
-        if not shown:
+    def view_deviation(self, names: list[str]) -> str:
+        answers = self.process_fleet.all_views(names or None)
+        views = [view for view in answers.values() if view is not None]
+        if not views:
             return "no member answers"
-        counts = [each["present"] for each in shown]
-        digests = len({each["digest"] for each in shown})
-        unsettled = sum(not each["settled"] for each in shown)
-        return f"{digests} different views, {min(counts)} to {max(counts)} members present, {unsettled} views not settled"
+        present_counts = [view["present"] for view in views]
+        distinct_views = len({view["digest"] for view in views})
+        unsettled_views = sum(not view["settled"] for view in views)
+        return (
+            f"{distinct_views} different views, {min(present_counts)} to {max(present_counts)} "
+            f"members present, {unsettled_views} views not settled"
+        )
 
 
 def play(
-    script: Script, seed: int | None = None, keep: str | None = None, quiet: bool = False, out=None
+    script: Script,
+    seed: int | None = None,
+    copy_to: str | None = None,
+    quiet: bool = False,
+    out=None,
 ) -> bool:
-    """Runs a script and prints its steps and verdicts; returns whether all expectations held."""
+    """Runs a script and prints its steps and verdicts; returns whether all expectations are met.
+
+    `seed` replaces the seed of the script. `copy_to` names a directory to which the files and logs
+    of the processes are copied. With `quiet`, only the unmet expectations and the number of met
+    expectations are printed.
+    """
     out = out or sys.stdout
 
     def print_line(text: str) -> None:
         if not quiet:
             print(text, file=out, flush=True)
 
-    scenario_run = ScenarioRun(script, script.seed if seed is None else seed, keep, print_line)
+    scenario_run = ScenarioRun(script, script.seed if seed is None else seed, copy_to, print_line)
     try:
         verdicts = scenario_run.run()
     finally:
-        (scenario_run.outage or scenario_run.rig).end()
-    width = max([len(each.step.text) for each in verdicts], default=0)
+        (scenario_run.outage or scenario_run.process_fleet).end()
+    width = max([len(verdict.step.text) for verdict in verdicts], default=0)
     print_line(f"\n{'line':>4}  {'expected':<{width}}  took")
-    for each in verdicts:
+    for verdict in verdicts:
         print_line(
-            f"{each.step.line:>4}  {each.step.text:<{width}}  {each.took:.2f} s"
-            f"{'' if each.held else '  NOT HELD'}"
+            f"{verdict.step.line:>4}  {verdict.step.text:<{width}}  {verdict.seconds:.2f} s"
+            f"{'' if verdict.is_met else '  NOT HELD'}"
         )
-    broken = [each for each in verdicts if not each.held]
-    for each in broken:
-        where = f"{script.path}:{each.step.line}"
-        print(f"{where}: not held: {each.step.text}: {each.found}", file=out, flush=True)
+    unmet = [verdict for verdict in verdicts if not verdict.is_met]
+    for verdict in unmet:
+        where = f"{script.path}:{verdict.step.line}"
+        print(f"{where}: not held: {verdict.step.text}: {verdict.finding}", file=out, flush=True)
     print(
-        f"{len(verdicts) - len(broken)} of {len(verdicts)} expectations held", file=out, flush=True
+        f"{len(verdicts) - len(unmet)} of {len(verdicts)} expectations held", file=out, flush=True
     )
-    return not broken
+    return not unmet
--- a/lilacwalk/testing/site_outage.py
+++ b/lilacwalk/testing/site_outage.py
@@ -1,9 +1,13 @@
-"""Three sites of app servers with stand-in executors, and users of each site who follow its route announcements.
-It counts the outcomes of the users' requests by second. Drills and measurements of the loss of a site use it.
+"""Three sites of app servers with stand-in executors, and the users of each site.
 
-A user's request goes to a node that announces the site's service by the shortest AS path, as it was announced
-`route_delay` seconds ago; one of several is drawn with equal probability. Requests are lost with their connection, as
-when a process dies. Only repeatable requests are retried, once and on any announcing node."""
+The outcomes of the users' requests are counted by second. Scenarios and measurements of the loss of
+a site use this module.
+
+Users follow the route announcements. A request goes to a node that announced the service of the
+user's site by the shortest AS path `route_delay` seconds ago; if there are several, one is drawn
+with equal probability. A request is lost if its connection closes, as when a process dies. Only
+lost requests of a repeatable class are retried, once, at a node that is drawn in the same way.
+"""
 
 from __future__ import annotations
 
@@ -25,26 +29,26 @@
 EFFECTS = {"look": "repeatable", "swap": "deduplicated", "move": "mutating"}
 BENEFIT = {"look": 1.0, "swap": 4.0, "move": 2.0}  # benefit by request class, as in `site_settings`
 # classes of the users' requests; each entry is drawn with equal probability
-MIX = ("look", "look", "swap", "move")
-CALLS = ("swap",)  # classes that call the shared dependency, if there is one
+CLASS_MIX = ("look", "look", "swap", "move")
+CALLING_CLASSES = ("swap",)  # classes that call the shared dependency, if there is one
 DEPENDENCY_CALL_TIME = 0.02  # seconds
-WAIT_MS = 2_000
+WAIT_MS = 2_000  # time that a user waits for an answer
 
 
-def service(site: str) -> str:
-    """The prefix of the site's service address."""
+def service_prefix(site: str) -> str:
+    """The prefix that contains only the site's service address."""
     return f"192.0.2.{10 * (1 + SITES.index(site))}/32"
 
 
 @dataclass(slots=True)
 class SecondCounts:
-    """Outcomes of the requests that one site's users sent in one second, by request class."""
+    """Requests that one site's users sent in one second, and their outcomes, by request class."""
 
     offered: Counter[str] = field(default_factory=Counter)
     completed: Counter[str] = field(default_factory=Counter)
     denied: Counter[str] = field(default_factory=Counter)
-    # terminated, lost with a connection, or without a node that announces the service
-    other: Counter[str] = field(default_factory=Counter)
+    # terminated, lost with a connection, not answered in time, or not sent for lack of a node
+    failed: Counter[str] = field(default_factory=Counter)
 
     @property
     def completed_benefit(self) -> float:
@@ -57,11 +61,13 @@
 
 @dataclass(slots=True)
 class PendingRequest:
+    """A request whose answer has not arrived."""
+
     proxy_client: ProxyClient
     tag: int
-    second: SecondCounts
+    counts: SecondCounts  # of the second in which it was sent first
     class_name: str
-    until: float
+    expires_at: float  # monotonic time
     site: str
     retries: int
 
@@ -71,68 +77,81 @@
 
     def __init__(
         self,
-        nodes: int = 4,
-        work: float = 0.025,
+        nodes_per_site: int = 4,
+        run_time: float = 0.025,
         load: float = 0.75,
-        plan: bool = True,
+        has_plan: bool = True,
         seed: int = 1,
         route_delay: float = 0.5,
         interval_ms: int = 200,
         plan_load: float | None = None,
-        keep: str | None = None,
-        kept: str = "",
-        guests: bool = True,
-        shared: float = 0.0,
-        guest_worth: float = 1.0,
+        copy_to: str | None = None,
+        unpersisted_rule: str = "",
+        separates_failover_traffic: bool = True,
+        dependency_rate: float = 0.0,
+        failover_benefit: float = 1.0,
     ) -> None:
         """Prepares the processes; `start` starts them.
 
         Args:
-            nodes: The number of nodes per site.
-            work: Seconds that one request takes on a node's only core.
+            nodes_per_site: The number of nodes per site.
+            run_time: Seconds that one request takes on a node's only core.
             load: The offered load as a share of the capacity of all sites.
-            plan: Whether the nodes have a failover plan.
+            has_plan: Whether the nodes have a failover plan.
             seed: The seed of all random draws.
-            route_delay: Seconds after which a changed announcement takes effect on the users' requests.
+            route_delay: Seconds until a changed announcement affects the users' requests.
             interval_ms: The probe interval of the fleet.
             plan_load: The load per core in the plan, if it differs from `load`.
-            keep: A directory to which the files and logs are copied at the end.
-            kept: If not empty, each node has an effect log, with this rule while it cannot persist effects.
-            guests: Whether nodes distinguish failover traffic from home traffic; only with a plan.
-            shared: Calls per second that a dependency of all sites can bear; 0: no dependency.
-            guest_worth: The benefit of failover traffic relative to that of home traffic.
+            copy_to: A directory to which `end` copies the files and logs.
+            unpersisted_rule: If not empty, each node has an effect log, and this is the treatment
+                of requests while the node cannot persist effects: `refused` or `marked`.
+            separates_failover_traffic: Whether nodes have a listener of their own for failover
+                traffic; only with a plan.
+            dependency_rate: Calls per second that a dependency of all sites can bear; 0: no
+                dependency.
+            failover_benefit: The benefit of failover traffic relative to that of home traffic.
         """
         self.rng = random.Random(seed)
-        self.nodes, self.work, self.route_delay = nodes, work, route_delay
-        self.guests, self.shared, self.guest_worth = plan and guests, shared, guest_worth
+        self.nodes_per_site, self.run_time, self.route_delay = nodes_per_site, run_time, route_delay
+        self.separates_failover_traffic, self.dependency_rate, self.failover_benefit = (
+            has_plan and separates_failover_traffic,
+            dependency_rate,
+            failover_benefit,
+        )
         self.dependency = (
-            SharedDependency(max(1, round(shared * DEPENDENCY_CALL_TIME)), DEPENDENCY_CALL_TIME)
-            if shared
+            SharedDependency(
+                max(1, round(dependency_rate * DEPENDENCY_CALL_TIME)), DEPENDENCY_CALL_TIME
+            )
+            if dependency_rate
             else None
         )
-        self.rate = {site: load * nodes / work for site in SITES}
-        self.rig = ProcessFleet(seed, interval_ms, "serve", keep)
+        # requests per second
+        self.request_rates = {site: load * nodes_per_site / run_time for site in SITES}
+        self.process_fleet = ProcessFleet(seed, interval_ms, "serve", copy_to)
         self.routers: dict[str, BgpRouter] = {}
-        # connections by node and by the site whose users send the requests
+        # connections by the node and the site whose users send requests on them
         self.proxy_clients: dict[tuple[str, str], ProxyClient] = {}
-        self.seconds: dict[str, dict[int, SecondCounts]] = {site: {} for site in SITES}
-        self.pending: deque[PendingRequest] = deque()
-        # recorded announcements: the time, and by site the path length of each announcing node
-        self.announcements: deque[tuple[float, dict[str, dict[str, int]]]] = deque()
-        self.slowness: dict[str, float] = {}  # factor on the work of a node; 1 if missing
+        self.counts_by_second: dict[str, dict[int, SecondCounts]] = {site: {} for site in SITES}
+        self.pending_requests: deque[PendingRequest] = deque()
+        # snapshots: the monotonic time, and for each site the AS path length by announcing node
+        self.announcement_snapshots: deque[tuple[float, dict[str, dict[str, int]]]] = deque()
+        self.slowdown_factors: dict[str, float] = {}  # factors on `run_time` by node; 1 if missing
         self.ended = threading.Event()
-        self.began = 0.0
-        names = [f"{site[0]}{at}" for site in SITES for at in range(nodes)]
+        self.started_at = 0.0  # monotonic time; 0 before the start
+        names = [f"{site[0]}{index}" for site in SITES for index in range(nodes_per_site)]
         for site in SITES:
-            for at in range(nodes):
-                name = f"{site[0]}{at}"
-                process = self.rig.add(name, site, (names[0], names[nodes]))
-                process.extra = self.rig.add_router(name, service(site)) + (
-                    self._sites_block(load if plan_load is None else plan_load) if plan else ""
+            for index in range(nodes_per_site):
+                name = f"{site[0]}{index}"
+                process = self.process_fleet.add(name, site, (names[0], names[nodes_per_site]))
+                process.extra_statements = self.process_fleet.add_router(
+                    name, service_prefix(site)
+                ) + (
+                    self._sites_block(load if plan_load is None else plan_load) if has_plan else ""
                 )
-                if kept:
-                    process.extra += (
-                        f"store {{\n    directory {process.directory}/kept\n    unkept {kept}\n}}\n"
+                if unpersisted_rule:
+                    process.extra_statements += (
+                        f"store {{\n    directory {process.directory}/kept\n"
+                        f"    unkept {unpersisted_rule}\n}}\n"
                     )
                 self.routers[name] = process.router
                 process.executor = self._make_executor(name)
@@ -146,43 +165,53 @@
     def _make_executor(self, name: str) -> StandInExecutor:
         return StandInExecutor(
             1,
-            lambda class_name, body: self.work * self.slowness.get(name, 1.0),
-            calls=CALLS if self.dependency is not None else (),
+            lambda class_name, body: self.run_time * self.slowdown_factors.get(name, 1.0),
+            calling_classes=CALLING_CLASSES if self.dependency is not None else (),
         )
 
     def _sites_block(self, load: float) -> str:
-        guests = "        guests 127.0.0.1:0\n" if self.guests else ""
+        """Returns the failover plan for the operator file; `load` is the load per core."""
+        failover_listener = (
+            "        guests 127.0.0.1:0\n" if self.separates_failover_traffic else ""
+        )
         blocks = "\n".join(
-            f"    site {each} {{\n        cores {self.nodes}\n        load {load * self.nodes:.3f}\n"
-            + "\n".join(f"        stand-in {other} 5ms" for other in SITES if other != each)
-            + f"\n        service {service(each)}\n{guests}    }}"
-            for each in SITES
+            f"    site {site} {{\n        cores {self.nodes_per_site}\n"
+            f"        load {load * self.nodes_per_site:.3f}\n"
+            + "\n".join(f"        stand-in {other} 5ms" for other in SITES if other != site)
+            + f"\n        service {service_prefix(site)}\n{failover_listener}    }}"
+            for site in SITES
         )
         class_blocks = "".join(
-            f"    class {class_name} {{\n        benefit {benefit}\n        share {MIX.count(class_name) / len(MIX)}\n"
-            f"        calls {int(class_name in CALLS)}\n        work {self.work * 1000:g}ms\n"
+            f"    class {class_name} {{\n        benefit {benefit}\n"
+            f"        share {CLASS_MIX.count(class_name) / len(CLASS_MIX)}\n"
+            f"        calls {int(class_name in CALLING_CLASSES)}\n"
+            f"        work {self.run_time * 1000:g}ms\n"
             f"        effect {EFFECTS[class_name]}\n    }}\n"
             for class_name, benefit in BENEFIT.items()
         )
-        shared = (
-            f"    shared index {self.shared:g}\n{class_blocks}"
+        dependency_block = (
+            f"    shared index {self.dependency_rate:g}\n{class_blocks}"
             if self.dependency is not None
             else ""
         )
         return (
-            f"sites {{\n{blocks}\n{shared}    headroom 0.05\n    guest-worth {self.guest_worth:g}\n"
+            f"sites {{\n{blocks}\n{dependency_block}    headroom 0.05\n"
+            f"    guest-worth {self.failover_benefit:g}\n"
             "    pace {\n        steady 1s\n        step 1s\n    }\n}\n"
         )
 
     # Start, faults and end
 
     def start(self) -> None:
-        self.rig.start(*self.rig.processes)
-        self.rig.wait(self.rig.settled, 20, "settled")
-        self.rig.wait(
-            lambda: all(router.held for router in self.routers.values()), 20, "all announced"
+        """Starts the processes; once all have joined and announced, starts the users."""
+        self.process_fleet.start(*self.process_fleet.processes)
+        self.process_fleet.wait(self.process_fleet.settled, 20, "views settled")
+        self.process_fleet.wait(
+            lambda: all(router.routes for router in self.routers.values()),
+            20,
+            "all services announced",
         )
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         for target in (
             self._record_announcements,
             self._collect_answers,
@@ -190,110 +219,124 @@
         ):
             threading.Thread(target=target, daemon=True).start()
 
-    def lose(self, *who: str) -> None:
+    def power_off(self, *sites_or_nodes: str) -> None:
         """Ends processes and executors of these sites or nodes at once, as a power failure does."""
         names = [
-            name for name, each in self.rig.processes.items() if each.site in who or name in who
+            name
+            for name, process in self.process_fleet.processes.items()
+            if process.site in sites_or_nodes or name in sites_or_nodes
         ]
-        self.rig.kill(*names)
+        self.process_fleet.kill(*names)
         for name in names:
-            self.rig.processes[name].executor.end()
+            self.process_fleet.processes[name].executor.end()
             self._remove_connections(name)
 
     def cut_off(self, site: str, cut: bool = True) -> None:
-        """Cuts the site's link to the other sites and to the routers, or restores it. Its processes keep running."""
-        names = [name for name, each in self.rig.processes.items() if each.site == site]
+        """Cuts the site's links to the other sites and to its routers; its processes keep running.
+
+        With `cut` false, restores all links of all sites.
+        """
+        names = [
+            name for name, process in self.process_fleet.processes.items() if process.site == site
+        ]
         if cut:
-            self.rig.unplug(*names)
+            self.process_fleet.unplug(*names)
         else:
-            self.rig.heal()
+            self.process_fleet.heal()
 
-    def bring_back(self, *who: str) -> None:
+    def bring_back(self, *sites_or_nodes: str) -> None:
         """Starts these sites or nodes again, with new executors."""
         names = [
-            name for name, each in self.rig.processes.items() if each.site in who or name in who
+            name
+            for name, process in self.process_fleet.processes.items()
+            if process.site in sites_or_nodes or name in sites_or_nodes
         ]
         for name in names:
-            self.rig.processes[name].executor = self._make_executor(name)
-        self.rig.start(*names, wait=False)
+            self.process_fleet.processes[name].executor = self._make_executor(name)
+        self.process_fleet.start(*names, wait=False)
 
     def end(self) -> None:
+        """Stops the users, all processes and all stand-ins."""
         self.ended.set()
         time.sleep(0.05)
         for proxy_client in list(self.proxy_clients.values()):
             proxy_client.end()
-        self.rig.end()
+        self.process_fleet.end()
         if self.dependency is not None:
             self.dependency.end()
 
     @property
     def now(self) -> float:
-        return time.monotonic() - self.began
+        """Seconds since the start."""
+        return time.monotonic() - self.started_at
 
     # Users
 
     def _record_announcements(self) -> None:
         """Takes a snapshot of the announced routes every 50 ms.
 
-        A snapshot is dropped once the following one is at least `route_delay` seconds old, so the first snapshot
-        is the one that determines where users send their requests.
+        A snapshot is dropped once the following one is at least `route_delay` seconds old, so the
+        first snapshot determines where users send their requests.
         """
-        prefixes = {Prefix.of(service(site)): site for site in SITES}
+        prefixes = {Prefix.of(service_prefix(site)): site for site in SITES}
         while not self.ended.wait(0.05):
-            found: dict[str, dict[str, int]] = {site: {} for site in SITES}
+            path_lengths: dict[str, dict[str, int]] = {site: {} for site in SITES}
             for name, router in self.routers.items():
-                for prefix, attributes in list(router.held.items()):
+                for prefix, attributes in list(router.routes.items()):
                     site = prefixes.get(prefix)
                     if site is not None:
-                        found[site][name] = sum(len(part) for _, part in attributes.as_path)
-            self.announcements.append((time.monotonic(), found))
+                        path_lengths[site][name] = sum(len(part) for _, part in attributes.as_path)
+            self.announcement_snapshots.append((time.monotonic(), path_lengths))
             while (
-                len(self.announcements) > 1
-                and self.announcements[1][0] <= time.monotonic() - self.route_delay
+                len(self.announcement_snapshots) > 1
+                and self.announcement_snapshots[1][0] <= time.monotonic() - self.route_delay
             ):
-                self.announcements.popleft()
+                self.announcement_snapshots.popleft()
 
     def preferred_nodes(self, site: str) -> list[str]:
-        """Returns the nodes that announced the site's service by the shortest AS path `route_delay` seconds ago."""
-        if not self.announcements:
+        """Returns the nodes to which users of the site send their requests.
+
+        These nodes announced the site's service by the shortest AS path `route_delay` seconds ago.
+        """
+        if not self.announcement_snapshots:
             return []
-        paths = self.announcements[0][1][site]
-        best = min(paths.values(), default=0)
-        return sorted(name for name, length in paths.items() if length == best)
+        path_lengths = self.announcement_snapshots[0][1][site]
+        shortest = min(path_lengths.values(), default=0)
+        return sorted(name for name, length in path_lengths.items() if length == shortest)
 
     def _send_requests(self, site: str) -> None:
         rng = random.Random(f"{self.rng.random()} {site}")
         due = time.monotonic()
         while not self.ended.is_set():
-            due += rng.expovariate(self.rate[site])
+            due += rng.expovariate(self.request_rates[site])
             wait = due - time.monotonic()
             if wait > 0 and self.ended.wait(wait):
                 return
-            second = self.seconds[site].setdefault(int(self.now), SecondCounts())
-            class_name = rng.choice(MIX)
-            second.offered[class_name] += 1
-            self._send(site, class_name, second, rng, 0)
+            counts = self.counts_by_second[site].setdefault(int(self.now), SecondCounts())
+            class_name = rng.choice(CLASS_MIX)
+            counts.offered[class_name] += 1
+            self._send(site, class_name, counts, rng, 0)
 
     def _send(
-        self, site: str, class_name: str, second: SecondCounts, rng: random.Random, retries: int
+        self, site: str, class_name: str, counts: SecondCounts, rng: random.Random, retries: int
     ) -> None:
         names = self.preferred_nodes(site)
         if not names:
-            second.other[class_name] += 1
+            counts.failed[class_name] += 1
             return
         name = rng.choice(names)
         try:
             proxy_client = self._proxy_client(name, site)
-            tag = proxy_client.ask(class_name, wait_ms=WAIT_MS)
+            tag = proxy_client.send_request(class_name, wait_ms=WAIT_MS)
         except (OSError, KeyError, IndexError):
             self.proxy_clients.pop((name, site), None)
-            second.other[class_name] += 1
+            counts.failed[class_name] += 1
             return
-        self.pending.append(
+        self.pending_requests.append(
             PendingRequest(
                 proxy_client,
                 tag,
-                second,
+                counts,
                 class_name,
                 time.monotonic() + WAIT_MS / 1000 + 1,
                 site,
@@ -302,16 +345,23 @@
         )
 
     def _proxy_client(self, name: str, site: str) -> ProxyClient:
-        """Returns the connection from the site's users to the node; connects if there is none.
+        """Returns the connection from the site's users to the node; connects if none is open.
 
-        Users of another site than the node's connect to the failover listener for their site, if there is one.
+        Users of a site other than the node's connect to its failover listener for their site, if
+        the nodes separate failover traffic.
         """
         proxy_client = self.proxy_clients.get((name, site))
-        if proxy_client is None or proxy_client.gone:
-            guests = self.guests and self.rig.processes[name].site != site
-            event = f"event=failover_listener_started site={site}" if guests else "event=started"
-            made = ProxyClient(self.rig.address(name, event))
-            proxy_client = self.proxy_clients[name, site] = made
+        if proxy_client is None or proxy_client.closed:
+            is_failover_traffic = (
+                self.separates_failover_traffic and self.process_fleet.processes[name].site != site
+            )
+            event = (
+                f"event=failover_listener_started site={site}"
+                if is_failover_traffic
+                else "event=started"
+            )
+            new_client = ProxyClient(self.process_fleet.address(name, event))
+            proxy_client = self.proxy_clients[name, site] = new_client
         return proxy_client
 
     def _remove_connections(self, name: str) -> None:
@@ -321,63 +371,79 @@
     def _collect_answers(self) -> None:
         rng = random.Random(self.rng.random())
         while not self.ended.wait(0.01):
-            for _ in range(len(self.pending)):
-                each = self.pending.popleft()
-                found = each.proxy_client.answers.pop(each.tag, None)
-                if found is not None:
-                    status = found[0][1]
-                    table = {"done": each.second.completed, "later": each.second.denied}
-                    table.get(status, each.second.other)[each.class_name] += 1
-                elif each.proxy_client.gone and each.class_name == "look" and not each.retries:
-                    self._send(each.site, each.class_name, each.second, rng, 1)
-                elif each.proxy_client.gone or time.monotonic() > each.until:
-                    each.second.other[each.class_name] += 1
+            for _ in range(len(self.pending_requests)):
+                request = self.pending_requests.popleft()
+                answers = request.proxy_client.answers.pop(request.tag, None)
+                if answers is not None:
+                    status = answers[0][1]
+                    counts_by_status = {
+                        "done": request.counts.completed,
+                        "later": request.counts.denied,
+                    }
+                    counts_by_status.get(status, request.counts.failed)[request.class_name] += 1
+                elif (
+                    request.proxy_client.closed
+                    and request.class_name == "look"
+                    and not request.retries
+                ):
+                    self._send(request.site, request.class_name, request.counts, rng, 1)
+                elif request.proxy_client.closed or time.monotonic() > request.expires_at:
+                    request.counts.failed[request.class_name] += 1
                 else:
-                    self.pending.append(each)
+                    self.pending_requests.append(request)
 
     # Outcomes
 
-    def shares(self, sites: tuple[str, ...] = SITES) -> list[float]:
+    def benefit_ratios(self, sites: tuple[str, ...] = SITES) -> list[float]:
         """The ratio of completed to offered benefit in each second since the start."""
-        return [self.share(at, at + 1, sites) for at in range(int(self.now))]
+        return [self.benefit_ratio(at, at + 1, sites) for at in range(int(self.now))]
 
-    def rows(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> list[SecondCounts]:
+    def counts_between(
+        self, first: int, end: int, sites: tuple[str, ...] = SITES
+    ) -> list[SecondCounts]:
+        """The counts of the users of these sites in the seconds from `first` to before `end`."""
         return [
-            row
+            counts
             for site in sites
             for at in range(first, end)
-            if (row := self.seconds[site].get(at)) is not None
+            if (counts := self.counts_by_second[site].get(at)) is not None
         ]
 
-    def share(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> float:
-        """The ratio of completed to offered benefit in the seconds from `first` to before `end`."""
-        rows = self.rows(first, end, sites)
-        offered = sum(row.offered_benefit for row in rows)
-        return sum(row.completed_benefit for row in rows) / offered if offered else 1.0
+    def benefit_ratio(self, first: int, end: int, sites: tuple[str, ...] = SITES) -> float:
+        """The ratio of completed to offered benefit, in the seconds from `first` to before `end`.
 
-    def denied(
+        It is 1 if nothing was offered.
+        """
+        all_counts = self.counts_between(first, end, sites)
+        offered = sum(counts.offered_benefit for counts in all_counts)
+        return sum(counts.completed_benefit for counts in all_counts) / offered if offered else 1.0
+
+    def denied_ratio(
         self, first: int, end: int, class_name: str, sites: tuple[str, ...] = SITES
     ) -> float:
-        """The share of a class's requests that was denied in the seconds from `first` to before `end`."""
-        rows = self.rows(first, end, sites)
-        return sum(row.denied[class_name] for row in rows) / max(
-            1, sum(row.offered[class_name] for row in rows)
+        """The share of a class's requests that was denied.
+
+        The requests are those of the seconds from `first` to before `end`.
+        """
+        all_counts = self.counts_between(first, end, sites)
+        return sum(counts.denied[class_name] for counts in all_counts) / max(
+            1, sum(counts.offered[class_name] for counts in all_counts)
         )
 
     def failover_nodes(self, site: str) -> set[str]:
         """The nodes of other sites that announce the site's service."""
-        prefix = Prefix.of(service(site))
+        prefix = Prefix.of(service_prefix(site))
         return {
             name
             for name, router in self.routers.items()
-            if prefix in router.held and self.rig.processes[name].site != site
+            if prefix in router.routes and self.process_fleet.processes[name].site != site
         }
 
     def count_duplicate_effects(self) -> int:
-        """The number of requests that ran more than once, over all current executors."""
+        """The number of requests that ran more than once on one of the current executors."""
         return sum(
             count > 1
-            for each in self.rig.processes.values()
-            if each.executor is not None
-            for count in each.executor.ran.values()
+            for process in self.process_fleet.processes.values()
+            if process.executor is not None
+            for count in process.executor.run_counts.values()
         )
--- a/lilacwalk/testing/site_settings.py
+++ b/lilacwalk/testing/site_settings.py
@@ -1,4 +1,4 @@
-"""The process configuration of an app server among stand-ins: request classes, limits and addresses."""
+"""The process configuration of an app server whose peers are stand-ins."""
 
 from __future__ import annotations
 
@@ -51,6 +51,11 @@
     stop_ms: int = 3000,
     **settings: object,
 ) -> dict:
+    """Returns a process configuration, for a JSON file.
+
+    `executor` is the executor's address, `stop_ms` the time limit of a shutdown in milliseconds.
+    `settings` replace entries of SETTINGS.
+    """
     executor_address = f"{executor[0]}:{executor[1]}"
     return {
         "name": "n1",
--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -37,9 +37,9 @@
     router = make_router()
     site = make_site(router)
     router.wait_count("end_of_rib", 2)
-    assert not router.held
+    assert not router.routes
     site.kernel = site.link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
 
 def test_node_is_announced_after_a_cold_start_only_once_it_has_warmed_up(make_site, make_router):
@@ -49,7 +49,7 @@
     site.kernel = site.link("booting")  # one second of the warm-up remains
     router.wait_count("end_of_rib", 2)
     up = router.wait_count("up").at
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     assert router.wait_count("announced").at - up > 0.5
 
 
@@ -57,10 +57,10 @@
     router = make_router()
     site = make_site(router)
     link = site.link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     site.kernel_port.close()
     link.sock.close()
-    router.wait_held()
+    router.wait_for_routes()
     assert (
         router.events[-1].message.withdrawn and router.count("announced") == 2
     )  # the second one lowered the preference
@@ -72,12 +72,12 @@
     router = make_router()
     site = make_site(router, settings={"rules": {"drain_grace_ms": 300.0, "tip_multiple": 8.0}})
     site.kernel = site.link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     asker = site.router()
     asker.submit(1)
     ident = site.kernel.expect("SCHED")[0][1]
     site.event_loop.event_queue.post(site.event_loop.drain.start)
-    router.wait_held()
+    router.wait_for_routes()
     late = site.router()  # the listener is still open
     late.say(b"PROBE", b"1", b"x=0")
     assert late.answer()[1] == "sick"
@@ -97,24 +97,24 @@
     router = make_router()
     site = make_site(router)
     site.kernel = site.link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     router.drop()
     site.event_loop.event_queue.post(site.event_loop.drain.start)
     site.thread.join(PATIENCE)
-    assert not site.thread.is_alive() and not router.held
+    assert not site.thread.is_alive() and not router.routes
 
 
 def test_app_server_keeps_serving_after_an_internal_error_of_the_speaker(make_site, make_router):
     router = make_router()
     site = make_site(router)
     site.kernel = site.link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
     def fail():
         raise RuntimeError("injected by the test")
 
     site.event_loop.subsystems.bgp.speaker.inbox.put((fail,))
-    router.wait_held()
+    router.wait_for_routes()
     asker = site.router()
     asker.submit(1)
     ident = site.kernel.expect("SCHED")[0][1]
@@ -131,14 +131,14 @@
     router = make_router()
     site = make_site(router)
     site.kernel = site.link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     site.event_loop.event_queue.post(site.event_loop.subsystems.apply_bgp, None)
     router.wait_count("notification")
-    router.wait_held()
+    router.wait_for_routes()
     site.event_loop.event_queue.post(
         site.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address))
     )
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
 
 def spawn(site, operator_file):
@@ -178,7 +178,7 @@
     site = spawn(Site(tmp_path), operator_file)
     try:
         site.kernel = site.link()
-        router.wait_held(SERVICE)
+        router.wait_for_routes(SERVICE)
         operator_file.write_text("announce {\n as wrong\n}\n")
         site.process.send_signal(signal.SIGHUP)
         for line in site.process.stderr:
@@ -187,9 +187,9 @@
         assert "wrong: expected a whole number" in line
         operator_file.write_text(text % " service 192.0.2.11/32\n")
         site.process.send_signal(signal.SIGHUP)
-        router.wait_held("192.0.2.11/32")
+        router.wait_for_routes("192.0.2.11/32")
         site.process.send_signal(signal.SIGTERM)
-        router.wait_held()
+        router.wait_for_routes()
         assert site.process.wait(PATIENCE) == 0
         assert router.wait_count("notification").message.subcode == 2
     finally:
--- a/tests/bgp/test_session.py
+++ b/tests/bgp/test_session.py
@@ -14,7 +14,7 @@
 from lilacwalk.bgp.messages import Keepalive, Notification, Open, Refresh
 from lilacwalk.bgp.prefixes import Prefix
 from lilacwalk.bgp.session import TABLE, Event, Session, SessionAction, SessionConfig, State, Timer
-from lilacwalk.testing.bgp_router import table
+from lilacwalk.testing.bgp_router import encode_announcements
 from tests.bgp.conftest import SECOND, THEM, US, PeerHarness, route, update
 
 OPEN, UPDATE, NOTIFICATION, KEEPALIVE = 1, 2, 3, 4
@@ -317,7 +317,7 @@
 
 def test_exceeding_max_prefixes_ends_the_session_with_the_limit_in_the_data():
     harness = PeerHarness("max-prefixes 100").up()
-    for data in table(101, THEM):
+    for data in encode_announcements(101, THEM):
         harness.receive(data)
     assert harness.notified() == (6, 1)
     [body] = [body for _, kind, body in harness.sent if kind == NOTIFICATION]
@@ -326,7 +326,7 @@
 
 def test_allowed_100_000_prefixes_are_stored_and_dropped_with_the_session():
     harness = PeerHarness("max-prefixes 100000").up()
-    for data in table(100_000, THEM):
+    for data in encode_announcements(100_000, THEM):
         harness.receive(data)
     assert len(harness.peer.adj_rib_in) == 100_000 and harness.state == "ESTABLISHED"
     harness.peer.connection_lost(harness.connects[-1], harness.now)
