--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -23,7 +23,7 @@
 from lilacwalk.bgp.speaker_io import Bounds
 from lilacwalk.commands import lilacwalk
 from lilacwalk.protocols.admin_socket import query
-from lilacwalk.testing.bgp_router import WAIT_TIMEOUT, table
+from lilacwalk.testing.bgp_router import WAIT_TIMEOUT, encode_announcements
 from tests.bgp.conftest import THEM, announce_config, peer_block, update
 
 SERVICE = "192.0.2.10/32"
@@ -53,15 +53,15 @@
     )
     speaker.set_node_status(NodeStatus.READY)
     for router in routers:
-        router.wait_held(SERVICE)
+        router.wait_for_routes(SERVICE)
     speaker.leave(5000)
     assert listener.wait(WAIT_TIMEOUT) and 0 < remaining[0] <= 500
     for router in routers:
-        router.wait_held()
+        router.wait_for_routes()
         output = [
             each.message.reachable[0][0].communities
             for each in router.events
-            if each.what == "announced"
+            if each.kind == "announced"
         ]
         assert output == [(), (GRACEFUL_SHUTDOWN,)]
 
@@ -72,16 +72,16 @@
         router, more="    service 2001:db8::10/128 {\n        next-hop ::1\n    }\n"
     )
     make_speaker(config).set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE, "2001:db8::10/128")
+    router.wait_for_routes(SERVICE, "2001:db8::10/128")
 
 
 def test_router_that_connects_late_or_reconnects_gets_the_routes(make_router, make_speaker):
     router = make_router(connections_to_reject=3)
     make_speaker(config_with_peers(router)).set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     router.drop()
     router.wait_count("up", 2)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
 
 @pytest.mark.parametrize(
@@ -96,26 +96,29 @@
 def test_invalid_bytes_end_only_that_session_with_the_right_code(
     make_router, make_speaker, broken, code
 ):
-    bad, good = make_router(sends=[broken]), make_router(asn=65021)
+    bad, good = make_router(initial_messages=[broken]), make_router(asn=65021)
     make_speaker(config_with_peers(bad, good)).set_node_status(NodeStatus.READY)
     output = bad.wait_count("notification").message
     assert (output.code, output.subcode) == code
-    good.wait_held(SERVICE)
-    assert good.sessions == 1
+    good.wait_for_routes(SERVICE)
+    assert good.session_count == 1
 
 
 def test_session_is_closed_for_a_peer_above_max_prefixes_and_kept_for_a_peer_at_max_prefixes(
     make_router, make_speaker
 ):
-    flood = table(100_000, THEM)
-    bad, good = make_router(sends=flood), make_router(asn=65021, sends=table(100_000, 65021))
+    flood = encode_announcements(100_000, THEM)
+    bad, good = (
+        make_router(initial_messages=flood),
+        make_router(asn=65021, initial_messages=encode_announcements(100_000, 65021)),
+    )
     config = announce_config(
         peer_block(bad.address) + peer_block(good.address, 65021, "max-prefixes 100000")
     )
     speaker = make_speaker(config)
     speaker.set_node_status(NodeStatus.READY)
     assert (bad.wait_count("notification").message.subcode) == 1
-    good.wait_held(SERVICE)
+    good.wait_for_routes(SERVICE)
     wait_until(speaker, lambda each: len(each.peers[good.address].adj_rib_in) == 100_000)
     assert good.count("lost") == 0
 
@@ -124,7 +127,7 @@
     make_router, make_speaker
 ):
     services = "".join(f"    service 198.51.{each >> 8}.{each & 255}/32\n" for each in range(20))
-    router = make_router(reads=False)
+    router = make_router(reads_when_established=False)
     speaker = make_speaker(
         config_with_peers(router, more=services), bounds=Bounds(send_buffer=2_000)
     )
@@ -141,7 +144,7 @@
                 for _ in range(100)
             ]
 
-    while router.sessions == 1:
+    while router.session_count == 1:
         speaker.query(fill)
     ended = speaker.query(lambda each: each.peers[router.address].last_end)
     assert ended.reason == "stopped reading" and not speaker.ended.is_set()
@@ -152,8 +155,8 @@
 ):
     slow, good = make_router(byte_interval=0.002), make_router(asn=65021)
     make_speaker(config_with_peers(slow, good)).set_node_status(NodeStatus.READY)
-    good.wait_held(SERVICE)
-    slow.wait_held(SERVICE)
+    good.wait_for_routes(SERVICE)
+    slow.wait_for_routes(SERVICE)
 
 
 def test_connection_collision_leaves_one_session(make_router, make_speaker):
@@ -163,7 +166,7 @@
     )
     router.connect(speaker.listener.getsockname())
     speaker.set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     shown = speaker.query(lambda each: each.status())
     assert [each["state"] for each in shown["peers"]] == ["established"]
 
@@ -176,22 +179,24 @@
     speaker.set_node_status(NodeStatus.READY)
     stranger = socket.create_connection(speaker.listener.getsockname(), WAIT_TIMEOUT)
     assert stranger.recv(100)[18:21] == b"\3\6\5"
-    assert router.sessions == 0
+    assert router.session_count == 0
     router.connect(speaker.listener.getsockname())
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
 
 @pytest.mark.parametrize("serves", [False, True])
 def test_stale_route_at_the_peer_after_a_crash_is_removed_by_the_first_end_of_rib(
     make_router, make_speaker, serves
 ):
-    router = make_router(keep_stale=True, restart=GracefulRestart(30, families=((1, 1, True),)))
+    router = make_router(
+        keeps_stale_routes=True, graceful_restart=GracefulRestart(30, families=((1, 1, True),))
+    )
     config = config_with_peers(router, more="    graceful-restart {\n        time 30s\n    }\n")
     first = make_speaker(config)
     first.set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     crash(first)
-    router.wait(lambda: router.stale, "a stale route")
+    router.wait(lambda: router.stale_prefixes, "a stale route")
     second = make_speaker(config)
     if serves:
         second.set_node_status(NodeStatus.READY)
@@ -201,7 +206,7 @@
         kept is False and opened.capabilities.restart.restarted
     )  # a node that has just started claims no forwarding state
     router.wait_count("end_of_rib", 4)
-    router.wait_held(*([SERVICE] if serves else []))
+    router.wait_for_routes(*([SERVICE] if serves else []))
 
 
 def crash(speaker):
@@ -220,9 +225,9 @@
     router = make_router()
     speaker = make_speaker(config_with_peers(router))
     speaker.set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     crash(speaker)
-    router.wait_held()
+    router.wait_for_routes()
     assert speaker.failed
 
 
@@ -240,12 +245,12 @@
             speaker.set_node_status(state)
         router.wait(lambda least=sessions: router.count("up") > least, "a session")
         speaker.query(lambda each: None)
-        assert not router.held
+        assert not router.routes
         speaker.set_node_status(NodeStatus.READY)
-        router.wait_held(SERVICE)
+        router.wait_for_routes(SERVICE)
         if rng.random() < 0.4:
             speaker.set_node_status(NodeStatus.COLD)
-            router.wait_held()
+            router.wait_for_routes()
             count = router.count("announced")
             speaker.set_node_status(NodeStatus.WARMING)
             speaker.query(lambda each: None)
@@ -254,13 +259,13 @@
             crash(speaker)
         else:
             speaker.end()
-        router.wait_held()
+        router.wait_for_routes()
 
 
 def test_admin_socket_and_bgp_command_report_sessions_and_routes(
     make_router, make_speaker, tmp_path
 ):
-    router = make_router(sends=[update("10.0.0.0/8")])
+    router = make_router(initial_messages=[update("10.0.0.0/8")])
     path, own = str(tmp_path / "bgp.sock"), tmp_path / "own.conf"
     text = (
         f"announce {{\n as 65010\n router-id 127.0.0.1\n next-hop 127.0.0.1\n service {SERVICE}\n"
@@ -276,7 +281,7 @@
     create_admin_socket.start()
     assert os.stat(path).st_mode & 0o777 == 0o600
     speaker.set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     wait_until(speaker, lambda each: len(each.peers[router.address].adj_rib_in) == 1)
 
     def run(*words):
@@ -365,13 +370,13 @@
     command, router = announce_process()
     for word in ("cold", "nonsense", "warming", "ready"):
         command.say(word)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     if ends == "SIGTERM":
         command.process.send_signal(signal.SIGTERM)
     else:
         command.process.stdin.close()
     assert router.wait_count("notification").message.subcode == 2
-    order = [each.what for each in router.events if each.what in ("withdrawn", "notification")]
+    order = [each.kind for each in router.events if each.kind in ("withdrawn", "notification")]
     assert order == ["withdrawn", "notification"]
     assert command.process.wait(WAIT_TIMEOUT) == 0
     assert "event=unknown_state" in command.process.stderr.read()
@@ -382,10 +387,10 @@
 ):
     command, router = announce_process()
     command.say("ready")
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     command.write(router, " service 192.0.2.11/32\n")
     command.process.send_signal(signal.SIGHUP)
-    router.wait_held(SERVICE, "192.0.2.11/32")
+    router.wait_for_routes(SERVICE, "192.0.2.11/32")
     command.own.write_text("announce {\n as none\n}\n")
     command.process.send_signal(signal.SIGHUP)
     for line in command.process.stderr:
@@ -393,8 +398,8 @@
             break
     assert "none: expected" in line
     command.say("leaving")
-    router.wait_held()
-    assert router.sessions == 1
+    router.wait_for_routes()
+    assert router.session_count == 1
 
 
 def test_announce_command_without_a_valid_file_exits_with_2(tmp_path):
@@ -406,13 +411,13 @@
 
 
 def test_clock_jump_ends_no_session(make_router, make_speaker):
-    router, ahead = make_router(hold=3), [0]
+    router, ahead = make_router(hold_time=3), [0]
     speaker = make_speaker(config_with_peers(router), clock=lambda: time.monotonic_ns() + ahead[0])
     speaker.set_node_status(NodeStatus.READY)
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     ahead[0] = 3600 * 10**9
     speaker.query(lambda each: None)
     router.send(messages.encode(messages.Keepalive()))
     sent = router.count("keepalive")
     router.wait(lambda: router.count("keepalive") > sent + 1, "keepalives after the jump")
-    assert router.sessions == 1 and Prefix.of(SERVICE) in router.held
+    assert router.session_count == 1 and Prefix.of(SERVICE) in router.routes
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -476,7 +476,7 @@
     body = random.Random(2).randbytes(1_900)
     assert device.ask("look", body, 5_000).body == body * 2
     assert device.ask("look", b"", 5_000, confirmable=False).word == 0
-    assert sum(site.executor.ran.values()) == 2
+    assert sum(site.executor.run_counts.values()) == 2
     with pytest.raises(ValueError, match=r"4\.04"):
         device.ask("nobody")
     device.end()
@@ -484,9 +484,9 @@
 
 def test_loss_duplication_and_reordering_execute_no_request_twice(coap):
     site, address = coap()
-    weather = LinkConditions(delay=0.002, jitter=0.01, to_bad=0.2, to_good=0.5)
+    weather = LinkConditions(delay=0.002, jitter=0.01, good_to_bad=0.2, bad_to_good=0.5)
     proxy = UdpProxy(
-        address, weather, 3, loss=0.6, double=1.0
+        address, weather, 3, loss=0.6, duplication=1.0
     )  # each datagram that is not lost is duplicated
     devices = [CoapDevice(proxy.address, site.token(b"c%d" % each), each) for each in range(8)]
 
@@ -502,10 +502,10 @@
 
     with ThreadPoolExecutor(8) as pool:
         words = [word for row in pool.map(work, devices) for word in row]
-    assert words.count(0) > 6 and max(site.executor.ran.values()) == 1
+    assert words.count(0) > 6 and max(site.executor.run_counts.values()) == 1
     assert (
-        proxy.lost > 0
-        and proxy.doubled > 0
+        proxy.lost_datagrams > 0
+        and proxy.duplicated_datagrams > 0
         and site.call_in_edge_thread(lambda _: site.edge.coap.counts["duplicates"]) > 0
     )
     proxy.end()
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -28,7 +28,9 @@
     site = make_site()
     device = site.device()
     found = device.outcome(device.ask("look", b"hello"), TIMEOUT_SECONDS)
-    assert (found.word, found.body) == (0, b"<hello>") and sum(site.executor.ran.values()) == 1
+    assert (found.word, found.body) == (0, b"<hello>") and sum(
+        site.executor.run_counts.values()
+    ) == 1
     assert device.session.duplicate_answers == 0
 
 
@@ -36,7 +38,7 @@
     site = make_site()
     device, proxy_client = site.device(), ProxyClient(site.event_loop.listener.address)
     for each in range(20):
-        number, tag = device.ask("look", b"%d" % each), proxy_client.ask("look")
+        number, tag = device.ask("look", b"%d" % each), proxy_client.send_request("look")
         assert (
             device.outcome(number, TIMEOUT_SECONDS).word == 0
             and proxy_client.answer(tag)[1] == "done"
@@ -57,14 +59,14 @@
     hold.set()
     found = device.outcome(number, TIMEOUT_SECONDS)
     assert (found.word, found.body) == (0, b"made once")
-    assert device.connections == 2 and sum(site.executor.ran.values()) == 1
+    assert device.connections == 2 and sum(site.executor.run_counts.values()) == 1
 
 
 def test_stalls_and_resets_leave_each_request_one_answer_and_no_repeated_execution(make_site):
     site = make_site()
     proxy = Proxy(
         site.address,
-        LinkConditions(delay=0.005, jitter=0.005, to_bad=0.02, stall=(0.05, 0.2), reset=0.02),
+        LinkConditions(delay=0.005, jitter=0.005, good_to_bad=0.02, stall=(0.05, 0.2), reset=0.02),
         5,
     )
     devices = [site.device(b"t%d" % each, proxy.address, seed=each) for each in range(20)]
@@ -76,7 +78,7 @@
     words = [device.outcome(number, 20.0).word for device, number in asked]
     # The controller may deny some requests without executing them.
     assert set(words) <= {0, 1, 2} and words.count(0) > 100
-    assert max(site.executor.ran.values()) == 1 and proxy.resets > 0
+    assert max(site.executor.run_counts.values()) == 1 and proxy.reset_count > 0
     bodies = [device.session.outcomes[number].body for device, number in asked]
     # No two requests got the same answer.
     assert len({body for body in bodies if body}) == words.count(0)
@@ -87,12 +89,14 @@
     make_site,
 ):
     site = make_site(result=lambda group, body: b"r" * 4_000)
-    proxy = Proxy(site.address, LinkConditions(delay=0.01, jitter=0.0, rate=20_000, to_bad=0.0), 1)
+    proxy = Proxy(
+        site.address, LinkConditions(delay=0.01, jitter=0.0, rate=20_000, good_to_bad=0.0), 1
+    )
     device = site.device(address=proxy.address)
     device.outcome(device.ask("look", b"first"), TIMEOUT_SECONDS)
-    number, carried = device.ask("move", b"x"), proxy.bytes
+    number, carried = device.ask("move", b"x"), proxy.delivered_bytes
     # Until the request was sent, and part of the answer was received.
-    while proxy.bytes < carried + 2_000:
+    while proxy.delivered_bytes < carried + 2_000:
         pass
     proxy.stall(1.0)
     began = time.monotonic()
@@ -101,7 +105,7 @@
     assert (
         device.connections == 1
         and device.session.duplicate_answers == 0
-        and max(site.executor.ran.values()) == 1
+        and max(site.executor.run_counts.values()) == 1
     )
     proxy.end()
 
@@ -123,7 +127,7 @@
         device.outcome(number, TIMEOUT_SECONDS).word == 2
     )  # it may have been executed; answered at once
     assert device.outcome(look, TIMEOUT_SECONDS).word == 0
-    assert list(second.executor.ran.values()) == [1]
+    assert list(second.executor.run_counts.values()) == [1]
 
 
 def test_a_thousand_silent_connections_do_not_displace_active_devices(make_site):
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -86,29 +86,31 @@
         next(word for word in rig.log("n0").split() if word.startswith("listen=")).split(":")[1]
     )
     client = ProxyClient(("127.0.0.1", port))
-    assert client.answer(client.ask("look"))[1] == "done"
+    assert client.answer(client.send_request("look"))[1] == "done"
     client.end()
 
 
 def test_a_reload_removes_adds_and_changes_the_block_but_ignores_an_invalid_file(server_fleet):
     rig = server_fleet(3)
     member = rig.processes["n2"]
-    original_text = member.file.read_text()
-    member.file.write_text("")
+    original_text = member.operator_file_path.read_text()
+    member.operator_file_path.write_text("")
     member.popen.send_signal(signal.SIGHUP)
     rig.wait(lambda: rig.healths("n2", ["n0"])["n0"] == "left", TIMEOUT_SECONDS, "n2 has left")
     member.seeds = ("n1",)
-    rig.write(member)
+    rig.write_operator_file(member)
     member.popen.send_signal(signal.SIGHUP)
     rig.wait(rig.settled, TIMEOUT_SECONDS, "n2 has joined through another seed")
-    member.file.write_text(original_text)
+    member.operator_file_path.write_text(original_text)
     member.popen.send_signal(signal.SIGHUP)
     rig.wait(
         lambda: "event=fleet_reloaded" in rig.log("n2"),
         TIMEOUT_SECONDS,
         "changed seeds are applied",
     )
-    member.file.write_text(original_text.replace("probe-interval 100ms", "probe-interval soon"))
+    member.operator_file_path.write_text(
+        original_text.replace("probe-interval 100ms", "probe-interval soon")
+    )
     member.popen.send_signal(signal.SIGHUP)
     rig.wait(
         lambda: "event=reload_failed" in rig.log("n2"),
@@ -177,7 +179,7 @@
     from click.testing import CliRunner
 
     rig = running_fleet(3)
-    operator_file = str(rig.processes["n0"].file)
+    operator_file = str(rig.processes["n0"].operator_file_path)
 
     def run_command(*words):
         return CliRunner().invoke(
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -35,15 +35,15 @@
         TIMEOUT_SECONDS,
         "recorded as left by all",
     )
-    assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in rig.up())
+    assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in rig.running_names())
 
 
 def test_a_state_is_gossiped_to_all_and_draining_members_are_counted(running_fleet):
     rig = running_fleet(5)
-    rig.tell("n1", "leaving")
-    rig.tell("n2", "leaving")
+    rig.send_state("n1", "leaving")
+    rig.send_state("n2", "leaving")
     rig.wait(
-        lambda: all(rig.show(name)["leaving"] == 2 for name in rig.up()),
+        lambda: all(rig.show(name)["leaving"] == 2 for name in rig.running_names()),
         TIMEOUT_SECONDS,
         "draining members are counted",
     )
@@ -99,12 +99,12 @@
     rig.wait(lambda: rig.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "members stored")
     incarnation = rig.show("n2")["life"]
     rig.kill("n2")
-    rig.fill("n2")
+    rig.set_disk_full("n2")
     rig.start("n2")
     rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with a full disk")
     rig.wait(lambda: rig.show("n2")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
     assert rig.show("n2")["life"] > incarnation
-    rig.fill("n2", False)
+    rig.set_disk_full("n2", False)
     rig.wait(lambda: rig.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "stored at a retry")
     assert rig.log("n2").count("state=not-kept") == 1
 
@@ -137,7 +137,7 @@
 
 def test_a_key_is_replaced_at_run_time_without_a_lost_member(running_fleet):
     rig = running_fleet(4)
-    old_key, new_key = rig.key.read_text().strip(), "ab" * 32
+    old_key, new_key = rig.key_path.read_text().strip(), "ab" * 32
     for keys in ((old_key, new_key), (new_key, old_key), (new_key,)):
         rig.write_keys(*keys)
         for name in member_names(4):  # one at a time: meanwhile both keys are in use
@@ -156,7 +156,7 @@
 
 def test_invalid_datagrams_are_logged_and_change_nothing(running_fleet):
     rig = running_fleet(3)
-    key = bytes.fromhex(rig.key.read_text().strip())
+    key = bytes.fromhex(rig.key_path.read_text().strip())
     valid = seal(
         datagram(sender="stranger", updates=(gossip_update("ghost", metadata=False),)), key
     )
@@ -181,7 +181,7 @@
 
 def test_a_key_file_readable_by_other_users_fails_the_start_with_exit_code_2(make_rig):
     rig = make_rig(1)
-    os.chmod(rig.key, 0o644)
+    os.chmod(rig.key_path, 0o644)
     rig.start("n0", wait=False)
     assert rig.processes["n0"].popen.wait(TIMEOUT_SECONDS) == 2
     rig.wait(lambda: "expected mode 0600" in rig.log("n0"), TIMEOUT_SECONDS, "the reason is logged")
@@ -190,7 +190,7 @@
 def test_lost_duplicated_delayed_and_reordered_datagrams_cause_no_false_death(running_fleet):
     rig = running_fleet(8)
     for name in member_names(8):
-        rig.impair(name, loss=0.05, double=0.1, delay=0.002, jitter=0.02)
+        rig.impair(name, loss=0.05, duplication=0.1, delay=0.002, jitter=0.02)
     rig.kill("n3")
     rig.wait(
         lambda: set(rig.healths("n3").values()) == {"dead"}, TIMEOUT_SECONDS, "declared dead by all"
@@ -253,7 +253,7 @@
     rig.start("n1")
     rig.wait(rig.settled, 15, "settled with the clock of n1 two days behind")
     assert rig.show("n0")["digest"] != previous_digest
-    assert all(rig.show(name)["present"] == 4 for name in rig.up())
+    assert all(rig.show(name)["present"] == 4 for name in rig.running_names())
 
 
 def test_script_commands_that_need_users_or_routers_are_rejected_without_them(tmp_path):
--- a/tests/retry_storms/test_integration.py
+++ b/tests/retry_storms/test_integration.py
@@ -17,10 +17,10 @@
 
 @pytest.fixture
 def node():
-    rig = ProcessFleet(1, 500, "serve", store=False)
+    rig = ProcessFleet(1, 500, "serve", has_store=False)
     server = rig.add("n0")
     server.cpus = 1
-    server.extra = f"storms {{\n    socket {server.directory}/storms\n}}\n"
+    server.extra_statements = f"storms {{\n    socket {server.directory}/storms\n}}\n"
     server.executor = StandInExecutor(1, lambda _group, _body: WORK)
     rig.start("n0")
     rig.wait(lambda: "event=executor_up" in rig.log("n0"), MAX_WAIT, "executor up")
@@ -84,7 +84,7 @@
 
 
 def test_show_prints_the_stage_and_reports_a_missing_block(node, tmp_path):
-    result = run_show(node.processes["n0"].file)
+    result = run_show(node.processes["n0"].operator_file_path)
     assert result.returncode == 0
     assert result.stdout.startswith(("usual: ", "refilling: "))
     (tmp_path / "operator-file").write_text("")
@@ -98,7 +98,7 @@
     """Returns the same node after a restart with a store."""
     server = node.processes["n0"]
     node.leave("n0")
-    server.extra += f"store {{\n    directory {server.directory}/kept\n}}\n"
+    server.extra_statements += f"store {{\n    directory {server.directory}/kept\n}}\n"
     node.start("n0")
     node.wait(lambda: node.log("n0").count("event=executor_up") == 2, MAX_WAIT, "executor up again")
     node.wait(lambda: disk_state(node) == "", MAX_WAIT, "store in order")
@@ -125,7 +125,7 @@
     )
     try:
         stall(node_with_store, crowd, 5.0)
-        node_with_store.fill("n0")
+        node_with_store.set_disk_full("n0")
         node_with_store.wait(
             lambda: "stage=damped" in node_with_store.log("n0"), MAX_WAIT, "storm detected"
         )
@@ -141,7 +141,7 @@
         node_with_store.wait(lambda: crowd.now > second + 3, MAX_WAIT, "two full seconds measured")
         assert sum(crowd.counts.completed[at] for at in (second, second + 1)) > 10
         assert not sum(effects.counts.completed[at] for at in (second, second + 1))
-        node_with_store.fill("n0", False)
+        node_with_store.set_disk_full("n0", False)
         node_with_store.wait(
             lambda: disk_state(node_with_store) == "", MAX_WAIT, "store in order again"
         )
@@ -151,7 +151,7 @@
             MAX_WAIT,
             "effects completed again",
         )
-        assert max(node_with_store.processes["n0"].executor.ran.values()) == 1
+        assert max(node_with_store.processes["n0"].executor.run_counts.values()) == 1
     finally:
         crowd.end()
         effects.end()
--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -94,7 +94,7 @@
 def count_operations(seed):
     disk = FaultyDisk(seed)
     run_history(Process(disk), random.Random(seed))
-    return disk.steps
+    return disk.operation_count
 
 
 @pytest.fixture
@@ -139,7 +139,7 @@
     path.chmod(0o600)
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
-    server.server.extra += (
+    server.server.extra_statements += (
         f"edge {{\n    listen {address[0]}:{address[1]}\n    secrets {path}\n"
         "    customer acme\n}\n"
     )
--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -7,43 +7,47 @@
 def test_request_killed_after_its_answer_is_answered_from_the_persisted_result(make_soak):
     soak = make_soak()
     soak.start()
-    assert soak.ask("swap", "a") == ("done", b"did a")
-    soak.rig.wait(
+    assert soak.send_and_wait("swap", "a") == ("done", b"did a")
+    soak.process_fleet.wait(
         lambda: query(str(soak.socket), "show")["written"] >= 4,
         WAIT_TIMEOUT_SECONDS,
         "the result is persisted",
     )
     soak.kill()
     soak.start()
-    assert soak.ask("swap", "a") == ("done", b"did a")
+    assert soak.send_and_wait("swap", "a") == ("done", b"did a")
     assert soak.effects[b"a"] == 1
 
 
 def test_request_killed_during_execution_fails_when_retried(make_soak):
     """The server has no result, but the request may have had its effect: it must not run again."""
-    soak = make_soak(work=0.5)
+    soak = make_soak(run_time=0.5)
     soak.start()
-    soak.put("swap", "a")
-    soak.rig.wait(lambda: soak.effects[b"a"], WAIT_TIMEOUT_SECONDS, "the request is executed")
+    soak.send_request("swap", "a")
+    soak.process_fleet.wait(
+        lambda: soak.effects[b"a"], WAIT_TIMEOUT_SECONDS, "the request is executed"
+    )
     soak.kill()
-    soak.server.executor.notices.clear()  # a restarted executor has no state
+    soak.server.executor.sent_messages.clear()  # a restarted executor has no state
     soak.start()
-    outcome, _ = soak.ask("swap", "a")
+    outcome, _ = soak.send_and_wait("swap", "a")
     assert outcome not in ("done", "later")
     assert soak.effects[b"a"] == 1
 
 
 def test_duplicate_of_a_non_idempotent_request_is_not_executed_twice(make_soak):
-    soak = make_soak(work=0.3)
+    soak = make_soak(run_time=0.3)
     soak.start()
-    soak.put("move", "m", i="00000000000000aa")
-    soak.rig.wait(lambda: soak.effects[b"m"], WAIT_TIMEOUT_SECONDS, "the request is executed")
+    soak.send_request("move", "m", i="00000000000000aa")
+    soak.process_fleet.wait(
+        lambda: soak.effects[b"m"], WAIT_TIMEOUT_SECONDS, "the request is executed"
+    )
     soak.kill()
-    soak.server.executor.notices.clear()
+    soak.server.executor.sent_messages.clear()
     soak.start()
-    assert soak.ask("move", "m", i="00000000000000aa")[0] not in ("done", "later")
+    assert soak.send_and_wait("move", "m", i="00000000000000aa")[0] not in ("done", "later")
     assert soak.effects[b"m"] == 1
-    assert soak.ask("move", "other")[0] == "done"
+    assert soak.send_and_wait("move", "other")[0] == "done"
 
 
 def test_no_effect_runs_twice_over_random_kills_and_every_key_gets_an_outcome(make_soak):
@@ -61,7 +65,7 @@
         }
     soak.start()
     for key in pending:
-        outcomes[key] = soak.ask("swap", key)[0]
+        outcomes[key] = soak.send_and_wait("swap", key)[0]
     assert len(outcomes) > 100
     assert all(outcomes.values())
     assert max(soak.effects.values()) == 1
@@ -75,33 +79,33 @@
 ):
     soak = make_soak()
     soak.start()
-    soak.rig.fill("n0")
-    soak.ask("swap", "a")
-    soak.rig.wait(
+    soak.process_fleet.set_disk_full("n0")
+    soak.send_and_wait("swap", "a")
+    soak.process_fleet.wait(
         lambda: query(str(soak.socket), "show")["state"] == "full",
         WAIT_TIMEOUT_SECONDS,
         "the store reports a full disk",
     )
-    assert soak.ask("swap", "b")[0] == "later"
-    assert soak.ask("look", "c")[0] == "done"
+    assert soak.send_and_wait("swap", "b")[0] == "later"
+    assert soak.send_and_wait("look", "c")[0] == "done"
     assert not soak.effects[b"b"]
-    soak.rig.fill("n0", False)
-    soak.rig.wait(
+    soak.process_fleet.set_disk_full("n0", False)
+    soak.process_fleet.wait(
         lambda: query(str(soak.socket), "show")["state"] == "kept",
         WAIT_TIMEOUT_SECONDS,
         "the store persists writes again",
     )
-    assert soak.ask("swap", "b") == ("done", b"did b")
-    assert soak.rig.log("n0").count("state=full") == 1
+    assert soak.send_and_wait("swap", "b") == ("done", b"did b")
+    assert soak.process_fleet.log("n0").count("state=full") == 1
 
 
 def test_effects_run_unpersisted_on_a_full_disk_where_the_operator_allows_it(make_soak):
     soak = make_soak(unkept="marked")
     soak.start()
-    soak.rig.fill("n0")
-    outcomes = [soak.ask("swap", f"a{at}")[0] for at in range(5)]
+    soak.process_fleet.set_disk_full("n0")
+    outcomes = [soak.send_and_wait("swap", f"a{at}")[0] for at in range(5)]
     assert outcomes == ["done"] * 5
-    assert "event=effects_unpersisted" in soak.rig.log("n0")
+    assert "event=effects_unpersisted" in soak.process_fleet.log("n0")
     assert query(str(soak.socket), "show")["unkept"] >= 4
 
 
@@ -109,10 +113,10 @@
     """Rows from the future count as invalid, so the server might take the duplicate for new."""
     soak = make_soak()
     soak.start()
-    assert soak.ask("swap", "a")[0] == "done"
+    assert soak.send_and_wait("swap", "a")[0] == "done"
     soak.kill()
-    soak.rig.set_clock("n0", -3600.0)
+    soak.process_fleet.set_clock("n0", -3600.0)
     soak.start()
-    assert "state=clock-set-back" in soak.rig.log("n0")
-    assert soak.ask("swap", "a", s=0)[0] != "later"
+    assert "state=clock-set-back" in soak.process_fleet.log("n0")
+    assert soak.send_and_wait("swap", "a", s=0)[0] != "later"
     assert soak.effects[b"a"] == 1
--- a/tests/storage/test_journal.py
+++ b/tests/storage/test_journal.py
@@ -25,7 +25,7 @@
     process = Process(disk)
     process.put(b"a", b"1")
     process.work()
-    disk.fails = {operation: error_number}
+    disk.errno_by_operation = {operation: error_number}
     process.journal.files.segment_bytes = 10**9  # the next batch creates a file
     process.put(b"b", b"2")
     process.work()
@@ -34,7 +34,7 @@
     assert not process.journal.pending
     process.put(b"c", b"3")
     assert process.refused == [b"c"]
-    disk.fails = {}
+    disk.errno_by_operation = {}
     process.work(50_000)
     process.put(b"d", b"4")
     process.work()
@@ -55,10 +55,10 @@
         disk = FaultyDisk(5)
         process = Process(disk)
         run_history(process, random.Random(5), 20)
-        disk.fails = {"append": errno.ENOSPC}
+        disk.errno_by_operation = {"append": errno.ENOSPC}
         process.put(b"k1", b"lost record")
         process.work()
-        disk.fails, disk.crash_at = {}, disk.steps + crash_at
+        disk.errno_by_operation, disk.crash_at = {}, disk.operation_count + crash_at
         try:
             process.work(50_000)
             run_history(process, random.Random(6), 20)
@@ -132,5 +132,5 @@
     for number in range(100):
         process.put(b"%d" % number, b"x")
     process.work()
-    assert process.disk.steps == 3
+    assert process.disk.operation_count == 3
     assert len(process.acknowledged) == 100
--- a/tests/storage/test_ownership.py
+++ b/tests/storage/test_ownership.py
@@ -8,14 +8,16 @@
     soak.directory.mkdir()
     (soak.directory / "owner").write_text('{"node": "n9", "format": 2}')
     soak.start("state=refused")
-    assert "belongs to node n9, this is node n0" in soak.rig.log("n0")
-    assert soak.ask("swap", "a")[0] == "later"
-    assert soak.ask("look", "b")[0] == "done"
+    assert "belongs to node n9, this is node n0" in soak.process_fleet.log("n0")
+    assert soak.send_and_wait("swap", "a")[0] == "later"
+    assert soak.send_and_wait("look", "b")[0] == "done"
 
 
 def test_second_process_on_a_directory_is_refused(make_soak):
     soak = make_soak()
     soak.start()
-    found = run_storage_command("compact", "--file", str(soak.server.file), "--node", "n0")
+    found = run_storage_command(
+        "compact", "--file", str(soak.server.operator_file_path), "--node", "n0"
+    )
     assert found.returncode == 2
     assert "is in use by another process" in found.stderr
--- a/tests/storage/test_persistence.py
+++ b/tests/storage/test_persistence.py
@@ -12,57 +12,57 @@
     soak = make_soak()
     soak.start()
     for at in range(30):
-        soak.ask("look", f"a{at}")
-    soak.rig.wait(
+        soak.send_and_wait("look", f"a{at}")
+    soak.process_fleet.wait(
         lambda: query(str(soak.socket), "show")["rows"] >= 1,
         WAIT_TIMEOUT_SECONDS,
         "learned state is persisted",
     )
     soak.kill()
     soak.start()
-    assert "event=learned_state_restored" in soak.rig.log("n0")
+    assert "event=learned_state_restored" in soak.process_fleet.log("n0")
 
 
 def test_node_that_crashes_while_announced_is_damped_after_restarts(make_soak):
     soak = make_soak()
-    announce = soak.rig.add_router("n0", "192.0.2.1/32")
-    soak.server.extra += announce.replace(
+    announce = soak.process_fleet.add_router("n0", "192.0.2.1/32")
+    soak.server.extra_statements += announce.replace(
         "announce {\n",
         "announce {\n    damping {\n        half-life 60s\n" "        longest 300s\n    }\n",
     )
     for _ in range(5):
         soak.start()
-        soak.rig.wait(
-            lambda: soak.server.router.held or persisted_row(soak, Table.DAMPING)[1],
+        soak.process_fleet.wait(
+            lambda: soak.server.router.routes or persisted_row(soak, Table.DAMPING)[1],
             WAIT_TIMEOUT_SECONDS,
             "the prefix is announced or damped",
         )
         if persisted_row(soak, Table.DAMPING)[1]:
             break
-        soak.rig.wait(
+        soak.process_fleet.wait(
             lambda: persisted_row(soak, Table.DAMPING)[2],
             WAIT_TIMEOUT_SECONDS,
             "the announcement is persisted",
         )
         soak.kill()
-    assert 3 <= soak.server.starts - 1 <= 4
-    assert not soak.server.router.held
+    assert 3 <= soak.server.start_count - 1 <= 4
+    assert not soak.server.router.routes
 
 
 def test_drain_does_not_count_as_a_flap(make_soak):
     soak = make_soak()
-    soak.server.extra += soak.rig.add_router("n0", "192.0.2.1/32")
+    soak.server.extra_statements += soak.process_fleet.add_router("n0", "192.0.2.1/32")
     for _ in range(5):
         soak.start()
-        soak.rig.wait(
-            lambda: soak.server.router.held, WAIT_TIMEOUT_SECONDS, "the prefix is announced"
+        soak.process_fleet.wait(
+            lambda: soak.server.router.routes, WAIT_TIMEOUT_SECONDS, "the prefix is announced"
         )
-        assert soak.rig.leave("n0") == [0]
-    assert "damped" not in soak.rig.log("n0")
+        assert soak.process_fleet.leave("n0") == [0]
+    assert "damped" not in soak.process_fleet.log("n0")
 
 
 def test_device_session_and_its_answers_survive_a_kill_and_no_request_runs_twice(make_soak):
-    soak = make_soak(work=0.2)
+    soak = make_soak(run_time=0.2)
     connect_device = listen_for_devices(soak)
     soak.start()
     device = connect_device()
@@ -70,9 +70,11 @@
         first = device.ask("swap", b"one", 4_000, key="k1")
         assert device.outcome(first, WAIT_TIMEOUT_SECONDS).word == COMPLETED
         second = device.ask("move", b"two", 4_000)
-        soak.rig.wait(lambda: soak.effects[b"two"], WAIT_TIMEOUT_SECONDS, "the request is executed")
+        soak.process_fleet.wait(
+            lambda: soak.effects[b"two"], WAIT_TIMEOUT_SECONDS, "the request is executed"
+        )
         soak.kill()
-        soak.server.executor.notices.clear()
+        soak.server.executor.sent_messages.clear()
         soak.start()
         assert device.outcome(second, WAIT_TIMEOUT_SECONDS).word == TERMINATED
         assert soak.effects[b"two"] == 1
@@ -85,7 +87,7 @@
 
 
 def test_each_device_request_gets_one_answer_over_many_kills_and_no_effect_runs_twice(make_soak):
-    soak = make_soak(work=0.01, seed=5)
+    soak = make_soak(run_time=0.01, seed=5)
     connect_device = listen_for_devices(soak)
     soak.start()
     devices = [connect_device()]
@@ -97,7 +99,7 @@
                 for at in range(6)
             }
             time_of_kill = time.monotonic() + soak.rng.uniform(0.0, 0.05)
-            soak.rig.wait(
+            soak.process_fleet.wait(
                 lambda until=time_of_kill: time.monotonic() >= until,
                 WAIT_TIMEOUT_SECONDS,
                 "the random time of the kill",
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -53,7 +53,7 @@
 def test_rows_survive_many_processes_with_a_crash_in_each():
     disk, rng, history, acknowledged = FaultyDisk(1), random.Random(1), {}, {}
     for _ in range(40):
-        disk.crash_at = disk.steps + rng.randrange(3, 60)
+        disk.crash_at = disk.operation_count + rng.randrange(3, 60)
         process = None
         try:
             process = Process(disk, history={key: list(row) for key, row in history.items()})
