--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -145,9 +145,9 @@
             server.cpus, server.max_retry_after_ms = 1, 5000.0
             server.executor = StandInExecutor(1, lambda class_name, body: EXECUTION_TIME)
         if not has_view:
-            rig.write_operator_file = lambda each: each.operator_file_path.write_text(
-                each.extra_statements
-            )  # type: ignore[method-assign]
+            rig.write_operator_file = (  # type: ignore[method-assign]
+                lambda each: each.operator_file_path.write_text(each.extra_statements)
+            )
         rig.start(*names, wait=has_view)
         for name in names:
             rig.wait(
--- a/lilacwalk/testing/bgp_router.py
+++ b/lilacwalk/testing/bgp_router.py
@@ -33,7 +33,7 @@
     capabilities: Capabilities | None = None  # None: the defaults of `offered_capabilities`
     graceful_restart: GracefulRestart | None = None
     sends_keepalives: bool = True  # False: no session is ever established
-    sends_open: bool = True
+    sends_open: bool = True  # whether the router sends its OPEN message
     reads_when_established: bool = True  # False: reads nothing from established sessions
     byte_interval: float = 0.0  # seconds between two sent bytes; 0: each message is sent at once
     # raw bytes that the router sends when a session is established
@@ -89,6 +89,8 @@
 
 
 class BgpRouter:
+    """Listens on a free port; `address` contains the host and this port."""
+
     def __init__(
         self,
         behaviour: RouterBehaviour | None = None,
--- a/lilacwalk/testing/datagram_switch.py
+++ b/lilacwalk/testing/datagram_switch.py
@@ -112,6 +112,8 @@
 
 
 class Switch:
+    """Forwards the datagrams of all members, in a thread of its own; `seed` determines the faults."""
+
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.ports: dict[str, Port] = {}
--- a/lilacwalk/testing/disk.py
+++ b/lilacwalk/testing/disk.py
@@ -29,7 +29,7 @@
         self.files: dict[str, bytearray] = {}
         self.synced_sizes: dict[str, int] = {}  # bytes of each file that survive a crash
         self.synced_names: dict[str, bool] = {}  # whether the file's name survives a crash
-        self.errno_by_operation: dict[str, int] = {}  # these operations fail
+        self.errno_by_operation: dict[str, int] = {}  # operations that fail, with their errno
         self.capacity = 1 << 40  # bytes
 
     def _begin_operation(self, operation: str) -> bool:
--- a/lilacwalk/testing/executor.py
+++ b/lilacwalk/testing/executor.py
@@ -1,7 +1,8 @@
 """A stand-in executor for one app server at a time.
 
 It runs requests on `cores` cores, each for the time that `run_time` returns. A request of one of
-the `calling_classes` calls a dependency halfway through its run. It occupies no core meanwhile.
+the `calling_classes` calls a dependency halfway through its run. During the call, the request
+occupies no core.
 """
 
 from __future__ import annotations
@@ -24,7 +25,10 @@
 
 
 class StandInExecutor:
-    """Numbers its messages and sends them again on a new connection, as the protocol requires.
+    """An executor that executes nothing: a run takes time and returns a result.
+
+    It numbers its messages. On a new connection it sends those again that the app server has not
+    received, as the protocol requires.
 
     `run_counts` counts the runs by request id, so that tests find effects that were applied twice.
     """
@@ -56,19 +60,19 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
         self.run_counts: dict[str, int] = {}  # by request id
-        self.finished_runs = 0
+        self.finished_runs = 0  # with a result
         self.ended = False
         self.started_at = time.monotonic()
         self.lock = threading.Condition()
         self.connection: socket.socket | None = None
-        # (number, encoded message): a new connection receives those that it has not acknowledged
+        # (number, encoded message), for a new connection
         self.sent_messages: deque[tuple[int, bytes]] = deque(maxlen=4_000)
         self.last_message_number = 0
         self.queued_runs: deque[tuple[str, str, bytes]] = deque()  # request id, class, body
         # heap of (end, number of the start, request id, class, body)
         self.running: list[tuple[float, int, str, str, bytes]] = []
         self.scheduled_ids: set[str] = set()  # a repeated SCHED of a request is ignored
-        self.start_count = 0
+        self.start_count = 0  # a run with a call starts twice
         for target in (self._accept, self._run):
             threading.Thread(target=target, daemon=True).start()
 
--- a/lilacwalk/testing/fleet.py
+++ b/lilacwalk/testing/fleet.py
@@ -1,4 +1,6 @@
-"""A fleet of real processes, a datagram switch between them and a record of their views.
+"""A fleet of real processes with a datagram switch between them.
+
+The answers of the members to `show`, their views of the fleet, are recorded.
 
 Each member has a directory with its operator file, log and store. The fleet's `kind` is `run` (the
 command `fleet run`) or `serve` (whole app servers with stand-in executors). Faults:
@@ -55,9 +57,7 @@
     disk_full: bool = False  # simulated through a limit on the file size
     executor: StandInExecutor | None = None
     dependency: SharedDependency | None = None  # shared with other members: `end` leaves it running
-    call_share: float = (
-        0.0  # the member's share of the calls that the dependency can have in flight
-    )
+    call_share: float = 0.0  # calls in flight: the member's share of the dependency's capacity
     start_count: int = 0
     reserved_socket: socket.socket | None = None  # reserves the port until the first start
     extra_statements: str = ""  # further statements of the operator file
@@ -65,9 +65,7 @@
     cpus: int = 2  # in the process configuration; kind `serve` only
     max_retry_after_ms: float = 1000.0  # longest retry-after of a denial; kind `serve` only
     router: BgpRouter | None = None  # stand-in BGP peer
-    router_link: TcpForwarder | None = (
-        None  # the member's connection to `router`, which `unplug` cuts
-    )
+    router_link: TcpForwarder | None = None  # between the member and `router`; `unplug` cuts it
     clock_path: Path | None = None  # file with the clock's offset in seconds; None: no offset
     iteration_times_path: Path | None = None  # output file for the times of event loop iterations
 
@@ -104,7 +102,7 @@
 
     seed: int = 1
     interval_ms: int = 200
-    kind: str = "run"
+    kind: str = "run"  # `run`: the command `fleet run`; `serve`: whole app servers
     copy_to: str | None = None
     has_store: bool = True  # whether the fleet block of each operator file has a store
     program: tuple[str, ...] = ("lilacwalk",)  # the module that is started, and its first arguments
@@ -158,7 +156,7 @@
         return process
 
     def write_operator_file(self, process: Process) -> None:
-        """Writes the member's operator file."""
+        """Writes the member's operator file from the attributes of the member and the fleet."""
         addresses = [
             self.processes[seed].advertised_address
             for seed in process.seeds
@@ -267,7 +265,9 @@
             class_names = [request_class["name"] for request_class in config["settings"]["classes"]]
             info |= {
                 "below": "common",
-                "calls_by_class": [name in process.executor.calls for name in class_names],
+                "calls_by_class": [
+                    name in process.executor.calling_classes for name in class_names
+                ],
                 "call_share": process.call_share,
                 "calls_over_ms": 1000.0,
             }
@@ -299,6 +299,7 @@
             self.processes[name].stopped = True
 
     def resume(self, *names: str) -> None:
+        """Continues processes that `stop` has stopped."""
         for name in names:
             self.processes[name].popen.send_signal(signal.SIGCONT)
             self.processes[name].stopped = False
--- a/lilacwalk/testing/lossy_proxy.py
+++ b/lilacwalk/testing/lossy_proxy.py
@@ -121,7 +121,7 @@
                     return
                 free_at = sent_at
                 delay = conditions.delay + rng.uniform(0, conditions.jitter)
-                arrives_at = max(arrives_at, sent_at + delay)  # TCP keeps the order of the data
+                arrives_at = max(arrives_at, sent_at + delay)  # TCP keeps data in order
                 with self.lock:
                     heapq.heappush(
                         self.delayed_chunks,
--- a/lilacwalk/testing/process_launcher.py
+++ b/lilacwalk/testing/process_launcher.py
@@ -42,7 +42,7 @@
 
 
 def record_iteration_times(path: str) -> None:
-    """Makes the event loop record its iterations, and writes the record to the file at the exit."""
+    """Writes the durations of event loop iterations with work to the file, at the exit."""
     import atexit
 
     from lilacwalk.server.event_loop import EventLoop
--- a/lilacwalk/testing/restart_soak.py
+++ b/lilacwalk/testing/restart_soak.py
@@ -1,4 +1,4 @@
-"""An app server with a store, which is killed and restarted repeatedly, and a client.
+"""An app server with a store that is killed and restarted repeatedly, and a client.
 
 The client sends unanswered requests again. Tests and measurements of the data that survives a kill
 use this module. Effects are counted by the request body, so that two attempts of one request count
@@ -31,9 +31,8 @@
         """
         self.rng = random.Random(seed)
         self.effects: Counter[bytes] = Counter()  # number of executions by request body
-        self.effect_times: dict[
-            bytes, list[float]
-        ] = {}  # monotonic times of the executions, by request body
+        # monotonic times of the executions, by request body
+        self.effect_times: dict[bytes, list[float]] = {}
         self.run_time = run_time
         self.process_fleet = ProcessFleet(seed, 200, "serve", has_store=False)
         self.server: Process = self.process_fleet.add("n0")
--- a/lilacwalk/testing/retrying_clients.py
+++ b/lilacwalk/testing/retrying_clients.py
@@ -191,9 +191,10 @@
         return True
 
     def _next_attempt_delay(self, request: ClientRequest, now: float) -> float | None:
-        """Returns the seconds until the next attempt.
+        """Returns the seconds until the next attempt of the request.
 
-        They are negative if the request is completed, None while its attempt may still be answered.
+        Returns a negative number if the request is completed, and None while its latest attempt
+        may still be answered.
         """
         with request.proxy_client.changed:
             answers = request.proxy_client.answers.pop(request.tag, None)
@@ -205,12 +206,12 @@
         if retry_after:
             self.counts.retry_after_times[int(10 * (now + retry_after))] += 1
         if answers[0][1] == "done":
-            table = (
+            completed = (
                 self.counts.completed
                 if now - request.arrived_at <= self.behaviour.request_timeout
                 else self.counts.completed_late
             )
-            table[int(request.arrived_at)] += 1
+            completed[int(request.arrived_at)] += 1
             return -1.0
         return (
             retry_after
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -139,7 +139,7 @@
 # verbs of `Step` that need stand-in routers
 VERBS_WITH_ROUTERS = ("announced", "withdrawn", "unplug")
 SERVICE_WINDOW_SECONDS = 2  # one second has too few requests of the rarest class
-MAX_MEMBERS = 64  # each is a process of 18 MB on the same machine
+MAX_MEMBERS = 64  # one process of 18 MB each, all on one machine
 
 
 class BadScriptError(Exception):
@@ -285,7 +285,7 @@
     if statement.keyword not in SETTINGS:
         return False
     if script.steps:
-        raise WordError(statement.keyword, "all settings before the first step")
+        raise WordError(statement.keyword, "this setting before the first step")
     if not statement.words:
         raise WordError(statement.keyword, "a value after the keyword")
     word = statement.words[0]
@@ -391,7 +391,7 @@
     }
     if verb in parsers and words:
         return parsers[verb](line, text, words)
-    raise WordError(verb, "a setting, or a step with its words: " + ", ".join(VERBS))
+    raise WordError(verb, "a setting, or a step with all its words; steps: " + ", ".join(VERBS))
 
 
 def parse_wait(line: int, text: str, words: list[str]) -> Step:
@@ -437,7 +437,9 @@
 
 def parse_order(line: int, text: str, words: list[str]) -> Step:
     if len(words) != 3:
-        raise WordError("order", "three words after it: drain, hold or release, a site and a time")
+        raise WordError(
+            "order", "three words after `order`: drain, hold or release, a site and a time"
+        )
     return Step(
         line,
         text,
