--- a/lilacwalk/overload/stall_detector.py
+++ b/lilacwalk/overload/stall_detector.py
@@ -10,7 +10,8 @@
 # Executions count as stalled if none has made progress for this multiple of the expected time
 # between the ends of two executions. The probability of such a gap without a stall is e^-9.
 STALL_GAP_MULTIPLE = 9
-STALL_TIMER_PERIODS = 4  # number of timer periods that are added to this time
+# Number of timer periods added to the time after which executions count as stalled.
+STALL_TIMER_PERIODS = 4
 
 
 class StallDetector:
@@ -46,7 +47,7 @@
     def record_timer(self) -> None:
         """Records a timer event, which shows whether this process itself was paused.
 
-        If the event is late by more than two timer periods, the process did not run. This time does
+        If the event is late by more than two timer periods, the process did not run. The delay does
         not count as time without progress of executions.
         """
         now = self._context.now
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -1,4 +1,7 @@
-"""The process configuration: a JSON file, read at start and, for its addresses, at each SIGHUP."""
+"""Reads the process configuration, a JSON file.
+
+A SIGHUP applies only changed addresses of the executor, the service registry and the dependency.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
     """A value in the configuration is missing or invalid."""
 
     def __init__(self, problem: str) -> None:
-        """`problem` names the value and states what is wrong with it."""
+        """`problem` names the value and states why it is invalid."""
         super().__init__(f"configuration: {problem}")
         self.problem = problem
 
@@ -143,4 +146,5 @@
         LookupError,
         OverflowError,
     ) as error:
-        raise InvalidConfigurationError(str(error)) from error
+        problem = f"invalid settings, limits or seed: {error}"
+        raise InvalidConfigurationError(problem) from error
