--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -38,9 +38,9 @@
     router = make_router()
     harness = make_harness(router)
     router.wait_count("end_of_rib", 2)
-    assert not router.held
+    assert not router.routes
     harness.executor = harness.accept_executor_link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
 
 def test_node_is_announced_after_a_cold_start_only_once_it_has_warmed_up(make_harness, make_router):
@@ -50,7 +50,7 @@
     harness.executor = harness.accept_executor_link("booting")  # one second of the warm-up remains
     router.wait_count("end_of_rib", 2)
     up_at = router.wait_count("up").at
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     assert router.wait_count("announced").at - up_at > 0.5
 
 
@@ -58,10 +58,10 @@
     router = make_router()
     harness = make_harness(router)
     executor = harness.accept_executor_link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     harness.executor_listener.close()
     executor.sock.close()
-    router.wait_held()
+    router.wait_for_routes()
     # The second announcement lowered the preference.
     assert router.events[-1].message.withdrawn and router.count("announced") == 2
 
@@ -74,12 +74,12 @@
         router, settings={"rules": {"drain_grace_ms": 300.0, "tip_multiple": 8.0}}
     )
     harness.executor = harness.accept_executor_link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     proxy = harness.connect_proxy()
     proxy.submit(1)
     request_id = harness.executor.receive("SCHED")[0][1]
     harness.event_loop.event_queue.post(harness.event_loop.drain.start)
-    router.wait_held()
+    router.wait_for_routes()
     late_proxy = harness.connect_proxy()  # the listener is still open
     late_proxy.send(b"PROBE", b"1", b"x=0")
     assert late_proxy.receive_response()[1] == "sick"
@@ -99,24 +99,24 @@
     router = make_router()
     harness = make_harness(router)
     harness.executor = harness.accept_executor_link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     router.drop()
     harness.event_loop.event_queue.post(harness.event_loop.drain.start)
     harness.thread.join(PEER_TIMEOUT_SECONDS)
-    assert not harness.thread.is_alive() and not router.held
+    assert not harness.thread.is_alive() and not router.routes
 
 
 def test_app_server_keeps_serving_after_an_internal_error_of_the_speaker(make_harness, make_router):
     router = make_router()
     harness = make_harness(router)
     harness.executor = harness.accept_executor_link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
     def fail():
         raise RuntimeError("injected by the test")
 
     harness.event_loop.subsystems.bgp.speaker.inbox.put((fail,))
-    router.wait_held()
+    router.wait_for_routes()
     proxy = harness.connect_proxy()
     proxy.submit(1)
     request_id = harness.executor.receive("SCHED")[0][1]
@@ -133,14 +133,14 @@
     router = make_router()
     harness = make_harness(router)
     harness.executor = harness.accept_executor_link()
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
     harness.event_loop.event_queue.post(harness.event_loop.subsystems.apply_bgp, None)
     router.wait_count("notification")
-    router.wait_held()
+    router.wait_for_routes()
     harness.event_loop.event_queue.post(
         harness.event_loop.subsystems.apply_bgp, announce_config(peer_block(router.address))
     )
-    router.wait_held(SERVICE)
+    router.wait_for_routes(SERVICE)
 
 
 def spawn(harness, operator_file):
@@ -182,7 +182,7 @@
     harness = spawn(AppServerHarness(tmp_path), operator_file)
     try:
         harness.executor = harness.accept_executor_link()
-        router.wait_held(SERVICE)
+        router.wait_for_routes(SERVICE)
         operator_file.write_text("announce {\n as wrong\n}\n")
         harness.process.send_signal(signal.SIGHUP)
         for line in harness.process.stderr:
@@ -191,9 +191,9 @@
         assert "wrong: expected a whole number" in line
         operator_file.write_text(text % " service 192.0.2.11/32\n")
         harness.process.send_signal(signal.SIGHUP)
-        router.wait_held("192.0.2.11/32")
+        router.wait_for_routes("192.0.2.11/32")
         harness.process.send_signal(signal.SIGTERM)
-        router.wait_held()
+        router.wait_for_routes()
         assert harness.process.wait(PEER_TIMEOUT_SECONDS) == 0
         assert router.wait_count("notification").message.subcode == 2
     finally:
