--- a/lilacwalk/testing/datagram_switch.py
+++ b/lilacwalk/testing/datagram_switch.py
@@ -72,6 +72,7 @@
             self.connected.set()
 
     def end(self) -> None:
+        """Closes the listener and all connections."""
         self.ended = True
         self.connected.set()
         for sock in [self.listener, *self.socks]:
@@ -112,7 +113,7 @@
 
 
 class Switch:
-    """Forwards the datagrams of all members, in a thread of its own; `seed` determines the faults."""
+    """Forwards the datagrams of all members in one thread; `seed` determines the random draws."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -124,7 +125,7 @@
         # heap of (delivery time, sequence number, destination port, datagram)
         self.delayed: list[tuple] = []
         self.sequence_numbers = count()  # keep the heap order of equal delivery times
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # datagrams by what the switch did with them
         self.wake_sender, self.wake_receiver = socket.socketpair()
         self.selector.register(self.wake_receiver, selectors.EVENT_READ, None)
         self.ended = False
@@ -159,6 +160,7 @@
                 port.faults = Faults()
 
     def end(self) -> None:
+        """Stops the thread, which closes all ports."""
         self.ended = True
         self.wake_sender.send(b".")
 
--- a/lilacwalk/testing/dependency.py
+++ b/lilacwalk/testing/dependency.py
@@ -42,6 +42,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def end(self) -> None:
+        """Closes the listener; open connections stay open until the app servers close them."""
         self.ended = True
         shut_down_socket(self.listener)
         self.listener.close()
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -720,7 +720,7 @@
         )
 
     def do_service(self, step: Step, names: list[str]) -> None:
-        started_at = self.outage.now
+        started_at = self.outage.now  # seconds since the start of the users
 
         # Only whole seconds after the start of the step count. The most recent second is left out,
         # as many of its requests are not answered yet.
