--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -19,10 +19,10 @@
 from lilacwalk.testing.executor import StandInExecutor
 from lilacwalk.testing.site_settings import make_process_config
 
-SECOND = 10_000
+SECOND = 10_000  # in tenths of a millisecond, the unit of `now` and of durations
 START = 1_800_000_000 * SECOND
 SECRET = bytes(range(32))
-GROUPS = {
+REQUEST_CLASSES = {
     "look": DeviceRequestClass(Effect.IDEMPOTENT, 2 * SECOND),
     "swap": DeviceRequestClass(Effect.DEDUPLICATED, 4 * SECOND),
     "move": DeviceRequestClass(Effect.NON_IDEMPOTENT, 4 * SECOND),
@@ -32,7 +32,8 @@
 class ServiceHarness:
     """The device service without sockets.
 
-    Connections are numbers, and sent bytes are decoded to frames.
+    Each connection is identified by a number. The bytes that the service sends are decoded to
+    frames.
     """
 
     def __init__(self, **config):
@@ -40,7 +41,7 @@
         self.tokens = Tokens([SECRET], b"n1")
         base = {"listen": ("127.0.0.1", 0), "secrets": ""}
         self.config = EdgeConfig(**(base | config))
-        self.service = DeviceService(self.config, GROUPS, self.tokens, 7, self.now)
+        self.service = DeviceService(self.config, REQUEST_CLASSES, self.tokens, 7, self.now)
         self.streams, self.received, self.closed, self.submitted, self.cancelled = (
             {},
             {},
@@ -48,17 +49,18 @@
             [],
             [],
         )
-        self.flowing = True  # whether the operating system accepts sent bytes at once
-        self.numbers = 0
+        self.os_accepts_bytes_at_once = True
+        self.last_connection_number = 0
 
     def collect(self):
+        """Performs the service's actions and records them in the lists of this harness."""
         while actions := self.service.take_actions():
             for action in actions:
                 number = action.connection
                 if action.type is ActionType.SEND:
                     stream = self.streams.setdefault(number, frames.Stream(1 << 20))
                     self.received.setdefault(number, []).extend(stream.feed(action.payload))
-                    if self.flowing:
+                    if self.os_accepts_bytes_at_once:
                         self.service.bytes_sent(number, len(action.payload), self.now)
                 elif action.type is ActionType.CLOSE:
                     self.closed.append(number)
@@ -69,10 +71,12 @@
         return self
 
     def open(self, address=b"\x7f\0\0\1", identity=b""):
-        self.numbers += 1
-        self.is_admitted = self.service.connection_opened(self.numbers, address, identity, self.now)
+        self.last_connection_number += 1
+        self.is_admitted = self.service.connection_opened(
+            self.last_connection_number, address, identity, self.now
+        )
         self.collect()
-        return self.numbers
+        return self.last_connection_number
 
     def token(self, name=b"tablet", until=1_900_000_000):
         return self.tokens.make(DEVICE, name, until)
@@ -80,6 +84,7 @@
     def hello(
         self, session=b"", got=0, window=16, token=None, steady=False, name=b"tablet", number=None
     ):
+        """Sends HELLO, on a new connection unless one is given; returns the connection's number."""
         number = self.open() if number is None else number
         self.send(
             number,
@@ -93,29 +98,34 @@
         return self.collect()
 
     def welcome(self, number):
+        """Returns the WELCOME frame that this connection received, or None."""
         return next(
             (each for each in self.received.get(number, []) if isinstance(each, Welcome)), None
         )
 
     def refused(self, number):
+        """Returns the reason in the REFUSED frame that this connection received, or None."""
         return next(
             (each.reason for each in self.received.get(number, []) if isinstance(each, Refused)),
             None,
         )
 
     def answers(self, number):
+        """Returns the ANSWER frames that this connection received."""
         return [each for each in self.received.get(number, []) if isinstance(each, Answer)]
 
     def disconnect(self, number):
         self.service.connection_closed(number, self.now)
         return self.collect()
 
-    def answer(self, at=-1, word=0, body=b"ok", come_back=0):
-        session, number, _ = self.submitted[at]
+    def answer(self, index=-1, word=0, body=b"ok", come_back=0):
+        """Answers the submitted request at this index, by default the last one."""
+        session, number, _ = self.submitted[index]
         self.service.send_answer(session, number, word, body, come_back, self.now)
         return self.collect()
 
     def wait(self, time):
+        """Advances the time; each timer on the way fires at its own time."""
         end = self.now + time
         while (due := self.service.due()) <= end:
             self.now = max(self.now, due)
@@ -174,13 +184,13 @@
         return self.devices[-1]
 
     def call_in_event_loop(self, function):
-        """Calls `question` with the event loop in the event loop's thread."""
+        """Calls `function` with the event loop, in the event loop's thread."""
         answers = SimpleQueue()
         self.event_loop.event_queue.post(lambda: answers.put(function(self.event_loop)))
         return answers.get(timeout=10.0)
 
     def call_in_edge_thread(self, function):
-        """Calls `question` with the device service in the edge's thread."""
+        """Calls `function` with the device service, in the edge's thread."""
         answers = SimpleQueue()
         self.edge.post(lambda: answers.put(function(self.edge.service)))
         return answers.get(timeout=10.0)
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -28,7 +28,7 @@
 from lilacwalk.edge.device_service import ActionType
 from lilacwalk.edge.tokens import DEVICE, Tokens
 from lilacwalk.testing.lossy_proxy import LinkConditions, UdpProxy
-from tests.edge.conftest import GROUPS, SECOND, SECRET, START
+from tests.edge.conftest import REQUEST_CLASSES, SECOND, SECRET, START
 
 ADDRESS, OTHER_ADDRESS = ("127.0.0.1", 5000), ("127.0.0.1", 5001)
 POST, ACK, CON, NON, RST = messages.POST, Type.ACK, Type.CON, Type.NON, Type.RST
@@ -62,35 +62,37 @@
 
 
 @pytest.mark.parametrize(
-    "data, rejected",
+    "data, gets_rst",
     [
-        (b"", False),
-        (b"\x80\x01\0\1", False),
-        (b"\x49\2\0\1" + bytes(9), True),
-        (b"\x42\2\0\1x", True),
-        (b"\x40\0\0\1x", True),
-        (b"\x40\2\0\1\xff", True),
-        (b"\x40\2\0\1\xf0", True),
-        (b"\x40\2\0\1\x0f", True),
-        (b"\x40\2\0\1\xd0", True),
-        (b"\x40\2\0\1\x05ab", True),
-        (b"\x40\x20\0\1", True),
-        (b"\x60\2\0\1\xff", False),
-        (b"\x40\2\0\1" + b"\x10" * 40, True),
+        (b"", False),  # too short
+        (b"\x80\x01\0\1", False),  # version 2
+        (b"\x49\2\0\1" + bytes(9), True),  # token of 9 bytes
+        (b"\x42\2\0\1x", True),  # truncated token
+        (b"\x40\0\0\1x", True),  # empty message with a payload
+        (b"\x40\2\0\1\xff", True),  # payload marker without payload
+        (b"\x40\2\0\1\xf0", True),  # reserved option delta
+        (b"\x40\2\0\1\x0f", True),  # reserved option length
+        (b"\x40\2\0\1\xd0", True),  # truncated extended delta
+        (b"\x40\2\0\1\x05ab", True),  # truncated option value
+        (b"\x40\x20\0\1", True),  # code of a reserved class
+        (b"\x60\2\0\1\xff", False),  # a malformed ACK is ignored
+        (b"\x40\2\0\1" + b"\x10" * 40, True),  # too many options
     ],
 )
-def test_invalid_messages_are_rejected_with_rst_or_ignored(data, rejected):
+def test_invalid_messages_are_rejected_with_rst_or_ignored(data, gets_rst):
     with pytest.raises(MessageError) as error:
         messages.decode(data)
-    assert (error.value.mid is not None) is rejected
+    assert (error.value.mid is not None) is gets_rst
 
 
 class CoapHarness:
+    """The CoAP service without sockets, under simulated time."""
+
     def __init__(self, is_validated=True, **config):
         self.now, self.mid = START, 0
         self.tokens = Tokens([SECRET], b"n1")
         self.config = EdgeConfig(**({"listen": ("127.0.0.1", 0), "secrets": ""} | config))
-        self.service = CoapService(self.config, GROUPS, self.tokens, 7, self.now)
+        self.service = CoapService(self.config, REQUEST_CLASSES, self.tokens, 7, self.now)
         self.sent, self.submitted = [], []
         self.is_validated = is_validated
 
@@ -115,23 +117,31 @@
         self, group="look", payload=b"hello", kind=CON, options=(), queries=(), token=None, mid=None
     ):
         self.mid += 1
-        made = self.tokens.make(DEVICE, b"tablet", 1_900_000_000) if token is None else token
-        fixed = [(Option.URI_PATH, b"x"), (Option.URI_PATH, group.encode()), (Option.DEVICE, made)]
-        fixed += [(Option.URI_QUERY, each) for each in queries]
+        device_token = (
+            self.tokens.make(DEVICE, b"tablet", 1_900_000_000) if token is None else token
+        )
+        base_options = [
+            (Option.URI_PATH, b"x"),
+            (Option.URI_PATH, group.encode()),
+            (Option.DEVICE, device_token),
+        ]
+        base_options += [(Option.URI_QUERY, each) for each in queries]
         return Message(
             kind,
             POST,
             mid or self.mid,
             b"tk",
-            tuple(sorted([*fixed, *options], key=lambda each: each[0])),
+            tuple(sorted([*base_options, *options], key=lambda each: each[0])),
             payload,
         )
 
-    def answer(self, at=-1, word=0, body=b"ok", come_back=0):
-        self.service.send_answer(self.submitted[at][0], word, body, come_back, self.now)
+    def answer(self, index=-1, word=0, body=b"ok", come_back=0):
+        """Answers the submitted request at this index, by default the last one."""
+        self.service.send_answer(self.submitted[index][0], word, body, come_back, self.now)
         return self.collect()
 
     def wait(self, time):
+        """Advances the time; each timer on the way fires at its own time."""
         end = self.now + time
         while (due := self.service.due()) <= end:
             self.now = max(self.now, due)
@@ -159,7 +169,7 @@
     assert harness.service.is_idle
 
 
-def test_an_unacknowledged_separate_response_is_given_up_after_four_retransmissions_but_kept_for_duplicates():
+def test_a_separate_response_is_retransmitted_four_times_and_stays_available_to_duplicates():
     harness = CoapHarness(repeat_window=300 * SECOND)
     harness.send(harness.request("move"))
     harness.wait(SECOND)
@@ -168,17 +178,20 @@
     assert harness.send(harness.request("move"))[0].payload == b"ok" and len(harness.submitted) == 1
 
 
-@pytest.mark.parametrize("when", ["before", "after", "acknowledged"])
-def test_a_duplicate_message_is_not_submitted_again_and_gets_the_same_reply(when):
+@pytest.mark.parametrize("duplicate_sent", ["before", "after", "acknowledged"])
+def test_a_duplicate_message_is_not_submitted_again_and_gets_the_same_reply(duplicate_sent):
+    """The duplicate arrives before the answer, after it, or after an acknowledgement without it."""
     harness = CoapHarness()
     request = harness.request("move")
     harness.send(request)
-    if when == "acknowledged":
+    if duplicate_sent == "acknowledged":
         [first] = harness.wait(SECOND)
-    if when == "after":
+    if duplicate_sent == "after":
         [first] = harness.answer()
-    again = harness.send(request)
-    assert len(harness.submitted) == 1 and again == ([] if when == "before" else [first])
+    replies = harness.send(request)
+    assert len(harness.submitted) == 1 and replies == (
+        [] if duplicate_sent == "before" else [first]
+    )
 
 
 def test_a_message_id_reused_after_its_lifetime_is_a_new_request():
@@ -197,22 +210,22 @@
     assert len(harness.submitted) == 4
 
 
-def test_a_repeated_request_shares_the_answer_until_the_answer_is_acknowledged():
+def test_a_request_repeated_under_a_new_message_id_runs_again_only_after_acknowledgement():
     harness = CoapHarness()
     harness.send(harness.request("move"))
     harness.send(
         harness.request("move"), OTHER_ADDRESS
-    )  # the device's address changed with the network
+    )  # the same device, after its address changed
     assert len(harness.submitted) == 1 and len(harness.answer()) == 2
     harness.send(harness.request("move"))
     assert len(harness.submitted) == 1
-    late = CoapHarness()
-    late.send(late.request("move"))
-    late.wait(SECOND)
-    [separate] = late.answer()
-    late.send(Message(ACK, 0, separate.mid))
-    late.send(late.request("move"))
-    assert len(late.submitted) == 2
+    with_separate_response = CoapHarness()
+    with_separate_response.send(with_separate_response.request("move"))
+    with_separate_response.wait(SECOND)
+    [separate] = with_separate_response.answer()
+    with_separate_response.send(Message(ACK, 0, separate.mid))
+    with_separate_response.send(with_separate_response.request("move"))
+    assert len(with_separate_response.submitted) == 2
 
 
 @pytest.mark.parametrize(
@@ -268,15 +281,15 @@
 
 def test_a_block_wise_request_is_assembled_and_a_duplicate_block_is_ignored():
     harness, body = CoapHarness(), random.Random(1).randbytes(1_500)
-    for number, at in enumerate((0, 512, 512, 1_024)):
-        block = Block(at // 512, at < 1_024, 512)
-        made = harness.request(
+    for index, offset in enumerate((0, 512, 512, 1_024)):
+        block = Block(offset // 512, offset < 1_024, 512)
+        request = harness.request(
             "move",
-            body[at : at + 512],
+            body[offset : offset + 512],
             options=[(Option.BLOCK1, block.encode()), (Option.REQUEST_TAG, b"a")],
         )
-        sent = harness.send(made)
-        assert [each.code for each in sent] == ([messages.CONTINUE] if number < 3 else [])
+        sent = harness.send(request)
+        assert [each.code for each in sent] == ([messages.CONTINUE] if index < 3 else [])
     assert (
         harness.submitted[0][1].frame.body == body
         and harness.service.block_assembler.buffered_bytes == 0
@@ -287,48 +300,54 @@
     harness, body = CoapHarness(), random.Random(1).randbytes(3_000)
     harness.send(harness.request())
     [first] = harness.answer(body=body)
-    found, block = first.payload, Block.decode(first.first(Option.BLOCK2))
+    received_body, block = first.payload, Block.decode(first.first(Option.BLOCK2))
     while block.more:
         block = Block(block.number + 1, False, block.size)
         [reply] = harness.send(
             harness.request(payload=b"", options=[(Option.BLOCK2, block.encode())])
         )
-        found, block = found + reply.payload, Block.decode(reply.first(Option.BLOCK2))
-    assert found == body and len(harness.submitted) == 1
+        received_body, block = (
+            received_body + reply.payload,
+            Block.decode(reply.first(Option.BLOCK2)),
+        )
+    assert received_body == body and len(harness.submitted) == 1
 
 
-@pytest.mark.parametrize("order, incomplete", [([1], True), ([0, 2], True), ([0, 1, 3], True)])
-def test_a_block_out_of_order_drops_the_body(order, incomplete):
-    incoming = BlockAssembler(4, 10_000, 2_048, 30 * SECOND)
+@pytest.mark.parametrize(
+    "block_numbers, incomplete", [([1], True), ([0, 2], True), ([0, 1, 3], True)]
+)
+def test_a_body_with_a_missing_block_is_dropped_as_incomplete(block_numbers, incomplete):
+    assembler = BlockAssembler(4, 10_000, 2_048, 30 * SECOND)
     with pytest.raises(BlockError) as error:
-        for number in order:
-            incoming.add(("a",), Block(number, True, 64), b"x" * 64, 0)
-    assert error.value.incomplete is incomplete and incoming.buffered_bytes == 0
+        for number in block_numbers:
+            assembler.add(("a",), Block(number, True, 64), b"x" * 64, 0)
+    assert error.value.incomplete is incomplete and assembler.buffered_bytes == 0
 
 
 def test_partial_bodies_are_bounded_in_number_bytes_size_and_time():
-    incoming = BlockAssembler(4, 1_000, 300, 30 * SECOND)
-    for name in range(20):
-        incoming.add((name,), Block(0, True, 256), b"x" * 256, 0)
-    assert incoming.buffered_bytes <= 1_000 and len(incoming.partial_bodies) <= 4
+    assembler = BlockAssembler(4, 1_000, 300, 30 * SECOND)
+    for key in range(20):
+        assembler.add((key,), Block(0, True, 256), b"x" * 256, 0)
+    assert assembler.buffered_bytes <= 1_000 and len(assembler.partial_bodies) <= 4
     with pytest.raises(BlockError) as error:
-        incoming.add((19,), Block(1, True, 256), b"x" * 256, 0)
+        assembler.add((19,), Block(1, True, 256), b"x" * 256, 0)
     assert not error.value.incomplete
+    # `tick` returns the number of bodies that it dropped: two were left, and none remains.
     assert (
-        incoming.tick(31 * SECOND) == len(incoming.partial_bodies) + 2
-        and incoming.buffered_bytes == 0
+        assembler.tick(31 * SECOND) == len(assembler.partial_bodies) + 2
+        and assembler.buffered_bytes == 0
     )
 
 
 @given(st.binary(max_size=5_000), st.sampled_from([16, 64, 1024]))
 def test_the_blocks_of_an_answer_add_up_to_the_answer(body, size):
-    found, number = b"", 0
+    joined, number = b"", 0
     while True:
         block, part = select_block(body, Block(number, False, size), size)
-        found, number = found + part, number + 1
+        joined, number = joined + part, number + 1
         if not block.more:
             break
-    assert found == body and select_block(body, Block(number + 1, False, size), size) is None
+    assert joined == body and select_block(body, Block(number + 1, False, size), size) is None
 
 
 # Address validation
@@ -358,18 +377,18 @@
 
 
 def test_echo_values_expire_and_validated_addresses_are_bounded():
-    proof = AddressValidator(b"s" * 32, 60 * SECOND, 600 * SECOND, 3)
-    echo = proof.make_echo(ADDRESS, START)
-    assert not proof.validate(ADDRESS, echo, START + 62 * SECOND) and proof.validate(
+    validator = AddressValidator(b"s" * 32, 60 * SECOND, 600 * SECOND, 3)
+    echo = validator.make_echo(ADDRESS, START)
+    assert not validator.validate(ADDRESS, echo, START + 62 * SECOND) and validator.validate(
         ADDRESS, echo, START + SECOND
     )
-    assert proof.validate(ADDRESS, None, START + 599 * SECOND) and not proof.validate(
+    assert validator.validate(ADDRESS, None, START + 599 * SECOND) and not validator.validate(
         ADDRESS, None, START + 700 * SECOND
     )
     for port in range(10):
         address = ("127.0.0.1", port)
-        assert proof.validate(address, proof.make_echo(address, START), START)
-    assert len(proof.validated_until) == 3
+        assert validator.validate(address, validator.make_echo(address, START), START)
+    assert len(validator.validated_until) == 3
 
 
 def test_spoofed_sources_leave_no_state_and_get_one_small_reply_each():
@@ -387,40 +406,45 @@
 
 
 def test_one_confirmable_message_is_outstanding_and_the_next_follows_its_acknowledgement():
-    layer = Reliability(10, 100, 4, random.Random(1))
-    assert layer.send("a", 1, b"1", "one", 0) == b"1" and layer.send("a", 2, b"2", "two", 0) is None
-    assert layer.acknowledge("a", 9, 100) == (None, None)
-    assert layer.acknowledge("a", 1, 100) == ("one", b"2") and layer.acknowledge("a", 2, 200) == (
+    reliability = Reliability(10, 100, 4, random.Random(1))
+    assert (
+        reliability.send("a", 1, b"1", "one", 0) == b"1"
+        and reliability.send("a", 2, b"2", "two", 0) is None
+    )
+    assert reliability.acknowledge("a", 9, 100) == (None, None)
+    assert reliability.acknowledge("a", 1, 100) == ("one", b"2") and reliability.acknowledge(
+        "a", 2, 200
+    ) == (
         "two",
         None,
     )
 
 
 def test_a_thousand_endpoints_do_not_exceed_the_limits_of_endpoints_message_ids_and_queue():
-    layer = Reliability(10, 100, 4, random.Random(1))
+    reliability = Reliability(10, 100, 4, random.Random(1))
     for each in range(1_000):
-        layer.check_duplicate(each, 1, True, 0)
-        layer.endpoint(each, 0)
-        layer.send("busy", each, b"x", each, 0)
-    assert len(layer.seen) == 100 and len(layer.endpoints) <= 11
-    assert len(layer.endpoints["busy"].queue) == 4 and layer.evicted_early == 900
+        reliability.check_duplicate(each, 1, True, 0)
+        reliability.endpoint(each, 0)
+        reliability.send("busy", each, b"x", each, 0)
+    assert len(reliability.seen) == 100 and len(reliability.endpoints) <= 11
+    assert len(reliability.endpoints["busy"].queue) == 4 and reliability.evicted_early == 900
 
 
 def test_the_retransmission_timeout_follows_the_link_and_returns_to_the_default():
     rng, timeout = random.Random(1), RetransmissionTimeout(0)
     for _ in range(20):
         timeout.record_acknowledgement(2_000, 1, 0)
-    fast = timeout.initial(0, rng)
-    assert fast < SECOND
+    fast_link_timeout = timeout.initial(0, rng)
+    assert fast_link_timeout < SECOND
     for _ in range(20):
         timeout.record_acknowledgement(60_000, 2, 0)  # a weak estimate, since it was retransmitted
-    slow = timeout.initial(0, rng)
-    assert slow > 3 * SECOND
+    slow_link_timeout = timeout.initial(0, rng)
+    assert slow_link_timeout > 3 * SECOND
     # Ignored, since it is unknown which of the four copies was acknowledged.
     timeout.record_acknowledgement(10, 4, 0)
     assert timeout.initial(0, rng) > 3 * SECOND
-    for turn in range(1, 8):
-        timeout.initial(turn * 17 * SECOND, rng)
+    for step in range(1, 8):
+        timeout.initial(step * 17 * SECOND, rng)
     assert abs(timeout.timeout - 2 * SECOND) < SECOND
 
 
@@ -433,12 +457,12 @@
     st.booleans(),
 )
 def test_any_order_of_messages_answers_each_request_at_most_once_and_keeps_tables_bounded(
-    order, is_validated
+    steps, is_validated
 ):
     harness = CoapHarness(
         is_validated=is_validated, sessions=4, in_hand=3, kept=2_000, kept_each=1_000
     )
-    for message, port, time in order:
+    for message, port, time in steps:
         if message is None:
             message = harness.request(
                 "move", options=[(Option.BLOCK1, b"\x08")] if port == 3 else ()
@@ -458,7 +482,7 @@
     assert not service.open and service.counts["answered"] >= len(harness.submitted)
 
 
-# With the app server
+# Through the app server
 
 
 @pytest.fixture
@@ -484,13 +508,13 @@
 
 def test_loss_duplication_and_reordering_execute_no_request_twice(coap):
     site, address = coap()
-    weather = LinkConditions(delay=0.002, jitter=0.01, good_to_bad=0.2, bad_to_good=0.5)
+    conditions = LinkConditions(delay=0.002, jitter=0.01, good_to_bad=0.2, bad_to_good=0.5)
     proxy = UdpProxy(
-        address, weather, 3, loss=0.6, duplication=1.0
+        address, conditions, 3, loss=0.6, duplication=1.0
     )  # each datagram that is not lost is duplicated
     devices = [CoapDevice(proxy.address, site.token(b"c%d" % each), each) for each in range(8)]
 
-    def work(device):
+    def ask_three_times(device):
         outcomes = []
         for turn in range(3):
             try:
@@ -501,7 +525,7 @@
         return outcomes
 
     with ThreadPoolExecutor(8) as pool:
-        words = [word for row in pool.map(work, devices) for word in row]
+        words = [word for row in pool.map(ask_three_times, devices) for word in row]
     assert words.count(0) > 6 and max(site.executor.run_counts.values()) == 1
     assert (
         proxy.lost_datagrams > 0
@@ -512,23 +536,25 @@
 
 
 def test_a_drain_answers_requests_in_flight_and_denies_others_as_unavailable(coap):
-    hold = threading.Event()
-    site, address = coap(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"late" or b"")
-    device, other = (CoapDevice(address, site.token(name), 1) for name in (b"a", b"b"))
+    may_finish = threading.Event()
+    site, address = coap(
+        result=lambda group, body: may_finish.wait(TIMEOUT_SECONDS) and b"late" or b""
+    )
+    device, late_device = (CoapDevice(address, site.token(name), 1) for name in (b"a", b"b"))
     with ThreadPoolExecutor(1) as pool:
-        asked = pool.submit(device.ask, "move", b"x", 8_000)
+        pending_outcome = pool.submit(device.ask, "move", b"x", 8_000)
         while not site.call_in_edge_thread(lambda _: site.edge.coap.counts["asked"]):
             pass
         site.event_loop.event_queue.post(site.event_loop.drain.start)
         while not site.call_in_edge_thread(lambda _: site.edge.coap.is_closing):
             pass
-        late = other.ask("look", b"y", 2_000)
-        assert late.word == 1 and late.come_back >= 1_000
-        hold.set()
-        assert asked.result().body == b"late"
+        denial = late_device.ask("look", b"y", 2_000)
+        assert denial.word == 1 and denial.come_back >= 1_000
+        may_finish.set()
+        assert pending_outcome.result().body == b"late"
     site.thread.join(TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
-    device.end(), other.end()
+    device.end(), late_device.end()
 
 
 def test_the_device_command_sends_a_request_over_coap(coap):
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -27,8 +27,8 @@
 def test_a_request_is_executed_once_and_answered_once(make_site):
     site = make_site()
     device = site.device()
-    found = device.outcome(device.ask("look", b"hello"), TIMEOUT_SECONDS)
-    assert (found.word, found.body) == (0, b"<hello>") and sum(
+    outcome = device.outcome(device.ask("look", b"hello"), TIMEOUT_SECONDS)
+    assert (outcome.word, outcome.body) == (0, b"<hello>") and sum(
         site.executor.run_counts.values()
     ) == 1
     assert device.session.duplicate_answers == 0
@@ -49,16 +49,18 @@
 def test_after_a_connection_reset_during_execution_the_answer_follows_and_the_request_runs_once(
     make_site,
 ):
-    hold = threading.Event()
-    site = make_site(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"made once" or b"")
+    may_finish = threading.Event()
+    site = make_site(
+        result=lambda group, body: may_finish.wait(TIMEOUT_SECONDS) and b"made once" or b""
+    )
     device = site.device()
     number = device.ask("move", b"x")
     while not site.call_in_edge_thread(lambda each: each.counts["asked"]):
         pass
     device.drop_connection()
-    hold.set()
-    found = device.outcome(number, TIMEOUT_SECONDS)
-    assert (found.word, found.body) == (0, b"made once")
+    may_finish.set()
+    outcome = device.outcome(number, TIMEOUT_SECONDS)
+    assert (outcome.word, outcome.body) == (0, b"made once")
     assert device.connections == 2 and sum(site.executor.run_counts.values()) == 1
 
 
@@ -70,22 +72,22 @@
         5,
     )
     devices = [site.device(b"t%d" % each, proxy.address, seed=each) for each in range(20)]
-    asked = [
-        (device, device.ask("move", b"%d/%d" % (at, turn), 4_000))
+    requests = [
+        (device, device.ask("move", b"%d/%d" % (index, turn), 4_000))
         for turn in range(10)
-        for at, device in enumerate(devices)
+        for index, device in enumerate(devices)
     ]
-    words = [device.outcome(number, 20.0).word for device, number in asked]
+    words = [device.outcome(number, 20.0).word for device, number in requests]
     # The controller may deny some requests without executing them.
     assert set(words) <= {0, 1, 2} and words.count(0) > 100
     assert max(site.executor.run_counts.values()) == 1 and proxy.reset_count > 0
-    bodies = [device.session.outcomes[number].body for device, number in asked]
+    bodies = [device.session.outcomes[number].body for device, number in requests]
     # No two requests got the same answer.
     assert len({body for body in bodies if body}) == words.count(0)
     proxy.end()
 
 
-def test_a_stall_within_an_answer_delivers_it_whole_and_once(
+def test_an_answer_stalled_partway_is_delivered_whole_and_once(
     make_site,
 ):
     site = make_site(result=lambda group, body: b"r" * 4_000)
@@ -94,14 +96,14 @@
     )
     device = site.device(address=proxy.address)
     device.outcome(device.ask("look", b"first"), TIMEOUT_SECONDS)
-    number, carried = device.ask("move", b"x"), proxy.delivered_bytes
-    # Until the request was sent, and part of the answer was received.
-    while proxy.delivered_bytes < carried + 2_000:
+    number, delivered_before = device.ask("move", b"x"), proxy.delivered_bytes
+    # Waits until the request was delivered and part of the answer was.
+    while proxy.delivered_bytes < delivered_before + 2_000:
         pass
     proxy.stall(1.0)
-    began = time.monotonic()
-    found = device.outcome(number, TIMEOUT_SECONDS)
-    assert len(found.body) == 4_000 and time.monotonic() - began > 0.9
+    stalled_at = time.monotonic()
+    outcome = device.outcome(number, TIMEOUT_SECONDS)
+    assert len(outcome.body) == 4_000 and time.monotonic() - stalled_at > 0.9
     assert (
         device.connections == 1
         and device.session.duplicate_answers == 0
@@ -110,13 +112,13 @@
     proxy.end()
 
 
-def test_after_a_restart_an_unknown_session_terminates_a_repeated_non_idempotent_request(
+def test_after_a_restart_only_an_idempotent_request_runs_again_and_others_are_terminated(
     make_site, tmp_path
 ):
     first = make_site(work=lambda group, body: 60.0)
     device = first.device()
-    number = device.ask("move", b"x")
-    look = device.ask("look", b"y")
+    move_number = device.ask("move", b"x")
+    look_number = device.ask("look", b"y")
     while first.call_in_edge_thread(lambda each: each.counts["asked"]) < 2:
         pass
     second = make_site()
@@ -124,9 +126,9 @@
     device.address = second.address
     device.drop_connection()
     assert (
-        device.outcome(number, TIMEOUT_SECONDS).word == 2
-    )  # it may have been executed; answered at once
-    assert device.outcome(look, TIMEOUT_SECONDS).word == 0
+        device.outcome(move_number, TIMEOUT_SECONDS).word == 2
+    )  # the app server before the restart may have executed it
+    assert device.outcome(look_number, TIMEOUT_SECONDS).word == 0
     assert list(second.executor.run_counts.values()) == [1]
 
 
@@ -174,19 +176,22 @@
     make_site, sent
 ):
     site = make_site()
-    good = site.device()
-    good.outcome(good.ask("look", b"x"), TIMEOUT_SECONDS)
+    other_device = site.device()
+    other_device.outcome(other_device.ask("look", b"x"), TIMEOUT_SECONDS)
     with socket.create_connection(site.address, TIMEOUT_SECONDS) as sock:
         sock.sendall(sent)
         [refusal] = frames.Stream(65_536).feed(sock.recv(4_096))
         assert isinstance(refusal, Refused)
         assert sock.recv(100) == b""
-    assert good.outcome(good.ask("look", b"x"), TIMEOUT_SECONDS).word == 0 and good.connections == 1
+    assert (
+        other_device.outcome(other_device.ask("look", b"x"), TIMEOUT_SECONDS).word == 0
+        and other_device.connections == 1
+    )
 
 
 def test_a_drain_answers_requests_in_flight_reports_their_number_and_closes(make_site):
-    hold = threading.Event()
-    site = make_site(result=lambda group, body: hold.wait(TIMEOUT_SECONDS) and b"late" or b"")
+    may_finish = threading.Event()
+    site = make_site(result=lambda group, body: may_finish.wait(TIMEOUT_SECONDS) and b"late" or b"")
     device = site.device()
     number = device.ask("move", b"x")
     while not site.call_in_edge_thread(lambda each: each.counts["asked"]):
@@ -195,13 +200,13 @@
     with device.changed:
         assert device.changed.wait_for(lambda: device.session.leaving is not None, TIMEOUT_SECONDS)
     assert device.session.leaving.open == 1 and device.session.leaving.come_back > 0
-    hold.set()
+    may_finish.set()
     assert device.outcome(number, TIMEOUT_SECONDS).body == b"late"
     site.thread.join(TIMEOUT_SECONDS)
     assert not site.thread.is_alive()
 
 
-def test_a_device_that_does_not_read_bounds_the_send_buffer_and_its_answers_stay_in_the_session(
+def test_the_send_buffer_of_a_device_that_does_not_read_stays_bounded(
     make_site,
 ):
     # The controller must not reject requests, since a rejection has no body and fills no buffer. On a
@@ -219,7 +224,8 @@
     sock.sendall(frames.encode(Hello(1, site.token(), b"", 0, 1_000)))
     while not site.call_in_edge_thread(lambda each: list(each.session_table)):
         pass
-    site.call_in_edge_thread(  # a small send buffer of the operating system, so that it cannot accept everything
+    # The operating system's send buffer is made small, so that it cannot accept all answers.
+    site.call_in_edge_thread(
         lambda _: [
             each.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             for each in site.edge.device_sockets.values()
@@ -242,7 +248,7 @@
             break
     else:
         pytest.fail("the operating system accepted all answers")
-    for further_number in range(number + 1, number + 33):  # without waiting for their execution
+    for further_number in range(number + 1, number + 33):  # sent without waiting for execution
         sock.sendall(frames.encode(frames.Ask(further_number, "look", b"", 60_000, 0)))
         unsent = site.call_in_edge_thread(
             lambda each: max(one.unsent_bytes for one in each.connections.values())
@@ -254,7 +260,7 @@
 # Identity
 
 
-def authority(tmp_path):
+def make_certificate_authority(tmp_path):
     """Returns a function that signs certificates, and the path of the authority's certificate."""
     import ipaddress
 
@@ -263,7 +269,7 @@
     from cryptography.hazmat.primitives.asymmetric import ec
     from cryptography.x509.oid import NameOID
 
-    def named(text):
+    def name_of(text):
         return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
     ca_key = ec.generate_private_key(ec.SECP256R1())
@@ -271,10 +277,10 @@
     def sign(name, file, key=None, is_authority=False, days=1):
         key = key or ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
-        made = (
+        builder = (
             x509.CertificateBuilder()
-            .subject_name(named(name))
-            .issuer_name(named("test"))
+            .subject_name(name_of(name))
+            .issuer_name(name_of("test"))
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - timedelta(days=9))
@@ -285,18 +291,18 @@
                 False,
             )
         )
-        certificate = made.sign(ca_key, hashes.SHA256())
-        pem, private = tmp_path / f"{file}.pem", tmp_path / f"{file}.key"
-        pem.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
-        private.touch(mode=0o600)
-        private.write_bytes(
+        certificate = builder.sign(ca_key, hashes.SHA256())
+        certificate_path, key_path = tmp_path / f"{file}.pem", tmp_path / f"{file}.key"
+        certificate_path.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
+        key_path.touch(mode=0o600)
+        key_path.write_bytes(
             key.private_bytes(
                 serialization.Encoding.PEM,
                 serialization.PrivateFormat.PKCS8,
                 serialization.NoEncryption(),
             )
         )
-        return str(pem), str(private)
+        return str(certificate_path), str(key_path)
 
     sign("test", "top", ca_key, True)
     return sign, str(tmp_path / "top.pem")
@@ -305,7 +311,7 @@
 def test_a_certificate_identifies_the_device_and_is_renewed_without_dropping_sessions(
     make_site, tmp_path
 ):
-    sign, ca_file = authority(tmp_path)
+    sign, ca_file = make_certificate_authority(tmp_path)
     sign("edge", "edge")
     sign("till-7", "device")
     site = make_site(
@@ -316,9 +322,9 @@
         " mutual yes",
         "}",
     )
-    client = ssl.create_default_context(cafile=ca_file)
-    client.load_cert_chain(f"{tmp_path}/device.pem", f"{tmp_path}/device.key")
-    device = site.device(token=b"", tls=client, server_name="127.0.0.1")
+    device_tls = ssl.create_default_context(cafile=ca_file)
+    device_tls.load_cert_chain(f"{tmp_path}/device.pem", f"{tmp_path}/device.key")
+    device = site.device(token=b"", tls=device_tls, server_name="127.0.0.1")
     assert device.outcome(device.ask("look", b"a"), TIMEOUT_SECONDS).body == b"<a>"
     assert site.call_in_edge_thread(lambda each: [one.device for one in each.session_table]) == [
         b"till-7"
@@ -333,8 +339,8 @@
             sock.sendall(frames.encode(Hello(1, b"", b"", 0, 1)))
             if not sock.recv(100):
                 raise ConnectionError
-    again = site.device(token=b"", tls=client, server_name="127.0.0.1")
-    assert again.outcome(again.ask("look", b"b"), TIMEOUT_SECONDS).body == b"<b>"
+    new_device = site.device(token=b"", tls=device_tls, server_name="127.0.0.1")
+    assert new_device.outcome(new_device.ask("look", b"b"), TIMEOUT_SECONDS).body == b"<b>"
     assert (
         device.outcome(device.ask("look", b"c"), TIMEOUT_SECONDS).body == b"<c>"
         and device.connections == 1
@@ -342,46 +348,48 @@
 
 
 @pytest.mark.parametrize(
-    "invalid, expected_text",
+    "make_unusable, expected_text",
     [
-        (lambda path: path.chmod(0o644), "others than its owner may read it"),
-        (lambda path: path.write_text("abcd\n"), "hexadecimal digits or more"),
-        (lambda path: path.write_text("secret words\n"), "non-hexadecimal"),
-        (lambda path: path.unlink(), "No such file"),
+        (lambda secrets: secrets.chmod(0o644), "others than its owner may read it"),
+        (lambda secrets: secrets.write_text("abcd\n"), "hexadecimal digits or more"),
+        (lambda secrets: secrets.write_text("secret words\n"), "non-hexadecimal"),
+        (lambda secrets: secrets.unlink(), "No such file"),
     ],
 )
-def test_check_reports_an_unusable_secrets_file(tmp_path, invalid, expected_text):
-    path, own = tmp_path / "secrets", tmp_path / "own.conf"
-    path.touch(mode=0o600)
-    path.write_text("00" * 32)
-    own.write_text(f"edge {{\n listen 127.0.0.1:0\n secrets {path}\n}}\n")
-    words = ["check", "--file", str(own)]
-    assert CliRunner().invoke(lilacwalk, words, env={"ROUTER_CONFIG": ""}).exit_code == 0
-    invalid(path)
-    found = CliRunner().invoke(lilacwalk, words, env={"ROUTER_CONFIG": ""})
-    assert found.exit_code == 2 and expected_text in found.output
-
-
-@pytest.mark.parametrize("days, code", [(1, 0), (-1, 2)])
-def test_check_reports_an_expired_certificate_and_a_key_that_does_not_match(tmp_path, days, code):
-    sign, _ = authority(tmp_path)
+def test_check_reports_an_unusable_secrets_file(tmp_path, make_unusable, expected_text):
+    secrets, operator_file = tmp_path / "secrets", tmp_path / "own.conf"
+    secrets.touch(mode=0o600)
+    secrets.write_text("00" * 32)
+    operator_file.write_text(f"edge {{\n listen 127.0.0.1:0\n secrets {secrets}\n}}\n")
+    command = ["check", "--file", str(operator_file)]
+    assert CliRunner().invoke(lilacwalk, command, env={"ROUTER_CONFIG": ""}).exit_code == 0
+    make_unusable(secrets)
+    result = CliRunner().invoke(lilacwalk, command, env={"ROUTER_CONFIG": ""})
+    assert result.exit_code == 2 and expected_text in result.output
+
+
+@pytest.mark.parametrize("days, expected_exit_code", [(1, 0), (-1, 2)])
+def test_check_reports_an_expired_certificate_and_a_key_that_does_not_match(
+    tmp_path, days, expected_exit_code
+):
+    sign, _ = make_certificate_authority(tmp_path)
     sign("edge", "edge", days=days)
     sign("other", "other")
-    secrets, own = tmp_path / "secrets", tmp_path / "own.conf"
+    secrets, operator_file = tmp_path / "secrets", tmp_path / "own.conf"
     secrets.touch(mode=0o600)
     secrets.write_text("00" * 32)
     text = f"edge {{\n listen 127.0.0.1:0\n secrets {secrets}\n tls {{\n  certificate {tmp_path}/edge.pem\n"
-    for key, expected in (("edge", code), ("other", 2)):
-        own.write_text(f"{text}  key {tmp_path}/{key}.key\n }}\n}}\n")
-        found = CliRunner().invoke(
-            lilacwalk, ["check", "--file", str(own)], env={"ROUTER_CONFIG": ""}
+    for key, exit_code in (("edge", expected_exit_code), ("other", 2)):
+        operator_file.write_text(f"{text}  key {tmp_path}/{key}.key\n }}\n}}\n")
+        result = CliRunner().invoke(
+            lilacwalk, ["check", "--file", str(operator_file)], env={"ROUTER_CONFIG": ""}
         )
-        assert found.exit_code == expected
+        assert result.exit_code == exit_code
 
 
 def test_the_device_command_makes_a_token_and_sends_a_request_with_it(make_site):
     site = make_site()
-    made = CliRunner().invoke(lilacwalk, ["device", "token", str(site.path), "tablet"])
+    token_result = CliRunner().invoke(lilacwalk, ["device", "token", str(site.path), "tablet"])
     address = f"127.0.0.1:{site.address[1]}"
     result = subprocess.run(
         [
@@ -395,7 +403,7 @@
             "--body",
             "hi",
             "--token",
-            made.output.strip(),
+            token_result.output.strip(),
         ],
         capture_output=True,
         text=True,
@@ -404,13 +412,15 @@
     assert (
         result.returncode == 0 and result.stdout == "outcome=completed come_back_ms=0 body='<hi>'\n"
     )
-    refused = CliRunner().invoke(lilacwalk, ["device", "ask", address, "look", "--token", "00"])
-    assert refused.exit_code == 5
+    with_invalid_token = CliRunner().invoke(
+        lilacwalk, ["device", "ask", address, "look", "--token", "00"]
+    )
+    assert with_invalid_token.exit_code == 5
 
 
-def test_a_timeout_counts_from_the_reception_of_the_request(make_site):
+def test_a_request_with_a_timeout_is_answered_within_it(make_site):
     site = make_site()
     device = site.device()
-    began = time.monotonic()
+    asked_at = time.monotonic()
     assert device.outcome(device.ask("look", b"x", 1_500), TIMEOUT_SECONDS).word == 0
-    assert time.monotonic() - began < 1.5
+    assert time.monotonic() - asked_at < 1.5
--- a/tests/edge/test_machines.py
+++ b/tests/edge/test_machines.py
@@ -35,12 +35,12 @@
 from tests.edge.conftest import SECOND, START, ServiceHarness, ask
 
 
-def test_a_timeout_counts_from_the_first_reception_less_the_delivery_time(harness):
+def test_a_timeout_counts_from_the_first_reception_and_is_reduced_by_the_delivery_time(harness):
     number = harness.hello()
     harness.send(number, ask(1, wait=1_000))
-    plain = ServiceHarness(estimates=False)
-    plain.send(plain.hello(), ask(1, wait=1_000))
-    assert plain.submitted[0][2].timeout == SECOND
+    without_estimates = ServiceHarness(estimates=False)
+    without_estimates.send(without_estimates.hello(), ask(1, wait=1_000))
+    assert without_estimates.submitted[0][2].timeout == SECOND
     assert (
         0 < harness.submitted[0][2].timeout < SECOND and harness.submitted[0][2].arrived_at == START
     )
@@ -53,28 +53,28 @@
 
 def test_a_slow_link_shortens_the_timeout_more_than_a_fast_one(harness):
     number = harness.hello()
-    waits = []
-    for turn, trip in enumerate((400, 20_000), 1):
+    timeouts = []
+    for request_number, round_trip in enumerate((400, 20_000), 1):
         session = harness.service.connections[number].session
         for _ in range(30):
-            session.link.record_round_trip(trip)
-        harness.send(number, ask(turn, wait=4_000, group="move"))
-        waits.append(harness.submitted[-1][2].timeout)
-    assert waits[0] > 4 * SECOND - 2_000 and waits[1] < 4 * SECOND - 9_000
+            session.link.record_round_trip(round_trip)
+        harness.send(number, ask(request_number, wait=4_000, group="move"))
+        timeouts.append(harness.submitted[-1][2].timeout)
+    assert timeouts[0] > 4 * SECOND - 2_000 and timeouts[1] < 4 * SECOND - 9_000
 
 
 def test_silence_between_requests_does_not_count_as_round_trip(harness):
     number = harness.hello()
-    sent = [each for each in harness.received[number] if isinstance(each, Ping)]
+    pings = [each for each in harness.received[number] if isinstance(each, Ping)]
     harness.now += 500
-    harness.send(number, Pong(sent[0].stamp))
+    harness.send(number, Pong(pings[0].stamp))
     harness.wait(20 * SECOND).send(number, ask(1, wait=1_000))
     assert harness.submitted[0][2].timeout > SECOND - 1_000
-    harness.send(number, Pong(5), Pong(START + 10**12))  # echoes of pings that were not sent
+    harness.send(number, Pong(5), Pong(START + 10**12))  # replies to pings that were never sent
     assert harness.service.connections[number].session.link.mean_round_trip == 500
 
 
-def test_a_stall_of_a_ping_hardly_changes_the_delivery_time():
+def test_three_stalled_pings_hardly_change_the_delivery_time():
     link = Link()
     for _ in range(20):
         link.record_round_trip(1_000)
@@ -170,12 +170,12 @@
     assert reason in harness.refused(number) and harness.closed == [number]
 
 
-def test_secrets_are_rotated_with_an_overlap():
+def test_a_token_of_the_old_secret_is_accepted_until_that_secret_is_removed():
     old, new = b"o" * 32, b"n" * 32
-    made = Tokens([old], b"").make(DEVICE, b"t", 100)
-    assert Tokens([new, old], b"").check(DEVICE, made, 50).name == b"t"
+    token = Tokens([old], b"").make(DEVICE, b"t", 100)
+    assert Tokens([new, old], b"").check(DEVICE, token, 50).name == b"t"
     with pytest.raises(TokenError, match="unknown"):
-        Tokens([new], b"").check(DEVICE, made, 50)
+        Tokens([new], b"").check(DEVICE, token, 50)
 
 
 def test_a_non_idempotent_request_repeated_in_an_unknown_session_is_terminated(harness):
@@ -188,7 +188,8 @@
 # Duplicates without an idempotency key
 
 
-def lost_session(harness, group="move", body=b"pay 5", **more):
+def connect_and_ask(harness, group="move", body=b"pay 5", **more):
+    """Opens a session, sends request 1 in it, and returns the number of its connection."""
     first = harness.hello()
     harness.send(first, ask(1, group, body, **more))
     return first
@@ -196,7 +197,7 @@
 
 @pytest.mark.parametrize("group", ["look", "swap", "move"])
 def test_a_duplicate_in_a_new_session_shares_the_request_in_flight(harness, group):
-    first = lost_session(harness, group)
+    first = connect_and_ask(harness, group)
     harness.disconnect(first)
     second = harness.hello()
     harness.send(second, ask(1, group, b"pay 5"))
@@ -206,7 +207,7 @@
 
 
 def test_a_duplicate_in_a_new_session_gets_the_unacknowledged_answer(harness):
-    first = lost_session(harness)
+    first = connect_and_ask(harness)
     harness.answer(body=b"paid").disconnect(first)
     second = harness.hello()
     harness.send(second, ask(9, "move", b"pay 5"))
@@ -214,7 +215,7 @@
 
 
 def test_a_repeated_request_after_acknowledgement_is_executed(harness):
-    first = lost_session(harness)
+    first = connect_and_ask(harness)
     harness.answer().send(first, Got(1)).disconnect(first)
     harness.send(harness.hello(), ask(1, "move", b"pay 5"))
     assert len(harness.submitted) == 2
@@ -224,7 +225,7 @@
     "change", [dict(group="swap"), dict(body=b"pay 6"), dict(subject="x"), dict(customer="c")]
 )
 def test_a_different_class_body_subject_or_tenant_is_a_different_request(harness, change):
-    harness.disconnect(lost_session(harness))
+    harness.disconnect(connect_and_ask(harness))
     harness.send(
         harness.hello(), ask(**({"number": 1, "group": "move", "body": b"pay 5"} | change))
     )
@@ -232,7 +233,7 @@
 
 
 def test_another_device_the_same_session_and_a_later_time_make_different_requests(harness):
-    first = lost_session(harness)
+    first = connect_and_ask(harness)
     harness.send(first, ask(2, "move", b"pay 5"))
     harness.disconnect(first)
     harness.send(harness.hello(name=b"phone"), ask(1, "move", b"pay 5"))
@@ -252,10 +253,10 @@
 @pytest.mark.parametrize(
     "word, group, runs", [(1, "move", 2), (2, "move", 1), (2, "look", 2), (0, "look", 1)]
 )
-def test_a_denied_duplicate_is_executed_and_a_terminated_one_only_if_idempotent(
+def test_a_request_repeated_after_a_denial_runs_and_after_a_termination_only_if_idempotent(
     harness, word, group, runs
 ):
-    first = lost_session(harness, group)
+    first = connect_and_ask(harness, group)
     harness.answer(word=word).disconnect(first)
     harness.send(harness.hello(), ask(1, group, b"pay 5"))
     assert len(harness.submitted) == runs
@@ -263,7 +264,7 @@
 
 def test_no_duplicates_are_detected_if_switched_off():
     harness = ServiceHarness(repeats=False)
-    harness.disconnect(lost_session(harness))
+    harness.disconnect(connect_and_ask(harness))
     harness.send(harness.hello(), ask(1, "move", b"pay 5"))
     assert len(harness.submitted) == 2
 
@@ -290,7 +291,7 @@
     assert [each.word for each in harness.answers(number)] == [2] and not harness.submitted
 
 
-def test_the_device_window_and_the_buffer_limit_bound_what_is_sent():
+def test_the_window_of_the_device_and_the_buffer_limit_bound_the_answers_sent():
     harness = ServiceHarness(window=64)
     number = harness.hello(window=2)
     harness.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 6)])
@@ -299,21 +300,26 @@
     assert len(harness.answers(number)) == 2
     harness.send(number, Got(1))
     assert len(harness.answers(number)) == 3
-    slow = ServiceHarness(window=64, buffer=1_000)
-    slow.flowing = False
-    number = slow.hello(window=64)
-    slow.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
+    slow_harness = ServiceHarness(window=64, buffer=1_000)
+    slow_harness.os_accepts_bytes_at_once = False
+    number = slow_harness.hello(window=64)
+    slow_harness.send(number, *[ask(each, body=b"%d" % each) for each in range(1, 11)])
     for each in range(10):
-        slow.answer(each, body=b"r" * 400)
-    assert len(slow.answers(number)) == 3 and slow.service.connections[number].unsent_bytes < 2_000
-    slow.service.bytes_sent(number, slow.service.connections[number].unsent_bytes, slow.now)
-    assert len(slow.collect().answers(number)) == 6
+        slow_harness.answer(each, body=b"r" * 400)
+    assert (
+        len(slow_harness.answers(number)) == 3
+        and slow_harness.service.connections[number].unsent_bytes < 2_000
+    )
+    slow_harness.service.bytes_sent(
+        number, slow_harness.service.connections[number].unsent_bytes, slow_harness.now
+    )
+    assert len(slow_harness.collect().answers(number)) == 6
 
 
-def test_the_session_that_costs_least_is_evicted():
+def test_the_session_that_costs_least_to_lose_is_evicted_and_connected_ones_stay():
     harness = ServiceHarness(sessions=3)
-    for at, group in enumerate(("move", "look", "swap")):
-        number = harness.hello(name=b"d%d" % at)
+    for index, group in enumerate(("move", "look", "swap")):
+        number = harness.hello(name=b"d%d" % index)
         harness.send(number, ask(1, group)).answer()
         harness.disconnect(number)
         harness.wait(SECOND)
@@ -327,17 +333,19 @@
 
 
 @pytest.mark.parametrize(
-    "group, goodbye, runs",
+    "group, sends_bye, runs",
     [("move", False, 1), ("swap", False, 1), ("look", False, 2), ("move", True, 2)],
 )
-def test_an_executed_request_of_a_removed_session_is_not_executed_again(group, goodbye, runs):
+def test_a_request_of_an_evicted_session_runs_again_only_if_idempotent_or_after_a_bye_frame(
+    group, sends_bye, runs
+):
     harness = ServiceHarness(sessions_each=1)
-    first = lost_session(harness, group)
+    first = connect_and_ask(harness, group)
     harness.answer()
-    if goodbye:
+    if sends_bye:
         harness.send(first, Bye())
     harness.disconnect(first)
-    second = harness.hello()  # evicts the other session of the device
+    second = harness.hello()  # evicts the first session: only one is allowed per device
     harness.send(second, ask(1, group, b"pay 5"))
     assert len(harness.submitted) == runs
     assert [each.word for each in harness.answers(second)] == ([2] if runs == 1 else [])
@@ -356,11 +364,11 @@
     assert len(harness.service.session_table) == 2
 
 
-def test_unacknowledged_answers_are_bounded_by_evicting_the_cheapest_sessions():
+def test_unacknowledged_answers_are_bounded_by_evicting_the_sessions_that_cost_least_to_lose():
     harness = ServiceHarness(kept=20_000, kept_each=20_000)
-    for at in range(30):
-        number = harness.hello(name=b"d%d" % at)
-        harness.send(number, ask(1, "move" if at == 0 else "look")).disconnect(number)
+    for index in range(30):
+        number = harness.hello(name=b"d%d" % index)
+        harness.send(number, ask(1, "move" if index == 0 else "look")).disconnect(number)
         harness.answer(body=b"r" * 1_000)
     assert harness.service.session_table.unacknowledged_bytes <= 20_000
     assert b"d0" in {each.device for each in harness.service.session_table}
@@ -368,19 +376,22 @@
 
 def test_a_device_that_does_not_acknowledge_is_denied_and_others_are_not():
     harness = ServiceHarness(kept_each=3_000, window=64)
-    idle, good = harness.hello(window=1, name=b"a"), harness.hello(name=b"b")
+    unacknowledging_device, other_device = (
+        harness.hello(window=1, name=b"a"),
+        harness.hello(name=b"b"),
+    )
     for number in range(1, 11):
-        harness.send(idle, ask(number, body=b"%d" % number))
+        harness.send(unacknowledging_device, ask(number, body=b"%d" % number))
         if len(harness.submitted) == number:
             harness.answer(body=b"r" * 900)
     assert (
         len(harness.submitted) == 3 and harness.service.session_table.unacknowledged_bytes < 6_000
     )
-    harness.send(good, ask(1, body=b"other"))
+    harness.send(other_device, ask(1, body=b"other"))
     assert len(harness.submitted) == 4
     for order in range(1, 11):
-        harness.send(idle, Got(order))
-    harness.send(idle, ask(11, body=b"again"))
+        harness.send(unacknowledging_device, Got(order))
+    harness.send(unacknowledging_device, ask(11, body=b"again"))
     assert len(harness.submitted) == 5
 
 
@@ -400,7 +411,7 @@
 
 
 def test_a_cancelled_request_is_dropped_unless_a_duplicate_waits_for_it(harness):
-    first = lost_session(harness)
+    first = connect_and_ask(harness)
     harness.disconnect(first)
     second = harness.hello()
     harness.send(second, ask(1, "move", b"pay 5"))
@@ -411,30 +422,32 @@
     assert harness.cancelled == [2]
 
 
-def test_silent_and_slow_connections_are_refused_but_not_a_stalled_burst(harness):
+def test_silent_and_slow_connections_are_refused_but_not_one_that_sends_bursts(harness):
     silent = harness.open()
     harness.wait(7 * SECOND)
     assert harness.refused(silent) == "no HELLO in time"
-    trickle, bursty = harness.hello(name=b"a"), harness.hello(name=b"b")
+    one_byte_per_second, bursty = harness.hello(name=b"a"), harness.hello(name=b"b")
     for second in range(12):
-        harness.service.bytes_received(trickle, 1, 0, True, harness.now)
+        harness.service.bytes_received(one_byte_per_second, 1, 0, True, harness.now)
         if second % 5 == 0:
             harness.service.bytes_received(bursty, 2_000, 0, True, harness.now)
         harness.wait(SECOND)
-    assert harness.refused(trickle) == "too slow" and harness.refused(bursty) is None
+    assert harness.refused(one_byte_per_second) == "too slow" and harness.refused(bursty) is None
 
 
 def test_the_minimum_rate_rises_with_the_duration_of_a_frame():
-    incoming = FrameProgress()
-    incoming.add_bytes(10, 0, True, 0)
+    progress = FrameProgress()
+    progress.add_bytes(10, 0, True, 0)
     for second in range(1, 30):
-        incoming.add_bytes(100, 0, True, second * SECOND)
-        if incoming.is_too_slow(64, 60 * SECOND, second * SECOND):
+        progress.add_bytes(100, 0, True, second * SECOND)
+        if progress.is_too_slow(64, 60 * SECOND, second * SECOND):
             break
     assert 4 <= second < 9
 
 
-def test_a_silent_connection_is_probed_and_closed_after_three_heartbeats(harness):
+def test_a_silent_connection_is_pinged_and_closed_after_three_heartbeats_and_its_session_stays(
+    harness,
+):
     number = harness.hello()
     harness.wait(31 * SECOND)
     assert any(isinstance(each, Ping) for each in harness.received[number])
@@ -454,10 +467,10 @@
     assert harness.is_admitted is True
 
 
-def test_ipv6_sources_are_counted_by_network():
-    arrivals = ConnectionLimiter(10, 100, 1, 0)
+def test_connections_from_one_ipv6_network_share_one_rate_limit():
+    limiter = ConnectionLimiter(10, 100, 1, 0)
     reasons = [
-        arrivals.admit(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
+        limiter.admit(each, bytes.fromhex("20010db80001") + bytes(9) + bytes((each,)), 0)
         for each in range(12)
     ]
     assert reasons.count("") == 10
@@ -499,78 +512,80 @@
     st.booleans(),
 )
 def test_any_order_of_failures_gives_each_request_one_outcome_and_at_most_one_execution(
-    order, seed, loses_session
+    steps, seed, loses_session
 ):
     rng, harness, device = random.Random(seed), ServiceHarness(window=4), None
     device = ClientSession(harness.token())
-    runs, sent, link, inbound = {}, {}, 0, b""
+    run_counts, streams, connection, inbound = {}, {}, 0, b""
 
-    def up():
-        nonlocal link, inbound
-        link, inbound = harness.open(), b""
+    def connect():
+        nonlocal connection, inbound
+        connection, inbound = harness.open(), b""
         device.connected()
 
-    def down():
-        nonlocal link
-        if link:
-            harness.disconnect(link)
-        link = 0
+    def disconnect():
+        nonlocal connection
+        if connection:
+            harness.disconnect(connection)
+        connection = 0
         device.take_output()
 
-    for each in [*order, "up", *["answer"] * 8, "settle"]:
+    for each in [*steps, "up", *["answer"] * 8, "settle"]:
         if each in ("ask", "look"):
             device.ask("move" if each == "ask" else "look", b"%d" % rng.randrange(3))
         elif each == "up":
-            down()
-            up()
+            disconnect()
+            connect()
         elif each in ("down", "break"):
-            down()
+            disconnect()
         elif each == "lose" and loses_session:
             device.session = b""
             device.got = 0
-            down()
+            disconnect()
         elif each == "stall":
             harness.wait(rng.randrange(5 * SECOND))
         elif each == "answer" and harness.submitted:
-            session, number, about = harness.submitted.pop(rng.randrange(len(harness.submitted)))
-            runs[id(session), number] = runs.get((id(session), number), 0) + 1
+            session, number, submitted = harness.submitted.pop(
+                rng.randrange(len(harness.submitted))
+            )
+            run_counts[id(session), number] = run_counts.get((id(session), number), 0) + 1
             harness.service.send_answer(
-                session, number, rng.randrange(2), about.frame.body, 0, harness.now
+                session, number, rng.randrange(2), submitted.frame.body, 0, harness.now
             )
             harness.collect()
         if each == "settle":
             for _ in range(300):
-                if not link or link in harness.closed:
-                    down()
-                    up()
-                step(harness, device, link, rng, sent)
-                for session, number, about in harness.submitted:
+                if not connection or connection in harness.closed:
+                    disconnect()
+                    connect()
+                deliver_frames(harness, device, connection, rng, streams)
+                for session, number, submitted in harness.submitted:
                     harness.service.send_answer(
-                        session, number, 0, about.frame.body, 0, harness.now
+                        session, number, 0, submitted.frame.body, 0, harness.now
                     )
                 harness.submitted.clear()
                 harness.collect()
-        elif link:
-            step(harness, device, link, rng, sent)
+        elif connection:
+            deliver_frames(harness, device, connection, rng, streams)
     assert not device.unanswered and set(device.outcomes) == set(range(1, device.next_number))
-    assert all(count == 1 for count in runs.values())
+    assert all(count == 1 for count in run_counts.values())
     assert not harness.service.session_table.unacknowledged_bytes or loses_session
 
 
-def step(harness, device, link, rng, sent):
-    """Delivers the frames sent so far in both directions."""
-    stream = sent.setdefault(link, Stream(1 << 16))
+def deliver_frames(harness, device, connection, rng, streams):
+    """Delivers the frames sent so far, in both directions; `streams` holds one per connection."""
+    stream = streams.setdefault(connection, Stream(1 << 16))
     for frame in stream.feed(device.take_output()):
-        harness.service.frame_received(link, frame, harness.now)
+        harness.service.frame_received(connection, frame, harness.now)
     harness.collect()
-    received, harness.received[link] = harness.received.get(link, []), []
+    received, harness.received[connection] = harness.received.get(connection, []), []
     for frame in received:
         device.frame_received(frame)
 
 
 # Frames
 
-SAMPLES = [
+SAMPLE_FRAMES = [
     Hello(1, b"t", b"s", 3, 16, True),
     Ask(1, "look", b"b", 5, 0),
     Ask(2, "look", b"", 0, 1, key="k"),
@@ -586,12 +601,12 @@
 ]
 
 
-@pytest.mark.parametrize("frame", SAMPLES)
+@pytest.mark.parametrize("frame", SAMPLE_FRAMES)
 def test_each_frame_survives_encoding_and_any_split(frame):
     data = frames.encode(frame)
-    for at in range(len(data)):
+    for split_at in range(len(data)):
         stream = Stream(4_096)
-        assert [*stream.feed(data[:at]), *stream.feed(data[at:])] == [frame]
+        assert [*stream.feed(data[:split_at]), *stream.feed(data[split_at:])] == [frame]
 
 
 @pytest.mark.parametrize(
@@ -662,32 +677,32 @@
         max_size=40,
     )
 )
-def test_timers_expire_like_those_of_a_heap_never_early_and_at_most_a_slot_late(order):
+def test_a_timer_expires_never_early_and_at_most_one_slot_late(operations):
     wheel, now, due = Wheel(START), START, {}
-    for name, ahead, step, drops in order:
-        if drops:
+    for name, delay, elapsed, cancels in operations:
+        if cancels:
             assert wheel.cancel(name) == (due.pop(name, None) is not None)
         else:
-            wheel.schedule(name, now + ahead)
-            due[name] = now + ahead
-        asked = wheel.due()
-        now += step
-        fired = set(wheel.expire(now))
-        assert all(due[each] <= now for each in fired)
-        assert asked is None or not fired or asked <= now
-        for each in fired:
+            wheel.schedule(name, now + delay)
+            due[name] = now + delay
+        reported_due = wheel.due()
+        now += elapsed
+        expired = set(wheel.expire(now))
+        assert all(due[each] <= now for each in expired)
+        assert reported_due is None or not expired or reported_due <= now
+        for each in expired:
             del due[each]
         assert all(time > now - 100 for time in due.values()) and len(wheel) == len(due)
 
 
 def test_a_timer_can_be_rescheduled_while_timers_expire():
-    wheel, fired = Wheel(0), []
+    wheel, expired = Wheel(0), []
     wheel.schedule("a", 1_000)
     for name in wheel.expire(10_000):
-        fired.append(name)
-        if len(fired) < 5:
+        expired.append(name)
+        if len(expired) < 5:
             wheel.schedule(name, 1_000)
-    assert fired == ["a"] * 5
+    assert expired == ["a"] * 5
 
 
 def test_timers_expire_in_the_order_of_slots():
@@ -702,20 +717,20 @@
 
 
 def test_the_sketch_never_counts_too_low_and_rarely_too_high():
-    rng, sketch, true = random.Random(1), Sketch(9, 100_000, 0), {}
+    rng, sketch, true_counts = random.Random(1), Sketch(9, 100_000, 0), {}
     for _ in range(30_000):
         key = str(int(rng.paretovariate(0.8))).encode()
-        true[key] = true.get(key, 0) + 1
+        true_counts[key] = true_counts.get(key, 0) + 1
         sketch.add(key, 0)
-    over = [sketch.count(key, 0) - count for key, count in true.items()]
-    assert min(over) >= 0 and sum(each > 30 for each in over) < len(over) / 100
+    excesses = [sketch.count(key, 0) - count for key, count in true_counts.items()]
+    assert min(excesses) >= 0 and sum(each > 30 for each in excesses) < len(excesses) / 100
 
 
 def test_sketch_counts_decay_by_half_lives():
     sketch = Sketch(9, 1_000, 0)
     sketch.add(b"a", 0, 64.0)
     assert sketch.count(b"a", 3_000) == pytest.approx(8.0)
-    sketch.add(b"b", 100_000, 1.0)  # long after, so that the scale is reset
+    sketch.add(b"b", 100_000, 1.0)  # so much later that the scale is reset
     assert sketch.count(b"a", 100_000) < 1e-6 and sketch.count(b"b", 100_000) == pytest.approx(1.0)
 
 
@@ -723,10 +738,10 @@
     link = Link()
     for _ in range(40):
         link.record_round_trip(500)
-    fast = link.delivery_time(500)
+    delivery_time_without_loss = link.delivery_time(500)
     for _ in range(10):
         link.record_loss()
-    assert link.delivery_time(500) > fast
+    assert link.delivery_time(500) > delivery_time_without_loss
     for _ in range(100):
         link.record_round_trip(500)
         link.record_delivery(50_000, 1_000)
