--- a/tests/bgp/conftest.py
+++ b/tests/bgp/conftest.py
@@ -18,8 +18,8 @@
 from lilacwalk.operator.loader import parse_operator_file
 from lilacwalk.testing.bgp_router import BgpRouter, RouterBehaviour
 
-SECOND = 10_000
-US, THEM = 65_010, 65_020
+SECOND = 10_000  # in tenths of a millisecond, the unit of `now` and of durations
+OUR_AS, PEER_AS = 65_010, 65_020
 BASE = """
 announce {
     as 65010
@@ -50,21 +50,22 @@
 
 def announce_config(more="", **changed):
     """The base block with further statements; a keyword argument replaces the base's statement."""
-    lines = BASE % more
-    for keyword, word in changed.items():
+    text = BASE % more
+    for keyword, value in changed.items():
         name = keyword.replace("_", "-")
-        old = next(line for line in lines.splitlines() if line.strip().startswith(name + " "))
-        lines = lines.replace(old, f"    {name} {word}")
-    return parse_operator_file(lines, "test").announce
+        old_line = next(line for line in text.splitlines() if line.strip().startswith(name + " "))
+        text = text.replace(old_line, f"    {name} {value}")
+    return parse_operator_file(text, "test").announce
 
 
-def peer_block(address="127.0.0.1:1790", asn=THEM, *more):
+def peer_block(address="127.0.0.1:1790", asn=PEER_AS, *statements):
+    """A peer block; each further statement is added, or replaces the default of its keyword."""
     host, port = address if isinstance(address, tuple) else address.rsplit(":", 1)
-    base = {"connect-retry": "50ms", "idle-hold": "50ms"} | dict(
-        line.split(" ", 1) for line in more
+    settings = {"connect-retry": "50ms", "idle-hold": "50ms"} | dict(
+        statement.split(" ", 1) for statement in statements
     )
-    extra = "".join(f"        {keyword} {word}\n" for keyword, word in base.items())
-    return f"    peer {host}:{port} {{\n        as {asn}\n{extra}    }}\n"
+    settings_lines = "".join(f"        {keyword} {value}\n" for keyword, value in settings.items())
+    return f"    peer {host}:{port} {{\n        as {asn}\n{settings_lines}    }}\n"
 
 
 class PeerHarness:
@@ -74,7 +75,7 @@
 
     def __init__(self, *peer_lines, more="", restart_claims=(False, True), start=True):
         self.now = 1_000_000
-        self.config = announce_config(peer_block("127.0.0.1:1790", THEM, *peer_lines) + more)
+        self.config = announce_config(peer_block("127.0.0.1:1790", PEER_AS, *peer_lines) + more)
         self.peer = PeerState(
             self.config,
             self.config.peer[0],
@@ -89,6 +90,7 @@
             self.drain_actions()
 
     def drain_actions(self):
+        """Takes the peer's actions and sorts them into the lists of this harness."""
         for action in self.peer.take_actions():
             if action.kind is ActionKind.SEND:
                 self.sent += [
@@ -103,6 +105,7 @@
         return self
 
     def kinds(self, link=None):
+        """Types of the messages sent, on one connection or on all."""
         return [kind for number, kind, _ in self.sent if link in (None, number)]
 
     def notified(self, link=None):
@@ -111,18 +114,19 @@
         return (found[-1][0], found[-1][1]) if found else None
 
     def receive(self, data, link=None):
+        """Delivers bytes from the remote peer, by default on the connection that we opened last."""
         number = self.connects[-1] if link is None else link
         for kind, body in messages.Stream(65_535).feed(data):
             self.peer.message(number, kind, body, self.now)
         return self.drain_actions()
 
-    def open(self, link=None, asn=THEM, hold=9, router_id="127.0.0.20", **capabilities):
+    def receive_open(self, link=None, asn=PEER_AS, hold=9, router_id="127.0.0.20", **capabilities):
         capabilities = {"families": ((1, 1), (2, 1)), "as4": asn, "refresh": True} | capabilities
         return self.receive(
             messages.encode(Open(asn, hold, router_id, Capabilities(**capabilities))), link
         )
 
-    def keepalive(self, link=None):
+    def receive_keepalive(self, link=None):
         return self.receive(messages.encode(Keepalive()), link)
 
     def connected(self):
@@ -131,8 +135,8 @@
 
     def up(self, **opened):
         """Brings the session from its start to Established."""
-        self.connected().open(**opened)
-        return self.keepalive()
+        self.connected().receive_open(**opened)
+        return self.receive_keepalive()
 
     def wait(self, time):
         """Advances the time; each timer on the way fires at its own time."""
@@ -149,13 +153,15 @@
         return self.peer.primary.session.state.name
 
 
-def route(asn=THEM, **more):
+def route(asn=PEER_AS, **more):
+    """Attributes of a route that this AS originates; keyword arguments add or replace some."""
     return Attributes(
         **({"as_path": ((SEQUENCE, (asn,)),), "next_hop": bytes((127, 0, 0, 20))} | more)
     )
 
 
 def update(*prefixes, attributes=None):
+    """Encoded UPDATE messages that announce these prefixes."""
     rows = [Prefix.of(each) for each in prefixes]
     return b"".join(messages.announcements(rows, attributes or route(), True, False))
 
@@ -188,6 +194,7 @@
 
 
 def make_speaker_state(more="", peers=("127.0.0.1:1790",), **changed):
+    """A started `SpeakerState` for these peers, whose first actions were taken."""
     config = announce_config("".join(peer_block(each) for each in peers) + more, **changed)
     state = SpeakerState(config, 1, 1_000_000)
     state.start(1_000_000)
--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -19,10 +19,17 @@
 from lilacwalk.bgp.damping import Penalty
 from lilacwalk.bgp.peer import ActionKind
 from lilacwalk.bgp.readiness import Facts, node_status
-from tests.bgp.conftest import SECOND, THEM, announce_config, make_speaker_state, peer_block, update
+from tests.bgp.conftest import (
+    PEER_AS,
+    SECOND,
+    announce_config,
+    make_speaker_state,
+    peer_block,
+    update,
+)
 
 LAST_RESORT_BLOCK = "    last-resort {\n        med 9000\n        prepend 5\n    }\n"
-MS = 10
+MS = 10  # in tenths of a millisecond
 
 
 class PolicyHarness:
@@ -47,9 +54,7 @@
     def wait(self, ms):
         end = self.now + ms * MS
         while self.next_check is not None and self.next_check <= end:
-            assert (
-                self.next_check > self.now
-            )  # a decision must not ask for a check at a time that has passed
+            assert self.next_check > self.now  # the next check must lie in the future
             self.now = self.next_check
             self.decide()
         self.now = end
@@ -76,7 +81,7 @@
     assert PolicyHarness().set_status(NodeStatus.READY, 100).set_status(state).level is Level.NONE
 
 
-def test_sick_node_is_announced_with_lower_preference_then_withdrawn_and_recovers_after_the_well_after_time():
+def test_sick_node_gets_lower_preference_then_is_withdrawn_and_recovers_after_well_after():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100).set_status(NodeStatus.SICK)
     assert harness.level is Level.LESS_WANTED
     assert harness.set_status(NodeStatus.READY, 49).level is Level.LESS_WANTED
@@ -94,14 +99,14 @@
     assert harness.set_status(NodeStatus.SICK).level is Level.NONE
 
 
-def test_node_standing_still_for_less_than_the_less_wanted_after_time_keeps_its_level():
+def test_node_standing_still_keeps_its_level_until_less_wanted_after():
     harness = PolicyHarness(less_wanted_after="30ms")
     harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.STANDING_STILL, 29)
     assert harness.level is Level.NORMAL
     assert harness.wait(1).level is Level.LESS_WANTED
 
 
-def test_last_resort_applies_to_a_sick_node_but_not_to_a_node_that_stands_still_or_was_never_ready():
+def test_last_resort_applies_to_a_sick_node_unless_it_stands_still_or_was_never_ready():
     harness = (
         PolicyHarness(LAST_RESORT_BLOCK)
         .set_status(NodeStatus.READY, 100)
@@ -120,14 +125,17 @@
     )
 
 
-def test_drain_lowers_preference_then_withdraws_then_lets_the_listener_close_for_good():
+def test_drain_lowers_preference_then_withdraws_for_good_and_the_listener_may_close_later():
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
     harness.policy.leave(harness.now, None)
-    began = harness.now
+    drain_started_at = harness.now
     harness.decide()
     assert harness.level is Level.LEAVING
     harness.wait(30)
-    assert harness.level is Level.NONE and harness.policy.listener_may_close_at == began + 80 * MS
+    assert (
+        harness.level is Level.NONE
+        and harness.policy.listener_may_close_at == drain_started_at + 80 * MS
+    )
     for state in (NodeStatus.READY, NodeStatus.COLD, NodeStatus.READY, NodeStatus.SICK):
         assert harness.set_status(state, 1000).level is Level.NONE
 
@@ -144,37 +152,45 @@
 
 
 @pytest.mark.parametrize(
-    "grace, less_wanted, listener", [(500, 30, 80), (60, 10, 60), (50, 0, 50), (20, 0, 50)]
+    "grace, phase_ms, listener_ms", [(500, 30, 80), (60, 10, 60), (50, 0, 50), (20, 0, 50)]
 )
 def test_short_grace_shortens_the_graceful_shutdown_phase_but_not_the_propagation_time(
-    grace, less_wanted, listener
+    grace, phase_ms, listener_ms
 ):
     harness = PolicyHarness().set_status(NodeStatus.READY, 100)
-    began = harness.now
-    harness.policy.leave(began, began + grace * MS)
+    drain_started_at = harness.now
+    harness.policy.leave(drain_started_at, drain_started_at + grace * MS)
     harness.decide()
     harness.wait(1000)
-    gone = next(at for at, level in harness.levels if level is Level.NONE and at >= began)
-    assert (gone - began, harness.policy.listener_may_close_at - began) == (
-        less_wanted * MS,
-        listener * MS,
+    withdrawn_at = next(
+        at for at, level in harness.levels if level is Level.NONE and at >= drain_started_at
+    )
+    assert (
+        withdrawn_at - drain_started_at,
+        harness.policy.listener_may_close_at - drain_started_at,
+    ) == (
+        phase_ms * MS,
+        listener_ms * MS,
     )
 
 
-def test_node_flapping_every_100_ms_for_a_minute_is_announced_at_most_4_times_then_after_being_stable():
+def test_node_flapping_for_a_minute_is_announced_at_most_4_times_and_again_once_stable():
     harness = PolicyHarness()
     for _ in range(300):
         harness.set_status(NodeStatus.READY, 100).set_status(NodeStatus.COLD, 100)
-    announced = [at for at, level in harness.levels if level is Level.NORMAL]
-    assert 1 <= len(announced) <= 4
+    announced_at = [at for at, level in harness.levels if level is Level.NORMAL]
+    assert 1 <= len(announced_at) <= 4
     assert harness.policy.penalty.suppressed and harness.policy.penalty.value <= 48_000
-    since = harness.now
+    stable_since = harness.now
     harness.set_status(NodeStatus.READY, 60_000)
-    back = harness.levels[-1]
+    last_change = harness.levels[-1]
     assert (
-        back[1] is Level.NORMAL and 25 * SECOND <= back[0] - since <= 30 * SECOND
-    )  # limited by `longest`
-    assert all(level is Level.NONE for at, level in harness.levels if since <= at < back[0])
+        last_change[1] is Level.NORMAL
+        and 25 * SECOND <= last_change[0] - stable_since <= 30 * SECOND
+    )  # `longest` limits the suppression to 30 s
+    assert all(
+        level is Level.NONE for at, level in harness.levels if stable_since <= at < last_change[0]
+    )
 
 
 def test_node_flapping_too_fast_to_be_announced_is_suppressed():
@@ -195,17 +211,21 @@
 
 
 def test_penalty_halves_per_half_life_regardless_of_when_it_is_read():
-    asked, alone = (Penalty(Damping(half_life=SECOND, longest=10 * SECOND)) for _ in range(2))
-    for each in (asked, alone):
+    read_often, read_at_the_end = (
+        Penalty(Damping(half_life=SECOND, longest=10 * SECOND)) for _ in range(2)
+    )
+    for each in (read_often, read_at_the_end):
         each.add(4000, 0)
     for now in range(0, 2 * SECOND, 777):
-        asked.is_suppressed(now)
-    assert alone.value_at(SECOND) == 2000 and math.isclose(asked.value_at(2 * SECOND), 1000)
-    free = alone.reuse_at()
+        read_often.is_suppressed(now)
+    assert read_at_the_end.value_at(SECOND) == 2000 and math.isclose(
+        read_often.value_at(2 * SECOND), 1000
+    )
+    reuse_at = read_at_the_end.reuse_at()
     assert (
-        alone.is_suppressed(free - 1)
-        and not alone.is_suppressed(free)
-        and asked.is_suppressed(free - 1)
+        read_at_the_end.is_suppressed(reuse_at - 1)
+        and not read_at_the_end.is_suppressed(reuse_at)
+        and read_often.is_suppressed(reuse_at - 1)
     )
 
 
@@ -219,49 +239,61 @@
 
 
 @given(states, st.booleans())
-def test_only_a_node_that_stayed_ready_is_announced_in_any_sequence_of_states(order, last):
-    harness, ready_since, left = PolicyHarness(LAST_RESORT_BLOCK if last else ""), None, False
-    for state, ms in order:
-        before = harness.level
+def test_only_a_node_that_stayed_ready_is_announced_in_any_sequence_of_states(
+    steps, has_last_resort
+):
+    harness, ready_since, is_leaving = (
+        PolicyHarness(LAST_RESORT_BLOCK if has_last_resort else ""),
+        None,
+        False,
+    )
+    for state, ms in steps:
+        previous_level = harness.level
         harness.levels = []
-        began = harness.now
-        if not left:
+        step_started_at = harness.now
+        if not is_leaving:
             ready_since = (
-                (ready_since if ready_since is not None else began)
+                (ready_since if ready_since is not None else step_started_at)
                 if state is NodeStatus.READY
                 else None
             )
-            left = state is NodeStatus.LEAVING
+            is_leaving = state is NodeStatus.LEAVING
         harness.set_status(state, ms)
         for at, level in harness.levels[:]:
-            if level > before:
-                assert ready_since is not None and not left, (state, level)
-                assert before is not Level.NONE or at >= ready_since + 20 * MS
-            before = level
-        if left:
+            if level > previous_level:
+                assert ready_since is not None and not is_leaving, (state, level)
+                assert previous_level is not Level.NONE or at >= ready_since + 20 * MS
+            previous_level = level
+        if is_leaving:
             assert (
-                harness.now < began + 30 * MS
+                harness.now < step_started_at + 30 * MS
                 or harness.level is Level.NONE
                 or state is not NodeStatus.LEAVING
             )
-        if state in (NodeStatus.COLD, NodeStatus.WARMING) and not left:
+        if state in (NodeStatus.COLD, NodeStatus.WARMING) and not is_leaving:
             assert harness.level is Level.NONE
 
 
 def test_lowered_level_sets_med_prepending_community_and_local_preference():
     config = announce_config(peer_block() + LAST_RESORT_BLOCK)
     service, peer = config.service[0], config.peer[0]
-    normal, less, last, leaving = (
+    normal, less_wanted, last_resort, leaving = (
         service_attributes(config, service, peer, level)
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LAST_RESORT, Level.LEAVING)
     )
     assert (normal.path_length, normal.med, normal.communities) == (1, None, ())
-    assert (less.path_length, less.med, less.communities) == (3, 77, (GRACEFUL_SHUTDOWN,))
-    assert (last.path_length, last.med) == (6, 9000)
+    assert (less_wanted.path_length, less_wanted.med, less_wanted.communities) == (
+        3,
+        77,
+        (GRACEFUL_SHUTDOWN,),
+    )
+    assert (last_resort.path_length, last_resort.med) == (6, 9000)
     assert (leaving.path_length, leaving.communities) == (1, (GRACEFUL_SHUTDOWN,))
-    inside = announce_config(peer_block("127.0.0.1:1790", 65010) + LAST_RESORT_BLOCK)
+    internal_config = announce_config(peer_block("127.0.0.1:1790", 65010) + LAST_RESORT_BLOCK)
     assert [
-        service_attributes(inside, inside.service[0], inside.peer[0], level).local_pref
+        service_attributes(
+            internal_config, internal_config.service[0], internal_config.peer[0], level
+        ).local_pref
         for level in (Level.NORMAL, Level.LESS_WANTED, Level.LEAVING)
     ] == [100, 0, 0]
 
@@ -297,13 +329,16 @@
         self.peer = next(iter(self.state.peers.values()))
 
     def up(self):
+        """Establishes the session, after waiting for a connection attempt if there is none."""
         if not self.peer.primary.number:
             self.tick(SECOND)
         link, address = self.peer.primary.number, self.peer.peer.address
         self.state.connected(address, link, self.now)
         for data in (
             messages.encode(
-                messages.Open(THEM, 9, "127.0.0.20", Capabilities(families=((1, 1),), as4=THEM))
+                messages.Open(
+                    PEER_AS, 9, "127.0.0.20", Capabilities(families=((1, 1),), as4=PEER_AS)
+                )
             ),
             messages.encode(messages.Keepalive()),
         ):
@@ -322,16 +357,16 @@
 
     def sent(self):
         """Routes announced (`+`), withdrawn (`-`) and Cease subcodes sent since the last call."""
-        found = []
+        sent = []
         for action in self.state.take_actions():
             if action.kind is ActionKind.SEND:
                 for kind, body in messages.Stream().feed(action.value):
                     if kind == 2:
-                        each = messages.decode(2, body, NegotiatedCapabilities(as4=True))
-                        found += ["+"] * len(each.announced) + ["-"] * len(each.withdrawn)
+                        decoded = messages.decode(2, body, NegotiatedCapabilities(as4=True))
+                        sent += ["+"] * len(decoded.announced) + ["-"] * len(decoded.withdrawn)
                     elif kind == 3:
-                        found.append(f"cease/{body[1]}")
-        return found
+                        sent.append(f"cease/{body[1]}")
+        return sent
 
 
 def test_session_lost_before_the_drains_withdrawal_gets_no_routes_when_reestablished_after_it():
@@ -342,7 +377,7 @@
     harness.state.connection_lost(
         harness.peer.peer.address, harness.peer.primary.number, harness.now, "reset"
     )
-    assert "+" in harness.sent()  # the graceful shutdown announcement, before the loss
+    assert "+" in harness.sent()  # the announcement at lower preference, sent before the loss
     harness.tick(40 * MS).up()
     assert harness.tick(5 * SECOND).sent() == []
 
@@ -390,15 +425,19 @@
     )
     harness.state.flushed(harness.peer.peer.address, harness.peer.primary.number, harness.now)
     assert harness.tick(SECOND).peer.established
-    assert harness.tick(30 * SECOND).peer.downs == 1  # ends in the end, as the peer sends nothing
+    assert (
+        harness.tick(30 * SECOND).peer.downs == 1
+    )  # ends later, because the peer sends nothing more
 
 
 def test_reload_adds_and_removes_services_and_peers_and_keeps_unchanged_sessions():
     harness = SpeakerHarness().up()
     harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
-    two = "    service 192.0.2.11/32\n" + peer_block() + peer_block("127.0.0.1:1791")
-    assert harness.state.reconfigure(announce_config(two), harness.now) == [
+    two_services_and_peers = (
+        "    service 192.0.2.11/32\n" + peer_block() + peer_block("127.0.0.1:1791")
+    )
+    assert harness.state.reconfigure(announce_config(two_services_and_peers), harness.now) == [
         "peer-127.0.0.1:1791",
         "services",
     ]
@@ -427,7 +466,7 @@
     assert harness.tick(5 * SECOND).sent() == []
 
 
-def test_received_route_without_import_policy_is_reported_as_refused_and_end_of_speaker_withdraws_and_sends_cease():
+def test_route_without_import_policy_is_refused_and_the_speakers_end_withdraws_and_sends_cease():
     harness = SpeakerHarness().up()
     harness.state.set_node_status(NodeStatus.READY, harness.now)
     address, link = harness.peer.peer.address, harness.peer.primary.number
--- a/tests/bgp/test_app_server_announces.py
+++ b/tests/bgp/test_app_server_announces.py
@@ -93,7 +93,7 @@
     assert not harness.thread.is_alive()
 
 
-def test_session_lost_during_a_drain_does_not_delay_the_listeners_close_beyond_the_grace(
+def test_session_lost_before_a_drain_does_not_keep_the_app_server_from_ending(
     make_harness, make_router
 ):
     router = make_router()
@@ -202,7 +202,7 @@
         harness.process.stderr.close()
 
 
-def test_start_with_an_invalid_file_exits_with_2_and_reports_every_error(tmp_path):
+def test_start_with_an_invalid_operator_file_exits_with_2_and_reports_every_error(tmp_path):
     operator_file = tmp_path / "own.conf"
     operator_file.write_text("announce {\n as wrong\n ready-for 3\n}\n")
     harness = spawn(AppServerHarness(tmp_path), operator_file)
@@ -215,7 +215,7 @@
     )
 
 
-def test_default_deployment_announces_nothing_and_loads_no_bgp_modules(tmp_path):
+def test_default_deployment_announces_nothing_and_loads_no_bgp_or_edge_modules(tmp_path):
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert "--file deploy/lilacwalk.conf" in deploy["run"]
     code = (
@@ -228,14 +228,12 @@
     subprocess.run([sys.executable, "-c", code], check=True, cwd=ROOT)
 
 
-def test_commented_example_in_the_operator_file_is_valid(tmp_path):
+def test_commented_examples_in_the_operator_file_are_valid(tmp_path):
     from lilacwalk.operator.loader import parse_operator_file
 
     lines = (ROOT / "deploy/lilacwalk.conf").read_text().splitlines()
     start = lines.index("# announce {")
-    text = "\n".join(
-        line.removeprefix("#") for line in lines[start:] if "Devices on poor" not in line
-    )
+    text = "\n".join(line.removeprefix("#") for line in lines[start:])
     operator_config = parse_operator_file(text, "example")
     assert (
         operator_config.announce.as_ == 65010
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -27,7 +27,7 @@
 from lilacwalk.bgp.prefixes import Afi, Prefix
 from tests.bgp.conftest import route
 
-AGREED = NegotiatedCapabilities(families=(Afi.IPV4, Afi.IPV6), as4=True)
+NEGOTIATED = NegotiatedCapabilities(families=(Afi.IPV4, Afi.IPV6), as4=True)
 asns = st.integers(1, 2**32 - 1)
 v4 = st.builds(
     lambda bits, length: Prefix(Afi.IPV4, bits >> (32 - length) << (32 - length), length),
@@ -39,8 +39,10 @@
     st.integers(0, 2**128 - 1),
     st.integers(0, 128),
 )
-numbers = st.lists(asns, min_size=1, max_size=5).map(tuple)
-paths = st.lists(st.tuples(st.sampled_from([SET, SEQUENCE]), numbers), max_size=3).map(tuple)
+as_number_lists = st.lists(asns, min_size=1, max_size=5).map(tuple)
+paths = st.lists(st.tuples(st.sampled_from([SET, SEQUENCE]), as_number_lists), max_size=3).map(
+    tuple
+)
 attribute_sets = st.builds(
     Attributes,
     origin=st.integers(0, 2),
@@ -55,7 +57,7 @@
 )
 
 
-def read(data, negotiated=AGREED, internal=False):
+def decode_one(data, negotiated=NEGOTIATED, internal=False):
     [(kind, body)] = Stream(messages.MAX_EXTENDED_SIZE).feed(data)
     return decode(kind, body, negotiated, internal)
 
@@ -87,7 +89,7 @@
 )
 def test_open_with_capabilities_round_trips(message):
     message = Open(message.capabilities.as4, message.hold, message.router_id, message.capabilities)
-    assert read(messages.encode(message)) == message
+    assert decode_one(messages.encode(message)) == message
 
 
 @given(attribute_sets, st.lists(v4, min_size=1, max_size=40, unique=True))
@@ -95,7 +97,7 @@
     data, found = b"".join(messages.announcements(rows, attributes, True, False)), []
     stream = Stream()
     for at in range(0, len(data), 7):
-        found += [decode(kind, body, AGREED) for kind, body in stream.feed(data[at : at + 7])]
+        found += [decode(kind, body, NEGOTIATED) for kind, body in stream.feed(data[at : at + 7])]
     assert [prefix for each in found for prefix in each.announced] == rows
     assert all(each.reachable[0][0] == attributes for each in found)
 
@@ -103,20 +105,21 @@
 @given(attribute_sets, st.lists(v6, min_size=1, max_size=20, unique=True))
 def test_ipv6_routes_round_trip_through_mp_reach_and_mp_unreach(attributes, rows):
     attributes = replace(attributes, next_hop=b"\x20\x01" + bytes(13) + b"\1")
-    [update] = [read(each) for each in messages.announcements(rows, attributes, True, False)]
+    [update] = [decode_one(each) for each in messages.announcements(rows, attributes, True, False)]
     assert update.reachable == ((attributes, tuple(rows)),)
-    [gone] = [read(each) for each in messages.withdrawals(rows)]
+    [gone] = [decode_one(each) for each in messages.withdrawals(rows)]
     assert gone == Update(tuple(rows))
 
 
 def test_many_prefixes_fill_messages_up_to_the_maximum_size():
     rows = [Prefix(Afi.IPV4, each << 8, 24) for each in range(5000)]
-    for most in (messages.MAX_SIZE, messages.MAX_EXTENDED_SIZE):
-        pieces = list(messages.announcements(rows, route(), True, False, most))
+    for max_size in (messages.MAX_SIZE, messages.MAX_EXTENDED_SIZE):
+        encoded = list(messages.announcements(rows, route(), True, False, max_size))
         assert (
-            all(most - 4 <= len(each) <= most for each in pieces[:-1]) and len(pieces[-1]) <= most
+            all(max_size - 4 <= len(each) <= max_size for each in encoded[:-1])
+            and len(encoded[-1]) <= max_size
         )
-        assert [prefix for each in pieces for prefix in read(each).announced] == rows
+        assert [prefix for each in encoded for prefix in decode_one(each).announced] == rows
 
 
 @given(st.binary(max_size=200), st.sampled_from([1, 2, 3, 4, 5, 9]), st.booleans(), st.booleans())
@@ -128,12 +131,14 @@
 
 
 @given(st.lists(st.binary(max_size=60), max_size=5), st.booleans())
-def test_any_bytes_are_messages_or_a_bgp_error_and_at_most_one_message_is_buffered(chunks, marked):
+def test_any_bytes_are_messages_or_a_bgp_error_and_at_most_one_message_is_buffered(
+    chunks, with_marker
+):
     stream = Stream()
     try:
         for chunk in chunks:
-            for kind, body in stream.feed(b"\xff" * 16 * marked + chunk):
-                decode(kind, body, AGREED)
+            for kind, body in stream.feed(b"\xff" * 16 * with_marker + chunk):
+                decode(kind, body, NEGOTIATED)
     except BgpError:
         pass
     assert len(stream.rest) <= messages.MAX_SIZE + 100
@@ -143,29 +148,34 @@
 def test_any_attribute_bytes_are_decoded_recorded_as_fault_or_raise_an_update_error(raw):
     body = b"\0\0" + struct.pack("!H", len(raw)) + raw + b"\x08\x0a"
     try:
-        update = decode(2, body, AGREED)
+        update = decode(2, body, NEGOTIATED)
         assert update.reachable or update.withdrawn == (Prefix.of("10.0.0.0/8"),)
     except BgpError as error:
         assert error.code == 3
 
 
-def attribute(flags, kind, value):
+def encode_attribute(flags, kind, value):
     return codec.encode_attribute(flags, kind, value)
 
 
-GOOD = {
+VALID_ATTRIBUTES = {
     Type.ORIGIN: (0x40, b"\0"),
     Type.AS_PATH: (0x40, b"\2\1" + struct.pack("!I", 65020)),
     Type.NEXT_HOP: (0x40, bytes((127, 0, 0, 20))),
 }
 
 
-def with_attribute(kind=None, flags=0x40, value=b"", drop=False, extra=b"", rows=b"\x08\x0a"):
-    parts = {**GOOD} if kind is None or drop else {**GOOD, kind: (flags, value)}
+def update_body(kind=None, flags=0x40, value=b"", drop=False, extra=b"", rows=b"\x08\x0a"):
+    """Body of an UPDATE for 10.0.0.0/8, with one attribute replaced or dropped, and extra bytes."""
+    parts = (
+        {**VALID_ATTRIBUTES} if kind is None or drop else {**VALID_ATTRIBUTES, kind: (flags, value)}
+    )
     if drop:
         del parts[kind]
     raw = (
-        b"".join(attribute(*[parts[each][0], each, parts[each][1]]) for each in sorted(parts))
+        b"".join(
+            encode_attribute(*[parts[each][0], each, parts[each][1]]) for each in sorted(parts)
+        )
         + extra
     )
     return b"\0\0" + struct.pack("!H", len(raw)) + raw + rows
@@ -203,7 +213,7 @@
     ],
 )
 def test_each_malformed_attribute_has_the_severity_of_rfc_7606(kind, flags, value, severity):
-    update = decode(2, with_attribute(kind, flags, value), AGREED)
+    update = decode(2, update_body(kind, flags, value), NEGOTIATED)
     assert [(each.severity, each.kind) for each in update.faults] == [(severity, kind)]
     if severity is Severity.WITHDRAW:
         assert update.withdrawn == PREFIX_10 and not update.reachable
@@ -213,58 +223,63 @@
 
 @pytest.mark.parametrize("kind", [Type.ORIGIN, Type.AS_PATH, Type.NEXT_HOP])
 def test_route_without_a_mandatory_attribute_is_treated_as_withdrawn(kind):
-    assert decode(2, with_attribute(kind, drop=True), AGREED).withdrawn == PREFIX_10
+    assert decode(2, update_body(kind, drop=True), NEGOTIATED).withdrawn == PREFIX_10
 
 
 def test_first_of_repeated_attributes_is_used():
-    update = decode(2, with_attribute(extra=attribute(0x40, Type.ORIGIN, b"\2")), AGREED)
+    update = decode(2, update_body(extra=encode_attribute(0x40, Type.ORIGIN, b"\2")), NEGOTIATED)
     assert update.reachable[0][0].origin == 0 and update.faults[0].severity is Severity.DISCARD
 
 
-REACH = struct.pack("!HBB", 2, 1, 16) + bytes(15) + b"\1\0"
+MP_REACH_VALUE = struct.pack("!HBB", 2, 1, 16) + bytes(15) + b"\1\0"
 
 
 @pytest.mark.parametrize(
     "body, code",
     [
         (
-            with_attribute(extra=attribute(0x40, 99, b"x")),
+            update_body(extra=encode_attribute(0x40, 99, b"x")),
             (3, 2),
         ),  # unknown attribute flagged as well-known
-        (with_attribute(extra=attribute(0x80, Type.MP_REACH, b"\0\2")), (3, 9)),
+        (update_body(extra=encode_attribute(0x80, Type.MP_REACH, b"\0\2")), (3, 9)),
         (
-            with_attribute(
-                extra=attribute(0x80, Type.MP_REACH, struct.pack("!HBB", 2, 1, 7) + bytes(9))
+            update_body(
+                extra=encode_attribute(0x80, Type.MP_REACH, struct.pack("!HBB", 2, 1, 7) + bytes(9))
             ),
             (3, 9),
         ),
-        (with_attribute(extra=attribute(0x80, Type.MP_UNREACH, b"\0")), (3, 9)),
-        (with_attribute(extra=2 * attribute(0x80, Type.MP_UNREACH, b"\0\2\1")), (3, 1)),
+        (update_body(extra=encode_attribute(0x80, Type.MP_UNREACH, b"\0")), (3, 9)),
+        (update_body(extra=2 * encode_attribute(0x80, Type.MP_UNREACH, b"\0\2\1")), (3, 1)),
         (
-            with_attribute(extra=b"\x80\x0e\xff" + REACH),
+            update_body(extra=b"\x80\x0e\xff" + MP_REACH_VALUE),
             (3, 9),
         ),  # MP_REACH_NLRI with a length past the end
-        (with_attribute(rows=b"\x21\0\0\0\0\0"), (3, 10)),
-        (with_attribute(rows=b"\x20\x0a"), (3, 10)),
+        (update_body(rows=b"\x21\0\0\0\0\0"), (3, 10)),
+        (update_body(rows=b"\x20\x0a"), (3, 10)),
         (
-            with_attribute(extra=attribute(0x80, Type.MP_REACH, REACH + b"\x81" + bytes(17))),
+            update_body(
+                extra=encode_attribute(0x80, Type.MP_REACH, MP_REACH_VALUE + b"\x81" + bytes(17))
+            ),
             (3, 10),
         ),
         (b"\0\7\x08\x0a", (3, 1)),
         (b"\0\7\x08\x0a\0\0", (3, 1)),
         (b"\0\0\0\7\0\0", (3, 1)),
         (b"\0\0", (1, 2)),
-        (b"\0\0" + struct.pack("!H", 4) + attribute(0x40, Type.ORIGIN, b"\3"), (3, 1)),
+        (
+            b"\0\0" + struct.pack("!H", 4) + encode_attribute(0x40, Type.ORIGIN, b"\3"),
+            (3, 1),
+        ),  # fault in an UPDATE without routes
     ],
-)  # the last: a fault in an UPDATE without routes
+)
 def test_errors_that_leave_the_affected_routes_unknown_end_the_session(body, code):
     with pytest.raises(BgpError) as error:
-        decode(2, body, AGREED)
+        decode(2, body, NEGOTIATED)
     assert (error.value.code, error.value.subcode) == code
 
 
 def test_truncated_attribute_withdraws_only_its_routes():
-    update = decode(2, with_attribute(extra=b"\x80\x04\xff\0"), AGREED)
+    update = decode(2, update_body(extra=b"\x80\x04\xff\0"), NEGOTIATED)
     assert (
         update.withdrawn == PREFIX_10 and update.faults[0].text == "truncated: got 1 of 255 bytes"
     )
@@ -272,29 +287,31 @@
 
 def test_unknown_transitive_attributes_are_kept_as_partial_and_others_dropped():
     update = decode(
-        2, with_attribute(extra=attribute(0xC0, 200, b"x") + attribute(0x80, 201, b"y")), AGREED
+        2,
+        update_body(extra=encode_attribute(0xC0, 200, b"x") + encode_attribute(0x80, 201, b"y")),
+        NEGOTIATED,
     )
     assert update.reachable[0][0].others == ((0xE0, 200, b"x"),)
 
 
-OPENED = struct.pack("!BHHI", 4, 65020, 9, 1)
+OPEN_FIELDS = struct.pack("!BHHI", 4, 65020, 9, 1)
 
 
 @pytest.mark.parametrize(
     "body, code",
     [
-        (struct.pack("!BHHIB", 3, 65020, 9, 1, 0), (2, 1)),
-        (struct.pack("!BHHIB", 4, 0, 9, 1, 0), (2, 2)),
-        (struct.pack("!BHHIB", 4, 1, 1, 1, 0), (2, 6)),
-        (struct.pack("!BHHIB", 4, 1, 2, 1, 0), (2, 6)),
-        (struct.pack("!BHHIB", 4, 1, 9, 0, 0), (2, 3)),
-        (OPENED + b"\5", (2, 0)),
-        (OPENED + b"\3\2\4x", (2, 0)),
-        (OPENED + b"\4\1\2xx", (2, 4)),
-        (OPENED + b"\4\2\2\1\5", (2, 4)),
+        (struct.pack("!BHHIB", 3, 65020, 9, 1, 0), (2, 1)),  # version 3
+        (struct.pack("!BHHIB", 4, 0, 9, 1, 0), (2, 2)),  # AS 0
+        (struct.pack("!BHHIB", 4, 1, 1, 1, 0), (2, 6)),  # hold time of 1 s
+        (struct.pack("!BHHIB", 4, 1, 2, 1, 0), (2, 6)),  # hold time of 2 s
+        (struct.pack("!BHHIB", 4, 1, 9, 0, 0), (2, 3)),  # router ID 0.0.0.0
+        (OPEN_FIELDS + b"\5", (2, 0)),
+        (OPEN_FIELDS + b"\3\2\4x", (2, 0)),
+        (OPEN_FIELDS + b"\4\1\2xx", (2, 4)),
+        (OPEN_FIELDS + b"\4\2\2\1\5", (2, 4)),
         (b"", (1, 2)),
-        (OPENED + b"\x08\2\6\x41\4\0\0\0\0", (2, 2)),  # AS 0 in the four-octet AS capability
-        (OPENED + b"\x08\2\6\x09\1\0\x09\1\1", (2, 11)),
+        (OPEN_FIELDS + b"\x08\2\6\x41\4\0\0\0\0", (2, 2)),  # AS 0 in the four-octet AS capability
+        (OPEN_FIELDS + b"\x08\2\6\x09\1\0\x09\1\1", (2, 11)),
     ],
 )
 def test_each_error_in_an_open_has_its_subcode(body, code):
@@ -305,32 +322,32 @@
 
 def test_open_with_unknown_capabilities_and_extended_parameters_is_decoded():
     parameters = b"\2\0\6\x7f\4abcd"
-    opened = decode(1, OPENED + b"\xff\xff" + struct.pack("!H", len(parameters)) + parameters)
+    opened = decode(1, OPEN_FIELDS + b"\xff\xff" + struct.pack("!H", len(parameters)) + parameters)
     assert opened.capabilities.unknown == ((127, b"abcd"),)
 
 
 @pytest.mark.parametrize(
-    "head, code, data",
+    "received, code, data",
     [
-        (b"\xff" * 15 + b"\0\0\x13\4", (1, 1), b""),
-        (b"\xff" * 16 + b"\0\x12\4", (1, 2), b"\0\x12"),
-        (b"\xff" * 16 + b"\x10\x01\2", (1, 2), b"\x10\x01"),
-        (b"\xff" * 16 + b"\0\x14\4\0", (1, 2), b"\0\x14"),
-        (b"\xff" * 16 + b"\0\x13\7", (1, 3), b"\7"),
-        (b"\xff" * 16 + b"\0\x16\2" + bytes(3), (1, 2), b"\0\x16"),
+        (b"\xff" * 15 + b"\0\0\x13\4", (1, 1), b""),  # invalid marker
+        (b"\xff" * 16 + b"\0\x12\4", (1, 2), b"\0\x12"),  # shorter than a header
+        (b"\xff" * 16 + b"\x10\x01\2", (1, 2), b"\x10\x01"),  # 4097 bytes
+        (b"\xff" * 16 + b"\0\x14\4\0", (1, 2), b"\0\x14"),  # KEEPALIVE with a body
+        (b"\xff" * 16 + b"\0\x13\7", (1, 3), b"\7"),  # unknown type
+        (b"\xff" * 16 + b"\0\x16\2" + bytes(3), (1, 2), b"\0\x16"),  # UPDATE too short
     ],
 )
-def test_each_invalid_header_has_its_subcode_and_data(head, code, data):
+def test_each_invalid_header_has_its_subcode_and_data(received, code, data):
     with pytest.raises(BgpError) as error:
-        list(Stream().feed(head))
+        list(Stream().feed(received))
     assert (error.value.code, error.value.subcode, error.value.data) == (*code, data)
 
 
 def test_path_sent_with_as_trans_to_a_two_octet_peer_is_reconstructed_from_as4_path():
-    wide = route(as_path=((SEQUENCE, (65020, 4_200_000_000, 7)),))
-    [data] = messages.announcements([Prefix.of("10.0.0.0/8")], wide, False, False)
-    plain = read(data, NegotiatedCapabilities(families=(1,)))
-    assert plain.reachable[0][0].as_path == wide.as_path
+    attributes = route(as_path=((SEQUENCE, (65020, 4_200_000_000, 7)),))
+    [data] = messages.announcements([Prefix.of("10.0.0.0/8")], attributes, False, False)
+    decoded = decode_one(data, NegotiatedCapabilities(families=(1,)))
+    assert decoded.reachable[0][0].as_path == attributes.as_path
     merged = codec.ParsedAttributes(
         {"as_path": ((SEQUENCE, (9, 23456, 7)),), "as4_path": ((SEQUENCE, (70000, 7)),)}
     )
@@ -340,7 +357,7 @@
 
 @pytest.mark.parametrize("message", [Keepalive(), Notification(6, 2, b"\4gone"), Refresh(1, 1, 2)])
 def test_short_messages_round_trip(message):
-    assert read(messages.encode(message)) == message
+    assert decode_one(messages.encode(message)) == message
 
 
 def test_shutdown_text_is_cut_between_characters_and_unprintable_ones_are_replaced():
@@ -355,11 +372,11 @@
     assert prefixes.decode(b"\x09\x0a\xff", Afi.IPV4) == [Prefix.of("10.128.0.0/9")]
 
 
-def test_end_of_rib_is_decoded_for_both_families_and_routes_of_families_not_negotiated_are_ignored():
-    assert [read(messages.end_of_rib(afi)).end_of_rib for afi in (1, 2)] == [1, 2]
+def test_end_of_rib_is_decoded_and_routes_of_families_not_negotiated_are_ignored():
+    assert [decode_one(messages.end_of_rib(afi)).end_of_rib for afi in (1, 2)] == [1, 2]
     rows = [Prefix.of("2001:db8::/32")]
     [data] = messages.announcements(rows, route(next_hop=b"\x20" + bytes(14) + b"\1"), True, False)
-    assert read(data, NegotiatedCapabilities(families=(1,), as4=True)) == Update()
+    assert decode_one(data, NegotiatedCapabilities(families=(1,), as4=True)) == Update()
 
 
 def test_keepalive_frame_has_marker_length_and_type():
--- a/tests/bgp/test_trie.py
+++ b/tests/bgp/test_trie.py
@@ -7,46 +7,49 @@
 from lilacwalk.bgp.trie import Trie
 
 
-def cut(bits, length):
+def clear_host_bits(bits, length):
     return bits >> (32 - length) << (32 - length)
 
 
-# few distinct bits, so that prefixes nest and fork often
+# Only a few bits vary, so that prefixes nest and fork often
 keys = st.tuples(
     st.integers(0, 31).map(lambda each: each << 27 | each << 2), st.integers(0, 32)
-).map(lambda pair: (cut(*pair), pair[1]))
+).map(lambda pair: (clear_host_bits(*pair), pair[1]))
 
 
 def covers(outer, inner):
-    return outer[1] <= inner[1] and cut(inner[0], outer[1]) == outer[0]
+    return outer[1] <= inner[1] and clear_host_bits(inner[0], outer[1]) == outer[0]
 
 
 @given(st.lists(st.tuples(keys, st.booleans()), max_size=60), keys)
-def test_trie_agrees_with_a_dict_after_any_insertions_and_removals(history, asked):
-    trie, plain = Trie(Afi.IPV4), {}
-    for order, (key, inserts) in enumerate(history):
+def test_trie_agrees_with_a_dict_after_any_insertions_and_removals(operations, queried):
+    trie, reference = Trie(Afi.IPV4), {}
+    for value, (key, inserts) in enumerate(operations):
         if inserts:
-            assert trie.set(*key, order) == plain.get(key)
-            plain[key] = order
+            assert trie.set(*key, value) == reference.get(key)
+            reference[key] = value
         else:
-            assert trie.drop(*key) == plain.pop(key, None)
-        assert len(trie) == len(plain)
+            assert trie.drop(*key) == reference.pop(key, None)
+        assert len(trie) == len(reference)
 
-    def rows(found):
+    def entries(found):
         return [((prefix.bits, prefix.length), value) for prefix, value in found]
 
-    assert rows(trie.walk()) == sorted(plain.items())
-    assert rows(trie.covering(*asked)) == sorted(
-        (each for each in plain.items() if covers(each[0], asked)), key=lambda each: each[0][1]
+    assert entries(trie.walk()) == sorted(reference.items())
+    assert entries(trie.covering(*queried)) == sorted(
+        (each for each in reference.items() if covers(each[0], queried)),
+        key=lambda each: each[0][1],
     )
-    assert rows(trie.covered(*asked)) == sorted(
-        each for each in plain.items() if covers(asked, each[0])
+    assert entries(trie.covered(*queried)) == sorted(
+        each for each in reference.items() if covers(queried, each[0])
     )
-    assert trie.get(*asked) == plain.get(asked)
+    assert trie.get(*queried) == reference.get(queried)
     best = max(
-        (key for key in plain if covers(key, (asked[0], 32))), key=lambda key: key[1], default=None
+        (key for key in reference if covers(key, (queried[0], 32))),
+        key=lambda key: key[1],
+        default=None,
     )
-    found = trie.longest(asked[0])
+    found = trie.longest(queried[0])
     assert (None if found is None else (found[0].bits, found[0].length)) == best
 
 
