--- a/tests/bgp/test_announcing.py
+++ b/tests/bgp/test_announcing.py
@@ -414,6 +414,7 @@
 
 
 def test_stalled_process_does_not_end_sessions_for_messages_that_it_could_not_read():
+    """After a stall the hold time has passed although messages of the peer may wait unread."""
     harness = SpeakerHarness().up()
     harness.state.set_node_status(NodeStatus.READY, harness.now)
     harness.tick(100 * MS).sent()
--- a/tests/bgp/test_codec.py
+++ b/tests/bgp/test_codec.py
@@ -278,7 +278,7 @@
     assert (error.value.code, error.value.subcode) == code
 
 
-def test_truncated_attribute_withdraws_only_its_routes():
+def test_truncated_attribute_withdraws_only_the_routes_of_its_update():
     update = decode(2, update_body(extra=b"\x80\x04\xff\0"), NEGOTIATED)
     assert (
         update.withdrawn == PREFIX_10 and update.faults[0].text == "truncated: got 1 of 255 bytes"
--- a/tests/bgp/test_policy.py
+++ b/tests/bgp/test_policy.py
@@ -96,7 +96,7 @@
     assert peer_policy().import_route(PREFIX_10_1, attributes) == Refused(reason)
 
 
-def test_internal_peer_needs_no_import_policy_and_no_first_as():
+def test_internal_peer_needs_no_import_policy_and_its_paths_may_be_empty():
     assert isinstance(
         peer_policy(asn=OUR_AS).import_route(PREFIX_10_1, route(as_path=())), Attributes
     )
--- a/tests/bgp/test_session.py
+++ b/tests/bgp/test_session.py
@@ -161,6 +161,7 @@
 
 
 def test_session_ends_if_the_peer_reads_nothing_for_two_hold_times_though_it_sends():
+    """A peer that sends but does not read would keep our routes after we withdraw them."""
     harness = PeerHarness().up()
     for _ in range(9):
         harness.wait(2 * SECOND).receive_keepalive()
@@ -402,6 +403,7 @@
 
 
 def test_enhanced_refresh_is_answered_between_markers_and_removes_routes_not_resent():
+    """Type 5 is ROUTE-REFRESH; its subtype 1 marks the beginning and 2 the end (RFC 7313)."""
     harness = PeerHarness().up(enhanced_refresh=True)
     harness.peer.set_routes({Prefix.of("192.0.2.10/32"): route(OUR_AS)})
     harness.drain_actions().sent.clear()
--- a/tests/bgp/test_speaker.py
+++ b/tests/bgp/test_speaker.py
@@ -135,7 +135,7 @@
     wait_until(speaker, lambda each: each.peers[router.address].adj_rib_out)
 
     def fill(each):
-        """Sends 100 messages; repeated calls fill the socket's buffer, as hours of refreshes would."""
+        """Sends 100 messages, so that repeated calls fill the socket's buffer."""
         peer = each.peers[router.address]
         if peer.established_link is not None:
             each.actions += [
@@ -315,8 +315,8 @@
     path.write_bytes(captured)
     from_file = CliRunner().invoke(lilacwalk, ["bgp", "decode", str(path)])
     assert from_file.exit_code == 0 and from_file.output.splitlines() == [
-        f"message=update announced=10.0.0.0/8 next_hop=127.0.0.20 path='{PEER_AS}' origin=0 med=None "
-        "local_pref=None communities=none",
+        f"message=update announced=10.0.0.0/8 next_hop=127.0.0.20 path='{PEER_AS}' origin=0 "
+        "med=None local_pref=None communities=none",
         "message=update end_of_rib=ipv6",
         "message=notification reason=cease/shutdown text='hi' data=026869",
     ]
--- a/tests/edge/test_coap.py
+++ b/tests/edge/test_coap.py
@@ -1,5 +1,8 @@
 """CoAP: codec, message layer, block-wise transfer, address validation, and the service over lossy
 links.
+
+Outcome words: 0 completed, 1 denied, 2 terminated. Requests of the class `look` are idempotent,
+those of `move` are not.
 """
 
 import random
@@ -456,7 +459,7 @@
     ),
     st.booleans(),
 )
-def test_any_order_of_messages_answers_each_request_at_most_once_and_keeps_tables_bounded(
+def test_any_order_of_messages_leaves_no_request_unanswered_and_keeps_tables_bounded(
     steps, is_validated
 ):
     harness = CoapHarness(
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -1,4 +1,8 @@
-"""Devices over the device link and the app server, on loopback."""
+"""Devices over the device link and the app server, on loopback.
+
+Outcome words: 0 completed, 1 denied, 2 terminated. Requests of the class `look` are idempotent,
+those of `move` are not.
+"""
 
 import resource
 import socket
@@ -133,8 +137,8 @@
 
 
 def test_a_thousand_silent_connections_do_not_displace_active_devices(make_site):
-    """Each of the thousand sends one byte and no HELLO frame; a full table would reject active
-    devices.
+    """Each of the thousand sends one byte and no HELLO frame, and is closed after a second. If they
+    stayed, they would fill the table of connections.
     """
     resource.setrlimit(
         resource.RLIMIT_NOFILE, (8_192, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
@@ -165,11 +169,11 @@
 @pytest.mark.parametrize(
     "sent",
     [
-        struct.pack("!I", 3_000_000_000),
-        struct.pack("!I", 0),
-        b"GET / HTTP/1.1\r\n\r\n",
-        struct.pack("!I", 2_000) + b"\x81" * 2_000,
-        struct.pack("!I", 1) + b"\x00",
+        struct.pack("!I", 3_000_000_000),  # length above the limit
+        struct.pack("!I", 0),  # length 0
+        b"GET / HTTP/1.1\r\n\r\n",  # another protocol
+        struct.pack("!I", 2_000) + b"\x81" * 2_000,  # deeply nested arrays
+        struct.pack("!I", 1) + b"\x00",  # an integer instead of an array
     ],
 )
 def test_invalid_frames_are_refused_with_a_reason_and_other_connections_are_not_affected(
@@ -209,8 +213,8 @@
 def test_the_send_buffer_of_a_device_that_does_not_read_stays_bounded(
     make_site,
 ):
-    # The controller must not reject requests, since a rejection has no body and fills no buffer. On a
-    # busy machine it rejects those that it expects to end after the latency objective.
+    # The controller must not reject requests, since a rejection has no body and fills no buffer. On
+    # a busy machine it rejects those that it expects to end after the latency objective.
     classes = [
         request_class | {"aim_ms": 60_000.0, "hard_limit_ms": 60_000.0}
         for request_class in SETTINGS["classes"]
@@ -378,7 +382,10 @@
     secrets, operator_file = tmp_path / "secrets", tmp_path / "own.conf"
     secrets.touch(mode=0o600)
     secrets.write_text("00" * 32)
-    text = f"edge {{\n listen 127.0.0.1:0\n secrets {secrets}\n tls {{\n  certificate {tmp_path}/edge.pem\n"
+    text = (
+        f"edge {{\n listen 127.0.0.1:0\n secrets {secrets}\n"
+        f" tls {{\n  certificate {tmp_path}/edge.pem\n"
+    )
     for key, exit_code in (("edge", expected_exit_code), ("other", 2)):
         operator_file.write_text(f"{text}  key {tmp_path}/{key}.key\n }}\n}}\n")
         result = CliRunner().invoke(
--- a/tests/edge/test_machines.py
+++ b/tests/edge/test_machines.py
@@ -1,5 +1,8 @@
 """The edge without I/O: sessions, duplicates, links, rates, tokens, connection limits, frames,
 timer wheel and sketch.
+
+Outcome words: 0 completed, 1 denied, 2 terminated. Requests of the class `look` are idempotent,
+those of `swap` are deduplicated by an idempotency key, and those of `move` are not idempotent.
 """
 
 import heapq
@@ -48,7 +51,7 @@
     harness.wait(5 * SECOND)
     harness.hello(harness.welcome(number).session)
     harness.send(2, ask(1, wait=1_000, again=True))
-    assert len(harness.submitted) == 1  # a stall and a reconnect do not extend the timeout
+    assert len(harness.submitted) == 1  # so a stall and a reconnect do not extend the timeout
 
 
 def test_a_slow_link_shortens_the_timeout_more_than_a_fast_one(harness):
@@ -232,7 +235,9 @@
     assert len(harness.submitted) == 2
 
 
-def test_another_device_the_same_session_and_a_later_time_make_different_requests(harness):
+def test_an_equal_request_from_another_device_in_the_same_session_or_after_a_minute_is_executed(
+    harness,
+):
     first = connect_and_ask(harness)
     harness.send(first, ask(2, "move", b"pay 5"))
     harness.disconnect(first)
