--- a/lilacwalk/failover/node_plan.py
+++ b/lilacwalk/failover/node_plan.py
@@ -177,7 +177,11 @@
         return self.node_plan
 
     def current_capacities(self, status: Mapping[str, SiteStatus]) -> dict[str, SiteCapacity]:
-        """Returns the sites with figures from the view, or configured ones if the view has none."""
+        """Returns the cores and the load of each site.
+
+        The cores are those in `status`, the load is the learned baseline. A figure that is unknown
+        is replaced by the configured one.
+        """
         capacities = {}
         for name, site in configured_capacities(self.config).items():
             known_cores = status[name].cores
--- a/lilacwalk/failover/operator_commands.py
+++ b/lilacwalk/failover/operator_commands.py
@@ -11,7 +11,7 @@
 
 VERBS = ("hold", "drain", "release")
 MAX_COMMANDS = 4  # commands in one member's metadata, which also holds a plan fingerprint
-MAX_DURATION_SECONDS = 24 * 3600  # a longer evacuation belongs in the operator's file
+MAX_DURATION_SECONDS = 24 * 3600  # longer holds or drains belong in the operator's file
 
 
 @dataclass(frozen=True, slots=True)
--- a/lilacwalk/membership/failure_detector.py
+++ b/lilacwalk/membership/failure_detector.py
@@ -27,10 +27,10 @@
 
 
 class ApplyUpdate(Protocol):
-    """Merges a claim into the view and follows up on the change, if any."""
+    """Merges an update into the view and follows up on the change, if any."""
 
     def __call__(self, update: GossipUpdate, now: int, reason: str) -> None:
-        """Merges the claim; `reason` goes into the event."""
+        """Merges `update` into the view; the event that reports a change states `reason`."""
 
 
 class FailureDetector:
@@ -114,7 +114,7 @@
                 self.ping(self.node.view.members[suspect], now, out_of_turn=True)
 
     def suspicion_notice(self, member: Member) -> tuple[GossipUpdate, ...]:
-        """Returns the claim that the member is suspected or dead (Lifeguard); empty if alive."""
+        """Returns an update that the member is suspected or dead (Lifeguard); empty if alive."""
         return (member.update(False),) if member.health is not Health.ALIVE else ()
 
     def handle_ack(self, datagram: Datagram) -> None:
@@ -156,7 +156,7 @@
     def handle_health_change(
         self, member: Member, update: GossipUpdate, now: int, sender: str
     ) -> None:
-        """Starts or ends a suspicion after a claim changed the view.
+        """Starts or ends a suspicion after an update changed the view.
 
         Newly suspected members are probed at once by all nodes that received the suspicion directly
         from its reporter, and by a few random others.
@@ -218,9 +218,9 @@
         self.probes.cancel_all()
 
     def send_update_to_sample(self, update: GossipUpdate) -> None:
-        """Sends a claim to a few random members at once, so that they probe the suspect too.
+        """Sends an update to a few random members at once, so that they probe the suspect too.
 
-        Gossip alone would delay the confirmations by the time that a claim takes to reach all
+        Gossip alone would delay the confirmations by the time that an update takes to reach all
         members.
         """
         peers = [member for member in self._alive_peers() if member.name != update.name]
@@ -292,5 +292,5 @@
 
 
 def with_report(update: GossipUpdate, reported_by: str, health: Health) -> GossipUpdate:
-    """Returns a copy of the claim with this reporter and this health."""
+    """Returns a copy of the update with this reporter and this health."""
     return replace(update, reported_by=reported_by, health=health)
--- a/lilacwalk/membership/hooks.py
+++ b/lilacwalk/membership/hooks.py
@@ -12,7 +12,13 @@
     """Notified when the view, the verdict or the permission to withdraw has changed."""
 
     def __call__(self, machine: Membership, verdict: Verdict, may_withdraw: bool, /) -> None:
-        """Called in the state machine's thread."""
+        """Called in the state machine's thread.
+
+        Args:
+            machine: the state machine, which holds the view.
+            verdict: the verdict on the reliability of the view.
+            may_withdraw: whether this node may withdraw its route announcements if it is unhealthy.
+        """
 
 
 class PeriodicEvaluation(Protocol):
--- a/lilacwalk/membership/state_exchange.py
+++ b/lilacwalk/membership/state_exchange.py
@@ -27,7 +27,9 @@
 from lilacwalk.membership.probing import ProbeScheduler
 
 MAX_PARTS_PER_INTERVAL = 256  # serves 250 newcomers to a small fleet, or 4 to a large one
-MAX_NEW_SENDERS_PER_INTERVAL = 16  # state requests to new senders; others are made later
+# Limit on state requests to new senders. The state of a sender beyond the limit is requested later:
+# on its next datagram if it is still unknown, or else if its view digest still differs.
+MAX_NEW_SENDERS_PER_INTERVAL = 16
 MAX_NOTICES_PER_INTERVAL = 64  # members that are notified that others consider them dead
 MAX_PARTS = 64  # datagrams of one state reply or push
 DIFFERENCE_INTERVALS = 3  # probe intervals before a request: gossip resolves most differences
--- a/lilacwalk/overload/dependency_limiter.py
+++ b/lilacwalk/overload/dependency_limiter.py
@@ -26,9 +26,10 @@
 # other reasons than its load would otherwise be left idle.
 MINIMUM_LIMIT_SHARE = 0.3
 LIMIT_DECREASE = 0.8  # factor applied to the limit after each call during congestion
-LIMIT_INCREASE_STEPS = 16  # number of uncongested calls that raise the limit by the full limit
-# After this time without a call, or without progress of any execution, a call or an execution is
-# tried even if the estimates predict that it ends too late.
+LIMIT_INCREASE_STEPS = 16  # each uncongested call raises the limit by 1/16 of the full limit
+# After this time without a call, the mean call time is ignored, so that a call is tried even if it
+# is expected to end too late. After this time without progress of any execution, a non-idempotent
+# request may be executed even if its execution is expected to end too late.
 PROBE_INTERVAL = SECOND
 
 
--- a/lilacwalk/overload/model.py
+++ b/lilacwalk/overload/model.py
@@ -159,7 +159,7 @@
     dispatched_at: int = 0
     call_pending_since: int = 0
     dependency_wait: int = 0  # total time for which the execution has waited for dependency calls
-    # A dependency call ended with an outcome that does not prove that it was not executed.
+    # Whether a dependency call ended with an outcome after which the call may have been executed.
     call_may_have_executed: bool = False
     is_registered: bool = False  # the request's idempotency key is registered
     within_quota: bool = False  # the request was admitted with a credit of its tenant
--- a/lilacwalk/protocols/dependency_connection.py
+++ b/lilacwalk/protocols/dependency_connection.py
@@ -126,7 +126,10 @@
         return [decode_reply(words, body) for words, body in self.parser.feed(chunk)]
 
     def _is_usable(self) -> bool:
-        """Returns whether the connection is still open; discards late replies."""
+        """Discards late replies; returns whether the connection can be used for a call.
+
+        It cannot if it is closed or has failed, or if malformed data arrived.
+        """
         try:
             chunk = self.sock.recv(self.limits.link_read_bytes, socket.MSG_DONTWAIT)
             self._decode(chunk)
--- a/lilacwalk/retry_storms/stages.py
+++ b/lilacwalk/retry_storms/stages.py
@@ -89,7 +89,8 @@
             self._silent_steps = 0
         elif attempts >= MIN_ATTEMPTS // 2:
             self._silent_steps += 1
-        # Steps without completions lead to SILENT instead.
+        # No step counts as a storm during a run of steps without completions, which leads to the
+        # stage SILENT in `_next_stage`.
         is_storm = not self._silent_steps and self._is_storm(metrics)
         self._storm_steps = self._storm_steps + 1 if is_storm else 0
         self._normal_steps = self._normal_steps + 1 if self._has_storm_ended(metrics) else 0
--- a/lilacwalk/server/integrations/site_failover_report.py
+++ b/lilacwalk/server/integrations/site_failover_report.py
@@ -27,9 +27,11 @@
 
 
 def describe_plan(node_plan: NodePlan) -> dict | None:
-    """Returns the report on the failover plan: shares, utilisation and rejections by class.
+    """Returns the report on the failover plan, or None if there is no plan.
 
-    Returns None if there is no plan.
+    The report holds, by site, the share of the failed sites' load that the site receives, and the
+    share of its cores in use; by class, the rejected share of its work; the binding constraint; and
+    whether the plan holds, which means that no work is rejected.
     """
     plan = node_plan.plan
     if plan is None:
--- a/lilacwalk/server/process_config.py
+++ b/lilacwalk/server/process_config.py
@@ -83,7 +83,7 @@
     except OSError as error:
         raise ConfigurationFileError(path, str(error.strerror)) from error
     except (ValueError, RecursionError) as error:
-        raise ConfigurationFileError(path, str(error)) from error
+        raise ConfigurationFileError(path, f"cannot be decoded as UTF-8 JSON: {error}") from error
     if not isinstance(config, dict) or not isinstance(config.get("settings"), dict):
         raise ConfigurationFileError(path, 'expected a JSON object with an object "settings"')
     return config
--- a/lilacwalk/settings.py
+++ b/lilacwalk/settings.py
@@ -20,8 +20,8 @@
     Tenant,
 )
 
-# In tenths of a millisecond. Without it, a time that has no exact binary representation could be
-# rounded to the wrong integer.
+# In tenths of a millisecond. Without the tolerance, a time that has no exact binary representation
+# could be rounded to the wrong integer.
 ROUNDING_TOLERANCE = 1e-6
 TENTHS_PER_MILLISECOND = 10
 
