--- a/lilacwalk/membership/claims.py
+++ b/lilacwalk/membership/claims.py
@@ -22,8 +22,9 @@
 class ClaimSource:
     """The origin of a claim.
 
-    `reason` goes into the event. `sender` is the member whose datagram carried the claim, empty for
-    a claim by this node. `from_exchange` is true for a claim in a state reply or push.
+    `reason` is stated in the event that reports the change. `sender` is the member whose datagram
+    carried the claim, empty for a claim by this node. `from_exchange` is true for a claim in a
+    state reply or push.
     """
 
     reason: str = DEFAULT_REASON
--- a/lilacwalk/membership/view.py
+++ b/lilacwalk/membership/view.py
@@ -198,7 +198,9 @@
 
 
 def row_digest(member: Member) -> int:
-    """Returns a hash of a present member's process, state and address; 0 for others.
+    """Returns a hash of a present member's process, state and address.
+
+    The result is 0 if the member is not present or its metadata is unknown.
 
     Refutations and suspicions are not included: they are temporary and do not change which members
     are present.
--- a/lilacwalk/overload/client_tracker.py
+++ b/lilacwalk/overload/client_tracker.py
@@ -8,7 +8,7 @@
 ACTIVITY_DECAY = 0.8  # factor applied to each client's activity once per control period
 MINIMUM_ACTIVITY = 0.05  # a client is removed unless its activity is above this value
 # Clients whose activity is below this value have no histograms of timeouts of their own; they share
-# one for each request class.
+# one histogram for each request class.
 MINIMUM_TRACKED_ACTIVITY = 2
 TIMEOUT_BUCKETS = 50  # number of histogram buckets between 0 and the timeout of the request class
 MAXIMUM_TIMEOUT_COUNT = 400  # number of requests in a histogram above which its counts are halved
--- a/lilacwalk/overload/decision_sink.py
+++ b/lilacwalk/overload/decision_sink.py
@@ -34,7 +34,7 @@
         """Cancels a running execution whose result is no longer needed."""
 
     def coalesce(self, request: Request, /) -> None:
-        """Responds to a duplicate with the original request's result, once this is known."""
+        """Responds to a duplicate with the original request's result, once that result is known."""
 
     def register_key(self, request: Request, lifetime: int, /) -> None:
         """Stores the request's idempotency key for the duration `lifetime` from now."""
--- a/lilacwalk/protocols/proxy_listener.py
+++ b/lilacwalk/protocols/proxy_listener.py
@@ -101,8 +101,8 @@
         """
         if not self.is_draining:
             self.is_draining = True
-            # The accept calls below must not block. This does not wake the listener's thread if it
-            # is already blocked in accept.
+            # The accept calls below must not block. The non-blocking mode does not wake the
+            # listener's thread if that thread is already blocked in accept.
             self.sock.setblocking(False)
             # Wakes the listener's thread if it is waiting for a slot. The additional slot allows
             # one connection over the limit, which is harmless during a drain.
--- a/lilacwalk/retry_storms/damper.py
+++ b/lilacwalk/retry_storms/damper.py
@@ -27,7 +27,7 @@
     """Why an attempt is rejected; operators see the counts as `shed_budget` and `shed_late`."""
 
     BUDGET = "budget"  # a retry beyond the budget
-    LATE = "late"  # it could not be answered in time
+    LATE = "late"  # the attempt could not be answered in time
 
 
 @dataclass(frozen=True, slots=True)
--- a/lilacwalk/retry_storms/retry_budget.py
+++ b/lilacwalk/retry_storms/retry_budget.py
@@ -50,7 +50,7 @@
         # completions per second by request class, which limit its budget
         self._completion_rates: dict[Hashable, float] = {}
         self._idle_allowance = 0.0  # retries a step that idle cores admit beyond the budget
-        self._idle_left = 0.0  # part of this allowance that is left in the current step
+        self._idle_left = 0.0  # part of `_idle_allowance` left in the current step
 
     def request_completed(self, request_class: Hashable) -> None:
         """Adds the ratio to the budget of the class, up to the budget's limit."""
--- a/lilacwalk/server/decision_applier.py
+++ b/lilacwalk/server/decision_applier.py
@@ -75,7 +75,10 @@
             self._release_if_never_dispatched(entry)
 
     def _release_if_never_dispatched(self, entry: InFlightRequest) -> None:
-        """Releases a request that was never dispatched; others are released when execution ends."""
+        """Releases a request that was never dispatched.
+
+        A dispatched request is released when its execution ends.
+        """
         if not entry.request.was_dispatched:
             self._requests.release_request(entry, None)
 
--- a/lilacwalk/server/reload.py
+++ b/lilacwalk/server/reload.py
@@ -49,5 +49,5 @@
             client.set_address(new_addresses.get(name))
             moved.append(name)
     log.info("event=reloaded moved=%s", ",".join(moved) or "none")
-    # A registry at a new address does not list this server until it receives a report.
+    # A registry at a new address lists this server only after it has received a report.
     event_loop.decision_applier.next_report_at = event_loop.now
--- a/lilacwalk/server/subsystems.py
+++ b/lilacwalk/server/subsystems.py
@@ -301,7 +301,8 @@
     def _apply_failover_traffic(self, config: FailoverConfig, own_site: str) -> None:
         """Opens the listeners for failover traffic, or applies a changed block to them.
 
-        They remain open if the block is removed, and are used again if it is added again.
+        The listeners remain open if the block is removed, and are used again if the block is added
+        again.
         """
         if self.failover_traffic is not None:
             self.failover_traffic.reconfigure(config)
