--- a/tests/emulator/test_models.py
+++ b/tests/emulator/test_models.py
@@ -32,13 +32,15 @@
     assert machine.core_time_used == pytest.approx(0.7 * 40_000_000, rel=0.03)
 
 
-def test_no_run_is_faster_than_alone_and_work_is_conserved():
+def test_no_run_is_faster_than_on_an_idle_machine_and_work_is_conserved():
     events, ended = EventQueue(), {}
     machine = Machine(events, 2)
     for work in (100, 200, 300, 400):
         machine.start(work, lambda tag: ended.setdefault(tag, events.now), work)
     events.run(10_000)
-    assert list(ended) == [100, 200, 300, 400] and all(at >= work for work, at in ended.items())
+    assert list(ended) == [100, 200, 300, 400] and all(
+        ended_at >= work for work, ended_at in ended.items()
+    )
     assert machine.core_time_used == pytest.approx(1_000, abs=4) and ended[400] <= 600
 
 
@@ -60,15 +62,15 @@
     assert collapses == [1]
 
 
-def test_cold_machine_is_slow_during_warm_up_and_stopped_run_does_not_complete():
+def test_stopped_run_on_a_cold_machine_does_not_complete_and_uses_no_core_time():
     events, ended = EventQueue(), []
     machine = Machine(events, 1, cold_speed=0.5, warm_up=100)
-    kept = machine.start(100, ended.append, "kept")
+    unstopped = machine.start(100, ended.append, "kept")
     stopped = machine.start(100, ended.append, "stopped")
     machine.stop(stopped)
     machine.stop(stopped)
     events.run(1_000)
-    assert ended == ["kept"] and machine.run_count == 0 and kept != stopped
+    assert ended == ["kept"] and machine.run_count == 0 and unstopped != stopped
     assert machine.core_time_used == pytest.approx(100, abs=2)
 
 
@@ -85,22 +87,22 @@
     assert ended == [pytest.approx(1_050, abs=2)]
 
 
-def test_dependency_limits_calls_by_slots_slows_when_crowded_and_fails_when_overloaded():
+def test_dependency_limits_concurrent_calls_loses_calls_when_overloaded_and_can_be_restored():
     events, ended = EventQueue(), []
-    index = Dependency(
+    dependency = Dependency(
         events, 2, 100, random.Random(1), crowding_threshold=2.0, collapse_threshold=10.0
     )
     for _ in range(4):
-        index.call(lambda outcome: ended.append((outcome, events.now)))
+        dependency.call(lambda outcome: ended.append((outcome, events.now)))
     events.run(1_000)
     assert [at for _, at in ended] == [100, 100, 200, 200]
     for _ in range(21):
-        accepted = index.call(lambda outcome: ended.append((outcome, events.now)))
-    assert accepted and index.is_down and not index.call(lambda outcome: None)
+        accepted = dependency.call(lambda outcome: ended.append((outcome, events.now)))
+    assert accepted and dependency.is_down and not dependency.call(lambda outcome: None)
     events.run(2_000)
     assert sum(outcome is Outcome.CONNECTION_LOST for outcome, _ in ended) == 21
-    index.restore()
-    assert index.call(lambda outcome: ended.append((outcome, events.now)))
+    dependency.restore()
+    assert dependency.call(lambda outcome: ended.append((outcome, events.now)))
     events.run(3_000)
     assert ended[-1] == (Outcome.OK, 2_100)
 
--- a/tests/emulator/test_play.py
+++ b/tests/emulator/test_play.py
@@ -27,7 +27,7 @@
 
 
 def observable_results(result):
-    """The results that clients observed, as text."""
+    """Returns the results of each second and the admission probabilities, as text."""
     return repr(
         [
             (
@@ -51,16 +51,18 @@
 
 
 def test_controller_keeps_serving_under_overload_where_admitting_all_collapses(scenario):
-    design = play(scenario(load=2.0), 1)
-    all_in = play(scenario(load=2.0, policy="all-in"), 1)
-    assert design.share(3) > 0.45 > 2 * all_in.share(3)
-    assert not design.breaches and min(each.p_a for each in design.samples) < 0.9
+    controller_result = play(scenario(load=2.0), 1)
+    admit_all_result = play(scenario(load=2.0, policy="all-in"), 1)
+    assert controller_result.share(3) > 0.45 > 2 * admit_all_result.share(3)
+    assert (
+        not controller_result.breaches and min(each.p_a for each in controller_result.samples) < 0.9
+    )
 
 
-@pytest.mark.parametrize("kind", BASELINES_BY_NAME)
-def test_every_baseline_keeps_the_common_rules_under_overload_and_a_crash(scenario, kind):
+@pytest.mark.parametrize("baseline", BASELINES_BY_NAME)
+def test_every_baseline_satisfies_the_common_rules_under_overload_and_a_crash(scenario, baseline):
     result = play(
-        scenario(policy=kind, load=1.6, faults=(Fault("crash", 2 * SECOND, SECOND, 0.5),)), 2
+        scenario(policy=baseline, load=1.6, faults=(Fault("crash", 2 * SECOND, SECOND, 0.5),)), 2
     )
     assert not [each for each in result.breaches if each.rule != "no fall-over"]
     assert result.completed
@@ -130,7 +132,7 @@
 
 
 def test_missing_rejections_are_recorded_as_violations_and_are_reproducible(scenario, monkeypatch):
-    """The server drops the controller's rejections, so that requests are not answered."""
+    """The server sends no rejections, so rejected requests get no final answer."""
     monkeypatch.setattr(
         Server, "reject", lambda self, request, retry_after=0, no_retry_elsewhere=False: None
     )
@@ -144,7 +146,7 @@
 
 
 def test_duplicate_effect_is_recorded_as_a_violation(scenario, monkeypatch):
-    """The server does not store idempotency keys, and clients repeat completed requests."""
+    """The server stores no idempotency keys, and proxies send a request again after a reply."""
     monkeypatch.setattr(Server, "register_key", lambda self, request, lifetime: None)
     monkeypatch.setattr(
         Router,
@@ -159,7 +161,7 @@
 
 
 def test_a_seed_gives_the_same_results_under_every_hash_seed(scenario):
-    text = (
+    script = (
         "from tests.emulator.conftest import REQUEST_CLASSES\n"
         "from tests.emulator.test_play import observable_results\n"
         "from lilacwalk.emulator.simulation import play, Scenario, SECOND\n"
@@ -170,7 +172,7 @@
     )
     outputs = {
         subprocess.run(
-            [sys.executable, "-B", "-c", text],
+            [sys.executable, "-B", "-c", script],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -184,7 +186,7 @@
 
 def test_oracle_serves_more_than_the_other_baselines(scenario):
     shares = {
-        kind: play(scenario(load=2.0, policy=kind), 1).share(3)
-        for kind in ("oracle", "fixed", "all-in")
+        baseline: play(scenario(load=2.0, policy=baseline), 1).share(3)
+        for baseline in ("oracle", "fixed", "all-in")
     }
     assert shares["oracle"] > shares["fixed"] > shares["all-in"]
--- a/tests/experiments/conftest.py
+++ b/tests/experiments/conftest.py
@@ -1,4 +1,4 @@
-"""Fixture for files of a small experiment."""
+"""Fixture that writes the file of a small experiment and returns its path."""
 
 import pytest
 
@@ -32,7 +32,7 @@
 
 
 @pytest.fixture
-def file(tmp_path):
+def make_experiment_file(tmp_path):
     def make(name="small.exp", loads="0.4 2", seeds=2, more=""):
         path = tmp_path / name
         path.write_text(TEXT.format(loads=loads, seeds=seeds, more=more))
--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -55,6 +55,7 @@
             self.refused.append(key)
 
     def work(self, time=20):
+        """Advances the clock, then performs the operations that are due."""
         self.now += time
         self.journal.check_slow_operation(self.now)
         while (operation := self.journal.next_operation(self.now)) is not None:
@@ -75,6 +76,7 @@
 
 
 def run_history(process, rng, steps=60):
+    """Puts random values and deletions of eight keys, and performs operations in between."""
     for _ in range(steps):
         key = b"k%d" % rng.randrange(8)
         process.put(key, None if rng.random() < 0.2 else rng.randbytes(rng.randrange(1, 60)))
@@ -84,7 +86,10 @@
 
 
 def check_recovered(process, before):
-    """Checks that no acknowledged value is lost and that no row exists that was never written."""
+    """Checks that no acknowledged value is lost and that only keys that were put have a row.
+
+    A key may have its last acknowledged value or one that was written later.
+    """
     for key, values in before.history.items():
         count = before.acknowledged.get(key, 0)
         assert process.value(key) in values[count:], (key, count)
@@ -92,6 +97,7 @@
 
 
 def count_operations(seed):
+    """Returns the number of disk operations of a history without a crash."""
     disk = FaultyDisk(seed)
     run_history(Process(disk), random.Random(seed))
     return disk.operation_count
@@ -137,8 +143,8 @@
     path = server.server.directory / "secrets"
     path.write_text(secret.hex() + "\n")
     path.chmod(0o600)
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        address = free.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as free_port_socket:
+        address = free_port_socket.getsockname()
     server.server.extra_statements += (
         f"edge {{\n    listen {address[0]}:{address[1]}\n    secrets {path}\n"
         "    customer acme\n}\n"
--- a/tests/storage/test_effect_log.py
+++ b/tests/storage/test_effect_log.py
@@ -1,10 +1,13 @@
-"""Requests with an effect when a real app server is killed; the executor counts the effects."""
+"""Requests with an effect when a real app server is killed or its disk is full.
+
+The executor counts the effects.
+"""
 
 from lilacwalk.protocols.admin_socket import query
 from tests.storage.conftest import WAIT_TIMEOUT_SECONDS
 
 
-def test_request_killed_after_its_answer_is_answered_from_the_persisted_result(make_soak):
+def test_request_answered_before_a_kill_is_answered_from_the_persisted_result(make_soak):
     soak = make_soak()
     soak.start()
     assert soak.send_and_wait("swap", "a") == ("done", b"did a")
@@ -19,8 +22,8 @@
     assert soak.effects[b"a"] == 1
 
 
-def test_request_killed_during_execution_fails_when_retried(make_soak):
-    """The server has no result, but the request may have had its effect: it must not run again."""
+def test_request_in_execution_at_a_kill_fails_when_retried_and_is_not_executed_again(make_soak):
+    """No result is stored at the kill, but the request may already have had its effect."""
     soak = make_soak(run_time=0.5)
     soak.start()
     soak.send_request("swap", "a")
@@ -35,7 +38,9 @@
     assert soak.effects[b"a"] == 1
 
 
-def test_duplicate_of_a_non_idempotent_request_is_not_executed_twice(make_soak):
+def test_non_idempotent_request_in_execution_at_a_kill_is_not_executed_again_for_a_duplicate(
+    make_soak,
+):
     soak = make_soak(run_time=0.3)
     soak.start()
     soak.send_request("move", "m", i="00000000000000aa")
@@ -55,7 +60,9 @@
     pending, outcomes = [], {}
     for start_number in range(8):
         soak.start()
-        keys_by_outcome = soak.run_until_kill([f"{start_number}-{at}" for at in range(60)], pending)
+        keys_by_outcome = soak.run_until_kill(
+            [f"{start_number}-{index}" for index in range(60)], pending
+        )
         pending = keys_by_outcome.get("", []) + [key for key in keys_by_outcome.get("later", [])]
         outcomes |= {
             key: outcome
@@ -103,14 +110,14 @@
     soak = make_soak(unkept="marked")
     soak.start()
     soak.process_fleet.set_disk_full("n0")
-    outcomes = [soak.send_and_wait("swap", f"a{at}")[0] for at in range(5)]
+    outcomes = [soak.send_and_wait("swap", f"a{index}")[0] for index in range(5)]
     assert outcomes == ["done"] * 5
     assert "event=effects_unpersisted" in soak.process_fleet.log("n0")
     assert query(str(soak.socket), "show")["unkept"] >= 4
 
 
-def test_clock_set_back_between_processes_is_logged_and_no_effect_runs_twice(make_soak):
-    """Rows from the future count as invalid, so the server might take the duplicate for new."""
+def test_clock_set_back_before_a_restart_is_logged_and_no_effect_runs_twice(make_soak):
+    """Rows written in the future are invalid: without the result, a duplicate looks new."""
     soak = make_soak()
     soak.start()
     assert soak.send_and_wait("swap", "a")[0] == "done"
--- a/tests/storage/test_journal.py
+++ b/tests/storage/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on a failing, full or slow disk; durability and batches."""
+"""The journal on a failing, full or slow disk, its durability levels and its batches."""
 
 import errno
 import random
@@ -67,7 +67,7 @@
         check_recovered(Process(disk.crash()), process)
 
 
-def test_size_limit_refuses_records_until_a_snapshot_frees_space():
+def test_disk_use_stays_bounded_and_rows_stay_readable_with_a_size_limit():
     disk = FaultyDisk()
     process = Process(
         disk,
@@ -87,7 +87,7 @@
 
 
 def test_slow_sync_acknowledges_records_as_not_persisted_and_sets_the_slow_mode():
-    """Writers wait for acknowledgements, so a sync that hangs must not delay them."""
+    """Writers wait for acknowledgements, which a sync that hangs would delay."""
     process = Process(FaultyDisk())
     process.put(b"a", b"1")
     process.now += 20
@@ -107,24 +107,26 @@
 
 
 @pytest.mark.parametrize(
-    ("durability", "after"),
+    ("durability", "required_operation"),
     [
         (Durability.NONE, None),
         (Durability.FLUSHED, OperationKind.APPEND),
         (Durability.SYNCED, OperationKind.SYNC),
     ],
 )
-def test_record_is_acknowledged_only_when_it_is_as_durable_as_requested(durability, after):
+def test_record_is_acknowledged_only_when_it_is_as_durable_as_requested(
+    durability, required_operation
+):
     process = Process(FaultyDisk(), durability)
     process.put(b"a", b"1")
-    seen = None
+    last_operation = None
     process.now += 20
-    while not (answers := process.journal.take_acknowledgements()):
-        work = process.journal.next_operation(process.now)
+    while not (acknowledgements := process.journal.take_acknowledgements()):
+        operation = process.journal.next_operation(process.now)
         process.journal.operation_done(process.now)
-        seen = work.kind
-    assert answers == [Acknowledgement((b"a", 1), True)]
-    assert seen is after
+        last_operation = operation.kind
+    assert acknowledgements == [Acknowledgement((b"a", 1), True)]
+    assert last_operation is required_operation
 
 
 def test_records_that_arrive_before_the_next_operation_form_one_batch():
--- a/tests/storage/test_ownership.py
+++ b/tests/storage/test_ownership.py
@@ -13,11 +13,11 @@
     assert soak.send_and_wait("look", "b")[0] == "done"
 
 
-def test_second_process_on_a_directory_is_refused(make_soak):
+def test_compact_refuses_a_directory_that_a_running_server_uses(make_soak):
     soak = make_soak()
     soak.start()
-    found = run_storage_command(
+    result = run_storage_command(
         "compact", "--file", str(soak.server.operator_file_path), "--node", "n0"
     )
-    assert found.returncode == 2
-    assert "is in use by another process" in found.stderr
+    assert result.returncode == 2
+    assert "is in use by another process" in result.stderr
--- a/tests/storage/test_persistence.py
+++ b/tests/storage/test_persistence.py
@@ -11,8 +11,8 @@
 def test_learned_state_is_restored_after_a_kill(make_soak):
     soak = make_soak()
     soak.start()
-    for at in range(30):
-        soak.send_and_wait("look", f"a{at}")
+    for index in range(30):
+        soak.send_and_wait("look", f"a{index}")
     soak.process_fleet.wait(
         lambda: query(str(soak.socket), "show")["rows"] >= 1,
         WAIT_TIMEOUT_SECONDS,
@@ -23,7 +23,7 @@
     assert "event=learned_state_restored" in soak.process_fleet.log("n0")
 
 
-def test_node_that_crashes_while_announced_is_damped_after_restarts(make_soak):
+def test_prefix_of_a_node_that_crashes_repeatedly_while_announced_is_damped(make_soak):
     soak = make_soak()
     announce = soak.process_fleet.add_router("n0", "192.0.2.1/32")
     soak.server.extra_statements += announce.replace(
@@ -61,7 +61,7 @@
     assert "damped" not in soak.process_fleet.log("n0")
 
 
-def test_device_session_and_its_answers_survive_a_kill_and_no_request_runs_twice(make_soak):
+def test_device_session_resumes_after_a_kill_and_no_request_runs_or_is_answered_twice(make_soak):
     soak = make_soak(run_time=0.2)
     connect_device = listen_for_devices(soak)
     soak.start()
@@ -93,14 +93,15 @@
     devices = [connect_device()]
     try:
         outcomes = {}
-        for kill in range(5):
+        for kill_number in range(5):
             numbers = {
-                devices[0].ask("move", b"m%d-%d" % (kill, at), 4_000): b"m%d-%d" % (kill, at)
-                for at in range(6)
+                devices[0].ask("move", b"m%d-%d" % (kill_number, index), 4_000): b"m%d-%d"
+                % (kill_number, index)
+                for index in range(6)
             }
-            time_of_kill = time.monotonic() + soak.rng.uniform(0.0, 0.05)
+            kill_at = time.monotonic() + soak.rng.uniform(0.0, 0.05)
             soak.process_fleet.wait(
-                lambda until=time_of_kill: time.monotonic() >= until,
+                lambda until=kill_at: time.monotonic() >= until,
                 WAIT_TIMEOUT_SECONDS,
                 "the random time of the kill",
             )
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -56,7 +56,7 @@
         disk.crash_at = disk.operation_count + rng.randrange(3, 60)
         process = None
         try:
-            process = Process(disk, history={key: list(row) for key, row in history.items()})
+            process = Process(disk, history={key: list(values) for key, values in history.items()})
             process.acknowledged = dict(acknowledged)
             run_history(process, rng, 30)
         except CrashError:
@@ -72,17 +72,17 @@
 
 
 def test_damaged_snapshot_is_skipped_and_the_previous_one_loaded():
-    """Removing logs as soon as the newest snapshot holds their records would lose rows here."""
+    """If logs were removed once the newest snapshot holds their records, rows would be lost."""
     disk = FaultyDisk()
     process = Process(disk)
     run_history(process, random.Random(3), 200)
-    newest, before = sorted(
+    newest, previous = sorted(
         (name for name in disk.list_files() if name.startswith("snap-")), reverse=True
     )[:2]
     values = {key: process.value(key) for key in process.history}
     disk.files[newest][-3] ^= 1
     reopened = Process(disk)
-    assert reopened.recovered.snapshot == before
+    assert reopened.recovered.snapshot == previous
     assert not reopened.recovered.is_complete
     # The log after the previous snapshot still exists.
     assert {key: reopened.value(key) for key in process.history} == values
--- a/tests/storage/test_state.py
+++ b/tests/storage/test_state.py
@@ -1,4 +1,4 @@
-"""Which rows are valid, and the weight of a learned value."""
+"""Validity and order of rows, and the weight of a learned value."""
 
 from lilacwalk.storage.records import Record
 from lilacwalk.storage.state import MAX_CLOCK_SKEW, State, Table, age_weight
