--- a/tests/failover/conftest.py
+++ b/tests/failover/conftest.py
@@ -8,7 +8,7 @@
 from lilacwalk.operator.loader import parse_operator_file
 
 SECOND = 10_000
-OPERATOR_FILE = """sites {{
+OPERATOR_FILE_TEMPLATE = """sites {{
     site recife {{
         cores {cores}
         load {load}
@@ -50,7 +50,7 @@
 
 
 def operator_file_text(**values):
-    return OPERATOR_FILE.format(
+    return OPERATOR_FILE_TEMPLATE.format(
         **({"cores": 24, "load": 14, "index": 10_000, "bear": "any-one"} | values)
     )
 
--- a/tests/failover/test_detector.py
+++ b/tests/failover/test_detector.py
@@ -23,8 +23,8 @@
     assert assess_site("recife", (each.status for each in views), conclusion).condition is condition
 
 
-def test_a_site_three_times_slower_is_degraded_and_an_idle_one_is_healthy():
-    slow = [
+def test_a_site_with_a_third_of_its_baseline_rate_is_degraded_if_busy_and_healthy_if_idle():
+    busy = [
         node_view(f"r{index}", "recife", utilisation=1.0, completed_per_second=33).status
         for index in range(4)
     ]
@@ -32,5 +32,5 @@
         node_view(f"r{index}", "recife", utilisation=0.1, completed_per_second=33).status
         for index in range(4)
     ]
-    assert assess_site("recife", slow, "whole", 400).condition is SiteCondition.DEGRADED
+    assert assess_site("recife", busy, "whole", 400).condition is SiteCondition.DEGRADED
     assert assess_site("recife", idle, "whole", 400).condition is SiteCondition.HEALTHY
--- a/tests/failover/test_local_priority.py
+++ b/tests/failover/test_local_priority.py
@@ -1,4 +1,4 @@
-"""Shedding on a node that takes failover traffic: by weight, and only the load in excess."""
+"""Shedding on a node that takes failover traffic: by weight, and only the excess load."""
 
 import random
 
@@ -28,8 +28,10 @@
 class LoadedNode:
     """A node of nine busy cores at caruaru, which is offered a constant load."""
 
-    def __init__(self, traffic_plan=RECIFE_FAILED, max_retry_after=2 * SECOND, seed=1, **more):
-        config = failover_config(**more)
+    def __init__(
+        self, traffic_plan=RECIFE_FAILED, max_retry_after=2 * SECOND, seed=1, **config_values
+    ):
+        config = failover_config(**config_values)
         classes = {
             request_class.name: plan_class(request_class, config)
             for request_class in REQUEST_CLASSES
@@ -39,12 +41,12 @@
         )
         self.local_priority.traffic_plan = traffic_plan
         self.now = 0
-        self.admission_probability = None  # None: the controller's steady state
+        self.admission_probability = None  # None: that of the controller's steady state
         self.admitted: dict[tuple[str, str], float] = {}
         self.retry_after_times: list[int] = []
 
-    def work(self):
-        """Returns the busy cores and the completions of a step."""
+    def core_time_and_completions(self):
+        """Returns the number of busy cores and the completed requests of a step."""
         return 9.0, int(9.0 * SECOND / EXECUTION_TIME * STEP_INTERVAL / SECOND)
 
     def run(self, rates, steps=80, busy=True):
@@ -75,7 +77,7 @@
                 admission_probability,
                 dict.fromkeys(rates, EXECUTION_TIME),
                 EXECUTION_TIME,
-                *self.work(),
+                *self.core_time_and_completions(),
             )
         self.admitted = {
             key: count * SECOND / STEP_INTERVAL / (steps - half) for key, count in counts.items()
@@ -171,10 +173,11 @@
 
 
 def test_waiting_for_a_core_does_not_count_as_work(monkeypatch):
-    """Measured execution times include the wait for a core: here they are three times the work."""
+    """Measured execution times include the wait for a core: here they are 3 times the core time."""
     node, rates = LoadedNode(), offered_rates(500, 300)
     monkeypatch.setattr("tests.failover.test_local_priority.EXECUTION_TIME", 300)
-    node.work = lambda: (8.0, 400)  # by core usage, a request takes 0.01 s
+    # With 8 busy cores and 400 completions in a step, a request takes 0.01 s of core time.
+    node.core_time_and_completions = lambda: (8.0, 400)
     node.run(rates)
     assert node.local_priority.offered_load == pytest.approx(8.0, rel=0.02)
 
@@ -198,20 +201,20 @@
     assert min(node.retry_after_times) >= SECOND
     assert max(node.retry_after_times) <= 2 * SECOND
     assert len(set(node.retry_after_times)) > 1_000
-    short_recovery = LoadedNode(TrafficPlan(("recife",), (("recife", SECOND),)))
-    short_recovery.run(offered_rates(900, 900))
-    assert max(short_recovery.retry_after_times) <= SECOND
-    disabled = LoadedNode(max_retry_after=0)
-    disabled.run(offered_rates(900, 900))
-    assert set(disabled.retry_after_times) == {0}
+    short_recovery_node = LoadedNode(TrafficPlan(("recife",), (("recife", SECOND),)))
+    short_recovery_node.run(offered_rates(900, 900))
+    assert max(short_recovery_node.retry_after_times) <= SECOND
+    node_without_retry_after = LoadedNode(max_retry_after=0)
+    node_without_retry_after.run(offered_rates(900, 900))
+    assert set(node_without_retry_after.retry_after_times) == {0}
 
 
-def test_nothing_is_rejected_with_an_idle_core_unless_calls_are_scarce():
+def test_with_an_idle_core_only_classes_with_scarce_calls_are_rejected():
     rates = offered_rates(700, 600)
     assert LoadedNode().run(rates, busy=False) == pytest.approx(rates, rel=0.02)
-    scarce = LoadedNode(TrafficPlan(("recife",), RECIFE_FAILED.recovery_times, 75.0))
+    limited_node = LoadedNode(TrafficPlan(("recife",), RECIFE_FAILED.recovery_times, 75.0))
     assert (
-        scarce.run(rates, 40, busy=False)["swap-confirm", "recife"]
+        limited_node.run(rates, 40, busy=False)["swap-confirm", "recife"]
         < 0.9 * rates["swap-confirm", "recife"]
     )
 
@@ -226,7 +229,7 @@
     assert as_failover_class(REQUEST_CLASSES[0], 5_000).latency_objective == 1
 
 
-def test_requests_of_an_unknown_class_are_passed_on_and_not_counted():
+def test_requests_of_an_unknown_class_are_admitted_and_not_counted():
     node = LoadedNode()
     assert node.local_priority.reject_if_overloaded("no-such", "recife", True) is None
     assert not node.local_priority.flows
--- a/tests/failover/test_node_plan.py
+++ b/tests/failover/test_node_plan.py
@@ -1,4 +1,4 @@
-"""The plan of one node: failover nodes, the share of its own site, and its part in the plan."""
+"""The plan of one node: the failover nodes and the share of load that its own site serves."""
 
 from itertools import pairwise
 
@@ -71,22 +71,24 @@
         node_plans = evaluate_all(planners, node_views(["recife"] if index < 10 else []), now)
         counts.append(len(node_plans["c0"].failover_nodes.get("recife", [])))
     peak = max(counts)
-    after = counts[counts.index(peak) :]
-    assert all(b <= a for a, b in pairwise(after))
-    assert after[-1] == 0
-    assert len(set(after)) > 2  # not all in the same evaluation
+    counts_from_peak = counts[counts.index(peak) :]
+    assert all(b <= a for a, b in pairwise(counts_from_peak))
+    assert counts_from_peak[-1] == 0
+    assert len(set(counts_from_peak)) > 2  # the nodes are not all released in the same evaluation
 
 
 def test_views_that_differ_by_one_node_give_plans_that_differ_by_two_nodes_at_most():
-    one = planners_of_all_nodes()
-    other = planners_of_all_nodes()
-    evaluate_all(one, node_views(), 0)
-    evaluate_all(other, node_views(), 0)
+    planners_with_c1 = planners_of_all_nodes()
+    planners_without_c1 = planners_of_all_nodes()
+    evaluate_all(planners_with_c1, node_views(), 0)
+    evaluate_all(planners_without_c1, node_views(), 0)
     views = node_views(["recife"])
-    without = [each for each in views if each.name != "c1"]
-    first = set(evaluate_all(one, views, 2_000)["n0"].failover_nodes["recife"])
-    second = set(evaluate_all(other, without, 2_000)["n0"].failover_nodes["recife"])
-    assert len(first ^ second) <= 2
+    views_without_c1 = [each for each in views if each.name != "c1"]
+    nodes_with_c1 = set(evaluate_all(planners_with_c1, views, 2_000)["n0"].failover_nodes["recife"])
+    nodes_without_c1 = set(
+        evaluate_all(planners_without_c1, views_without_c1, 2_000)["n0"].failover_nodes["recife"]
+    )
+    assert len(nodes_with_c1 ^ nodes_without_c1) <= 2
 
 
 def test_a_fleet_of_one_site_has_no_failover_nodes():
@@ -101,6 +103,7 @@
 
 
 def views_reporting_share(share):
+    """Returns views in which the other sites' nodes report this share of recife, in thousandths."""
     return [
         NodeView(
             view.name,
@@ -143,11 +146,14 @@
         assert node_plan.own_site_share == 1.0
 
 
-def test_the_plan_is_kept_while_the_view_is_inconclusive():
+def test_failover_nodes_stay_chosen_in_an_inconclusive_view_and_are_cleared_in_a_minority():
     planner = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
     planner.evaluate(node_views(), "whole", 0)
-    decided = planner.evaluate(node_views(["recife"]), "whole", 2_000)
-    assert planner.evaluate(node_views(), "unsure", 4_000).failover_nodes == decided.failover_nodes
+    earlier_plan = planner.evaluate(node_views(["recife"]), "whole", 2_000)
+    assert (
+        planner.evaluate(node_views(), "unsure", 4_000).failover_nodes
+        == earlier_plan.failover_nodes
+    )
     assert planner.evaluate(node_views(), "minority", 6_000).failover_nodes == {}
 
 
@@ -155,22 +161,22 @@
     planner = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
     planner.evaluate(node_views(), "whole", 0)
     after_failure = node_views(["recife"])
-    decided = planner.evaluate(after_failure, "whole", 2_000).failover_nodes
+    chosen_nodes = planner.evaluate(after_failure, "whole", 2_000).failover_nodes
     suspected = [
         node_view(view.name, view.status.site, Health.SUSPECT)
-        if view.name in decided["recife"]
+        if view.name in chosen_nodes["recife"]
         else view
         for view in after_failure
     ]
-    assert planner.evaluate(suspected, "whole", 4_000).failover_nodes == decided
+    assert planner.evaluate(suspected, "whole", 4_000).failover_nodes == chosen_nodes
     with_dead_node = [
         node_view(view.name, view.status.site, Health.DEAD)
-        if view.name == decided["recife"][0]
+        if view.name == chosen_nodes["recife"][0]
         else view
         for view in after_failure
     ]
     assert (
-        decided["recife"][0]
+        chosen_nodes["recife"][0]
         not in planner.evaluate(with_dead_node, "whole", 6_000).failover_nodes["recife"]
     )
 
@@ -211,15 +217,19 @@
     assert node_plan.failover_nodes["recife"]
 
 
-def test_failure_history_of_an_earlier_incarnation_keeps_a_flapping_site_excluded():
-    before = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
-    after = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
-    before.recoveries["recife"].failure_count = 4
-    before.recoveries["recife"].excluded_until = 60 * SECOND
-    after.restore_failure_history(before.failure_history(10 * SECOND), 20 * SECOND, 5 * SECOND)
-    assert after.recoveries["recife"].failure_count == 4
-    assert after.recoveries["recife"].excluded_until == 5 * SECOND + 30 * SECOND
-    old = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
-    a_day_old = 24 * 3600 * SECOND
-    old.restore_failure_history(before.failure_history(10 * SECOND), a_day_old, 5 * SECOND)
-    assert old.recoveries["recife"].failure_count == 0
+def test_failure_history_of_an_earlier_process_extends_an_exclusion_unless_it_is_a_day_old():
+    earlier_planner = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
+    planner = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
+    earlier_planner.recoveries["recife"].failure_count = 4
+    earlier_planner.recoveries["recife"].excluded_until = 60 * SECOND
+    planner.restore_failure_history(
+        earlier_planner.failure_history(10 * SECOND), 20 * SECOND, 5 * SECOND
+    )
+    assert planner.recoveries["recife"].failure_count == 4
+    assert planner.recoveries["recife"].excluded_until == 5 * SECOND + 30 * SECOND
+    planner_a_day_later = FailoverPlanner(failover_config(), "c0", "caruaru", 0)
+    one_day = 24 * 3600 * SECOND
+    planner_a_day_later.restore_failure_history(
+        earlier_planner.failure_history(10 * SECOND), one_day, 5 * SECOND
+    )
+    assert planner_a_day_later.recoveries["recife"].failure_count == 0
--- a/tests/failover/test_planner.py
+++ b/tests/failover/test_planner.py
@@ -14,7 +14,7 @@
     )
 
 
-def test_load_is_placed_by_capacity_more_on_nearer_sites_and_none_beyond_capacity():
+def test_more_load_is_placed_on_nearer_sites_and_none_beyond_their_capacity():
     plan = plan_for("recife")
     shares = plan.shares()
     assert sum(shares.values()) == pytest.approx(1.0)
@@ -54,14 +54,14 @@
     assert additional * 0.9 >= 24 - 2 * (24 * 0.9 - 14) > (additional - 1) * 0.9 - 0.9
 
 
-def test_where_a_shared_dependency_binds_cores_do_not_help_and_calls_stay_within_its_limit():
+def test_if_calls_to_a_shared_dependency_are_scarce_more_cores_do_not_help_and_its_limit_is_met():
     config = failover_config(index=500)
     plan = plan_failover(config, configured_capacities(config), {"recife": 1.0})
     assert plan.binding_constraint == "calls to index"
     assert additional_cores_needed(config, configured_capacities(config), {"recife": 1.0}) is None
     assert plan.calls["index"][0] <= 500 * 1.000001
     assert plan.rejected_by_class["swap-confirm"] > 0.5
-    assert plan.rejected_by_class["eligibility"] == 0.0  # cores are not scarce
+    assert plan.rejected_by_class["eligibility"] == 0.0  # there are enough cores
 
 
 def test_a_half_failed_site_moves_only_what_its_remaining_half_cannot_carry():
--- a/tests/failover/test_recovery.py
+++ b/tests/failover/test_recovery.py
@@ -30,6 +30,7 @@
 
 
 def failed_recovery(now=0):
+    """Returns the recovery of a site that has just failed."""
     recovery = SiteRecovery("recife", RECOVERY_PACE, now)
     recovery.evaluate(FAILED_PROBE, now + 1)
     return recovery
@@ -57,13 +58,13 @@
     assert now < 20 * SECOND
 
 
-def test_the_share_is_halved_at_once_when_the_response_time_rises():
+def test_the_share_is_halved_when_the_response_time_rises_and_is_zero_if_it_stays_high():
     recovery = failed_recovery()
     now = evaluate_for(recovery, HEALTHY_PROBE, 60 * SECOND, 1, until=RecoveryStage.RAMPING)
     now = evaluate_for(recovery, HEALTHY_PROBE, 4 * SECOND, now)
-    before = recovery.share
+    previous_share = recovery.share
     recovery.evaluate(SLOW_PROBE, now + 1)
-    assert recovery.share == pytest.approx(before / 2)
+    assert recovery.share == pytest.approx(previous_share / 2)
     evaluate_for(recovery, SLOW_PROBE, 20 * SECOND, now)
     assert recovery.stage is RecoveryStage.PROBING
     assert recovery.share == 0.0
@@ -92,7 +93,7 @@
     assert recovery.failure_count < failure_count
 
 
-def test_two_sites_do_not_ramp_at_once_where_capacity_cannot_survive_both_failing():
+def test_two_sites_ramp_one_after_the_other_if_the_fleet_would_not_survive_both_failing_again():
     one, other = failed_recovery(), SiteRecovery("natal", RECOVERY_PACE, 0)
     other.evaluate(FAILED_PROBE, 1)
     now = 1
@@ -120,7 +121,7 @@
 def test_a_drain_takes_load_off_a_healthy_site_and_a_release_restores_it():
     recovery = SiteRecovery("recife", RECOVERY_PACE, 0)
     recovery.hold(SECOND, 0)
-    assert recovery.share == 1.0  # a hold only stops a recovery, and this site is healthy
+    assert recovery.share == 1.0  # a hold stops only a recovery, and this site is healthy
     recovery.drain(600 * SECOND, 0)
     assert recovery.share == 0.0
     recovery.release(10)
--- a/tests/failover/test_shedding.py
+++ b/tests/failover/test_shedding.py
@@ -49,7 +49,7 @@
     st.integers(1, 60),
 )
 def test_the_admitted_work_reaches_the_optimum_of_the_linear_programme(classes, capacity, calls):
-    """Compares with the corners of the linear programme.
+    """Compares the chosen work with the best corner of the linear programme.
 
     In a corner, all but two shares are either admitted in full or rejected in full.
     """
@@ -64,6 +64,7 @@
 
 
 def best_value(work_shares, capacity, calls):
+    """Returns the highest value in any corner of the linear programme."""
     best = 0.0
     for fractions in itertools.product((0.0, 1.0), repeat=len(work_shares)):
         for one, other in itertools.product(range(len(work_shares)), repeat=2):
--- a/tests/failover/test_sites_command.py
+++ b/tests/failover/test_sites_command.py
@@ -28,17 +28,19 @@
     assert run_sites_plan(operator_file(load=24)).exit_code == 3
     assert run_sites_plan(operator_file(bear="any-two")).exit_code == 3
     assert run_sites_plan(operator_file(), "--lose", "olinda").exit_code == 2
-    bad = tmp_path / "bad"
-    bad.write_text(
+    invalid_file = tmp_path / "bad"
+    invalid_file.write_text(
         operator_file_text()
         .replace("stand-in natal 12ms", "stand-in olinda 12ms")
         .replace("benefit 6", "benefit x")
     )
-    result = run_sites_plan(str(bad))
+    result = run_sites_plan(str(invalid_file))
     assert result.exit_code == 2
 
 
-def test_loads_from_a_capture_replace_the_configured_ones(operator_file, tmp_path):
+def test_loads_from_a_capture_replace_the_configured_ones_and_an_unknown_site_exits_2(
+    operator_file, tmp_path
+):
     capture = tmp_path / "loads"
     capture.write_text("recife 10\nrecife 24  # the busiest\ncaruaru 2\n")
     report = json.loads(
--- a/tests/retry_storms/conftest.py
+++ b/tests/retry_storms/conftest.py
@@ -9,6 +9,13 @@
 
 
 class Node:
+    """A simulated node.
+
+    Attributes:
+        passed: number of attempts that the damper passed on.
+        rejected: number of attempts that the damper rejected.
+    """
+
     def __init__(self, completion_rate=100, **config):
         self.now = 0
         self.completion_rate = completion_rate
@@ -24,7 +31,7 @@
             first: first attempts.
             retries: retries, spread over `clients` clients.
             completed: completed requests; by default as many as the cores can complete.
-            queue_delay: by default that of the requests passed on and not completed.
+            queue_delay: by default the time to complete the requests left over from this step.
             clients: number of clients.
             aggressive: retries of one further client.
         """
--- a/tests/retry_storms/test_damper.py
+++ b/tests/retry_storms/test_damper.py
@@ -42,9 +42,9 @@
     assert node.passed / 10 < 30
 
 
-def test_retry_after_times_are_spread_after_a_stall_before_the_first_tick():
+def test_retry_after_times_are_spread_as_soon_as_a_stall_ends_even_before_the_next_tick():
     node = normal_node()
-    # In the normal stage the controller's time is sent unchanged.
+    # In the normal stage the controller's retry-after time is sent unchanged.
     assert node.damper.spread_retry_after(1, 5_000, node.now) == 5_000
     node.now += 60 * STEP_TIME
     times = [node.damper.spread_retry_after(client, 5_000, node.now) for client in range(200)]
@@ -70,17 +70,18 @@
     for _ in range(6):
         node.step(first=40, retries=150)
     assert node.stage is Stage.DAMPED
-    before = node.rejected
+    rejected_before = node.rejected
     admitted = [node.step(first=40, retries=150) for _ in range(10)]
-    assert node.rejected > before
+    assert node.rejected > rejected_before
     assert sum(admitted) / 10 < 60
     assert all(each >= 40 for each in admitted)  # no first attempt is rejected
 
 
 def test_a_surge_of_new_requests_with_equal_fingerprints_is_not_a_storm():
     node = Node()
+    # Polls with equal bodies count as retries; here all of them are completed.
     for _ in range(60):
-        node.step(first=0, retries=45, completed=50)  # polls with equal bodies, all answered
+        node.step(first=0, retries=45, completed=50)
     for _ in range(10):
         node.step(first=0, retries=100, completed=50)
     assert node.stage is Stage.NORMAL
--- a/tests/retry_storms/test_integration.py
+++ b/tests/retry_storms/test_integration.py
@@ -11,40 +11,45 @@
 from lilacwalk.testing.retrying_clients import RetryBehaviour, RetryingClients
 from tests.conftest import ROOT
 
-MAX_WAIT = 25.0  # seconds: the test fails after it
-WORK = 0.02  # seconds of one execution: fifty a second on the single core
+MAX_WAIT = 25.0  # seconds; a longer wait fails the test
+EXECUTION_SECONDS = 0.02  # the single core completes fifty requests a second
 
 
 @pytest.fixture
 def node():
-    rig = ProcessFleet(1, 500, "serve", has_store=False)
-    server = rig.add("n0")
+    process_fleet = ProcessFleet(1, 500, "serve", has_store=False)
+    server = process_fleet.add("n0")
     server.cpus = 1
     server.extra_statements = f"storms {{\n    socket {server.directory}/storms\n}}\n"
-    server.executor = StandInExecutor(1, lambda _group, _body: WORK)
-    rig.start("n0")
-    rig.wait(lambda: "event=executor_up" in rig.log("n0"), MAX_WAIT, "executor up")
-    yield rig
-    rig.end()
+    server.executor = StandInExecutor(1, lambda _group, _body: EXECUTION_SECONDS)
+    process_fleet.start("n0")
+    process_fleet.wait(
+        lambda: "event=executor_up" in process_fleet.log("n0"), MAX_WAIT, "executor up"
+    )
+    yield process_fleet
+    process_fleet.end()
 
 
-def status(rig):
-    return query(f"{rig.processes['n0'].directory}/storms", "show")
+def status(process_fleet):
+    """Returns the answer of the damper's admin socket to `show`."""
+    return query(f"{process_fleet.processes['n0'].directory}/storms", "show")
 
 
-def stall(rig, crowd, seconds):
+def stall(process_fleet, clients, seconds):
     """Waits until the node has a baseline, then stops its process for a time and resumes it."""
-    rig.wait(lambda: status(rig)["usual_tries"] > 10, MAX_WAIT, "baseline learned")
-    rig.stop("n0")
-    stopped_at = crowd.now
-    rig.wait(lambda: crowd.now > stopped_at + seconds, MAX_WAIT, "end of the stall")
-    rig.resume("n0")
+    process_fleet.wait(
+        lambda: status(process_fleet)["usual_tries"] > 10, MAX_WAIT, "baseline learned"
+    )
+    process_fleet.stop("n0")
+    stopped_at = clients.now
+    process_fleet.wait(lambda: clients.now > stopped_at + seconds, MAX_WAIT, "end of the stall")
+    process_fleet.resume("n0")
 
 
 def test_a_storm_of_clients_that_ignore_retry_after_is_damped_and_ends_with_its_cause(node):
     # Half of the core's capacity: a busy machine has less, and with a load near its capacity no
     # baseline is learned.
-    crowd = RetryingClients(
+    clients = RetryingClients(
         lambda: node.address("n0"),
         25.0,
         20,
@@ -52,29 +57,29 @@
         1,
     )
     try:
-        stall(node, crowd, 6.0)
+        stall(node, clients, 6.0)
         node.wait(lambda: "stage=damped" in node.log("n0"), MAX_WAIT, "storm detected")
         assert status(node)["first"] < status(node)["tries"]
         node.wait(lambda: status(node)["stage"] == "usual", MAX_WAIT, "end of the storm")
         assert status(node)["shed_budget"] + status(node)["shed_late"] > 0
     finally:
-        crowd.end()
+        clients.end()
 
 
 def test_overload_by_first_attempts_alone_keeps_the_normal_stage_and_rejects_no_retries(node):
-    crowd = RetryingClients(
+    clients = RetryingClients(
         lambda: node.address("n0"), 100.0, 20, RetryBehaviour(max_attempts=1), 2
     )
     try:
-        node.wait(lambda: crowd.now > 8.0, MAX_WAIT, "8 s of overload")
+        node.wait(lambda: clients.now > 8.0, MAX_WAIT, "8 s of overload")
         assert status(node)["stage"] == "usual"
         assert not status(node)["shed_budget"]
-        assert sum(crowd.counts.completed.values()) > 100
+        assert sum(clients.counts.completed.values()) > 100
     finally:
-        crowd.end()
+        clients.end()
 
 
-def run_show(path):
+def run_storms_show(path):
     return subprocess.run(
         [sys.executable, "-B", "-m", "lilacwalk", "storms", "show", "--file", str(path)],
         cwd=ROOT,
@@ -84,11 +89,11 @@
 
 
 def test_show_prints_the_stage_and_reports_a_missing_block(node, tmp_path):
-    result = run_show(node.processes["n0"].operator_file_path)
+    result = run_storms_show(node.processes["n0"].operator_file_path)
     assert result.returncode == 0
     assert result.stdout.startswith(("usual: ", "refilling: "))
     (tmp_path / "operator-file").write_text("")
-    result = run_show(tmp_path / "operator-file")
+    result = run_storms_show(tmp_path / "operator-file")
     assert result.returncode == 2
     assert "expected a storms block" in result.stderr
 
@@ -105,26 +110,31 @@
     return node
 
 
-def disk_state(rig):
-    view = rig.show("n0")
+def disk_state(process_fleet):
+    """Returns the node's reported disk state; it is empty if the store is in order."""
+    report = process_fleet.show("n0")
     return (
-        next(row["disk"] for row in view["members"] if row["name"] == "n0") if view else "unknown"
+        next(row["disk"] for row in report["members"] if row["name"] == "n0")
+        if report
+        else "unknown"
     )
 
 
-def test_a_full_disk_in_a_storm_rejects_only_effects_and_the_storm_ends(node_with_store):
-    crowd = RetryingClients(
+def test_a_full_disk_in_a_storm_rejects_only_requests_with_an_effect_and_the_storm_ends(
+    node_with_store,
+):
+    clients = RetryingClients(
         lambda: node_with_store.address("n0"),
         20.0,
         20,
         RetryBehaviour(honours_retry_after=False, marks_retries=False),
         3,
     )
-    effects = RetryingClients(
+    swap_clients = RetryingClients(
         lambda: node_with_store.address("n0"), 4.0, 4, RetryBehaviour(), 4, "swap"
     )
     try:
-        stall(node_with_store, crowd, 5.0)
+        stall(node_with_store, clients, 5.0)
         node_with_store.set_disk_full("n0")
         node_with_store.wait(
             lambda: "stage=damped" in node_with_store.log("n0"), MAX_WAIT, "storm detected"
@@ -137,35 +147,42 @@
             MAX_WAIT,
             "end of the storm with a full disk",
         )
-        second = int(crowd.now) + 1
-        node_with_store.wait(lambda: crowd.now > second + 3, MAX_WAIT, "two full seconds measured")
-        assert sum(crowd.counts.completed[at] for at in (second, second + 1)) > 10
-        assert not sum(effects.counts.completed[at] for at in (second, second + 1))
+        first_second = int(clients.now) + 1
+        node_with_store.wait(
+            lambda: clients.now > first_second + 3, MAX_WAIT, "two full seconds measured"
+        )
+        assert (
+            sum(clients.counts.completed[second] for second in (first_second, first_second + 1))
+            > 10
+        )
+        assert not sum(
+            swap_clients.counts.completed[second] for second in (first_second, first_second + 1)
+        )
         node_with_store.set_disk_full("n0", False)
         node_with_store.wait(
             lambda: disk_state(node_with_store) == "", MAX_WAIT, "store in order again"
         )
-        completed_before = sum(effects.counts.completed.values())
+        completed_before = sum(swap_clients.counts.completed.values())
         node_with_store.wait(
-            lambda: sum(effects.counts.completed.values()) > completed_before,
+            lambda: sum(swap_clients.counts.completed.values()) > completed_before,
             MAX_WAIT,
-            "effects completed again",
+            "requests with an effect completed again",
         )
         assert max(node_with_store.processes["n0"].executor.run_counts.values()) == 1
     finally:
-        crowd.end()
-        effects.end()
+        clients.end()
+        swap_clients.end()
 
 
 def test_clients_are_served_after_each_of_ten_crashes(node):
-    crowd = RetryingClients(
+    clients = RetryingClients(
         lambda: node.address("n0"), 20.0, 20, RetryBehaviour(attempt_timeout=0.5), 5
     )
     try:
         for start_count in range(2, 12):
-            completed_before = sum(crowd.counts.completed.values())
+            completed_before = sum(clients.counts.completed.values())
             node.wait(
-                lambda completed_before=completed_before: sum(crowd.counts.completed.values())
+                lambda completed_before=completed_before: sum(clients.counts.completed.values())
                 > completed_before + 5,
                 MAX_WAIT,
                 "five more requests completed",
@@ -180,11 +197,11 @@
             )
         node.wait(lambda: status(node)["stage"] == "usual", MAX_WAIT, "normal stage")
     finally:
-        crowd.end()
+        clients.end()
 
 
 def test_clients_that_obey_retry_after_are_given_different_times(node):
-    crowd = RetryingClients(
+    clients = RetryingClients(
         lambda: node.address("n0"),
         30.0,
         30,
@@ -192,13 +209,13 @@
         6,
     )
     try:
-        stall(node, crowd, 6.0)
+        stall(node, clients, 6.0)
         node.wait(
-            lambda: sum(crowd.counts.retry_after_times.values()) > 100, MAX_WAIT, "100 rejections"
+            lambda: sum(clients.counts.retry_after_times.values()) > 100, MAX_WAIT, "100 rejections"
         )
         node.wait(lambda: status(node)["stage"] == "usual", MAX_WAIT, "end of the storm")
-        return_times = crowd.counts.retry_after_times
-        # Fewer than half of the clients are told to return within the same tenth of a second.
-        assert max(return_times.values()) < 0.5 * sum(return_times.values())
+        retry_after_times = clients.counts.retry_after_times
+        # Fewer than half of the retry-after times end within the same tenth of a second.
+        assert max(retry_after_times.values()) < 0.5 * sum(retry_after_times.values())
     finally:
-        crowd.end()
+        clients.end()
--- a/tests/retry_storms/test_metrics.py
+++ b/tests/retry_storms/test_metrics.py
@@ -3,7 +3,7 @@
 from lilacwalk.retry_storms.metrics import STEP_TIME, MetricsCollector
 
 
-def test_attempts_in_one_phase_have_a_high_periodicity_and_even_attempts_a_low_one():
+def test_attempts_in_one_step_of_each_period_have_a_high_periodicity_and_even_attempts_a_low_one():
     even, periodic = MetricsCollector(0), MetricsCollector(0)
     now = 0
     for step in range(30):
--- a/tests/retry_storms/test_stages.py
+++ b/tests/retry_storms/test_stages.py
@@ -1,10 +1,10 @@
-"""The stages of damping and their hysteresis."""
+"""Changes of the damping stage, and their hysteresis."""
 
 from lilacwalk.retry_storms.stages import Stage
 from tests.retry_storms.conftest import normal_node
 
 
-def test_stages_follow_missing_completions_first_completions_a_storm_and_normal_load():
+def test_stage_changes_with_missing_completions_new_completions_a_storm_and_normal_load():
     node = normal_node()
     stages = []
     for steps, step_arguments in (
