--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and helpers: simulated fleets, claims, real processes behind a datagram switch."""
+"""Fixtures and helpers: simulated fleets, claims, and real processes behind a datagram switch."""
 
 import random
 
@@ -25,27 +25,31 @@
     return [f"n{index}" for index in range(count)]
 
 
-def fleet(count, seed=1, sites=("recife", "natal", "caruaru"), settle=True, **options):
+def make_simulated_fleet(
+    count, seed=1, sites=("recife", "natal", "caruaru"), settle=True, **options
+):
     """Returns a simulated fleet, distributed evenly over the sites and joined through n0."""
-    world = SimulatedFleet(seed, **options)
+    fleet = SimulatedFleet(seed, **options)
     for index, name in enumerate(member_names(count)):
-        world.add(name, sites[index * len(sites) // count], seeds=["n0"] if index else [])
+        fleet.add(name, sites[index * len(sites) // count], seeds=["n0"] if index else [])
     if settle:
-        assert world.run_until(world.all_settled, 60 * SECOND) is not None
-        world.run(5 * SECOND)
-    return world
+        assert fleet.run_until(fleet.all_settled, 60 * SECOND) is not None
+        fleet.run(5 * SECOND)
+    return fleet
 
 
-def total_count(world, key):
+def total_count(fleet, key):
     """Returns the sum of one counter over all running members."""
-    return sum(node.membership.counts[key] for node in world.running_nodes())
+    return sum(node.membership.counts[key] for node in fleet.running_nodes())
 
 
-def make_membership(name="n1", now=0, wall=1_000, stored=0, seeds=(("10.0.0.9", 9),), **options):
+def make_membership(
+    name="n1", now=0, wall_ms=1_000, stored_incarnation=0, seeds=(("10.0.0.9", 9),), **options
+):
     config = MemberConfig(
         name, "recife", ("10.0.0.1", 1), tuple(seeds), SECOND, 3600 * SECOND, 0.34, 100
     )
-    return Membership(config, random.Random(1), now, wall, stored, **options)
+    return Membership(config, random.Random(1), now, wall_ms, stored_incarnation, **options)
 
 
 def gossip_update(
@@ -77,29 +81,30 @@
 
 
 @pytest.fixture
-def make_rig():
-    rigs = []
+def make_process_fleet():
+    """Makes fleets of processes that the test starts itself."""
+    fleets = []
 
     def make(count=0, sites=("recife",), seeds=1, **options):
-        rig = ProcessFleet(**({"interval_ms": 100} | options))
-        rigs.append(rig)
+        fleet = ProcessFleet(**({"interval_ms": 100} | options))
+        fleets.append(fleet)
         for index, name in enumerate(member_names(count)):
-            rig.add(name, sites[index * len(sites) // count], member_names(count)[:seeds])
-        return rig
+            fleet.add(name, sites[index * len(sites) // count], member_names(count)[:seeds])
+        return fleet
 
     yield make
-    for rig in rigs:
-        rig.end()
+    for fleet in fleets:
+        fleet.end()
 
 
 @pytest.fixture
-def running_fleet(make_rig):
-    """Starts processes and waits until their views are settled."""
+def running_fleet(make_process_fleet):
+    """Makes fleets of processes, started and with settled views."""
 
     def make(count, **options):
-        rig = make_rig(count, **options)
-        rig.start(*rig.processes)
-        rig.wait(rig.settled, 15, "settled after the start")
-        return rig
+        fleet = make_process_fleet(count, **options)
+        fleet.start(*fleet.processes)
+        fleet.wait(fleet.settled, 15, "settled after the start")
+        return fleet
 
     return make
--- a/tests/membership/test_app_server_fleet.py
+++ b/tests/membership/test_app_server_fleet.py
@@ -15,96 +15,105 @@
 TIMEOUT_SECONDS = 15.0  # limit of each wait; exceeding it fails the test
 
 
-def state_of(rig, name, by):
-    return {row["name"]: row["state"] for row in rig.show(by)["members"]}.get(name)
+def state_of(fleet, name, observer):
+    """Returns the state of the member `name` in the view of the member `observer`."""
+    return {row["name"]: row["state"] for row in fleet.show(observer)["members"]}.get(name)
 
 
 @pytest.fixture
-def server_fleet(make_rig):
-    """Starts app servers, each with its own executor, as members of one fleet."""
+def server_fleet(make_process_fleet):
+    """Makes settled fleets of app servers, each with its own executor."""
 
     def make(count, **options):
-        rig = make_rig(count, kind="serve", **options)
-        rig.start(*member_names(count))
-        rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
-        return rig
+        fleet = make_process_fleet(count, kind="serve", **options)
+        fleet.start(*member_names(count))
+        fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled")
+        return fleet
 
     return make
 
 
 def test_app_servers_report_their_state_and_metrics_to_each_other(server_fleet):
-    rig = server_fleet(3)
-    rig.wait(
-        lambda: all(state_of(rig, name, "n0") == "ready" for name in member_names(3)),
+    fleet = server_fleet(3)
+    fleet.wait(
+        lambda: all(state_of(fleet, name, "n0") == "ready" for name in member_names(3)),
         TIMEOUT_SECONDS,
         "all are ready",
     )
-    row = next(row for row in rig.show("n1")["members"] if row["name"] == "n0")
+    row = next(row for row in fleet.show("n1")["members"] if row["name"] == "n0")
     assert row["cores"] == 2
     assert row["p_a"] == 1.0
     assert row["revision"]
 
 
 def test_a_lost_executor_is_reported_as_stalled_and_a_drain_as_draining_then_left(server_fleet):
-    rig = server_fleet(3)
-    rig.wait(lambda: state_of(rig, "n2", "n0") == "ready", TIMEOUT_SECONDS, "ready")
-    rig.processes["n2"].executor.end()
-    rig.wait(
-        lambda: state_of(rig, "n2", "n0") == "standing-still",
+    fleet = server_fleet(3)
+    fleet.wait(lambda: state_of(fleet, "n2", "n0") == "ready", TIMEOUT_SECONDS, "ready")
+    fleet.processes["n2"].executor.end()
+    fleet.wait(
+        lambda: state_of(fleet, "n2", "n0") == "standing-still",
         TIMEOUT_SECONDS,
         "lost executor reported",
     )
-    rig.processes["n1"].popen.terminate()
-    rig.wait(
-        lambda: state_of(rig, "n1", "n0") == "leaving",
+    fleet.processes["n1"].popen.terminate()
+    fleet.wait(
+        lambda: state_of(fleet, "n1", "n0") == "leaving",
         TIMEOUT_SECONDS,
         "reported before the listener closes",
     )
-    assert rig.processes["n1"].popen.wait(TIMEOUT_SECONDS) == 0
-    rig.wait(
-        lambda: rig.healths("n1")["n0"] == "left", TIMEOUT_SECONDS, "recorded as left, not as dead"
+    assert fleet.processes["n1"].popen.wait(TIMEOUT_SECONDS) == 0
+    fleet.wait(
+        lambda: fleet.healths("n1")["n0"] == "left",
+        TIMEOUT_SECONDS,
+        "recorded as left, not as dead",
     )
-    assert "event=drain_started" in rig.log("n1")
-    assert "draining_members=0" in rig.log("n1")
+    assert "event=drain_started" in fleet.log("n1")
+    assert "draining_members=0" in fleet.log("n1")
 
 
-def test_app_servers_that_drain_together_count_each_other(server_fleet):
-    rig = server_fleet(3)
-    rig.processes["n1"].popen.terminate()
-    rig.wait(lambda: state_of(rig, "n1", "n2") == "leaving", TIMEOUT_SECONDS, "n2 sees n1 drain")
-    rig.processes["n2"].popen.terminate()
-    rig.wait(
-        lambda: "draining_members=1" in rig.log("n2"), TIMEOUT_SECONDS, "n2 logs a draining member"
+def test_an_app_server_that_starts_to_drain_logs_how_many_others_are_draining(server_fleet):
+    fleet = server_fleet(3)
+    fleet.processes["n1"].popen.terminate()
+    fleet.wait(
+        lambda: state_of(fleet, "n1", "n2") == "leaving", TIMEOUT_SECONDS, "n2 sees n1 drain"
+    )
+    fleet.processes["n2"].popen.terminate()
+    fleet.wait(
+        lambda: "draining_members=1" in fleet.log("n2"),
+        TIMEOUT_SECONDS,
+        "n2 logs a draining member",
     )
 
 
 def test_a_crashed_app_server_is_declared_dead_and_the_others_keep_serving(server_fleet):
-    rig = server_fleet(3)
-    rig.kill("n1")
-    rig.wait(lambda: rig.settled(["n0", "n2"]), TIMEOUT_SECONDS, "settled without n1")
+    fleet = server_fleet(3)
+    fleet.kill("n1")
+    fleet.wait(lambda: fleet.settled(["n0", "n2"]), TIMEOUT_SECONDS, "settled without n1")
     port = int(
-        next(word for word in rig.log("n0").split() if word.startswith("listen=")).split(":")[1]
+        next(word for word in fleet.log("n0").split() if word.startswith("listen=")).split(":")[1]
     )
     client = ProxyClient(("127.0.0.1", port))
     assert client.answer(client.send_request("look"))[1] == "done"
     client.end()
 
 
-def test_a_reload_removes_adds_and_changes_the_block_but_ignores_an_invalid_file(server_fleet):
-    rig = server_fleet(3)
-    member = rig.processes["n2"]
+def test_a_reload_removes_adds_and_changes_the_fleet_block_but_ignores_an_invalid_file(
+    server_fleet,
+):
+    fleet = server_fleet(3)
+    member = fleet.processes["n2"]
     original_text = member.operator_file_path.read_text()
     member.operator_file_path.write_text("")
     member.popen.send_signal(signal.SIGHUP)
-    rig.wait(lambda: rig.healths("n2", ["n0"])["n0"] == "left", TIMEOUT_SECONDS, "n2 has left")
+    fleet.wait(lambda: fleet.healths("n2", ["n0"])["n0"] == "left", TIMEOUT_SECONDS, "n2 has left")
     member.seeds = ("n1",)
-    rig.write_operator_file(member)
+    fleet.write_operator_file(member)
     member.popen.send_signal(signal.SIGHUP)
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "n2 has joined through another seed")
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "n2 has joined through another seed")
     member.operator_file_path.write_text(original_text)
     member.popen.send_signal(signal.SIGHUP)
-    rig.wait(
-        lambda: "event=fleet_reloaded" in rig.log("n2"),
+    fleet.wait(
+        lambda: "event=fleet_reloaded" in fleet.log("n2"),
         TIMEOUT_SECONDS,
         "changed seeds are applied",
     )
@@ -112,12 +121,12 @@
         original_text.replace("probe-interval 100ms", "probe-interval soon")
     )
     member.popen.send_signal(signal.SIGHUP)
-    rig.wait(
-        lambda: "event=reload_failed" in rig.log("n2"),
+    fleet.wait(
+        lambda: "event=reload_failed" in fleet.log("n2"),
         TIMEOUT_SECONDS,
         "an invalid file is rejected",
     )
-    assert rig.settled()
+    assert fleet.settled()
 
 
 def test_without_a_fleet_block_no_membership_subsystem_or_module_is_loaded(tmp_path):
@@ -139,8 +148,8 @@
     assert result.stdout.strip() == "[]"
 
 
-def test_an_unhealthy_node_withdraws_only_with_permission():
-    """Covers the announcement policy; test_minimum_healthy covers who gets the permission."""
+def test_an_unhealthy_node_withdraws_its_routes_only_if_withdrawal_is_allowed():
+    """Covers the announcement policy; test_minimum_healthy covers which nodes may withdraw."""
     from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
     from tests.bgp.conftest import announce_config
 
@@ -160,7 +169,7 @@
     assert policy.decide(600_000).level is Level.NONE
 
 
-def test_a_drain_withdraws_regardless_of_the_withdrawal_limit():
+def test_a_draining_node_withdraws_its_routes_even_if_withdrawal_is_not_allowed():
     from lilacwalk.bgp.announcement_policy import AnnouncementPolicy, Level, NodeStatus
     from tests.bgp.conftest import announce_config
 
@@ -178,8 +187,8 @@
 def test_show_ping_events_and_watch_print_the_view_of_the_running_member(running_fleet):
     from click.testing import CliRunner
 
-    rig = running_fleet(3)
-    operator_file = str(rig.processes["n0"].operator_file_path)
+    fleet = running_fleet(3)
+    operator_file = str(fleet.processes["n0"].operator_file_path)
 
     def run_command(*words):
         return CliRunner().invoke(
@@ -191,7 +200,7 @@
     assert '"conclusion": "whole"' in run_command("show", "--json").output
     assert "joined" in run_command("events").output
     assert "answered=True" in run_command("ping", "n2").output
-    rig.kill("n2")
+    fleet.kill("n2")
     assert run_command("ping", "n2").exit_code == 4
     assert run_command("ping", "nobody").exit_code == 2
     assert "n0 of recife" in run_command("watch", "--times", "1").output
@@ -220,7 +229,7 @@
     assert "site=recife" in result.output
 
 
-def test_every_error_of_a_block_is_reported_with_its_line():
+def test_every_error_of_a_fleet_block_is_reported_with_its_line():
     from lilacwalk.operator.loader import UnusableFileError, parse_operator_file
 
     with pytest.raises(UnusableFileError) as error:
@@ -236,17 +245,19 @@
     assert "f:1: fleet: expected key" in text
 
 
-def test_member_states_have_the_names_of_the_node_states():
+def test_gossiped_node_states_have_the_names_of_the_bgp_node_statuses():
     from lilacwalk.bgp.announcement_policy import NodeStatus
 
-    assert [node.value for node in NodeStatus] == [NODE_STATE_NAMES[state] for state in NodeState]
+    assert [status.value for status in NodeStatus] == [
+        NODE_STATE_NAMES[state] for state in NodeState
+    ]
 
 
 def test_a_member_ends_within_two_seconds_of_sigterm(running_fleet):
     import time
 
-    rig = running_fleet(4)
-    rig.kill("n1", "n2")  # only n0 is left to receive the leave
+    fleet = running_fleet(4)
+    fleet.kill("n1", "n2")  # only n0 still runs and can receive that n3 leaves
     started_at = time.monotonic()
-    assert rig.leave("n3") == [0]
+    assert fleet.leave("n3") == [0]
     assert time.monotonic() - started_at < 2.0
--- a/tests/membership/test_conclusions.py
+++ b/tests/membership/test_conclusions.py
@@ -1,4 +1,4 @@
-"""Tests of the verdict of one node on its view."""
+"""Tests of a node's verdict on the reliability of its own view."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("figures", "verdict"),
+    ("changed_statistics", "verdict"),
     [
         ({}, "whole"),
         ({"lost": 5}, "whole"),
@@ -36,12 +36,12 @@
         ({"present": 1, "silent_intervals": 9}, "whole"),  # a fleet of one expects no datagrams
     ],
 )
-def test_the_verdict_follows_from_the_statistics(figures, verdict):
-    assert conclude(ViewStatistics(**(STATISTICS | figures))).verdict == verdict
+def test_the_verdict_follows_from_the_statistics(changed_statistics, verdict):
+    assert conclude(ViewStatistics(**(STATISTICS | changed_statistics))).verdict == verdict
 
 
 @pytest.mark.parametrize(
-    ("figures", "firm"),
+    ("changed_statistics", "firm"),
     [
         ({"present": 3_000, "suspects": 40}, True),
         ({"present": 3_000, "peers_agree": False}, True),
@@ -53,5 +53,8 @@
         ({"present": 3_000, "name_conflict": True}, False),
     ],
 )
-def test_a_conclusion_is_firm_if_the_members_not_suspected_are_a_majority(figures, firm):
-    assert conclude(ViewStatistics(**(STATISTICS | figures))).firm is firm
+def test_a_conclusion_is_firm_if_unsuspected_members_are_a_majority_and_this_node_is_sound(
+    changed_statistics, firm
+):
+    """A node is not sound if it stalled, gets no answers or shares its name with a process."""
+    assert conclude(ViewStatistics(**(STATISTICS | changed_statistics))).firm is firm
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -4,7 +4,7 @@
 from tests.membership.conftest import gossip_update
 
 
-def test_membership_changes_are_sent_first_a_limited_number_of_times_from_a_bounded_queue():
+def test_changes_precede_metrics_and_are_sent_a_limited_number_of_times_from_a_bounded_queue():
     gossip = GossipQueue()
     gossip.enqueue(gossip_update("metrics"), False)
     gossip.enqueue(gossip_update("change"), True)
@@ -12,7 +12,7 @@
     transmissions = 0
     while gossip.piggyback(1_000, 10):
         transmissions += 1
-    assert 6 <= transmissions <= 9  # λ·ln(11)
+    assert 6 <= transmissions <= 9  # λ·ln(11) times, for 10 members
     for index in range(MAX_QUEUED_UPDATES + 5):
         gossip.enqueue(gossip_update(f"x{index}"), True)
     assert len(gossip.items) == MAX_QUEUED_UPDATES
--- a/tests/membership/test_incarnation.py
+++ b/tests/membership/test_incarnation.py
@@ -34,7 +34,8 @@
     identity = LocalIdentity("n1", 0, 100, 1)  # the clock was set back before the restart
     earlier = claim(identity, incarnation=9_000, instance=77)
     assert identity.handle_claim(earlier) is ClaimOutcome.SUPERSEDED
-    assert identity.handle_claim(earlier) is ClaimOutcome.IGNORED  # made before it was superseded
+    # the same claim again: it was made before its process was superseded
+    assert identity.handle_claim(earlier) is ClaimOutcome.IGNORED
 
 
 def test_a_suspicion_is_refuted_and_one_from_before_the_refutation_is_ignored():
@@ -56,30 +57,30 @@
     assert (identity.incarnation, identity.refutation) == (101, 0)
 
 
-@pytest.mark.parametrize("newer", [True, False])
-def test_at_the_maximum_incarnation_the_smaller_instance_yields(newer):
+@pytest.mark.parametrize("own_instance_is_larger", [True, False])
+def test_at_the_maximum_incarnation_the_smaller_instance_yields(own_instance_is_larger):
     identity = LocalIdentity("n1", 0, 100, 1)
     other = claim(
         identity,
         incarnation=MAX_INCARNATION,
-        instance=identity.instance + (-1 if newer else 1),
+        instance=identity.instance + (-1 if own_instance_is_larger else 1),
         health=Health.DEAD,
     )
-    expected = ClaimOutcome.SUPERSEDED if newer else ClaimOutcome.YIELDED
+    expected = ClaimOutcome.SUPERSEDED if own_instance_is_larger else ClaimOutcome.YIELDED
     assert identity.handle_claim(other) is expected
 
 
 def test_of_two_processes_under_one_name_the_earlier_keeps_it_and_the_later_yields():
     first, second = LocalIdentity("n1", 0, 1_000, 1), LocalIdentity("n1", 0, 2_000, 1)
     first.established = True
-    assert second.handle_claim(claim(first)) is ClaimOutcome.IGNORED  # the older claim
+    # the claim of the first is older than the second's own
+    assert second.handle_claim(claim(first)) is ClaimOutcome.IGNORED
     assert first.handle_claim(claim(second)) is ClaimOutcome.SUPERSEDED
     # the second has just started and takes the first for its own earlier process
     assert second.handle_claim(claim(first)) is ClaimOutcome.SUPERSEDED
     assert first.handle_claim(claim(second)) is ClaimOutcome.SUPERSEDED
-    assert (
-        second.handle_claim(claim(first)) is ClaimOutcome.YIELDED
-    )  # the first reacted, so it is running
+    # the first has answered with a higher incarnation, so it is running
+    assert second.handle_claim(claim(first)) is ClaimOutcome.YIELDED
     later = claim(first, incarnation=first.incarnation + 9)
     assert second.handle_claim(later) is ClaimOutcome.IGNORED
 
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -46,7 +46,7 @@
         assert error_kind(flipped) in ("seal", "format")
 
 
-def test_a_datagram_that_is_too_long_is_rejected_before_its_tag_is_computed():
+def test_a_datagram_that_is_too_long_is_rejected_before_its_tag_is_checked_and_is_not_sealed():
     assert error_kind(bytes(65_507)) == "long"
     with pytest.raises(DatagramError):
         seal(datagram(updates=tuple(gossip_update(f"n{index}") for index in range(64))), KEY)
@@ -89,8 +89,8 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_decode_to_a_datagram_or_raise_a_datagram_error(data):
-    for bytes_ in (data, bytes([1]) + authentication_tag(data, KEY) + data):
-        result = datagram_or_error_kind(bytes_)
+    for received_bytes in (data, bytes([1]) + authentication_tag(data, KEY) + data):
+        result = datagram_or_error_kind(received_bytes)
         if isinstance(result, str):
             assert result in ("short", "long", "format", "seal", "shape")
         else:
--- a/tests/membership/test_minimum_healthy.py
+++ b/tests/membership/test_minimum_healthy.py
@@ -24,14 +24,14 @@
     ]
 
 
-def test_no_more_than_the_share_withdraws_and_all_nodes_select_the_same_members():
+def test_no_more_than_the_allowed_share_withdraws_and_all_nodes_select_the_same_members():
     fleet = members(range(8))
     selected = names_allowed_to_withdraw(fleet, fleet)
     assert len(selected) == 4 == withdrawal_limit(12, 0.34)
     assert selected == names_allowed_to_withdraw(fleet, list(reversed(fleet)))
 
 
-def test_members_that_have_withdrawn_are_counted_first():
+def test_members_that_have_already_withdrawn_use_up_the_limit_first():
     fleet = members(range(8), withdrawn=(0, 1, 2, 3))
     assert names_allowed_to_withdraw(fleet, fleet) == ["n0", "n1", "n2", "n3"]
 
--- a/tests/membership/test_persistence.py
+++ b/tests/membership/test_persistence.py
@@ -20,8 +20,8 @@
     # nothing is written before the earlier incarnation has been read
     assert schedule.take_due_records(7, view, "n1", 0) == []
     schedule.store_opened(3)
-    (first,) = schedule.take_due_records(7, view, "n1", 0)
-    assert (first.key, first.value) == (INCARNATION_KEY, b"7")
+    (record,) = schedule.take_due_records(7, view, "n1", 0)
+    assert (record.key, record.value) == (INCARNATION_KEY, b"7")
     assert schedule.state == "opening"
     schedule.write_finished(INCARNATION_KEY, False, 0)
     schedule.write_finished(INCARNATION_KEY, False, 0)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -15,148 +15,154 @@
 
 
 def test_a_third_of_the_fleet_killed_at_once_is_declared_dead_by_all_and_rejoins(running_fleet):
-    rig = running_fleet(12, sites=("recife", "natal", "caruaru"), seeds=2)
+    fleet = running_fleet(12, sites=("recife", "natal", "caruaru"), seeds=2)
     killed = ["n1", "n4", "n7", "n10"]
-    rig.kill(*killed)
-    rig.wait(lambda: rig.settled(), TIMEOUT_SECONDS, "the others hold equal and correct views")
-    assert {rig.healths(name)["n0"] for name in killed} == {"dead"}
-    report = rig.show("n0")
+    fleet.kill(*killed)
+    fleet.wait(lambda: fleet.settled(), TIMEOUT_SECONDS, "the others hold equal and correct views")
+    assert {fleet.healths(name)["n0"] for name in killed} == {"dead"}
+    report = fleet.show("n0")
     assert report["conclusion"] == "whole"
     assert report["lost"] == 4
-    rig.start(*killed)
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with the restarted members")
+    fleet.start(*killed)
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled with the restarted members")
 
 
 def test_a_member_that_leaves_is_recorded_as_left_and_not_as_dead(running_fleet):
-    rig = running_fleet(6)
-    assert rig.leave("n4") == [0]
-    rig.wait(
-        lambda: set(rig.healths("n4").values()) == {"left"},
+    fleet = running_fleet(6)
+    assert fleet.leave("n4") == [0]
+    fleet.wait(
+        lambda: set(fleet.healths("n4").values()) == {"left"},
         TIMEOUT_SECONDS,
         "recorded as left by all",
     )
-    assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in rig.running_names())
+    assert all(fleet.show(name)["counts"].get("dead", 0) == 0 for name in fleet.running_names())
 
 
 def test_a_state_is_gossiped_to_all_and_draining_members_are_counted(running_fleet):
-    rig = running_fleet(5)
-    rig.send_state("n1", "leaving")
-    rig.send_state("n2", "leaving")
-    rig.wait(
-        lambda: all(rig.show(name)["leaving"] == 2 for name in rig.running_names()),
+    fleet = running_fleet(5)
+    fleet.send_state("n1", "leaving")
+    fleet.send_state("n2", "leaving")
+    fleet.wait(
+        lambda: all(fleet.show(name)["leaving"] == 2 for name in fleet.running_names()),
         TIMEOUT_SECONDS,
         "draining members are counted",
     )
 
 
-def test_a_process_stopped_for_longer_than_a_suspicion_refutes_and_declares_none_dead(
+def test_a_process_stopped_beyond_the_suspicion_timeout_rejoins_and_declares_none_dead(
     running_fleet,
 ):
-    rig = running_fleet(6)
-    rig.stop("n2")
-    rig.wait(
-        lambda: set(rig.healths("n2").values()) == {"dead"}, TIMEOUT_SECONDS, "n2 declared dead"
+    fleet = running_fleet(6)
+    fleet.stop("n2")
+    fleet.wait(
+        lambda: set(fleet.healths("n2").values()) == {"dead"}, TIMEOUT_SECONDS, "n2 declared dead"
     )
-    rig.resume("n2")
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with n2")
-    assert rig.show("n2")["counts"].get("dead", 0) == 0
+    fleet.resume("n2")
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled with n2")
+    assert fleet.show("n2")["counts"].get("dead", 0) == 0
 
 
 def test_both_sides_of_a_partition_identify_their_side_and_rejoin(running_fleet):
-    rig = running_fleet(9, sites=("recife", "natal", "caruaru"))
+    fleet = running_fleet(9, sites=("recife", "natal", "caruaru"))
     recife, others = member_names(9)[:3], member_names(9)[3:]
-    rig.cut(recife, others)
-    rig.wait(
-        lambda: all(rig.show(name)["conclusion"] == "minority" for name in recife),
+    fleet.cut(recife, others)
+    fleet.wait(
+        lambda: all(fleet.show(name)["conclusion"] == "minority" for name in recife),
         TIMEOUT_SECONDS,
         "minority",
     )
-    rig.wait(
-        lambda: all(rig.show(name)["conclusion"] == "whole" for name in others),
+    fleet.wait(
+        lambda: all(fleet.show(name)["conclusion"] == "whole" for name in others),
         TIMEOUT_SECONDS,
         "whole",
     )
-    assert all(row["cut"] for row in rig.show("n8")["members"] if row["site"] == "recife")
-    rig.heal()
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled as one fleet")
-
-
-def test_two_processes_under_one_name_are_reported_and_one_yields(make_rig):
-    rig = make_rig(4)
-    rig.add("twin", seeds=["n0"], configured_name="n2")
-    rig.start(*member_names(4))
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
-    rig.start("twin")
-    rig.wait(lambda: "change=yielded" in rig.log("twin"), TIMEOUT_SECONDS, "the later one yields")
-    assert rig.show("twin")["reason"] == "another process holds this name"
-    rig.wait(
-        lambda: rig.settled(member_names(4)), TIMEOUT_SECONDS, "the others settled on the first one"
+    assert all(row["cut"] for row in fleet.show("n8")["members"] if row["site"] == "recife")
+    fleet.heal()
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled as one fleet")
+
+
+def test_two_processes_under_one_name_are_reported_and_one_yields(make_process_fleet):
+    fleet = make_process_fleet(4)
+    fleet.add("twin", seeds=["n0"], configured_name="n2")
+    fleet.start(*member_names(4))
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled")
+    fleet.start("twin")
+    fleet.wait(
+        lambda: "change=yielded" in fleet.log("twin"), TIMEOUT_SECONDS, "the later one yields"
+    )
+    assert fleet.show("twin")["reason"] == "another process holds this name"
+    fleet.wait(
+        lambda: fleet.settled(member_names(4)),
+        TIMEOUT_SECONDS,
+        "the others list the first process as n2",
     )
 
 
 def test_a_full_disk_does_not_affect_the_view_and_is_logged_once(running_fleet):
-    rig = running_fleet(4)
-    rig.wait(lambda: rig.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "members stored")
-    incarnation = rig.show("n2")["life"]
-    rig.kill("n2")
-    rig.set_disk_full("n2")
-    rig.start("n2")
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with a full disk")
-    rig.wait(lambda: rig.show("n2")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
-    assert rig.show("n2")["life"] > incarnation
-    rig.set_disk_full("n2", False)
-    rig.wait(lambda: rig.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "stored at a retry")
-    assert rig.log("n2").count("state=not-kept") == 1
-
-
-def test_a_store_that_cannot_be_opened_does_not_affect_the_view(make_rig):
-    rig = make_rig(3)
-    (rig.processes["n1"].directory / "store").write_text("a file instead of a directory")
-    rig.start(*member_names(3))
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
-    rig.wait(lambda: rig.show("n1")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
+    fleet = running_fleet(4)
+    fleet.wait(lambda: fleet.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "members stored")
+    incarnation = fleet.show("n2")["life"]
+    fleet.kill("n2")
+    fleet.set_disk_full("n2")
+    fleet.start("n2")
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled with a full disk")
+    fleet.wait(lambda: fleet.show("n2")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
+    assert fleet.show("n2")["life"] > incarnation
+    fleet.set_disk_full("n2", False)
+    fleet.wait(lambda: fleet.show("n2")["store"] == "kept", TIMEOUT_SECONDS, "stored at a retry")
+    assert fleet.log("n2").count("state=not-kept") == 1
+
+
+def test_a_store_that_cannot_be_opened_does_not_affect_the_view(make_process_fleet):
+    fleet = make_process_fleet(3)
+    (fleet.processes["n1"].directory / "store").write_text("a file instead of a directory")
+    fleet.start(*member_names(3))
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled")
+    fleet.wait(lambda: fleet.show("n1")["store"] == "not-kept", TIMEOUT_SECONDS, "failure reported")
 
 
 def test_with_every_seed_down_a_restarted_member_finds_the_stored_members(running_fleet):
-    rig = running_fleet(4)
-    rig.wait(
-        lambda: "members" in (rig.show("n2") or {}) and rig.show("n2")["store"] == "kept",
+    fleet = running_fleet(4)
+    fleet.wait(
+        lambda: "members" in (fleet.show("n2") or {}) and fleet.show("n2")["store"] == "kept",
         TIMEOUT_SECONDS,
-        "kept",
+        "store opened and written",
+    )
+    fleet.wait(lambda: has_stored_members(fleet, "n2"), 20, "the members known to n2 are stored")
+    fleet.kill("n0", "n2")
+    fleet.start("n2")
+    fleet.wait(
+        lambda: fleet.settled(["n1", "n2", "n3"]), TIMEOUT_SECONDS, "settled without the seed"
     )
-    rig.wait(lambda: has_stored_members(rig, "n2"), 20, "the members that it knows are on disk")
-    rig.kill("n0", "n2")
-    rig.start("n2")
-    rig.wait(lambda: rig.settled(["n1", "n2", "n3"]), TIMEOUT_SECONDS, "settled without the seed")
 
 
-def has_stored_members(rig, name):
-    store = rig.processes[name].directory / "store"
+def has_stored_members(fleet, name):
+    store = fleet.processes[name].directory / "store"
     return any(b"members" in file.read_bytes() for file in store.iterdir())
 
 
 def test_a_key_is_replaced_at_run_time_without_a_lost_member(running_fleet):
-    rig = running_fleet(4)
-    old_key, new_key = rig.key_path.read_text().strip(), "ab" * 32
+    fleet = running_fleet(4)
+    old_key, new_key = fleet.key_path.read_text().strip(), "ab" * 32
     for keys in ((old_key, new_key), (new_key, old_key), (new_key,)):
-        rig.write_keys(*keys)
-        for name in member_names(4):  # one at a time: meanwhile both keys are in use
-            rig.processes[name].popen.send_signal(signal.SIGHUP)
+        fleet.write_keys(*keys)
+        for name in member_names(4):  # one at a time: in between, members use different keys
+            fleet.processes[name].popen.send_signal(signal.SIGHUP)
             line = f"event=fleet_reloaded seeds={0 if name == 'n0' else 1} keys={len(keys)}"
-            count = rig.log(name).count(line)
-            rig.wait(
-                lambda name=name, line=line, count=count: rig.log(name).count(line) > count
+            count = fleet.log(name).count(line)
+            fleet.wait(
+                lambda name=name, line=line, count=count: fleet.log(name).count(line) > count
                 or count,
                 TIMEOUT_SECONDS,
                 "reloaded",
             )
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled with the new key")
-    assert all(rig.show(name)["counts"].get("dead", 0) == 0 for name in member_names(4))
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled with the new key")
+    assert all(fleet.show(name)["counts"].get("dead", 0) == 0 for name in member_names(4))
 
 
 def test_invalid_datagrams_are_logged_and_change_nothing(running_fleet):
-    rig = running_fleet(3)
-    key = bytes.fromhex(rig.key_path.read_text().strip())
+    fleet = running_fleet(3)
+    key = bytes.fromhex(fleet.key_path.read_text().strip())
     valid = seal(
         datagram(sender="stranger", updates=(gossip_update("ghost", metadata=False),)), key
     )
@@ -169,48 +175,52 @@
             *(valid[:length] for length in range(len(valid))),
         ]
         for data in invalid:
-            sock.sendto(data, rig.processes["n1"].listen_address)
-        rig.wait(
-            lambda: "why=long" in rig.log("n1") and "why=seal" in rig.log("n1"),
+            sock.sendto(data, fleet.processes["n1"].listen_address)
+        fleet.wait(
+            lambda: "why=long" in fleet.log("n1") and "why=seal" in fleet.log("n1"),
             TIMEOUT_SECONDS,
             "logged",
         )
-    assert rig.settled()
-    assert "ghost" not in str(rig.show("n1"))
+    assert fleet.settled()
+    assert "ghost" not in str(fleet.show("n1"))
 
 
-def test_a_key_file_readable_by_other_users_fails_the_start_with_exit_code_2(make_rig):
-    rig = make_rig(1)
-    os.chmod(rig.key_path, 0o644)
-    rig.start("n0", wait=False)
-    assert rig.processes["n0"].popen.wait(TIMEOUT_SECONDS) == 2
-    rig.wait(lambda: "expected mode 0600" in rig.log("n0"), TIMEOUT_SECONDS, "the reason is logged")
+def test_a_key_file_readable_by_other_users_fails_the_start_with_exit_code_2(make_process_fleet):
+    fleet = make_process_fleet(1)
+    os.chmod(fleet.key_path, 0o644)
+    fleet.start("n0", wait=False)
+    assert fleet.processes["n0"].popen.wait(TIMEOUT_SECONDS) == 2
+    fleet.wait(
+        lambda: "expected mode 0600" in fleet.log("n0"), TIMEOUT_SECONDS, "the reason is logged"
+    )
 
 
 def test_lost_duplicated_delayed_and_reordered_datagrams_cause_no_false_death(running_fleet):
     """A lost answer may raise a suspicion, which the suspected member has to refute in time."""
-    rig = running_fleet(8)
+    fleet = running_fleet(8)
     survivors = [name for name in member_names(8) if name != "n3"]
     for name in member_names(8):
-        rig.impair(name, loss=0.05, duplication=0.1, delay=0.002, jitter=0.02)
-    rig.kill("n3")
-    rig.wait(
-        lambda: set(rig.healths("n3").values()) == {"dead"}, TIMEOUT_SECONDS, "declared dead by all"
+        fleet.impair(name, loss=0.05, duplication=0.1, delay=0.002, jitter=0.02)
+    fleet.kill("n3")
+    fleet.wait(
+        lambda: set(fleet.healths("n3").values()) == {"dead"},
+        TIMEOUT_SECONDS,
+        "declared dead by all",
     )
     for name in survivors:
-        assert set(rig.healths(name).values()) <= {"alive", "suspect"}
-    rig.heal()
-    rig.wait(rig.settled, TIMEOUT_SECONDS, "settled")
+        assert set(fleet.healths(name).values()) <= {"alive", "suspect"}
+    fleet.heal()
+    fleet.wait(fleet.settled, TIMEOUT_SECONDS, "settled")
     for name in survivors:
-        rig.wait(
-            lambda name=name: set(rig.healths(name).values()) == {"alive"},
+        fleet.wait(
+            lambda name=name: set(fleet.healths(name).values()) == {"alive"},
             TIMEOUT_SECONDS,
             "suspicions refuted",
         )
     declared_dead = {
         line.split("member=")[1].split()[0]
         for name in survivors
-        for line in rig.log(name).splitlines()
+        for line in fleet.log(name).splitlines()
         if "event=fleet_member change=dead" in line
     }
     assert declared_dead == {"n3"}
@@ -246,25 +256,25 @@
     assert play(read(str(ROOT / "drills/crash.drill")), quiet=True)
 
 
-def test_members_with_a_wrong_or_jumping_clock_stay_in_the_fleet(make_rig):
-    rig = make_rig(4)
-    rig.set_clock("n1", -24 * 3600.0)
-    rig.set_clock("n2", 0.0)
-    rig.start(*rig.processes)
-    rig.wait(rig.settled, 15, "settled")
-    incarnations = {row["name"]: row["life"] for row in rig.show("n0")["members"]}
+def test_members_with_a_wrong_or_jumping_clock_stay_in_the_fleet(make_process_fleet):
+    fleet = make_process_fleet(4)
+    fleet.set_clock("n1", -24 * 3600.0)
+    fleet.set_clock("n2", 0.0)
+    fleet.start(*fleet.processes)
+    fleet.wait(fleet.settled, 15, "settled")
+    incarnations = {row["name"]: row["life"] for row in fleet.show("n0")["members"]}
     assert (
         23 * 3_600_000 < incarnations["n3"] - incarnations["n1"] < 25 * 3_600_000
     )  # ms: the clock of n1 is a day behind
-    rig.set_clock("n2", 3600.0)
-    previous_digest = rig.show("n0")["digest"]
-    rig.kill("n1")
-    rig.wait(lambda: set(rig.healths("n1").values()) == {"dead"}, 15, "n1 declared dead")
-    rig.set_clock("n1", -48 * 3600.0)
-    rig.start("n1")
-    rig.wait(rig.settled, 15, "settled with the clock of n1 two days behind")
-    assert rig.show("n0")["digest"] != previous_digest
-    assert all(rig.show(name)["present"] == 4 for name in rig.running_names())
+    fleet.set_clock("n2", 3600.0)
+    previous_digest = fleet.show("n0")["digest"]
+    fleet.kill("n1")
+    fleet.wait(lambda: set(fleet.healths("n1").values()) == {"dead"}, 15, "n1 declared dead")
+    fleet.set_clock("n1", -48 * 3600.0)
+    fleet.start("n1")
+    fleet.wait(fleet.settled, 15, "settled with the clock of n1 two days behind")
+    assert fleet.show("n0")["digest"] != previous_digest
+    assert all(fleet.show(name)["present"] == 4 for name in fleet.running_names())
 
 
 def test_script_commands_that_need_users_or_routers_are_rejected_without_them(tmp_path):
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -67,7 +67,7 @@
     assert view.apply(gossip_update(refutation=1, metadata=False), 3) is Change.REFUTED
     assert (
         view.apply(gossip_update(health=Health.DEAD, reported_by="x", metadata=False), 4) is None
-    )  # of the previous refutation
+    )  # its refutation number is the previous one
 
 
 def test_older_metadata_never_replaces_newer():
@@ -96,21 +96,22 @@
 
 
 def test_a_forgotten_member_is_revived_only_by_a_new_incarnation():
-    view, after = MembershipView(10), 60 * SECOND
+    view, forget_after = MembershipView(10), 60 * SECOND
     view.apply(gossip_update(), 0)
     view.apply(gossip_update(health=Health.DEAD, reported_by="x", metadata=False), 0)
-    assert view.forget(after, after) == ["n2"]
+    assert view.forget(forget_after, forget_after) == ["n2"]
     assert view.get("n2") is None
-    assert view.apply(gossip_update(), after) is None
+    assert view.apply(gossip_update(), forget_after) is None
     assert view.get("n2") is None
     assert (
-        view.apply(gossip_update(incarnation=6), after) is Change.JOINED
+        view.apply(gossip_update(incarnation=6), forget_after) is Change.JOINED
     )  # the member has restarted
     view.apply(
-        gossip_update(incarnation=6, health=Health.DEAD, reported_by="x", metadata=False), after
+        gossip_update(incarnation=6, health=Health.DEAD, reported_by="x", metadata=False),
+        forget_after,
     )
-    view.forget(2 * after, after)
-    view.forget(3 * after, after)
+    view.forget(2 * forget_after, forget_after)
+    view.forget(3 * forget_after, forget_after)
     assert not view.members
 
 
