--- a/lilacwalk/bgp/speaker_io.py
+++ b/lilacwalk/bgp/speaker_io.py
@@ -68,7 +68,7 @@
 
         Args:
             speaker: The speaker that owns the connection.
-            number: Number of the connection's link.
+            number: Number by which the speaker's actions identify this connection.
             peer: Configured address of the peer.
             sock: The socket of an accepted connection; None if the reader has to connect.
             remote_address: Address to connect to; None for an accepted connection.
--- a/lilacwalk/edge/client/state.py
+++ b/lilacwalk/edge/client/state.py
@@ -24,7 +24,7 @@
 
     word: int
     body: bytes
-    come_back: int  # ms
+    come_back: int  # ms after which a denied request may be sent again
 
 
 class ClientSession:
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -1,7 +1,9 @@
 """The CoAP service, without I/O: handles datagrams, and collects actions for the host.
 
 Request: POST /x/GROUP?w=MS&k=KEY&s=SUBJECT&c=CUSTOMER, with the body as payload and the device's
-token as option 65001. Responses:
+token as option 65001. GROUP is the name of the request class, MS the time in milliseconds that the
+device waits for the answer, KEY the idempotency key, SUBJECT the subject and CUSTOMER the tenant of
+the request; the query parameters are optional. Responses:
 
 2.04  completed, the result as payload
 4.29  denied (may be retried), with Max-Age as retry delay (RFC 8516)
@@ -10,10 +12,12 @@
 4.xx  invalid request
 
 An answer that is available within `PIGGYBACK_DELAY` is sent with the acknowledgement, a later one
-as a separate response (RFC 7252 section 5.2.2). A retransmission gets the same reply. A repeated
-request with another message id is recognised as on the device link (`duplicate_detector`). A source
-that has not returned its echo value gets only that value, in a reply no larger than its request,
-and leaves no state.
+as a separate response (RFC 7252 section 5.2.2). A retransmission gets the same reply. A request
+with another message id is a duplicate, and gets the earlier request's answer, if its device,
+request class, tenant, subject and body equal those of a request received within `repeat_window`
+that is in flight or whose answer has not been acknowledged. A denied request has no duplicates, nor
+has a terminated one that is idempotent. A source that has not returned its echo value gets only
+that value, in a reply no larger than its request, and leaves no state.
 """
 
 from __future__ import annotations
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -475,7 +475,7 @@
             self._queue_answer(session, ask.number, before.word, before.body, 0, now)
         elif effect is Effect.IDEMPOTENT:
             return False
-        else:  # the session and its answer are gone, but the request may have been executed
+        else:  # the first request's answer is gone, but that request may have been executed
             self._answer_without_execution(session, ask.number, effect, TERMINATED, now)
         self.counts["joined"] += 1
         return True
@@ -559,8 +559,8 @@
         for pending in session.unacknowledged.values():
             if reason == CLOSED_BY_DEVICE or pending.effect is Effect.IDEMPOTENT:
                 self.duplicate_detector.remove(session, pending.answer.number)
-        # The other fingerprints remain, so that a request is not executed again only because its
-        # answer is lost.
+        # The detector's other entries of this session remain, so that a request is not executed
+        # again only because its answer is lost.
         session.unacknowledged.clear()
         session.by_number.clear()
         if session.device not in self.session_table.by_device:
--- a/lilacwalk/edge/host.py
+++ b/lilacwalk/edge/host.py
@@ -45,8 +45,8 @@
     """Reads a file with one secret per line.
 
     Raises:
-        EdgeError: The file cannot be read, grants a permission to others than its owner, or has no
-            secret or an invalid one.
+        EdgeError: The file cannot be read, grants any permission to its group or to others, or
+            has no secret or an invalid one.
     """
     try:
         with open(path, encoding="ascii") as file:
@@ -69,7 +69,7 @@
 
     Raises:
         EdgeError: A file cannot be read, certificate and key do not match, or the key
-            file grants a permission to others than its owner.
+            file grants any permission to its group or to others.
     """
     tls_context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     tls_context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -130,7 +130,7 @@
             config: The operator's configuration.
             request_classes: The request classes by name.
             node: Name of this server.
-            seed: Seed of random choices.
+            seed: Seed of random choices; replaced by a random one if `persist_sessions` is given.
             clock: Clock of the edge's thread: Unix time in tenths of a millisecond that never
                 decreases.
             on_request: Called in the edge's thread with each request.
--- a/lilacwalk/emulator/processor_sharing.py
+++ b/lilacwalk/emulator/processor_sharing.py
@@ -129,7 +129,7 @@
         """Number of runs in excess of the number of cores."""
         return float(max(0, self.run_count - self.cores))
 
-    # Time
+    # Progress of the runs over time
 
     def rate(self) -> float:
         """Returns the current rate of one run: tenths of a ms of work per tenth of a ms."""
--- a/lilacwalk/experiments/config.py
+++ b/lilacwalk/experiments/config.py
@@ -158,12 +158,18 @@
 class Scenario(Struct, frozen=True, kw_only=True):
     """Block `scenario`; see `emulator.simulation.Scenario` for the fields not described here.
 
+    A round is a series of attempts at one request by a router. It fails if an attempt fails and is
+    not retried, or if no server can be attempted; the client may then repeat the request, which
+    starts another round.
+
     Attributes:
         group: request classes.
         fault: faults to inject.
         cold: speed of a cold machine as a fraction of its full speed.
         come_back: maximum retry-after time of a rejection.
-        choice: how routers choose a server, see `emulator.proxies`.
+        choice: how routers choose a server, one of `emulator.proxies.CHOICES`: `random`, `two` (of
+            two random servers, the one with fewer outstanding attempts), `least` (a server with
+            the fewest outstanding attempts) or `subject` (by a hash of the request's subject).
         tries: maximum number of attempts per round.
         budget: retry tokens that a router gets per request.
         returns: how often a client repeats a request after a failed round.
--- a/lilacwalk/storage/acknowledgements.py
+++ b/lilacwalk/storage/acknowledgements.py
@@ -40,7 +40,10 @@
 
     @property
     def oldest_at(self) -> int | None:
-        """Elapsed time at which the oldest pending record was appended; None without records."""
+        """Time at which the oldest pending record was appended; None if no record is pending.
+
+        The time is elapsed time of the store's monotonic clock, in tenths of a ms.
+        """
         return self._pending[0].appended_at if self._pending else None
 
     def add(self, sequence: int, token: object, now: int) -> None:
--- a/lilacwalk/storage/ownership.py
+++ b/lilacwalk/storage/ownership.py
@@ -13,7 +13,7 @@
 
 
 class OwnershipError(LilacwalkError):
-    """This process may not use the directory. It is not a disk error.
+    """This process may not use the directory, for a reason other than a disk error.
 
     Attributes:
         path: the directory.
--- a/lilacwalk/storage/records.py
+++ b/lilacwalk/storage/records.py
@@ -25,12 +25,12 @@
 # Longest deduplication window in version 1, in tenths of a ms.
 VERSION_1_RETENTION = 24 * 3600 * 10_000
 
-# Texts of `RecordError.fault`
-TORN = "torn record"
-CHECKSUM_MISMATCH = "checksum mismatch"
+# Values of `RecordError.fault`
+TORN = "torn record"  # the file ends within the record
+CHECKSUM_MISMATCH = "checksum mismatch"  # the payload's CRC-32 differs from that in its frame
 UNDECODABLE = "payload is not a record"
-DUPLICATED = "duplicated record"
-MISSING = "missing record"
+DUPLICATED = "duplicated record"  # its sequence number is lower than expected
+MISSING = "missing record"  # the next sequence number is higher than expected
 
 
 class FileFormatError(LilacwalkError):
--- a/lilacwalk/testing/restart_soak.py
+++ b/lilacwalk/testing/restart_soak.py
@@ -113,7 +113,7 @@
             self.proxy_client.end()
         self.process_fleet.end()
 
-    # Kills while many requests are in flight
+    # Measurements and load for tests that kill the app server while many requests are in flight
 
     def count_duplicates_within(self, window: float) -> int:
         """The number of requests that were executed again within `window` seconds.
--- a/lilacwalk/testing/scenario.py
+++ b/lilacwalk/testing/scenario.py
@@ -391,7 +391,11 @@
     }
     if verb in parsers and words:
         return parsers[verb](line, text, words)
-    raise WordError(verb, "a setting, or a step with all its words; steps: " + ", ".join(VERBS))
+    raise WordError(
+        verb,
+        "a setting, or a step's verb followed by the words that this step requires (heal: none); "
+        "verbs: " + ", ".join(VERBS),
+    )
 
 
 def parse_wait(line: int, text: str, words: list[str]) -> Step:
