--- a/lilacwalk/bgp/speaker_state.py
+++ b/lilacwalk/bgp/speaker_state.py
@@ -202,7 +202,7 @@
         peer = self.peers.get(address)
         return peer if peer is not None and peer.find_link(link) is not None else None
 
-    # Time
+    # Clock and timers
 
     def _advance_clock(self, now: int) -> None:
         """Sets the current time, which never decreases."""
--- a/lilacwalk/edge/coap/service.py
+++ b/lilacwalk/edge/coap/service.py
@@ -491,7 +491,7 @@
         if self.by_body_key.get(request.body_key) is request:
             del self.by_body_key[request.body_key]
 
-    # Time
+    # Timers
 
     def due(self) -> int:
         """Returns the time at which `tick` must be called next."""
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -570,7 +570,7 @@
             connection.session = None
             self._refuse(connection, reason)
 
-    # Time
+    # Timers
 
     def due(self) -> int:
         """Returns the time at which `tick` must be called next."""
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -211,7 +211,7 @@
         """Restores all links that are cut."""
         self.cut_links.clear()
 
-    # Time
+    # Simulated time and its events
 
     def _schedule(self, time: int, action: Callable, *arguments) -> None:
         self.sequence_number += 1
--- a/lilacwalk/emulator/server.py
+++ b/lilacwalk/emulator/server.py
@@ -414,7 +414,7 @@
         original = request.duplicate_of
         if original in self.runs:
             self.waiting_duplicates.setdefault(original, []).append(request)
-        else:  # the original has ended; it was completed if its effect was executed
+        else:  # the original request has ended, as completed if its effect was executed
             is_completed = self.effect_counts.get(self.attempts[request].key, 0) > 0
             self._answer(request, Reply(COMPLETED if is_completed else TERMINATED))
             self._release(request)
--- a/lilacwalk/testing/retrying_clients.py
+++ b/lilacwalk/testing/retrying_clients.py
@@ -125,7 +125,7 @@
         """The share of the requests that arrived in this second and were completed in time."""
         return self.counts.completed[second] / max(1, self.counts.requests[second])
 
-    # The thread
+    # The clients' thread
 
     def _run(self) -> None:
         # heap of (time of the next attempt, request number, request)
