--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -168,7 +168,7 @@
         return node
 
     def kill(self, name: str) -> None:
-        """Ends a process without a leave message; a later one may restore its state."""
+        """Ends a member's process without a leave message; its next process may restore the state."""
         node = self.nodes[name]
         if node.membership is not None:
             node.persisted_state = (
@@ -211,7 +211,7 @@
         """Restores all links that are cut."""
         self.cut_links.clear()
 
-    # Time
+    # Simulated time and its events
 
     def _schedule(self, time: int, action: Callable, *arguments) -> None:
         self.sequence_number += 1
