--- a/lilacwalk/bgp/session.py
+++ b/lilacwalk/bgp/session.py
@@ -141,8 +141,8 @@
 
 
 E, S = Event, State
-# Step methods in order, without their leading underscore, and the next state. The state is None if a
-# step returns the next one, or if the state does not change.
+# Step methods in order, without their leading underscore, and the next state. The state is None if
+# a step returns the next one, or if the state does not change.
 Row = tuple[tuple[str, ...], State | None]
 
 STAY: Row = ((), None)
--- a/lilacwalk/emulator/datagrams.py
+++ b/lilacwalk/emulator/datagrams.py
@@ -168,7 +168,7 @@
         return node
 
     def kill(self, name: str) -> None:
-        """Ends a member's process without a leave message; its next process may restore the state."""
+        """Ends a member's process without a leave message; its next one may restore the state."""
         node = self.nodes[name]
         if node.membership is not None:
             node.persisted_state = (
