--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -321,8 +321,9 @@
 
     Such a thread would connect to a later test that is given the same port, and send nothing.
     """
+    earlier_threads = set(threading.enumerate())
     yield
-    for thread in threading.enumerate():
+    for thread in set(threading.enumerate()) - earlier_threads:
         if thread.name == "executor-reader":
             thread.join(PEER_TIMEOUT_SECONDS)
             assert not thread.is_alive()
