--- a/benchmarks/bgp.py
+++ b/benchmarks/bgp.py
@@ -15,6 +15,7 @@
 import threading
 import time
 
+from benchmarks.measurement import measure_seconds, resident_mb
 from benchmarks.table import Table, quantile
 from lilacwalk.bgp import messages
 from lilacwalk.bgp.announcement_policy import NodeStatus
@@ -61,12 +62,6 @@
     return encoded
 
 
-def measure_seconds(action) -> float:
-    started_at = time.perf_counter()
-    action()
-    return time.perf_counter() - started_at
-
-
 def measure_decoding(table: Table, count: int) -> None:
     updates = generate_updates(count)
     data, capabilities = b"".join(updates), NegotiatedCapabilities(as4=True)
@@ -203,12 +198,6 @@
     )
 
 
-def resident_mb() -> float:
-    """Resident memory of this process in MB."""
-    with open("/proc/self/status") as file:
-        return next(int(line.split()[1]) for line in file if line.startswith("VmRSS")) / 1000
-
-
 CONFIG_TEMPLATE = (
     "announce {{\n as 65010\n router-id 127.0.0.1\n next-hop 127.0.0.1\n service 192.0.2.10/32\n"
     " ready-for 10ms\n{peers}}}\n"
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -22,6 +22,7 @@
 from pathlib import Path
 from queue import SimpleQueue
 
+from benchmarks.measurement import measure_seconds, resident_mb
 from benchmarks.table import Table, quantile
 from lilacwalk.edge import frames
 from lilacwalk.edge.client.device import Device
@@ -50,18 +51,6 @@
 CLASS_MIX = ("look", "look", "swap", "move")
 
 
-def resident_mb() -> float:
-    """Resident memory of this process in MB."""
-    with open("/proc/self/status") as file:
-        return next(int(line.split()[1]) for line in file if line.startswith("VmRSS")) / 1000
-
-
-def measure_seconds(action) -> float:
-    started_at = time.perf_counter()
-    action()
-    return time.perf_counter() - started_at
-
-
 # Data structures
 
 
--- a/lilacwalk/commands/experiment.py
+++ b/lilacwalk/commands/experiment.py
@@ -13,12 +13,11 @@
 
 import click
 
-from lilacwalk.commands.options import exit_unusable
+from lilacwalk.commands.options import EXIT_EXPECTATION_FAILED, exit_unusable
 
 if TYPE_CHECKING:
     from lilacwalk.experiments.config import Experiment
 
-EXIT_EXPECTATION_FAILED = 3
 MAX_ERROR_CHARACTERS = 300  # shown from the end of another revision's standard error
 
 
--- a/lilacwalk/commands/fleet.py
+++ b/lilacwalk/commands/fleet.py
@@ -13,6 +13,7 @@
 
 from lilacwalk.commands.node_states import Control, NodeStateInput
 from lilacwalk.commands.options import (
+    EXIT_EXPECTATION_FAILED,
     exit_unusable,
     json_option,
     load_with_block,
@@ -31,7 +32,6 @@
 log = logging.getLogger(__name__)
 MEMBER_COLUMNS = ("name", "site", "address", "health", "state", "disk", "age_ms", "life", "by")
 EXIT_NO_ANSWER = 4
-EXIT_EXPECTATION_FAILED = 3
 HOST_CHECK_SECONDS = 1.0  # time until a host that has failed is noticed
 
 
--- a/lilacwalk/commands/options.py
+++ b/lilacwalk/commands/options.py
@@ -11,6 +11,7 @@
     from lilacwalk.operator.schema import OperatorConfig
 
 EXIT_UNUSABLE = 2  # the command line or a file is invalid, or an address cannot be used
+EXIT_EXPECTATION_FAILED = 3  # an expectation of a scenario or an experiment is not met
 
 operator_file_option = click.option(
     "--file",
--- a/lilacwalk/edge/client/coap.py
+++ b/lilacwalk/edge/client/coap.py
@@ -101,7 +101,7 @@
             if raw is None:
                 raise ValueError(
                     f"answer truncated: requested block {block.number}, got a response "
-                    f"{next_reply.code >> 5}.{next_reply.code & 31:02d} without a Block2 option"
+                    f"{messages.format_code(next_reply.code)} without a Block2 option"
                 )
             block = Block.decode(raw)
         return self._outcome(reply, result)
@@ -153,7 +153,7 @@
         if reply.code >> 5 == 5:
             return Outcome(2, b"", 0)
         raise ValueError(
-            f"the edge rejected the request: {reply.code >> 5}.{reply.code & 31:02d} "
+            f"the edge rejected the request: {messages.format_code(reply.code)} "
             f"{body.decode('utf-8', 'replace')}"
         )
 
--- a/lilacwalk/edge/coap/messages.py
+++ b/lilacwalk/edge/coap/messages.py
@@ -53,6 +53,11 @@
     return code_class << 5 | detail
 
 
+def format_code(code_value: int) -> str:
+    """Returns a code as class and detail, such as 4.04 (RFC 7252 section 3)."""
+    return f"{code_value >> 5}.{code_value & 31:02d}"
+
+
 # Codes of messages (RFC 7252 section 12.1, RFC 7959, 8132 and 8516).
 EMPTY, POST, FETCH = 0, code(0, 2), code(0, 5)
 CHANGED, CONTENT, CONTINUE = code(2, 4), code(2, 5), code(2, 31)
@@ -162,7 +167,7 @@
         )
     if 32 <= code_value < 64 or 192 <= code_value < 224 or code_value >> 5 in (1, 6):
         raise MessageError(
-            f"code {code_value >> 5}.{code_value & 31:02d}, expected a class other than 1 and 6",
+            f"code {format_code(code_value)}, expected a class other than 1 and 6",
             reject_mid,
         )
     token, offset, number, options = data[4 : 4 + token_length], 4 + token_length, 0, []
--- a/lilacwalk/edge/device_service.py
+++ b/lilacwalk/edge/device_service.py
@@ -10,8 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from lilacwalk.edge import frames
-from lilacwalk.edge import session_codec as session_codec
+from lilacwalk.edge import frames, session_codec
 from lilacwalk.edge.config import EdgeConfig
 from lilacwalk.edge.connection_limiter import ConnectionLimiter
 from lilacwalk.edge.duplicate_detector import COMPLETED, DENIED, TERMINATED, DuplicateDetector
--- a/lilacwalk/limits.py
+++ b/lilacwalk/limits.py
@@ -16,10 +16,12 @@
 
 MEGABYTE = 1_000_000
 RESERVED_SOCKETS = 64  # file descriptors for links, the listener, logs and the interpreter
+MIN_SOCKETS = 4 * RESERVED_SOCKETS
 DEFAULT_SOCKETS = 1_024
 DEFAULT_MEMORY_MB = 192.0
 # Memory of the program itself and of requests that are read but not decided on yet.
 PROGRAM_BYTES = 16 * MEGABYTE
+MIN_MEMORY_BYTES = PROGRAM_BYTES + PROGRAM_BYTES // 4
 CONNECTION_BYTES = 24_000  # memory of a connection without its send buffer
 IN_FLIGHT_REQUEST_BYTES = 9_000
 CACHE_ENTRY_BYTES = 1_500  # memory of a cache entry without its result
@@ -148,11 +150,11 @@
         limits = read_section(configuration, "limits")
         info = read_section(settings, "family_info")
         sockets = read_integer(limits, "sockets", DEFAULT_SOCKETS)
-        if sockets < 4 * RESERVED_SOCKETS:
+        if sockets < MIN_SOCKETS:
             raise SettingValueError(
                 name="sockets",
                 value=sockets,
-                problem=f"is below the minimum of {4 * RESERVED_SOCKETS} sockets",
+                problem=f"is below the minimum of {MIN_SOCKETS} sockets",
             )
         memory_part = _memory_part(limits)
         connection_memory = CONNECTION_MEMORY_PARTS * memory_part
@@ -178,11 +180,11 @@
 
 def _memory_part(limits: dict) -> int:
     """One of MEMORY_PARTS parts of the memory that remains after PROGRAM_BYTES, in bytes."""
-    memory = read_number(limits, "memory_mb", DEFAULT_MEMORY_MB) * MEGABYTE - PROGRAM_BYTES
-    if memory < PROGRAM_BYTES // 4:
+    memory = read_number(limits, "memory_mb", DEFAULT_MEMORY_MB) * MEGABYTE
+    if memory < MIN_MEMORY_BYTES:
         raise SettingValueError(
             name="memory_mb",
             value=limits["memory_mb"],
-            problem=f"is below the minimum of {PROGRAM_BYTES * 5 // 4 // MEGABYTE} MB",
+            problem=f"is below the minimum of {MIN_MEMORY_BYTES // MEGABYTE} MB",
         )
-    return int(memory / MEMORY_PARTS)
+    return int((memory - PROGRAM_BYTES) / MEMORY_PARTS)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -194,8 +194,12 @@
         loop_released.set()
 
 
-# The attribute of each listener that a test may replace, by the configuration key of its address.
-LISTENER_ATTRIBUTES = {"kernel": "executor_listener", "index": "dependency_listener"}
+# The attribute of each peer's socket, by the configuration key of its address.
+PEER_SOCKET_ATTRIBUTES = {
+    "kernel": "executor_listener",
+    "index": "dependency_listener",
+    "directory": "registry",
+}
 
 
 class AppServerHarness:
@@ -213,12 +217,8 @@
         self.registry.bind(("127.0.0.1", 0))
         self.registry.settimeout(PEER_TIMEOUT_SECONDS)
         peer_addresses = {
-            key: format_address(sock.getsockname())
-            for key, sock in (
-                ("kernel", self.executor_listener),
-                ("index", self.dependency_listener),
-                ("directory", self.registry),
-            )
+            key: format_address(getattr(self, attribute).getsockname())
+            for key, attribute in PEER_SOCKET_ATTRIBUTES.items()
         }
         self.process_config = (
             {
@@ -255,9 +255,7 @@
             (f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}", 0)
         ) as free_port_socket:
             self.address = free_port_socket.getsockname()
-        self.config_path.write_text(
-            json.dumps(self.process_config | {"listen": format_address(self.address)})
-        )
+        self._write_config()
         run_line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.process = subprocess.Popen(
             ["/bin/sh", "-c", run_line],
@@ -274,7 +272,10 @@
             listener = socket.create_server(("127.0.0.1", 0))
             self.listeners.append(listener)
             self.process_config[key] = format_address(listener.getsockname())
-            setattr(self, LISTENER_ATTRIBUTES[key], listener)
+            setattr(self, PEER_SOCKET_ATTRIBUTES[key], listener)
+        self._write_config()
+
+    def _write_config(self):
         self.config_path.write_text(
             json.dumps(self.process_config | {"listen": format_address(self.address)})
         )
@@ -358,7 +359,7 @@
     """
     proxy.submit(tag, **submit_options)
     words, body = harness.executor.receive("SCHED")
-    harness.executor.send(f"REAP {event_number} {words[1]} success 3 {len(result)}", result)
+    finish_execution(harness, event_number, words[1], result)
     return words, body, proxy.receive_response()
 
 
@@ -368,7 +369,7 @@
 def submit_until_dependency_call(harness, proxy, tag, event_number):
     """Submits a request whose execution requests a dependency call; returns the request's id."""
     proxy.submit(tag, "look")
-    request_id = harness.executor.receive("SCHED")[0][1]
+    request_id = next_dispatched_id(harness)
     harness.executor.send(f"IOREQ {event_number} {request_id} 1", b"?")
     return request_id
 
--- a/tests/edge/test_device_link.py
+++ b/tests/edge/test_device_link.py
@@ -210,9 +210,7 @@
     assert not site.thread.is_alive()
 
 
-def test_the_send_buffer_of_a_device_that_does_not_read_stays_bounded(
-    make_site,
-):
+def test_the_send_buffer_of_a_device_that_does_not_read_stays_bounded(make_site):
     # The controller must not reject requests, since a rejection has no body and fills no buffer. On
     # a busy machine it rejects those that it expects to end after the latency objective.
     classes = [
@@ -235,6 +233,10 @@
             for each in site.edge.device_sockets.values()
         ]
     )
+
+    def unsent_bytes(service):
+        return max(one.unsent_bytes for one in service.connections.values())
+
     for number in range(1, 2_001):
         sock.sendall(frames.encode(frames.Ask(number, "look", b"", 60_000, 0)))
         received = open_count = unsent = 0
@@ -244,7 +246,7 @@
                 lambda each: (
                     each.counts["asked"],
                     sum(len(one.open) for one in each.session_table),
-                    max(one.unsent_bytes for one in each.connections.values()),
+                    unsent_bytes(each),
                 )
             )
             assert unsent <= 4_000 + 8_200
@@ -254,10 +256,7 @@
         pytest.fail("the operating system accepted all answers")
     for further_number in range(number + 1, number + 33):  # sent without waiting for execution
         sock.sendall(frames.encode(frames.Ask(further_number, "look", b"", 60_000, 0)))
-        unsent = site.call_in_edge_thread(
-            lambda each: max(one.unsent_bytes for one in each.connections.values())
-        )
-        assert unsent <= 4_000 + 8_200
+        assert site.call_in_edge_thread(unsent_bytes) <= 4_000 + 8_200
     sock.close()
 
 
--- a/tests/protocols/test_dependency_client.py
+++ b/tests/protocols/test_dependency_client.py
@@ -23,9 +23,7 @@
 @pytest.mark.parametrize("reply", ["SHED", "NOBODY", "BROKEN", "SLOW"])
 def test_a_failed_call_of_an_idempotent_request_is_retried(harness, reply):
     proxy = harness.connect_proxy()
-    proxy.submit(1, "look")
-    request_id = harness.executor.receive("SCHED")[0][1]
-    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = submit_until_dependency_call(harness, proxy, 1, 1)
     dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.send(f"{request_id} {reply}")
@@ -37,9 +35,7 @@
 
 def test_a_call_of_an_idempotent_request_is_retried_after_its_connection_is_reset(harness):
     proxy = harness.connect_proxy()
-    proxy.submit(1, "look")
-    request_id = harness.executor.receive("SCHED")[0][1]
-    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = submit_until_dependency_call(harness, proxy, 1, 1)
     dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.reset()
@@ -64,9 +60,7 @@
     harness = make_harness(limits={"dependency_idle_timeout": 500}).start()
     harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
     for tag in (1, 2):
-        proxy.submit(tag, "look")
-        request_id = harness.executor.receive("SCHED")[0][1]
-        harness.executor.send(f"IOREQ {2 * tag - 1} {request_id} 1", b"?")
+        request_id = submit_until_dependency_call(harness, proxy, tag, 2 * tag - 1)
         dependency = harness.accept_dependency_connection()
         dependency.receive("GET")
         dependency.send(f"{request_id} HIT 1", b"!")
@@ -226,9 +220,7 @@
             filler.connect_ex(full_listener.getsockname())
         harness = make_harness(index="{}:{}".format(*full_listener.getsockname())).start()
         harness.executor, proxy = harness.accept_executor_link(), harness.connect_proxy()
-        proxy.submit(1, "look")
-        request_id = next_dispatched_id(harness)
-        harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+        request_id = submit_until_dependency_call(harness, proxy, 1, 1)
         for number in range(2, 6):
             proxy.submit(number)
             finish_execution(harness, number, next_dispatched_id(harness))
--- a/tests/server/test_executor_session.py
+++ b/tests/server/test_executor_session.py
@@ -13,6 +13,7 @@
     finish_execution,
     next_dispatched_id,
     request_dependency_call,
+    submit_until_dependency_call,
 )
 
 
@@ -74,9 +75,7 @@
 
 def test_a_resent_call_result_that_the_executor_rejects_does_not_end_the_execution(harness):
     proxy = harness.connect_proxy()
-    proxy.submit(1, "look")
-    request_id = harness.executor.receive("SCHED")[0][1]
-    harness.executor.send(f"IOREQ 1 {request_id} 1", b"?")
+    request_id = submit_until_dependency_call(harness, proxy, 1, 1)
     dependency = harness.accept_dependency_connection()
     dependency.receive("GET")
     dependency.send(f"{request_id} HIT 1", b"!")
